--- a/crates/berth/src/berth.rs
+++ b/crates/berth/src/berth.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
-use tindock::terms::DutySheet;
+use tindock::types::PolicySettings;
 use tindock_inventory::{Columns, Entry};
 
 /// Descriptors for the listener, discovery, standard streams, the runtime and signals, with some to spare.
@@ -43,7 +43,7 @@
     /// A folder that this process shares with the one that takes over from it.
     pub runtime: Option<PathBuf>,
     pub seed: u64,
-    pub sheet: DutySheet,
+    pub sheet: PolicySettings,
     pub words: Words,
     pub known: Option<Listing>,
     pub rooms: Rooms,
--- a/crates/berth/src/installation.rs
+++ b/crates/berth/src/installation.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use tindock::terms::{DutySheet, Effect, Group, News, Workload};
+use tindock::types::{Discovery, Effect, Group, PolicySettings, Workload};
 use tindock_inventory::{merge, Address, Columns, Entry, Place, Problem, State, FIELDS};
 use toml::de::DeTable;
 
@@ -114,9 +114,15 @@
     let mut words = Words { zones: vec![zone], ..Words::default() };
     let workloads = workloads(r, top, &mut words);
     let (quotas, beyond_share) = customers(r, top, &mut words);
-    let mut sheet = DutySheet { workloads, quotas, beyond_share, news: News::Pushed, ..DutySheet::default() };
+    let mut sheet = PolicySettings {
+        workloads,
+        quotas,
+        beyond_share,
+        discovery: Discovery::Pushed,
+        ..PolicySettings::default()
+    };
     let (dial, keep, most) = workers(r, top, &mut sheet, &mut words);
-    sheet.workloads.iter_mut().for_each(|row| row.most_assignments = most);
+    sheet.workloads.iter_mut().for_each(|row| row.max_assignments = most);
     let others = others(r, top, &mut sheet);
     let accord = accord(r, top, &title, folder);
     let inventory = inventory(r, top, folder);
@@ -242,7 +248,7 @@
             hard_limit,
             utility,
             kind,
-            most_assignments: 1,
+            max_assignments: 1,
         });
     }
     rows
@@ -270,7 +276,7 @@
 fn workers<'t>(
     r: &mut Reader<'t>,
     top: &mut Section<'t>,
-    sheet: &mut DutySheet,
+    sheet: &mut PolicySettings,
     words: &mut Words,
 ) -> (Duration, Duration, usize) {
     let mut s = r.section(top, "workers");
@@ -278,14 +284,14 @@
     sheet.may_cancel = r.value(&mut s, "call-off", flag, "true");
 
     let most = r.value(&mut s, "most-assignments", whole(1, 100), "5") as usize;
-    sheet.tells_start = r.value(&mut s, "tell-start", flag, "false");
-    sheet.progress_every = r.optional(&mut s, "progress-every", span(10 * MS));
+    sheet.reports_start = r.value(&mut s, "tell-start", flag, "false");
+    sheet.progress_interval = r.optional(&mut s, "progress-every", span(10 * MS));
     sheet.overload_factor = r.value(&mut s, "overload-factor", number(0.1, 1000.0), "3");
     sheet.cold_share = r.value(&mut s, "cold-share", number(0.001, 1.0), "0.3");
     sheet.warm_within = r.value(&mut s, "warm-within", span(Duration::ZERO), "10s");
-    sheet.price_crossing = r.value(&mut s, "price-of-crossing", number(0.0, 1.0), "0.02");
-    sheet.come_back = r.optional(&mut s, "come-back-at-most", span(MS));
-    sheet.moving_weights = r.value(&mut s, "weights", one_of(&[("sizes", false), ("moving", true)]), "sizes");
+    sheet.crossing_cost = r.value(&mut s, "price-of-crossing", number(0.0, 1.0), "0.02");
+    sheet.max_retry_after = r.optional(&mut s, "come-back-at-most", span(MS));
+    sheet.live_weights = r.value(&mut s, "weights", one_of(&[("sizes", false), ("moving", true)]), "sizes");
     let reports = r.words(&mut s, "reports");
     sheet.report_free = reports.iter().position(|(w, _)| w == "free-slots");
     sheet.report_waiting = reports.iter().position(|(w, _)| w == "backlog");
@@ -300,7 +306,7 @@
 const MOST_TALKERS: usize = 1000;
 
 /// The other schedulers that this one tells of workers, and is told by.
-fn others<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, sheet: &mut DutySheet) -> Option<Others> {
+fn others<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, sheet: &mut PolicySettings) -> Option<Others> {
     let mut s = r.section(top, "peers");
     let place = s.place.clone();
     let listen = r.optional(&mut s, "listen", address);
@@ -312,7 +318,7 @@
             Err(_) => r.problem(&place, format!("{word:?}; address:port was expected")),
         }
     }
-    sheet.price_word = r.value(&mut s, "price-of-word", number(0.0, 1.0), "0.01");
+    sheet.message_cost = r.value(&mut s, "price-of-word", number(0.0, 1.0), "0.01");
     r.close(&s);
     let Some(listen) = listen else {
         if !all.is_empty() {
@@ -329,7 +335,7 @@
         r.problem(&place, format!("peers.all names {} schedulers; {most} at the most", all.len()));
     }
     let position = position?;
-    (sheet.talkers, sheet.position) = (all.len(), position);
+    (sheet.exchange_size, sheet.position) = (all.len(), position);
     Some(Others { all, position })
 }
 
--- a/crates/berth/src/listing.rs
+++ b/crates/berth/src/listing.rs
@@ -3,7 +3,7 @@
 use crate::words::Words;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
-use tindock::terms::{Condition, Site};
+use tindock::types::{Condition, Site};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
--- a/crates/berth/src/words.rs
+++ b/crates/berth/src/words.rs
@@ -31,8 +31,8 @@
     }
 
     /// The indices of a zone and a kind, added if they are new.
-    pub fn site(&mut self, zone: String, kind: String, cell: usize) -> Result<tindock::terms::Site, String> {
+    pub fn site(&mut self, zone: String, kind: String, cell: usize) -> Result<tindock::types::Site, String> {
         let (zone, kind) = (index(&mut self.zones, zone)?, index(&mut self.kinds, kind)?);
-        Ok(tindock::terms::Site { zone, cell, kind })
+        Ok(tindock::types::Site { zone, cell, kind })
     }
 }
--- a/crates/berth/tests/installation.rs
+++ b/crates/berth/tests/installation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::time::Duration;
-use tindock::terms::{Effect, Group, News};
+use tindock::types::{Discovery, Effect, Group};
 use tindock_berth::{installation, Berth, Layers, Shown, Source};
 
 const GOOD: &str = "\
@@ -42,7 +42,7 @@
     let row = &berth.sheet.workloads[0];
     assert_eq!(row.effect, Effect::Deduplicated(Group::Zone));
     assert_eq!((row.promised, row.memory), (Duration::from_millis(500), Duration::from_secs(30)));
-    assert_eq!((berth.sheet.news, berth.sheet.quotas.as_slice()), (News::Pushed, &[12.5][..]));
+    assert_eq!((berth.sheet.discovery, berth.sheet.quotas.as_slice()), (Discovery::Pushed, &[12.5][..]));
     assert_eq!(berth.words.kinds[row.kind.expect("a kind")], "std");
     assert_eq!(berth.inventory.expect("fixed workers").fixed.len(), 1);
 }
@@ -170,14 +170,14 @@
 #[test]
 fn schedulers_that_talk_know_their_place() {
     let (berth, _) = read(GOOD, &Layers::default()).expect("a configuration");
-    assert_eq!((berth.sheet.talkers, berth.sheet.moving_weights, berth.others), (0, false, None));
+    assert_eq!((berth.sheet.exchange_size, berth.sheet.live_weights, berth.others), (0, false, None));
     let peers = "[peers]\nlisten = \"10.0.0.2:1\"\nall = [\"10.0.0.1:1\", \"10.0.0.2:1\"]\n\
                  [workers]\nschedulers = 3\nweights = \"moving\"\nreports = [\"backlog\", \"free-slots\"]";
     let (berth, _) =
         read(&GOOD.replacen("[workers]", peers, 1), &Layers::default()).expect("a configuration");
     let sheet = &berth.sheet;
-    assert_eq!((sheet.talkers, sheet.position, sheet.schedulers, sheet.price_word), (2, 1, 3, 0.01));
-    assert_eq!((sheet.moving_weights, sheet.report_free, sheet.report_waiting), (true, Some(1), Some(0)));
+    assert_eq!((sheet.exchange_size, sheet.position, sheet.schedulers, sheet.message_cost), (2, 1, 3, 0.01));
+    assert_eq!((sheet.live_weights, sheet.report_free, sheet.report_waiting), (true, Some(1), Some(0)));
     assert_eq!(berth.others.expect("others").all.len(), 2);
 }
 
--- a/crates/lending/src/pick.rs
+++ b/crates/lending/src/pick.rs
@@ -3,7 +3,7 @@
 use crate::words::Ended;
 use std::time::Duration;
 use tindock::index::whittle;
-pub use tindock::terms::Energy;
+pub use tindock::types::Energy;
 
 /// Off after this without a call of this lender's: longer than a lull between two.
 pub const IDLE: Duration = Duration::from_secs(5);
--- a/crates/roster/src/merging.rs
+++ b/crates/roster/src/merging.rs
@@ -11,7 +11,7 @@
 //! A worker whose address changes in the files drains at the old one first, since the tasks that it has are there.
 
 use std::collections::{BTreeMap, BTreeSet};
-use tindock::terms::Condition;
+use tindock::types::Condition;
 
 /// A line of the list.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/roster/tests/lists.rs
+++ b/crates/roster/tests/lists.rs
@@ -2,7 +2,7 @@
 
 use insta::assert_snapshot;
 use std::time::Duration;
-use tindock::terms::Condition::{self, Draining, Gone, Ready};
+use tindock::types::Condition::{self, Draining, Gone, Ready};
 use tindock_roster::guard::{Guard, Reading, Verdict};
 use tindock_roster::health::{Health, State, Terms, MOST_A_SECOND, MOST_UNDER_WAY};
 use tindock_roster::merging::Merging;
--- a/crates/scheduler/benches/applying.rs
+++ b/crates/scheduler/benches/applying.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tindock::rules::Rules;
-use tindock::terms::{DutySheet, Effect, Workload};
+use tindock::policy::Policy;
+use tindock::types::{Effect, PolicySettings, Workload};
 use tindock_berth::Words;
 use tindock_inventory::{read, Columns, Entry, Form, Host};
 use tindock_scheduler::clock::Clock;
@@ -67,11 +67,11 @@
                 hard_limit: Duration::from_secs(10),
                 utility: 1.0,
                 kind: None,
-                most_assignments: 3,
+                max_assignments: 3,
             };
-            let sheet = DutySheet { workloads: vec![row], schedulers: 1, ..DutySheet::default() };
+            let sheet = PolicySettings { workloads: vec![row], schedulers: 1, ..PolicySettings::default() };
             let rows = Rows::new(&sheet, &Words::default());
-            let rules = Rules::new(sheet, 7, clock.now());
+            let rules = Policy::new(sheet, 7, clock.now());
             let now = Box::new(move || clock.now());
             let (exchange, _orders) = Exchange::new(rules, rows, clock, now, log.clone());
             let muster = Muster::with_files(exchange, Words::default(), None, log);
--- a/crates/scheduler/src/exchange.rs
+++ b/crates/scheduler/src/exchange.rs
@@ -17,8 +17,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tindock::rules::Rules;
-use tindock::terms::{Condition, Decision, DutySheet};
+use tindock::policy::Policy;
+use tindock::types::{Condition, Decision, PolicySettings};
 use tindock_berth::listing::{Entry, Listing};
 use tindock_berth::Words;
 use tindock_roster::vouching::Vouching;
@@ -111,7 +111,7 @@
 }
 
 struct State {
-    rules: Rules,
+    rules: Policy,
     rows: Rows,
     vouching: Vouching,
     hands: Vec<Hand>,
@@ -143,7 +143,7 @@
 
 impl Exchange {
     pub fn new(
-        rules: Rules,
+        rules: Policy,
         rows: Rows,
         clock: Clock,
         now: Box<dyn Fn() -> Duration>,
@@ -184,7 +184,7 @@
 
     fn feed_at<T>(&self, now: Duration, inputs: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.state.borrow_mut();
-        state.rules.clock(now);
+        state.rules.set_time(now);
         let given = inputs(&mut state);
         self.pull(&mut state, now);
         given
@@ -202,9 +202,11 @@
                         self.order(Order::Send { ticket, worker, call, limit });
                     }
                 }
-                Decision::Shed { task, come_back } => state.answer(task, Answer::Shed { come_back }),
-                Decision::BreakOff { task } => state.answer(task, Answer::BrokenOff),
-                Decision::CallOff { task, assignment } => {
+                Decision::Shed { task, retry_after } => {
+                    state.answer(task, Answer::Shed { come_back: retry_after })
+                }
+                Decision::Abandon { task } => state.answer(task, Answer::BrokenOff),
+                Decision::Cancel { task, assignment } => {
                     let hand = &state.hands[task];
                     let ticket = Ticket { place: task, life: hand.life, number: assignment };
                     if let Some(out) = hand.outs.get(assignment).filter(|out| !out.over) {
@@ -212,7 +214,7 @@
                         self.order(Order::CallOff { ticket, worker: out.worker, id });
                     }
                 }
-                Decision::Leave { .. } | Decision::Seek { .. } | Decision::Tell { .. } => {
+                Decision::Grant { .. } | Decision::RequestSlots { .. } | Decision::Announce { .. } => {
                     state.telling.say(&decision, &state.names_told);
                 }
                 Decision::Wake { after } => {
@@ -281,7 +283,7 @@
             let hand = &mut state.hands[place];
             if hand.life == life && hand.answer.take().is_some() {
                 hand.call = None;
-                state.rules.left(place);
+                state.rules.client_left(place);
             }
         });
     }
@@ -292,7 +294,7 @@
             for place in 0..state.hands.len() {
                 if state.hands[place].answer.is_some() {
                     state.answer(place, Answer::BrokenOff);
-                    state.rules.left(place);
+                    state.rules.client_left(place);
                 }
             }
         });
@@ -352,7 +354,7 @@
                 self.log,
                 "worker {worker} left out until there is a list, {most} s at the most: {close:?}"
             );
-            state.rules.left_out(worker, until);
+            state.rules.avoid_until(worker, until);
         }
     }
 
@@ -380,13 +382,13 @@
     // ---- other schedulers ----
 
     pub fn sought(&self, from: usize) {
-        self.feed(|state| state.rules.sought(from));
+        self.feed(|state| state.rules.slots_requested(from));
     }
 
     pub fn room_left(&self, address: Address, room: f64) {
         self.feed(|state| {
             if let Some(worker) = state.names_told.worker(address) {
-                state.rules.told(worker, room);
+                state.rules.slots_granted(worker, room);
             }
         });
     }
@@ -394,7 +396,7 @@
     pub fn held(&self, from: usize, number: u16, words: &[[u8; 3]]) {
         self.feed(|state| {
             for (worker, slots) in state.names_told.told(words) {
-                state.rules.holds(worker, from, number, slots);
+                state.rules.peer_usage(worker, from, number, slots);
             }
         });
     }
@@ -414,7 +416,7 @@
                 self.take_list(state, listing);
             }
             for worker in let_in {
-                state.rules.left_out(worker, now);
+                state.rules.avoid_until(worker, now);
             }
         });
     }
@@ -442,7 +444,7 @@
     }
 
     fn take_list(&self, state: &mut State, listing: Listing) {
-        state.rules.list_begins(listing.whole);
+        state.rules.begin_list(listing.whole);
         if listing.whole {
             state.workers.iter_mut().for_each(|w| w.entry.condition = Condition::Gone);
         }
@@ -505,15 +507,15 @@
     }
 
     /// The sheet of a new file, whole and checked; the longest hard limit from now on.
-    pub fn retune(&self, sheet: DutySheet, words: &Words) -> Duration {
+    pub fn retune(&self, sheet: PolicySettings, words: &Words) -> Duration {
         self.feed(|state| {
             let hands = &state.hands;
             let is_busy = |hand: &Hand| hand.answer.is_some() || hand.outs.iter().any(|out| !out.over);
             let busy = |row| hands.iter().any(|hand| hand.workload == row && is_busy(hand));
             let before = state.rows.retune(&words.workloads, &sheet.workloads, busy);
             state.rows.customers.clone_from(&words.customers);
-            state.rows.come_back = sheet.come_back;
-            state.rules.retune(state.rows.sheet(sheet), &before);
+            state.rows.come_back = sheet.max_retry_after;
+            state.rules.reconfigure(state.rows.sheet(sheet), &before);
             state.rows.table.iter().map(|row| row.hard_limit).max().unwrap_or_default()
         })
     }
@@ -562,7 +564,7 @@
             let now = (self.now)();
             if state.bell.is_some_and(|at| at <= now) {
                 state.bell = None;
-                state.rules.bell();
+                state.rules.timer_fired();
             }
             while let Some(&(at, place, life)) = state.limits.first().filter(|&&(at, ..)| at <= now) {
                 state.limits.remove(&(at, place, life));
@@ -649,7 +651,7 @@
             (self.names_told.enter(telling::address(entry.address)), self.bans.contains(&entry.name));
         self.names.insert(entry.name.as_str().into(), at);
         self.workers.push(Listed { entry, banned });
-        self.rules.marked(at, mark);
+        self.rules.set_worker_hash(at, mark);
         self.rules.banned(at, banned);
     }
 }
--- a/crates/scheduler/src/list/muster.rs
+++ b/crates/scheduler/src/list/muster.rs
@@ -7,7 +7,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
-use tindock::terms::Condition;
+use tindock::types::Condition;
 use tindock_berth::listing::{self, Entry, Listing};
 use tindock_berth::Words;
 use tindock_inventory::State;
--- a/crates/scheduler/src/others/telling.rs
+++ b/crates/scheduler/src/others/telling.rs
@@ -1,7 +1,7 @@
 //! What the module says to other schedulers at one time, packed into messages.
 
 use std::net::{IpAddr, SocketAddr};
-use tindock::terms::Decision;
+use tindock::types::Decision;
 use tindock_words::{self as words, Address};
 
 /// A message and the scheduler it is for; none: for all.
@@ -24,12 +24,12 @@
 impl Telling {
     pub fn say(&mut self, decision: &Decision, names: &words::Names) {
         match *decision {
-            Decision::Leave { to, worker, room } => {
-                let message = names.address(worker).map(|at| (Some(to), words::leave(at, room).to_vec()));
+            Decision::Grant { to, worker, slots } => {
+                let message = names.address(worker).map(|at| (Some(to), words::leave(at, slots).to_vec()));
                 self.messages.extend(message);
             }
-            Decision::Seek { to } => self.messages.push((Some(to), words::seek().to_vec())),
-            Decision::Tell { worker, slots } => self.held.add(names.short(worker), slots),
+            Decision::RequestSlots { to } => self.messages.push((Some(to), words::seek().to_vec())),
+            Decision::Announce { worker, slots } => self.held.add(names.short(worker), slots),
             _ => {}
         }
     }
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 use std::time::Duration;
-use tindock::terms::{DutySheet, Workload};
+use tindock::types::{PolicySettings, Workload};
 use tindock_berth::Words;
 
 /// The outside words that a task's head may name, the workloads by row; a row without a name takes none.
@@ -26,16 +26,16 @@
     pub customers: Vec<String>,
     /// The longest time after which clients may be asked to come back, if they may.
     pub come_back: Option<Duration>,
-    /// Where it stands among the schedulers: `talkers`, `position` and `zone` of the start.
+    /// Where it stands among the schedulers: `exchange_size`, `position` and `zone` of the start.
     place: (usize, usize, usize),
 }
 
 impl Rows {
-    pub fn new(sheet: &DutySheet, words: &Words) -> Self {
+    pub fn new(sheet: &PolicySettings, words: &Words) -> Self {
         let names = words.workloads.iter().map(|name| Some(name.as_str().into())).collect();
         let (table, customers) = (sheet.workloads.clone(), words.customers.clone());
-        let come_back = sheet.come_back;
-        Rows { names, table, customers, come_back, place: (sheet.talkers, sheet.position, sheet.zone) }
+        let come_back = sheet.max_retry_after;
+        Rows { names, table, customers, come_back, place: (sheet.exchange_size, sheet.position, sheet.zone) }
     }
 
     /// The names by which tasks are taken now.
@@ -44,9 +44,9 @@
     }
 
     /// The sheet of a new file with the rows of this table. What sockets and workers stand on is as it was at the start.
-    pub fn sheet(&self, sheet: DutySheet) -> DutySheet {
-        let (talkers, position, zone) = self.place;
-        DutySheet { workloads: self.table.clone(), talkers, position, zone, ..sheet }
+    pub fn sheet(&self, sheet: PolicySettings) -> PolicySettings {
+        let (exchange_size, position, zone) = self.place;
+        PolicySettings { workloads: self.table.clone(), exchange_size, position, zone, ..sheet }
     }
 
     /// Takes in what a new file says. Gives for each row the one before whose figures it goes on with, none for
@@ -60,7 +60,7 @@
         let before = std::mem::take(&mut self.names);
         let mut from: Vec<_> = (0..before.len()).map(Some).collect();
         self.names.resize(before.len(), None);
-        let most = table.iter().map(|row| row.most_assignments).max().unwrap_or(1);
+        let most = table.iter().map(|row| row.max_assignments).max().unwrap_or(1);
         for (name, row) in names.iter().zip(table) {
             let known = before.iter().position(|n| n.as_deref() == Some(name.as_str()));
             let free = |at: &usize| self.names[*at].is_none() && before[*at].is_none() && !busy(*at);
@@ -80,7 +80,7 @@
             if name.is_none() {
                 // Guards against more assignments than either file allows, and against a utility that nothing
                 // brings any more and by which the others would be judged.
-                (row.utility, row.most_assignments) = (0.0, row.most_assignments.min(most));
+                (row.utility, row.max_assignments) = (0.0, row.max_assignments.min(most));
             }
         }
         from
@@ -91,9 +91,9 @@
 mod tests {
     use super::*;
     use std::time::Duration;
-    use tindock::terms::Effect;
+    use tindock::types::Effect;
 
-    fn row(effect: Effect, most_assignments: usize) -> Workload {
+    fn row(effect: Effect, max_assignments: usize) -> Workload {
         let second = Duration::from_secs(1);
         Workload {
             effect,
@@ -103,7 +103,7 @@
             hard_limit: second,
             utility: 1.0,
             kind: None,
-            most_assignments,
+            max_assignments,
         }
     }
 
@@ -116,7 +116,10 @@
     fn tasks_in_hand_keep_their_row_and_rows_are_used_again() {
         let (idempotent, once) = (row(Effect::Idempotent, 4), row(Effect::Unrepeatable, 4));
         let mut rows = Rows::new(
-            &DutySheet { workloads: vec![idempotent.clone(), once.clone()], ..DutySheet::default() },
+            &PolicySettings {
+                workloads: vec![idempotent.clone(), once.clone()],
+                ..PolicySettings::default()
+            },
             &Words { workloads: words(&["a", "b"]), ..Words::default() },
         );
         // b changes while a task of it is in hand: another row, which goes on with what was learned.
@@ -124,16 +127,16 @@
             rows.retune(&words(&["a", "b"]), &[idempotent.clone(), row(Effect::Idempotent, 2)], |r| r == 1);
         assert_eq!(from, [Some(0), Some(1), Some(1)]);
         assert_eq!((rows.names[1].as_deref(), rows.names[2].as_deref()), (None, Some("b")));
-        assert_eq!((rows.table[1].effect, rows.table[1].most_assignments), (Effect::Unrepeatable, 4));
+        assert_eq!((rows.table[1].effect, rows.table[1].max_assignments), (Effect::Unrepeatable, 4));
         // c comes when that task is over: it takes the unused row and begins anew; a is dropped.
         let from = rows.retune(&words(&["b", "c"]), &[row(Effect::Idempotent, 2), once.clone()], |_| false);
         assert_eq!(from, [Some(0), None, Some(2)]);
         let names: Vec<_> = rows.names.iter().map(|n| n.as_deref()).collect();
         assert_eq!(names, [None, Some("c"), Some("b")]);
-        assert_eq!(rows.table[0].most_assignments, 4);
+        assert_eq!(rows.table[0].max_assignments, 4);
         // Fewer assignments for all: also for what is in hand under an old row.
         rows.retune(&words(&["c"]), &[row(Effect::Unrepeatable, 1)], |_| true);
-        assert!(rows.table.iter().all(|row| row.most_assignments == 1), "{rows:?}");
+        assert!(rows.table.iter().all(|row| row.max_assignments == 1), "{rows:?}");
         assert_eq!(rows.table.len(), 4);
     }
 }
--- a/crates/scheduler/src/start.rs
+++ b/crates/scheduler/src/start.rs
@@ -29,7 +29,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
-use tindock::rules::Rules;
+use tindock::policy::Policy;
 use tindock_roster::asking::{Asking, Service, LONG_WATCH};
 use tindock_roster::health::{Health, Terms};
 use tokio::net::{TcpListener, TcpSocket, UdpSocket, UnixStream};
@@ -110,7 +110,7 @@
     stopping.reaches(berth.sheet.workloads.iter().map(|row| row.hard_limit).max().unwrap_or_default());
     let rows = Rows::new(&berth.sheet, &berth.words);
     let began = clock.now();
-    let rules = Rules::new(berth.sheet, berth.seed, began);
+    let rules = Policy::new(berth.sheet, berth.seed, began);
     let now = Box::new(move || clock.now());
     let (exchange, orders) = Exchange::new(rules, rows, clock, now, part("rules"));
     let bans = Bans::new(berth.runtime.as_deref(), &berth.name, part("management"));
--- a/crates/scheduler/src/succession/heritage.rs
+++ b/crates/scheduler/src/succession/heritage.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use tindock::books::{Kind, Learned, Runs, Stand};
-use tindock::rules::Rules;
+use tindock::policy::Policy;
+use tindock::state::{MachineKind, Model, RunTimes, WorkerState};
 use tindock_berth::listing::{Entry, ListingDoc};
 use tindock_berth::Words;
 
@@ -42,7 +42,7 @@
 }
 
 pub fn leave<'a, I: Iterator<Item = &'a Entry>>(
-    rules: &Rules,
+    rules: &Policy,
     rows: &Rows,
     entries: impl Fn() -> I,
     banned: BTreeSet<String>,
@@ -51,17 +51,17 @@
 ) -> Heritage {
     let (known, workers) = rules.records();
     let stands = entries().zip(workers).map(|(entry, worker)| {
-        let stand = worker.stand();
+        let stand = worker.snapshot();
         let (rest_ms, barred_ms) =
-            (clock.to_unix_ms(stand.rest), stand.barred.map(|at| clock.to_unix_ms(at)));
-        let Stand { apart, completions, fresh, hidden, .. } = stand;
+            (clock.to_unix_ms(stand.rest_until), stand.barred_until.map(|at| clock.to_unix_ms(at)));
+        let WorkerState { speed_offset: apart, completions, fresh, peer_load: hidden, .. } = stand;
         (entry.name.clone(), StandDoc { rest_ms, barred_ms, apart, completions, fresh, hidden })
     });
-    let runs = rows.names.iter().zip(&known.runs);
+    let runs = rows.names.iter().zip(&known.run_times);
     let runs =
         runs.filter_map(|(name, r)| Some((name.as_deref()?.into(), [r.log, r.spread, r.mean, r.seen])));
     let kinds = words.kinds.iter().cloned().zip(&known.kinds).map(|(name, k)| (name, [k.speed, k.slots]));
-    let others = known.others.iter().zip(&words.zones).flat_map(|(shares, zone)| {
+    let others = known.peer_shares.iter().zip(&words.zones).flat_map(|(shares, zone)| {
         let shares = shares.iter().zip(&words.kinds);
         shares.map(|(share, kind)| (zone.clone(), kind.clone(), *share))
     });
@@ -73,9 +73,9 @@
         runs: runs.collect(),
         kinds: kinds.collect(),
         others: others.collect(),
-        hold: known.hold,
+        hold: known.slot_time,
         setup: known.setup,
-        mine: known.mine,
+        mine: known.local_share,
     }
 }
 
@@ -92,38 +92,48 @@
     /// What is not named here is as it was: workloads of a new file, workers that were not listed.
     pub fn take(
         &self,
-        rules: &mut Rules,
+        rules: &mut Policy,
         rows: &Rows,
         index: impl Fn(&str) -> Option<usize>,
         words: &Words,
         clock: &Clock,
     ) {
-        let mut known: Learned = rules.records().0.clone();
-        for (name, runs) in rows.names.iter().zip(&mut known.runs) {
+        let mut known: Model = rules.records().0.clone();
+        for (name, runs) in rows.names.iter().zip(&mut known.run_times) {
             if let Some(&[log, spread, mean, seen]) = name.as_deref().and_then(|name| self.runs.get(name)) {
-                *runs = Runs { log, spread, mean, seen };
+                *runs = RunTimes { log, spread, mean, seen };
             }
         }
         for (name, kind) in words.kinds.iter().zip(&mut known.kinds) {
             if let Some(&[speed, slots]) = self.kinds.get(name) {
-                *kind = Kind { speed, slots, ..Kind::default() };
+                *kind = MachineKind { speed, slots, ..MachineKind::default() };
             }
         }
         let at = |words: &[String], word: &str| words.iter().position(|w| w == word);
         for (zone, kind, share) in &self.others {
             let (zone, kind) = (at(&words.zones, zone), at(&words.kinds, kind));
-            let shares = zone.and_then(|zone| known.others.get_mut(zone));
+            let shares = zone.and_then(|zone| known.peer_shares.get_mut(zone));
             if let Some(known) = shares.zip(kind).and_then(|(shares, kind)| shares.get_mut(kind)) {
                 *known = *share;
             }
         }
-        (known.hold, known.setup, known.mine) = (self.hold, self.setup, self.mine);
+        (known.slot_time, known.setup, known.local_share) = (self.hold, self.setup, self.mine);
         let moment = |ms: u64| clock.from_unix_ms(ms).unwrap_or(Duration::ZERO);
         let stands = self.stands.iter().filter_map(|(name, doc)| {
             let (rest, barred) = (moment(doc.rest_ms), doc.barred_ms.map(moment));
             let StandDoc { apart, completions, fresh, hidden, .. } = *doc;
-            Some((index(name)?, Stand { rest, barred, apart, completions, fresh, hidden }))
+            Some((
+                index(name)?,
+                WorkerState {
+                    rest_until: rest,
+                    barred_until: barred,
+                    speed_offset: apart,
+                    completions,
+                    fresh,
+                    peer_load: hidden,
+                },
+            ))
         });
-        rules.inherit(known, &stands.collect::<Vec<_>>());
+        rules.restore(known, &stands.collect::<Vec<_>>());
     }
 }
--- a/crates/scheduler/src/workers/endings.rs
+++ b/crates/scheduler/src/workers/endings.rs
@@ -1,6 +1,6 @@
 //! Every way in which an assignment, and the connection that carries it, can end.
 
-use tindock::terms::Ending;
+use tindock::types::Ending;
 
 /// One value for each way; `None` of a status means that no answer came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
             Close::Overdue => Ending::TimedOut,
             Close::CalledOff => Ending::Cancelled,
             // Guards against workers barred for what bad clients send: it is not theirs, and nothing ran.
-            Close::Unusable(_) | Close::NeverSent | Close::LetGo => Ending::Moot,
+            Close::Unusable(_) | Close::NeverSent | Close::LetGo => Ending::NotSent,
         }
     }
 }
--- a/crates/scheduler/tests/exchange.rs
+++ b/crates/scheduler/tests/exchange.rs
@@ -9,8 +9,8 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
-use tindock::rules::Rules;
-use tindock::terms::{Condition, DutySheet, Effect, Site};
+use tindock::policy::Policy;
+use tindock::types::{Condition, Effect, PolicySettings, Site};
 use tindock_scheduler::berth::Words;
 use tindock_scheduler::clock::Clock;
 use tindock_scheduler::exchange::{Call, Exchange, Hold, Order, Ticket};
@@ -42,10 +42,10 @@
 }
 
 impl Floor {
-    fn new(sheet: DutySheet, workers: usize) -> Self {
+    fn new(sheet: PolicySettings, workers: usize) -> Self {
         let now = Rc::new(Cell::new(ms(1_000_000)));
         let (reads, hard) = (now.clone(), Rows::new(&sheet, &Words::default()));
-        let rules = Rules::new(sheet, 7, now.get());
+        let rules = Policy::new(sheet, 7, now.get());
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let (exchange, orders) =
             Exchange::new(rules, hard, Clock::start(), Box::new(move || reads.get()), log);
@@ -220,7 +220,7 @@
 /// Guards against a task without an answer where nothing can be called off and a worker never tells the end.
 #[test]
 fn a_silent_end_is_overdue_at_the_hard_limit() {
-    let mut floor = Floor::new(DutySheet { may_cancel: false, ..duty(&[Effect::Unrepeatable]) }, 1);
+    let mut floor = Floor::new(PolicySettings { may_cancel: false, ..duty(&[Effect::Unrepeatable]) }, 1);
     floor.arrive("a");
     floor.news(r#"{"id":"a","from":"w0","state":"started"}"#);
     floor.pass(8200);
@@ -250,7 +250,7 @@
         LetGo,
     ];
     let line = |c: &Close| {
-        let ending = tindock::terms::Ending::from(*c);
+        let ending = tindock::types::Ending::from(*c);
         format!("{c:?}: {ending:?}{}\n", if ending.proves_never_ran() { ", never ran" } else { "" })
     };
     assert_snapshot!(all.iter().map(line).collect::<String>());
--- a/crates/sheet/src/lib.rs
+++ b/crates/sheet/src/lib.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 use std::time::Duration;
-use tindock::terms::{DutySheet, Effect, Group, News, Workload};
+use tindock::types::{Discovery, Effect, Group, PolicySettings, Workload};
 
 pub type Read<T> = Result<T, String>;
 
@@ -77,16 +77,16 @@
         hard_limit: positive_span(info, &at("hard_limit_s"))?,
         utility: number(info, &at("utility"))?,
         kind: kind.filter(|k| *k >= 0.0).map(|k| k as usize),
-        most_assignments: positive(info, "/caps/most_assignments")?.max(1.0) as usize,
+        max_assignments: positive(info, "/caps/most_assignments")?.max(1.0) as usize,
     })
 }
 
-pub fn read_text(text: &[u8]) -> Read<DutySheet> {
+pub fn read_text(text: &[u8]) -> Read<PolicySettings> {
     let info: Value = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
     read(&info)
 }
 
-pub fn read(info: &Value) -> Read<DutySheet> {
+pub fn read(info: &Value) -> Read<PolicySettings> {
     let rows = list(info, "/workloads").len();
     if rows == 0 {
         return Err("settings: no workloads".into());
@@ -99,30 +99,30 @@
     let reports: Vec<&str> = list(info, "/reporting/names").iter().filter_map(Value::as_str).collect();
     let position = |name: &str| reports.iter().position(|r| *r == name);
     let free = optional_word(info, "/domain/report_x0") == Some("free slots");
-    let news = match word(info, "/discovery")? {
-        "automatic" => News::Pushed,
-        "subscribe" => News::Asked { within: span(info, "/rules/must_ask_in_s")? },
+    let discovery = match word(info, "/discovery")? {
+        "automatic" => Discovery::Pushed,
+        "subscribe" => Discovery::Polled { within: span(info, "/rules/must_ask_in_s")? },
         other => return Err(format!("settings: unknown discovery {other:?}")),
     };
     let quota = |t: &Value| optional(t, "/quota_per_s").map(|q| q.unwrap_or(f64::INFINITY));
     let schedulers = number(info, "/instances")?.max(1.0) as usize;
     let progress = optional(info, "/domain/progress_s")?.unwrap_or(0.0);
-    let come_back = flag(info, "/caps/retry_after").then(|| span(info, "/caps/max_retry_after_s"));
-    Ok(DutySheet {
+    let max_retry_after = flag(info, "/caps/retry_after").then(|| span(info, "/caps/max_retry_after_s"));
+    Ok(PolicySettings {
         workloads: (0..rows).map(|row| workload(info, row)).collect::<Read<_>>()?,
         schedulers,
-        talkers: if flag(info, "/caps/peers") { schedulers } else { 0 },
+        exchange_size: if flag(info, "/caps/peers") { schedulers } else { 0 },
         position: optional(info, "/position")?.unwrap_or(0.0) as usize,
         zone: number(info, "/zone")? as usize,
-        news,
+        discovery,
         beyond_share: optional(info, "/beyond_share_utility")?.unwrap_or(1.0),
         quotas: list(info, "/tenants").iter().map(quota).collect::<Read<_>>()?,
         may_cancel: flag(info, "/caps/cancel"),
 
-        come_back: come_back.transpose()?,
-        progress_every: span_of(progress).filter(|gap| !gap.is_zero()),
-        tells_start: flag(info, "/domain/tells_start"),
-        moving_weights: match optional_word(info, "/weights") {
+        max_retry_after: max_retry_after.transpose()?,
+        progress_interval: span_of(progress).filter(|gap| !gap.is_zero()),
+        reports_start: flag(info, "/domain/tells_start"),
+        live_weights: match optional_word(info, "/weights") {
             Some("live") => true,
             None | Some("silent" | "nominal" | "rough") => false,
             Some(other) => return Err(format!("settings: unknown weights {other:?}")),
@@ -132,9 +132,9 @@
         overload_factor: number(info, "/rules/overload_factor")?,
         cold_share: number(info, "/rules/cold_share")?,
         warm_within: span(info, "/rules/warm_within_s")?,
-        price_crossing: optional(info, "/penalties/cross_zone")?.unwrap_or(0.0),
+        crossing_cost: optional(info, "/penalties/cross_zone")?.unwrap_or(0.0),
 
-        price_word: optional(info, "/penalties/peer")?.unwrap_or(0.0),
+        message_cost: optional(info, "/penalties/peer")?.unwrap_or(0.0),
     })
 }
 
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::time::Duration;
-use tindock::rules::Rules;
-use tindock::terms::{Condition, Decision, Ending, News, Site};
+use tindock::policy::Policy;
+use tindock::types::{Condition, Decision, Discovery, Ending, Site};
 use tindock_roster::asking::{Asking, Service, Step};
 use tindock_words::{self as words, Names, Telling, Word};
 
@@ -20,7 +20,7 @@
 
 /// One scheduler: its decisions, and the outside names of its tasks and workers.
 struct Instance {
-    rules: Rules,
+    rules: Policy,
     /// Where the list must be asked for.
     asking: Option<Asking>,
     /// The call for it that was made last, and the bell asked for on its behalf.
@@ -87,7 +87,7 @@
                 asking.answered(now, self.call, index, whole);
             }
         }
-        self.rules.list_begins(whole);
+        self.rules.begin_list(whole);
         for e in entries {
             let e = Frame::over(&frame.bytes[e..e + ENTRY], e);
             let site = Site { zone: e.u8(0)? as usize, cell: e.u16(5)? as usize, kind: e.u8(7)? as usize };
@@ -107,7 +107,7 @@
             self.rules.listed(worker, site, f64::from(e.f32(1)?), condition, booted);
             if worker == fresh {
                 let mark = self.names.enter(Some(address));
-                self.rules.marked(worker, mark);
+                self.rules.set_worker_hash(worker, mark);
             }
         }
         Ok(())
@@ -136,7 +136,7 @@
                     self.ids[place] = id;
                 }
                 self.places.insert(id, place);
-                self.rules.needs(place, frame.u64(at + 18)?);
+                self.rules.set_data_set(place, frame.u64(at + 18)?);
             }
             1030 => {
                 // Streams: no deployment has them; the news that the answer began is a sign of life.
@@ -158,12 +158,12 @@
             }
             1050 => {
                 if let Some(place) = self.place(frame.u64(at + 2)?, at + 2)? {
-                    self.rules.left(place);
+                    self.rules.client_left(place);
                 }
             }
             1060 => match frame.u64(at + 2)? {
                 LIST_BELL => self.asks_at = None,
-                _ => self.rules.bell(),
+                _ => self.rules.timer_fired(),
             },
             1070 => {
                 // No probes are sent here; what is told of one all the same is checked and left.
@@ -193,15 +193,15 @@
     /// A peer's word. Rubbish is dropped: only its own list makes a worker known to a scheduler.
     fn word(&mut self, from: usize, bytes: &[u8]) {
         match words::read(bytes).filter(|_| from != self.position) {
-            Some(Word::Seek) => self.rules.sought(from),
+            Some(Word::Seek) => self.rules.slots_requested(from),
             Some(Word::Leave(address, room)) => {
                 if let Some(&worker) = self.workers.get(&address) {
-                    self.rules.told(worker, room);
+                    self.rules.slots_granted(worker, room);
                 }
             }
             Some(Word::Held(number, words)) => {
                 for (worker, slots) in self.names.told(words) {
-                    self.rules.holds(worker, from, number, slots);
+                    self.rules.peer_usage(worker, from, number, slots);
                 }
             }
             None => self.rubbish += 1,
@@ -237,21 +237,21 @@
                 Decision::Assign { task, worker } => {
                     reply.record(1000).u64(self.ids[task]).raw(&self.addresses[worker]).f64(0.0);
                 }
-                Decision::Shed { task, come_back } => {
-                    let wait = come_back.map_or(0.0, |w| w.as_secs_f64());
+                Decision::Shed { task, retry_after } => {
+                    let wait = retry_after.map_or(0.0, |w| w.as_secs_f64());
                     reply.record(1100).u64(self.ids[task]).f64(wait);
                 }
-                Decision::BreakOff { task } => {
+                Decision::Abandon { task } => {
                     reply.record(1050).u64(self.ids[task]);
                 }
-                Decision::CallOff { task, assignment } => {
+                Decision::Cancel { task, assignment } => {
                     reply.record(1060).u64(self.ids[task]).raw(&[assignment as u8]);
                 }
-                Decision::Leave { to, worker, room } => {
-                    reply.tell(to as u32, &words::leave(self.addresses[worker], room));
+                Decision::Grant { to, worker, slots } => {
+                    reply.tell(to as u32, &words::leave(self.addresses[worker], slots));
                 }
-                Decision::Seek { to } => reply.tell(to as u32, &words::seek()),
-                Decision::Tell { worker, slots } => {
+                Decision::RequestSlots { to } => reply.tell(to as u32, &words::seek()),
+                Decision::Announce { worker, slots } => {
                     self.telling.add(self.names.short(worker), slots);
                 }
                 Decision::Wake { after } => {
@@ -275,7 +275,7 @@
         252 => Ending::ConnectFailed,
         251 => Ending::Reset,
         250 => Ending::Cancelled,
-        249 => Ending::Moot,
+        249 => Ending::NotSent,
         other => return Err(Wrong::at(at, format!("unknown outcome code {other}"))),
     })
 }
@@ -308,9 +308,9 @@
             let info = frame.tail_text(at + 10)?;
             let sheet = tindock_sheet::read_text(info).map_err(|why| Wrong::at(at + 10, why))?;
             let seed = frame.u64(at + 2)?;
-            let asking = match sheet.news {
-                News::Pushed => None,
-                News::Asked { within } => Some(Asking::new(Service::Shared { within }, Some(0), !seed)),
+            let asking = match sheet.discovery {
+                Discovery::Pushed => None,
+                Discovery::Polled { within } => Some(Asking::new(Service::Shared { within }, Some(0), !seed)),
             };
             let instance = Instance {
                 workloads: sheet.workloads.len(),
@@ -318,7 +318,7 @@
                 asking,
                 call: 0,
                 asks_at: None,
-                rules: Rules::new(sheet, seed, now),
+                rules: Policy::new(sheet, seed, now),
                 places: HashMap::new(),
                 ids: Vec::new(),
                 given: HashSet::new(),
@@ -337,7 +337,7 @@
             continue;
         }
         let instance = hosted.get_mut(&number).ok_or_else(missing)?;
-        instance.rules.clock(now);
+        instance.rules.set_time(now);
         instance.event(&frame, at, code, now)?;
     }
     for number in order {
--- a/src/choosing.rs
+++ b/src/choosing.rs
@@ -1,6 +1,6 @@
 //! The worker of the lowest index: what workers can do and hold, where a task may go, and when.
 
-use crate::rules::*;
+use crate::policy::*;
 
 const MEMORY_MARGIN: Duration = Duration::from_millis(50); // a repeat's way to a group that forgets soon
 const HIDDEN_SPAN: f64 = 2.0; // what others have on a worker is forgotten over this: about a task or two
@@ -8,7 +8,7 @@
 const CLAIMED: f64 = 2.0; // free slots of a worker that others may take at the same moment
 const COLD_ROOM: f64 = 0.5; // part of a cold budget that is used: tasks run long, schedulers coincide
 
-impl Rules {
+impl Policy {
     /// Own arrivals a second, in slots.
     fn lambda(&self) -> f64 {
         self.arrivals.since(self.start, self.now, RATE_SPAN).max(RATE_FLOOR)
@@ -22,7 +22,7 @@
 
     /// Slots of a worker: the most seen at once on its kind; before that its size, which may count speed too.
     pub(crate) fn slots(&self, i: usize) -> f64 {
-        self.known.slots(&self.workers[i], self.sheet.moving_weights)
+        self.known.slots(&self.workers[i], self.sheet.live_weights)
     }
 
     pub(crate) fn warmth(&self, i: usize) -> f64 {
@@ -36,8 +36,8 @@
             return w.told.sum;
         }
         let fade = (-secs(self.now.saturating_sub(w.seen)) / HIDDEN_SPAN).exp();
-        let others = self.known.others[w.site.zone][w.site.kind].min(most);
-        let inferred = w.hidden * fade + others * self.slots(i) * (1.0 - fade);
+        let others = self.known.peer_shares[w.site.zone][w.site.kind].min(most);
+        let inferred = w.peer_load * fade + others * self.slots(i) * (1.0 - fade);
         w.told.sum + self.untold * inferred
     }
 
@@ -55,7 +55,7 @@
     /// A task's short and long run, and the time left: a wait binds a short one, a slow worker a long one.
     fn ends(&self, task: usize) -> [(f64, f64); 2] {
         let (t, now) = (&self.tasks[task], secs(self.now));
-        let (row, r) = (&self.sheet.workloads[t.workload], &self.known.runs[t.workload]);
+        let (row, r) = (&self.sheet.workloads[t.workload], &self.known.run_times[t.workload]);
         let spread = if r.seen > 0.0 { r.spread } else { 0.0 }; // guards against a guess that sheds all
         [r.log - spread, r.log + spread].map(|log| {
             let promised = secs(t.born + row.promised) + row.stretch * log.exp();
@@ -72,7 +72,7 @@
     pub(crate) fn pause(&self, i: usize, work: f64) -> Duration {
         let (s, full) = (&self.sheet, self.slots(i) * self.speed(i));
         // Half is equal: who sends little may send at all; half by traffic. Speed has half the warmth.
-        let part = 0.5 / s.schedulers as f64 + 0.5 * self.known.mine;
+        let part = 0.5 / s.schedulers as f64 + 0.5 * self.known.local_share;
         let budget = COLD_ROOM * s.overload_factor * self.warmth(i).sqrt() * full * part;
         Duration::from_secs_f64((work / budget).min(secs(s.warm_within)))
     }
@@ -96,7 +96,8 @@
         let (t, w) = (&self.tasks[task], &self.workers[i]);
         let row = &self.sheet.workloads[t.workload];
         let out = self.doubtful(i) && (row.effect != Effect::Idempotent || t.assignments.len() > 1);
-        let rests = (self.yielded || w.rest > self.now) && self.warmth(i) < 1.0 || w.left_out > self.now;
+        let rests =
+            (self.yielded || w.rest_until > self.now) && self.warmth(i) < 1.0 || w.left_out > self.now;
         let tried = t.assignments.iter().any(|a| a.worker == i);
         w.ready() && !w.silent && !rests && !out && !tried && self.allowed(task, i)
     }
@@ -135,7 +136,7 @@
         let (lambda, ends, t) = (self.lambda(), self.ends(task), &self.tasks[task]);
         let (sparing, tells_all) = (self.talk == Talk::ToOne, self.talk == Talk::ToAll);
         let (mut sum, mut count, mut best_tier) = (0.0, 0.0, 0);
-        let price = CROSSING * self.sheet.price_crossing;
+        let price = CROSSING * self.sheet.crossing_cost;
         let mut scores = std::mem::take(&mut self.scores);
         scores.clear();
         for &i in self.drawn.iter().filter(|&&i| self.eligible(task, i)) {
@@ -146,10 +147,10 @@
             let guess = !sparing && self.untold > 0.0;
             let over = needs + if guess { self.occupied(i, MAY_BE) } else { occupied };
             let beyond = occupied + needs;
-            let queue = if over > 0.0 { over * self.known.hold / (slots * speed) } else { 0.0 };
+            let queue = if over > 0.0 { over * self.known.slot_time / (slots * speed) } else { 0.0 };
             let in_time = queue < spare(ends, speed);
             // Where schedulers talk others go for the last slots too: only what is left to this one is sure.
-            let care = self.workers[i].mark.checked_rem(self.sheet.talkers as u64)
+            let care = self.workers[i].mark.checked_rem(self.sheet.exchange_size as u64)
                 == Some(self.sheet.position as u64);
             let plenty = beyond <= -CLAIMED.min(slots - t.size);
             let left = tells_all && (care || plenty) || self.room(i) >= t.size.min(slots);
@@ -165,7 +166,7 @@
         scores.retain(|s| s.1 == best_tier);
         for score in &mut scores {
             let (i, occupied, able) = (score.0, score.2, score.3);
-            let (w, mu) = (&self.workers[i], able / self.known.hold);
+            let (w, mu) = (&self.workers[i], able / self.known.slot_time);
             let delta = (1.0 / self.known.setup.max(1e-3)).max(1.05 * mu);
             let idle = w.n == 0.0 && secs(self.now.saturating_sub(w.used)) > IDLE_WINDOW;
             let energy = if idle { Energy::Off } else { w.energy };
@@ -208,11 +209,11 @@
 
     /// Utility per work of a task, by what its workload usually takes.
     pub(crate) fn density(&self, task: usize) -> f64 {
-        self.tasks[task].utility / self.known.runs[self.tasks[task].workload].mean
+        self.tasks[task].utility / self.known.run_times[self.tasks[task].workload].mean
     }
 
     pub(crate) fn may_queue(&self, task: usize) -> bool {
-        let rows = self.sheet.workloads.iter().zip(&self.known.runs);
+        let rows = self.sheet.workloads.iter().zip(&self.known.run_times);
         self.density(task) >= QUEUE_SHARE * rows.map(|(row, r)| row.utility / r.mean).fold(0.0, f64::max)
     }
 }
--- a/src/index.rs
+++ b/src/index.rs
@@ -1,6 +1,6 @@
 //! The index that ranks workers, and what goes into it.
 
-use crate::terms::Energy;
+use crate::types::Energy;
 
 pub(crate) const IDLE_WINDOW: f64 = 5.0; // off after this without an own task: longer than a lull between two
 pub(crate) const RATE_FLOOR: f64 = 0.05; // keeps a and b above zero when nothing arrives
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,11 +3,11 @@
 //! All decisions are in [`rules`] and the files beside it, the index of workers in [`index`]; the words they are
 //! spoken in are in [`terms`].
 
-pub mod books;
 mod choosing;
 pub mod index;
 mod news;
-pub mod rules;
+pub mod policy;
+pub mod state;
 mod sweeping;
 mod telling;
-pub mod terms;
+pub mod types;
--- a/src/news.rs
+++ b/src/news.rs
@@ -1,13 +1,13 @@
 //! What the list, the workers and the process before tell: it only updates what is known.
 
-use crate::rules::*;
+use crate::policy::*;
 
 const ERROR_STEP: f64 = 0.3; // weight of one ending in that share: quick, since errors return at once
 const REPORT_STEP: f64 = 0.3; // weight of a report in what is hidden: half a second old at the least
 const REPORTED: f64 = 0.5; // part of the free slots in a report that still are free: it is a task old
 
-impl Rules {
-    pub fn list_begins(&mut self, whole: bool) {
+impl Policy {
+    pub fn begin_list(&mut self, whole: bool) {
         self.due = self.now;
         if whole {
             self.tallied = None;
@@ -30,13 +30,13 @@
             self.roster.enter(i, site.zone);
         }
         if starts && self.warmth(i) < 1.0 {
-            let work = self.known.hold * self.chance.0.rand_float(); // guards against all sending together
-            self.workers[i].rest = self.now + self.pause(i, work);
+            let work = self.known.slot_time * self.chance.0.rand_float(); // guards against all sending together
+            self.workers[i].rest_until = self.now + self.pause(i, work);
         }
     }
 
     /// A worker that gave a sign of leaving while no list could be had: nothing for it until then.
-    pub fn left_out(&mut self, i: usize, until: Duration) {
+    pub fn avoid_until(&mut self, i: usize, until: Duration) {
         self.workers[i].left_out = until;
     }
 
@@ -52,17 +52,17 @@
     }
 
     /// What was learned, and the workers' records, for the process that takes over.
-    pub fn records(&self) -> (&Learned, &[Worker]) {
+    pub fn records(&self) -> (&Model, &[Worker]) {
         (&self.known, &self.workers)
     }
 
     /// What the process before this one left.
-    pub fn inherit(&mut self, known: Learned, stands: &[(usize, Stand)]) {
+    pub fn restore(&mut self, known: Model, stands: &[(usize, WorkerState)]) {
         self.known = known;
-        stands.iter().for_each(|(i, stand)| self.workers[*i].take_over(stand, self.now));
+        stands.iter().for_each(|(i, stand)| self.workers[*i].restore(stand, self.now));
     }
 
-    pub fn marked(&mut self, i: usize, mark: u64) {
+    pub fn set_worker_hash(&mut self, i: usize, mark: u64) {
         self.workers[i].mark = mark;
     }
 
@@ -79,7 +79,7 @@
         self.known.kinds[w.site.kind].slots = self.known.kinds[w.site.kind].slots.max(w.running);
         // The wait tells what others had there: all that had to leave before, or some part of the free slots.
         let sample = if wait > AT_ONCE {
-            (slots + wait * slots * speed / self.known.hold - ahead - size).max(0.0)
+            (slots + wait * slots * speed / self.known.slot_time - ahead - size).max(0.0)
         } else {
             self.hidden(i, 1.0).min(0.6 * (slots - ahead - size).max(0.0))
         };
@@ -112,7 +112,7 @@
                     self.rooms.freed.push((i, size));
                 }
                 // Guards against a worker that passes for slow since it was cold, unless nothing else is known.
-                if warm || self.known.runs[workload].seen < 8.0 {
+                if warm || self.known.run_times[workload].seen < 8.0 {
                     self.known.learn(w, workload, size, secs(now - a.started.unwrap_or(a.sent)));
                 }
             }
@@ -148,7 +148,7 @@
     fn see(&mut self, i: usize, hidden: f64, weight: f64) {
         let (old, slots) = (self.hidden(i, 1.0), self.slots(i));
         let w = &mut self.workers[i];
-        (w.hidden, w.seen) = (old + weight * (hidden - old), self.now);
-        self.known.sight(w.site, (w.hidden / slots).min(1.0));
+        (w.peer_load, w.seen) = (old + weight * (hidden - old), self.now);
+        self.known.sight(w.site, (w.peer_load / slots).min(1.0));
     }
 }
--- a/src/rules.rs
+++ b/src/policy.rs
@@ -3,9 +3,9 @@
 //! and then pulls `decide` until it gives `None`. The words of this interface are in `terms.rs`; the reasons
 //! are in `docs/design.md`. Times are in seconds unless they say otherwise.
 
-pub(crate) use crate::books::*;
 pub use crate::index::*;
-pub(crate) use crate::terms::*;
+pub(crate) use crate::state::*;
+pub(crate) use crate::types::*;
 use oorandom::Rand64;
 pub(crate) use std::{collections::VecDeque, time::Duration};
 
@@ -25,8 +25,8 @@
 
 /// One scheduler's decisions.
 #[derive(Default)]
-pub struct Rules {
-    pub(crate) sheet: DutySheet,
+pub struct Policy {
+    pub(crate) sheet: PolicySettings,
     pub(crate) talk: Talk,
     pub(crate) chance: Chance,
     pub(crate) now: Duration,
@@ -37,7 +37,7 @@
     pub(crate) passed: [usize; 2],          // looked at in this pull and left waiting
     pub(crate) loose: Vec<usize>,
     pub(crate) say: VecDeque<Decision>,
-    pub(crate) known: Learned,
+    pub(crate) known: Model,
     pub(crate) arrivals: Rate, // of slots
     pub(crate) scores: Vec<(usize, u8, f64, f64)>,
     pub(crate) full: Option<(Duration, usize)>, // how many tasks found no room, last time
@@ -61,29 +61,29 @@
     pub(crate) yielded: bool,
 }
 
-impl Rules {
-    pub fn new(sheet: DutySheet, seed: u64, now: Duration) -> Self {
-        let known = Learned::first(&sheet.workloads, sheet.schedulers);
-        let times = Rules { fastest: 1.0, now, start: now, due: now, untold: 1.0, ..Rules::default() };
+impl Policy {
+    pub fn new(sheet: PolicySettings, seed: u64, now: Duration) -> Self {
+        let known = Model::first(&sheet.workloads, sheet.schedulers);
+        let times = Policy { fastest: 1.0, now, start: now, due: now, untold: 1.0, ..Policy::default() };
         let chance = Chance(Rand64::new(u128::from(seed)));
-        let price = 2.0 * WORD * sheet.price_word * sheet.talkers as f64;
+        let price = 2.0 * WORD * sheet.message_cost * sheet.exchange_size as f64;
         let talk = if price <= TELL_ALL { Talk::ToAll } else { Talk::ToOne };
-        let talk = if sheet.talkers > 1 { talk } else { Talk::Silent };
+        let talk = if sheet.exchange_size > 1 { talk } else { Talk::Silent };
         let span = if talk == Talk::ToAll { TELL_EVERY } else { ROOM_SPAN };
-        Rules { talk, span, chance, known, sheet, ..times }
+        Policy { talk, span, chance, known, sheet, ..times }
     }
 
     /// Another sheet, each row with the one before whose figures it goes on with. Tasks in hand keep their row.
-    pub fn retune(&mut self, sheet: DutySheet, before: &[Option<usize>]) {
-        self.known.retune(&sheet.workloads, before);
+    pub fn reconfigure(&mut self, sheet: PolicySettings, before: &[Option<usize>]) {
+        self.known.reconfigure(&sheet.workloads, before);
         (self.sheet, self.due) = (sheet, self.now);
     }
 
-    pub fn clock(&mut self, now: Duration) {
+    pub fn set_time(&mut self, now: Duration) {
         self.now = now;
     }
 
-    pub fn bell(&mut self) {
+    pub fn timer_fired(&mut self) {
         self.rings = self.rings.filter(|&at| at > self.now);
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// The data set that a task needs.
-    pub fn needs(&mut self, task: usize, set: u64) {
+    pub fn set_data_set(&mut self, task: usize, set: u64) {
         self.tasks[task].set = set;
         self.sets.ask(set, self.now, RATE_SPAN);
     }
@@ -103,14 +103,14 @@
         self.arrivals.add(size, self.now, RATE_SPAN);
         // Guards against one customer's rush: beyond the own part of its share a task has less utility.
         let mut utility = self.sheet.workloads[workload].utility;
-        if let Some(quota) = self.sheet.quotas.get(customer).map(|q| q * self.known.mine) {
+        if let Some(quota) = self.sheet.quotas.get(customer).map(|q| q * self.known.local_share) {
             self.shares.resize(self.sheet.quotas.len(), Bucket { at: self.now, left: 1.0 });
             let within = self.shares[customer].take(self.now, quota, 1.0 + quota * SHARE_SPAN);
             utility *= if within { 1.0 } else { self.sheet.beyond_share };
         }
         // A client's repeat counts from its first try, which the time left tells.
         let born = self.now.saturating_sub(self.sheet.workloads[workload].hard_limit.saturating_sub(left));
-        let place = self.tasks.open(self.sheet.workloads[workload].most_assignments);
+        let place = self.tasks.open(self.sheet.workloads[workload].max_assignments);
         let t = &mut self.tasks[place];
         (t.stage, t.workload, t.size, t.utility) = (Stage::First, workload, size, utility);
         (t.born, t.limit) = (born, self.now + left);
@@ -118,7 +118,7 @@
         place
     }
 
-    pub fn left(&mut self, task: usize) {
+    pub fn client_left(&mut self, task: usize) {
         if self.tasks[task].stage != Stage::Unused {
             self.tasks[task].stage = Stage::Over;
             self.loose.push(task);
@@ -165,7 +165,7 @@
         let (may, out) = (self.sheet.may_cancel, self.tasks[task].assignments.iter_mut().enumerate());
         for (assignment, a) in out.filter(|(_, a)| may && a.live()) {
             a.called_off = true;
-            self.say.push_back(Decision::CallOff { task, assignment });
+            self.say.push_back(Decision::Cancel { task, assignment });
         }
     }
 
@@ -186,10 +186,10 @@
         t.stage = Stage::Over;
         self.call_off(task);
         self.forget(task);
-        let come_back = self.sheet.come_back.map(|most| most.min(Duration::from_secs(1)));
+        let retry_after = self.sheet.max_retry_after.map(|most| most.min(Duration::from_secs(1)));
         match harmless {
-            true => Decision::Shed { task, come_back },
-            false => Decision::BreakOff { task },
+            true => Decision::Shed { task, retry_after },
+            false => Decision::Abandon { task },
         }
     }
 
@@ -231,7 +231,7 @@
         let lowest = lowest.or_else(|| self.lowest(task, Among::Drawn));
         let lowest = lowest.or_else(|| self.lowest(task, Among::All));
         // Guards against giving way for ever to those who tell nothing. What may be room needs patience.
-        let alone = self.talk == Talk::Silent || self.sheet.talkers < self.sheet.schedulers;
+        let alone = self.talk == Talk::Silent || self.sheet.exchange_size < self.sheet.schedulers;
         let guess = alone || self.talk == Talk::ToOne && !patient(PATIENCE);
         match lowest {
             Some((i, tier)) if tier == 3 || tier == 2 && guess => Some(self.assign(task, i)),
@@ -247,7 +247,7 @@
 
     fn assign(&mut self, task: usize, i: usize) -> Decision {
         let now = self.now;
-        let work = self.known.runs[self.tasks[task].workload].mean * self.tasks[task].size;
+        let work = self.known.run_times[self.tasks[task].workload].mean * self.tasks[task].size;
         let pause = self.pause(i, work);
         let (t, w) = (&mut self.tasks[task], &mut self.workers[i]);
         let off = w.n == 0.0 && secs(now.saturating_sub(w.used)) > IDLE_WINDOW;
--- a/src/books.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! The records that the decisions are made from: what one scheduler knows of workers, tasks and run times.
 
-use crate::terms::{Condition, Ending, Energy, Site, Workload};
+use crate::types::{Condition, Ending, Energy, Site, Workload};
 use oorandom::Rand64;
 use std::collections::{HashMap, VecDeque};
 use std::ops::{Deref, DerefMut};
@@ -22,10 +22,10 @@
     /// New or returning: no completion yet.
     pub fresh: bool,
     /// Own logarithm of the speed against its kind's, and the completions behind it.
-    pub apart: f64,
+    pub speed_offset: f64,
     pub completions: f64,
     /// What others have there, in slots, as of `seen`.
-    pub hidden: f64,
+    pub peer_load: f64,
     pub seen: Duration,
     /// Slots that were left free for this scheduler, as of `left`.
     pub room: f64,
@@ -35,13 +35,13 @@
     /// Stands for the worker at every scheduler.
     pub mark: u64,
     pub errors: f64,
-    pub barred: Option<Duration>,
+    pub barred_until: Option<Duration>,
     pub spells: i32,
     pub silent: bool,
     /// The last news of any own task there.
     pub heard: Duration,
     /// While cold: no own task before then.
-    pub rest: Duration,
+    pub rest_until: Duration,
     /// Gave a sign of leaving on an old list: no own task before then.
     pub left_out: Duration,
     /// Taken out by hand: draining for this scheduler, whatever the list says.
@@ -54,7 +54,7 @@
     }
 
     pub fn is_barred(&self, now: Duration) -> bool {
-        self.barred.is_some_and(|until| until > now)
+        self.barred_until.is_some_and(|until| until > now)
     }
 
     /// Listed, but gets nothing now, by hand or by choice.
@@ -65,19 +65,21 @@
     /// Taken out by hand, or put back: then it is like one that returns, since it was worked on meanwhile.
     pub fn ban(&mut self, banned: bool) {
         if self.banned && !banned {
-            (self.fresh, self.silent, self.errors, self.barred, self.hidden) = (true, false, 0.0, None, 0.0);
+            (self.fresh, self.silent, self.errors, self.barred_until, self.peer_load) =
+                (true, false, 0.0, None, 0.0);
         }
         self.banned = banned;
     }
 
     /// Takes down a logarithm of its speed against its kind's. A surprisingly long run outweighs what was: a worker
     /// slows down from one task to the next.
-    pub fn adapt(&mut self, apart: f64, spread: f64) {
-        if apart < self.apart - SURPRISE * spread {
+    pub fn adapt(&mut self, speed_offset: f64, spread: f64) {
+        if speed_offset < self.speed_offset - SURPRISE * spread {
             self.completions = self.completions.min(OWN_SPEED_AFTER - 1.0);
         }
         self.completions += 1.0;
-        self.apart += (apart - self.apart) * (1.0 / self.completions).max(1.0 / OWN_SPEED_SPAN);
+        self.speed_offset +=
+            (speed_offset - self.speed_offset) * (1.0 / self.completions).max(1.0 / OWN_SPEED_SPAN);
     }
 
     /// Takes down a line of the list; whether its condition changed, and whether it started anew.
@@ -86,7 +88,7 @@
         let returns = changed && self.condition.is_some() && is == Condition::Ready;
         let starts = booted.is_some() && (restarted || self.condition.is_none());
         if restarted || returns {
-            (self.fresh, self.errors, self.barred, self.hidden) = (true, 0.0, None, 0.0);
+            (self.fresh, self.errors, self.barred_until, self.peer_load) = (true, 0.0, None, 0.0);
         }
         (self.site, self.weight, self.condition, self.booted) = (site, weight, Some(is), booted);
         self.on_list = is != Condition::Gone;
@@ -94,29 +96,30 @@
     }
 
     /// For the process that takes over: there the own slots out are another's.
-    pub fn stand(&self) -> Stand {
-        let (rest, barred, fresh) = (self.rest, self.barred, self.fresh);
-        let (apart, completions, hidden) = (self.apart, self.completions, self.n + self.hidden);
-        Stand { rest, barred, fresh, apart, completions, hidden }
+    pub fn snapshot(&self) -> WorkerState {
+        let (rest_until, barred_until, fresh) = (self.rest_until, self.barred_until, self.fresh);
+        let (speed_offset, completions, peer_load) =
+            (self.speed_offset, self.completions, self.n + self.peer_load);
+        WorkerState { rest_until, barred_until, fresh, speed_offset, completions, peer_load }
     }
 
-    pub fn take_over(&mut self, from: &Stand, now: Duration) {
-        (self.rest, self.barred, self.fresh) = (from.rest, from.barred, from.fresh);
-        (self.apart, self.completions) = (from.apart, from.completions);
-        (self.hidden, self.seen) = (from.hidden, now);
+    pub fn restore(&mut self, from: &WorkerState, now: Duration) {
+        (self.rest_until, self.barred_until, self.fresh) = (from.rest_until, from.barred_until, from.fresh);
+        (self.speed_offset, self.completions) = (from.speed_offset, from.completions);
+        (self.peer_load, self.seen) = (from.peer_load, now);
     }
 
     /// Barred for a while, longer each time.
     pub fn set_aside(&mut self, now: Duration) -> Duration {
         self.spells = (self.spells + 1).min(4);
         let pause = Duration::from_secs_f64(0.75 * f64::from(1 << self.spells));
-        (self.barred, self.errors, self.silent) = (Some(now + pause), 0.35, false);
+        (self.barred_until, self.errors, self.silent) = (Some(now + pause), 0.35, false);
         pause
     }
 
     /// An assignment goes there; while cold it gets the next one at `rest`.
-    pub fn takes(&mut self, ticket: (usize, usize), size: f64, now: Duration, rest: Duration) {
-        (self.n, self.used, self.rest) = (self.n + size, now, rest);
+    pub fn takes(&mut self, ticket: (usize, usize), size: f64, now: Duration, rest_until: Duration) {
+        (self.n, self.used, self.rest_until) = (self.n + size, now, rest_until);
         self.room = (self.room - size).max(0.0);
         self.waiting.push_back(ticket);
     }
@@ -154,11 +157,11 @@
     /// Logarithm of its own speed against its kind's, where it is clearly apart; forgotten while it is not used.
     pub fn own_speed(&self, now: Duration) -> f64 {
         let clear = self.completions >= OWN_SPEED_AFTER
-            && self.apart.abs() * self.completions.min(OWN_SPEED_SPAN).sqrt() > 2.0 * LOG_SPREAD;
+            && self.speed_offset.abs() * self.completions.min(OWN_SPEED_SPAN).sqrt() > 2.0 * LOG_SPREAD;
         // Guards against shunning a worker that was slow for a while: unused, it becomes like its kind.
         let unused = now.saturating_sub(self.used).as_secs_f64();
         if clear {
-            self.apart * (-unused / FORGET_SPAN).exp()
+            self.speed_offset * (-unused / FORGET_SPAN).exp()
         } else {
             0.0
         }
@@ -168,24 +171,24 @@
     pub fn revive(&mut self, now: Duration) {
         self.heard = now;
         if self.silent {
-            (self.silent, self.errors, self.barred) = (false, 0.0, None);
+            (self.silent, self.errors, self.barred_until) = (false, 0.0, None);
         }
     }
 }
 
 /// How a worker stands, as one process leaves it to the next.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Stand {
-    pub rest: Duration,
-    pub barred: Option<Duration>,
-    pub apart: f64,
+pub struct WorkerState {
+    pub rest_until: Duration,
+    pub barred_until: Option<Duration>,
+    pub speed_offset: f64,
     pub completions: f64,
     pub fresh: bool,
-    pub hidden: f64,
+    pub peer_load: f64,
 }
 
 #[derive(Clone, Copy, Default)]
-pub struct Kind {
+pub struct MachineKind {
     /// Logarithm of the speed, and the most slots seen in use or free at once.
     pub speed: f64,
     pub slots: f64,
@@ -247,7 +250,7 @@
 
     /// Whether one more assignment is allowed.
     pub fn may_go_on(&self, rows: &[Workload]) -> bool {
-        self.assignments.len() < rows[self.workload].most_assignments
+        self.assignments.len() < rows[self.workload].max_assignments
     }
 
     pub fn out(&self) -> usize {
@@ -255,7 +258,7 @@
     }
 }
 
-impl Kind {
+impl MachineKind {
     /// The list was added up: its workers have at least as many slots as all schedulers use on the average.
     pub fn close(&mut self) {
         self.slots = self.slots.max((self.out / self.listed.max(1.0)).round());
@@ -274,7 +277,7 @@
 }
 
 impl Sums {
-    pub fn add(&mut self, w: &Worker, kind: &mut Kind, slots: f64, others: f64) {
+    pub fn add(&mut self, w: &Worker, kind: &mut MachineKind, slots: f64, others: f64) {
         (self.own, self.fleet) = (self.own + w.n, self.fleet + slots);
         self.speed += kind.speed * slots;
         self.others += others * slots;
@@ -285,7 +288,7 @@
 
 /// What is learned of a workload: logarithm of the running time at speed 1 and its spread, its mean, and how often.
 #[derive(Clone, Copy)]
-pub struct Runs {
+pub struct RunTimes {
     pub log: f64,
     pub spread: f64,
     pub mean: f64,
@@ -301,103 +304,103 @@
 
 /// What is learned of workloads, machine kinds and the other schedulers; it outlives the workloads' rows.
 #[derive(Clone, Default)]
-pub struct Learned {
-    pub runs: Vec<Runs>,
-    pub kinds: Vec<Kind>,
+pub struct Model {
+    pub run_times: Vec<RunTimes>,
+    pub kinds: Vec<MachineKind>,
     /// Share of its slots that others hold on a worker, by zone and kind.
-    pub others: Vec<Vec<f64>>,
+    pub peer_shares: Vec<Vec<f64>>,
     /// Mean time a slot is held at speed 1.
-    pub hold: f64,
+    pub slot_time: f64,
     pub setup: f64,
     /// The own part of all traffic.
-    pub mine: f64,
+    pub local_share: f64,
 }
 
-impl Learned {
+impl Model {
     /// Guesses, until answers come.
     pub fn first(rows: &[Workload], schedulers: usize) -> Self {
-        let runs: Vec<Runs> = rows.iter().map(Runs::first).collect();
-        let hold = runs.iter().map(|r| r.mean).sum::<f64>() / runs.len() as f64;
-        let (setup, mine) = (hold / 16.0, 1.0 / schedulers as f64);
-        Learned { runs, hold, setup, mine, ..Learned::default() }
+        let run_times: Vec<RunTimes> = rows.iter().map(RunTimes::first).collect();
+        let slot_time = run_times.iter().map(|r| r.mean).sum::<f64>() / run_times.len() as f64;
+        let (setup, local_share) = (slot_time / 16.0, 1.0 / schedulers as f64);
+        Model { run_times, slot_time, setup, local_share, ..Model::default() }
     }
 
     /// Other rows, each with the one before that it goes on from.
-    pub fn retune(&mut self, rows: &[Workload], before: &[Option<usize>]) {
+    pub fn reconfigure(&mut self, rows: &[Workload], before: &[Option<usize>]) {
         let runs = |(row, from): (&Workload, &Option<usize>)| {
-            from.map_or_else(|| Runs::first(row), |at| self.runs[at])
+            from.map_or_else(|| RunTimes::first(row), |at| self.run_times[at])
         };
-        self.runs = rows.iter().zip(before).map(runs).collect();
+        self.run_times = rows.iter().zip(before).map(runs).collect();
     }
 
     /// Makes room for another zone or kind.
     pub fn make_room(&mut self, site: Site) {
-        self.kinds.resize(self.kinds.len().max(site.kind + 1), Kind::default());
-        self.others.resize(self.others.len().max(site.zone + 1), Vec::new());
-        let zone = &mut self.others[site.zone];
+        self.kinds.resize(self.kinds.len().max(site.kind + 1), MachineKind::default());
+        self.peer_shares.resize(self.peer_shares.len().max(site.zone + 1), Vec::new());
+        let zone = &mut self.peer_shares[site.zone];
         zone.resize(zone.len().max(site.kind + 1), OTHERS_FIRST);
     }
 
     /// Slots of a worker: the most seen at once on its kind; before that its size, which may count speed too.
-    pub fn slots(&self, w: &Worker, moving_weights: bool) -> f64 {
+    pub fn slots(&self, w: &Worker, live_weights: bool) -> f64 {
         let (seen, weight) = (self.kinds[w.site.kind].slots, w.weight);
-        if seen >= weight.floor() || moving_weights && seen > 0.0 { seen } else { weight }.max(1.0)
+        if seen >= weight.floor() || live_weights && seen > 0.0 { seen } else { weight }.max(1.0)
     }
 
     /// What others hold of a worker's slots was seen.
     pub fn sight(&mut self, at: Site, share: f64) {
-        let others = &mut self.others[at.zone][at.kind];
+        let others = &mut self.peer_shares[at.zone][at.kind];
         *others += OTHERS_STEP * (share - *others);
     }
 
     /// Adds up the list: the own part of all traffic, the mean speed (kept at 1).
-    pub fn add_up(&mut self, workers: &[Worker], moving_weights: bool) -> Sums {
+    pub fn add_up(&mut self, workers: &[Worker], live_weights: bool) -> Sums {
         let mut sums = Sums::default();
         for w in workers.iter().filter(|w| w.on_list) {
-            let (slots, others) = (self.slots(w, moving_weights), self.others[w.site.zone][w.site.kind]);
+            let (slots, others) = (self.slots(w, live_weights), self.peer_shares[w.site.zone][w.site.kind]);
             sums.add(w, &mut self.kinds[w.site.kind], slots, others);
         }
         // Guards against a kind never used since few of its slots were seen: it has as many as all use.
-        self.kinds.iter_mut().for_each(Kind::close);
+        self.kinds.iter_mut().for_each(MachineKind::close);
         self.level(sums.speed / f64::max(sums.fleet, 1.0));
-        self.mine += MINE_STEP * (sums.own / (sums.own + sums.others).max(1.0) - self.mine);
+        self.local_share += MINE_STEP * (sums.own / (sums.own + sums.others).max(1.0) - self.local_share);
         sums
     }
 
     /// Takes down a run: run times by workload and speeds by kind from their logarithms, so that neither the
     /// mix of workloads nor one very long task passes as speed.
     pub fn learn(&mut self, w: &mut Worker, workload: usize, size: f64, run: f64) {
-        let (kind, r, run) = (&mut self.kinds[w.site.kind], &mut self.runs[workload], run.max(1e-3));
+        let (kind, r, run) = (&mut self.kinds[w.site.kind], &mut self.run_times[workload], run.max(1e-3));
         let off = run.ln() - (r.log - kind.speed);
         r.seen += 1.0;
         r.log += off * (1.0 / r.seen).max(0.03);
         // The mean distance of a normal spread is 0.8 of it; a worker that has slowed down adds its own.
-        r.spread += (1.25 * (off + w.apart).abs().min(2.0) - r.spread) * 0.02;
+        r.spread += (1.25 * (off + w.speed_offset).abs().min(2.0) - r.spread) * 0.02;
         if r.seen > 8.0 {
             kind.speed -= 0.02 * off;
             w.adapt(-off, r.spread);
         }
         let plain = run * kind.speed.exp();
         r.mean += (plain - r.mean) * (1.0 / r.seen).max(0.02);
-        self.hold += 0.02 * size.min(4.0) * (plain - self.hold);
+        self.slot_time += 0.02 * size.min(4.0) * (plain - self.slot_time);
     }
 
     /// Moves the speed that counts as 1 by this much, in logarithms: only run / speed is seen, so it would drift.
     pub fn level(&mut self, mean: f64) {
         self.kinds.iter_mut().for_each(|kind| kind.speed -= mean);
-        self.hold *= (-mean).exp();
-        for r in &mut self.runs {
+        self.slot_time *= (-mean).exp();
+        for r in &mut self.run_times {
             (r.log, r.mean) = (r.log - mean, r.mean * (-mean).exp());
         }
     }
 }
 
-impl Runs {
+impl RunTimes {
     /// The promised time says best how long a task runs, at first. Guards against shedding all of a
     /// workload whose promised time hardly grows with the run, before any has run.
     pub fn first(row: &Workload) -> Self {
         let guess = row.promised.as_secs_f64() * ((1.0 + row.stretch) / 2.0).min(1.0);
-        Runs { log: guess.max(0.01).ln(), mean: guess.max(0.01), spread: LOG_SPREAD, seen: 0.0 }
+        RunTimes { log: guess.max(0.01).ln(), mean: guess.max(0.01), spread: LOG_SPREAD, seen: 0.0 }
     }
 }
 
@@ -418,10 +421,10 @@
 
 impl Slab {
     /// A place without assignments, an old one where there is one.
-    pub fn open(&mut self, most_assignments: usize) -> usize {
+    pub fn open(&mut self, max_assignments: usize) -> usize {
         let place = self.unused.pop().unwrap_or(self.tasks.len());
         if place == self.tasks.len() {
-            let assignments = Vec::with_capacity(most_assignments);
+            let assignments = Vec::with_capacity(max_assignments);
             let (stage, zero) = (Stage::Unused, Duration::ZERO);
             let (workload, size, utility, set) = (0, 1.0, 0.0, 0);
             self.tasks.push(Task {
--- a/src/sweeping.rs
+++ b/src/sweeping.rs
@@ -1,13 +1,13 @@
 //! The look over all that is out: silence, doomed tasks, the sums of the list, workers that err.
 
-use crate::rules::*;
+use crate::policy::*;
 
 const NOTE_GRACE: f64 = 0.7; // a progress note this late is no common pause
 const ERRORS_BAR: f64 = 0.45; // smoothed share of errors that bars a worker: two on end reach it
 const BARRED_SHARE: f64 = 0.34; // at most this share of the ready workers is set aside at a time
 const TALLY: f64 = 1.0; // the list is added up this often: a long one takes a millisecond
 
-impl Rules {
+impl Policy {
     /// Looks over all that is out: silence, doomed tasks, hard limits, the list, words.
     pub(crate) fn sweep(&mut self) {
         let now = self.now;
@@ -39,7 +39,8 @@
                 let sure = self.talk != Talk::ToOne || self.room(i) >= t.size;
                 sure && self.eligible(task, i) && self.occupied(i, MAY_BE) + t.size <= self.slots(i) + 0.1
             };
-            let grace = if self.talk == Talk::ToOne { self.known.runs[t.workload].log.exp() } else { 0.0 };
+            let grace =
+                if self.talk == Talk::ToOne { self.known.run_times[t.workload].log.exp() } else { 0.0 };
             let hope = if runs { limit } else { self.spare(task) + grace };
             let mut next = limit.min(hope);
             if next <= 0.0 {
@@ -63,8 +64,8 @@
         let t = &self.tasks[task];
         let waits = |a: &Assignment| a.ending.is_none() && a.started.is_none();
         // Where all is told room was there: what waits met others on the way, or its worker stands still.
-        let long = if self.talk == Talk::ToAll { self.known.hold } else { AT_ONCE };
-        self.sheet.tells_start
+        let long = if self.talk == Talk::ToAll { self.known.slot_time } else { AT_ONCE };
+        self.sheet.reports_start
             && t.assignments.last().is_some_and(|a| waits(a) && secs(self.now - a.sent) >= long)
             && t.may_go_on(&self.sheet.workloads)
             && self.sheet.workloads[t.workload].effect != Effect::Unrepeatable
@@ -73,7 +74,7 @@
     /// Adds up the list, rarely: the ready workers, the own part of all traffic, the mean speed (kept at 1).
     fn tally(&mut self) {
         self.tallied = Some(self.now);
-        let sums = self.known.add_up(&self.workers, self.sheet.moving_weights);
+        let sums = self.known.add_up(&self.workers, self.sheet.live_weights);
         self.fastest = self.known.kinds.iter().map(|k| k.speed.exp()).fold(1.0, f64::max);
         (self.ready, self.fair) = (sums.ready, sums.fleet / self.sheet.schedulers as f64);
         for peer in self.peers.lost(self.now) {
@@ -85,12 +86,12 @@
     /// The notes on an assignment are overdue: it stands still, and its worker too if that tells no more.
     fn overdue(&self, a: &Assignment) -> bool {
         let late = |gap| secs(self.now - a.heard) > secs(gap) + NOTE_GRACE;
-        a.live() && a.started.is_some() && self.sheet.progress_every.is_some_and(late)
+        a.live() && a.started.is_some() && self.sheet.progress_interval.is_some_and(late)
     }
 
     /// A worker that tells nothing at all while notes are overdue stands still: as good as erring.
     fn look_for_silence(&mut self, a: Assignment) {
-        let Some(gap) = self.sheet.progress_every.map(secs) else { return };
+        let Some(gap) = self.sheet.progress_interval.map(secs) else { return };
         let since = if self.overdue(&a) { self.workers[a.worker].heard } else { a.heard };
         let quiet = secs(self.now - since);
         if !a.live() || a.started.is_none() || self.workers[a.worker].silent {
@@ -129,7 +130,7 @@
                 let line = format!("worker {i} barred for {:.1} s: share of errors {errors:.2}", secs(pause));
                 self.say.push_back(Decision::Log(line));
             } else if !w.is_barred(now) && errors < 0.05 && w.spells > 0 {
-                (w.spells, w.barred) = (0, None);
+                (w.spells, w.barred_until) = (0, None);
                 self.say.push_back(Decision::Log(format!("worker {i} back: share of errors {errors:.2}")));
             }
             w.spells > 0 || w.errors > 0.01
--- a/src/telling.rs
+++ b/src/telling.rs
@@ -1,30 +1,30 @@
 //! What schedulers tell one another: what is out, and the room that one leaves to another.
 
-use crate::rules::*;
+use crate::policy::*;
 
 const SOUGHT: usize = 3; // schedulers asked for room at a time: every other one has some
 const SEEK_EVERY: Duration = Duration::from_millis(60); // an answer has come by then, if any
 const ASKERS: usize = 64; // more who ask at a time than could be answered
 const KEPT: f64 = 2.0; // workers with room that are kept for the next arrivals
 
-impl Rules {
+impl Policy {
     /// Another scheduler leaves this many free slots of a worker to this one.
-    pub fn told(&mut self, i: usize, room: f64) {
+    pub fn slots_granted(&mut self, i: usize, room: f64) {
         if i < self.workers.len() && self.talk == Talk::ToOne && room > 0.0 {
             self.keep_room(i, room.min(self.slots(i)));
         }
     }
 
     /// Another scheduler has tasks that wait and asks for room.
-    pub fn sought(&mut self, from: usize) {
-        if self.talk == Talk::ToOne && from < self.sheet.talkers && self.rooms.askers.len() < ASKERS {
+    pub fn slots_requested(&mut self, from: usize) {
+        if self.talk == Talk::ToOne && from < self.sheet.exchange_size && self.rooms.askers.len() < ASKERS {
             self.rooms.askers.push(from);
         }
     }
 
     /// Another scheduler has this many slots out at a worker.
-    pub fn holds(&mut self, i: usize, peer: usize, number: u16, slots: f64) {
-        let known = i < self.workers.len() && peer != self.sheet.position && peer < self.sheet.talkers;
+    pub fn peer_usage(&mut self, i: usize, peer: usize, number: u16, slots: f64) {
+        let known = i < self.workers.len() && peer != self.sheet.position && peer < self.sheet.exchange_size;
         if known && self.talk == Talk::ToAll {
             self.peers.heard(peer, self.now);
             self.workers[i].told.set(peer, number, slots);
@@ -58,17 +58,17 @@
             if self.talk == Talk::ToAll || (waits || kept < KEPT) && self.out + kept < self.fair {
                 self.keep_room(worker, room);
             } else {
-                return Some(Decision::Leave { to: self.another(), worker, room });
+                return Some(Decision::Grant { to: self.another(), worker, slots: room });
             }
         }
         let to = self.rooms.askers.pop().filter(|_| !waits)?;
         let worker = self.rooms.at.pop_front()?;
         let room = std::mem::take(&mut self.workers[worker].room);
-        Some(Decision::Leave { to, worker, room })
+        Some(Decision::Grant { to, worker, slots: room })
     }
 
     fn another(&mut self) -> usize {
-        let to = self.chance.0.rand_range(0..self.sheet.talkers as u64 - 1) as usize;
+        let to = self.chance.0.rand_range(0..self.sheet.exchange_size as u64 - 1) as usize;
         to + usize::from(to >= self.sheet.position)
     }
 
@@ -78,7 +78,7 @@
             self.rooms.asked = self.now;
             for _ in 0..SOUGHT {
                 let to = self.another();
-                self.say.push_back(Decision::Seek { to });
+                self.say.push_back(Decision::RequestSlots { to });
             }
         }
     }
@@ -93,7 +93,7 @@
             self.changed.sort_unstable();
             self.changed.dedup();
             for worker in self.changed.drain(..) {
-                self.say.push_back(Decision::Tell { worker, slots: self.workers[worker].n });
+                self.say.push_back(Decision::Announce { worker, slots: self.workers[worker].n });
             }
         }
     }
--- a/src/terms.rs
+++ b/src/types.rs
@@ -48,28 +48,28 @@
     pub utility: f64,
     /// The one machine kind that runs it, if only one does.
     pub kind: Option<usize>,
-    pub most_assignments: usize,
+    pub max_assignments: usize,
 }
 
 /// How news of the workers reaches this scheduler.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum News {
+pub enum Discovery {
     #[default]
     Pushed,
     /// Only by subscribing or asking; silence longer than this counts as having been told.
-    Asked { within: Duration },
+    Polled { within: Duration },
 }
 
 /// What a scheduler is handed at its start.
 #[derive(Clone, Debug, Default)]
-pub struct DutySheet {
+pub struct PolicySettings {
     pub workloads: Vec<Workload>,
     pub schedulers: usize,
     /// How many of them tell one another of workers, this one included, and which of those it is, from 0.
-    pub talkers: usize,
+    pub exchange_size: usize,
     pub position: usize,
     pub zone: usize,
-    pub news: News,
+    pub discovery: Discovery,
     /// Share of the utility that a task beyond its customer's share still has.
     pub beyond_share: f64,
     /// Tasks a second within each customer's share, over all schedulers.
@@ -77,12 +77,12 @@
     pub may_cancel: bool,
 
     /// Longest come-back time that clients heed; none where they are not told.
-    pub come_back: Option<Duration>,
+    pub max_retry_after: Option<Duration>,
     /// Gap between progress notes, none where workers send none.
-    pub progress_every: Option<Duration>,
-    pub tells_start: bool,
+    pub progress_interval: Option<Duration>,
+    pub reports_start: bool,
     /// The list's weights fall with the tasks a worker holds, so they are no sizes.
-    pub moving_weights: bool,
+    pub live_weights: bool,
     /// Positions of free slots and of waiting tasks among the values of a worker's report.
     pub report_free: Option<usize>,
     pub report_waiting: Option<usize>,
@@ -90,10 +90,10 @@
     pub cold_share: f64,
     pub warm_within: Duration,
     /// Points lost, as a share of all utility, if every task crosses zones once.
-    pub price_crossing: f64,
+    pub crossing_cost: f64,
 
     /// The same for one full message to another scheduler a task.
-    pub price_word: f64,
+    pub message_cost: f64,
 }
 
 /// A worker's state on the list.
@@ -135,12 +135,12 @@
     Reset,
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Ending {
     pub fn proves_never_ran(self) -> bool {
-        matches!(self, Ending::Full | Ending::ConnectFailed | Ending::Moot)
+        matches!(self, Ending::Full | Ending::ConnectFailed | Ending::NotSent)
     }
 }
 
@@ -150,18 +150,18 @@
     /// Send the task to the worker; its assignments are numbered from 0 in this order.
     Assign { task: usize, worker: usize },
     /// Final answer: turned away; trying again is harmless.
-    Shed { task: usize, come_back: Option<Duration> },
+    Shed { task: usize, retry_after: Option<Duration> },
     /// Final answer: given up, nothing promised about its effect.
-    BreakOff { task: usize },
+    Abandon { task: usize },
     /// Stop waiting for one assignment.
-    CallOff { task: usize, assignment: usize },
+    Cancel { task: usize, assignment: usize },
 
     /// Word to another scheduler: this many slots of the worker are free and left to it.
-    Leave { to: usize, worker: usize, room: f64 },
+    Grant { to: usize, worker: usize, slots: f64 },
     /// Word to another scheduler: tasks wait here, any room to leave?
-    Seek { to: usize },
+    RequestSlots { to: usize },
     /// Word to all other schedulers: this many slots are out at the worker.
-    Tell { worker: usize, slots: f64 },
+    Announce { worker: usize, slots: f64 },
     /// Ring the bell after this span.
     Wake { after: Duration },
     /// A short line for the log.
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,8 +1,8 @@
 //! A scheduler under test: feeds inputs, pulls decisions and prints them one a line.
 
 use std::time::Duration;
-use tindock::rules::Rules;
-use tindock::terms::{Condition, Decision, DutySheet, Effect, Ending, News, Site, Workload};
+use tindock::policy::Policy;
+use tindock::types::{Condition, Decision, Discovery, Effect, Ending, PolicySettings, Site, Workload};
 
 pub fn ms(span: u64) -> Duration {
     Duration::from_millis(span)
@@ -17,23 +17,23 @@
         hard_limit: ms(8000),
         utility: 1.0,
         kind: None,
-        most_assignments: 5,
+        max_assignments: 5,
     }
 }
 
-pub fn duty(effects: &[Effect]) -> DutySheet {
-    DutySheet {
+pub fn duty(effects: &[Effect]) -> PolicySettings {
+    PolicySettings {
         workloads: effects.iter().map(|e| workload(*e)).collect(),
         schedulers: 2,
-        news: News::Pushed,
+        discovery: Discovery::Pushed,
         may_cancel: true,
-        come_back: Some(ms(2000)),
-        progress_every: Some(ms(1000)),
-        tells_start: true,
+        max_retry_after: Some(ms(2000)),
+        progress_interval: Some(ms(1000)),
+        reports_start: true,
         overload_factor: 3.0,
         cold_share: 0.2,
         warm_within: ms(10_000),
-        ..DutySheet::default()
+        ..PolicySettings::default()
     }
 }
 
@@ -42,7 +42,7 @@
 }
 
 pub struct Desk {
-    pub rules: Rules,
+    pub rules: Policy,
     pub now: u64,
     pub trace: String,
     /// Bells asked for.
@@ -51,11 +51,11 @@
 
 impl Desk {
     /// A scheduler with this many warm workers of two slots: odd ones in zone 1, those from 2 on of kind 1.
-    pub fn new(sheet: DutySheet, workers: usize) -> Self {
+    pub fn new(sheet: PolicySettings, workers: usize) -> Self {
         let mut desk =
-            Desk { rules: Rules::new(sheet, 7, ms(1000)), now: 1000, trace: String::new(), bells: 0 };
-        desk.rules.clock(ms(1000));
-        desk.rules.list_begins(true);
+            Desk { rules: Policy::new(sheet, 7, ms(1000)), now: 1000, trace: String::new(), bells: 0 };
+        desk.rules.set_time(ms(1000));
+        desk.rules.begin_list(true);
         for i in 0..workers {
             desk.rules.listed(i, site(i), 2.0, Condition::Ready, None);
         }
@@ -69,7 +69,7 @@
 
     pub fn at(&mut self, now: u64) -> &mut Self {
         self.now = now;
-        self.rules.clock(ms(now));
+        self.rules.set_time(ms(now));
         self
     }
 
@@ -77,14 +77,14 @@
     pub fn until(&mut self, then: u64) {
         while self.now + 25 <= then {
             let next = self.now + 25;
-            self.at(next).rules.bell();
+            self.at(next).rules.timer_fired();
             self.pull();
         }
         self.at(then);
     }
 
     pub fn list(&mut self, worker: usize, condition: Condition, booted: Option<u64>) {
-        self.rules.list_begins(false);
+        self.rules.begin_list(false);
         self.rules.listed(worker, site(worker), 2.0, condition, booted.map(ms));
         self.pull();
     }
@@ -119,14 +119,18 @@
                     continue;
                 }
                 Decision::Assign { task, worker } => format!("task {task} to worker {worker}"),
-                Decision::Shed { task, come_back } => format!("shed task {task}, come back {come_back:?}"),
-                Decision::BreakOff { task } => format!("break off task {task}"),
-                Decision::CallOff { task, assignment } => format!("call off {task}/{assignment}"),
-                Decision::Leave { to, worker, room } => {
-                    format!("leave {room} slots of worker {worker} to scheduler {to}")
+                Decision::Shed { task, retry_after } => {
+                    format!("shed task {task}, come back {retry_after:?}")
+                }
+                Decision::Abandon { task } => format!("break off task {task}"),
+                Decision::Cancel { task, assignment } => format!("call off {task}/{assignment}"),
+                Decision::Grant { to, worker, slots } => {
+                    format!("leave {slots} slots of worker {worker} to scheduler {to}")
+                }
+                Decision::RequestSlots { to } => format!("ask scheduler {to} for room"),
+                Decision::Announce { worker, slots } => {
+                    format!("tell all: {slots} slots out at worker {worker}")
                 }
-                Decision::Seek { to } => format!("ask scheduler {to} for room"),
-                Decision::Tell { worker, slots } => format!("tell all: {slots} slots out at worker {worker}"),
                 Decision::Log(line) => format!("log: {line}"),
             };
             self.trace += &format!("{:5} {said}\n", self.now);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,7 +5,7 @@
 use helpers::{duty, ms, Desk};
 use insta::assert_snapshot;
 use tindock::index::whittle;
-use tindock::terms::{Condition, Effect, Ending, Energy, Group};
+use tindock::types::{Condition, Effect, Ending, Energy, Group};
 
 /// The mean number in the paper's queue grows by this much when the threshold moves: the busy index, worked
 /// out with b^n as repeated products and exact fractions, apart from the code's closed form.
@@ -226,7 +226,7 @@
     desk.until(10_000);
     desk.trace.clear();
     let known = &desk.rules.records().1[0];
-    let line = format!("{} runs, {:.2} apart from its kind", known.completions, known.apart);
+    let line = format!("{} runs, {:.2} apart from its kind", known.completions, known.speed_offset);
     desk.note(&line);
     desk.arrive(0);
     desk.arrive(0);
@@ -340,7 +340,7 @@
 #[test]
 fn a_crowded_zone_is_left() {
     let mut sheet = duty(&[Effect::Idempotent]);
-    sheet.price_crossing = 0.05;
+    sheet.crossing_cost = 0.05;
     let mut desk = Desk::new(sheet, 40);
     for _ in 0..60 {
         let task = desk.arrive(0);
@@ -448,7 +448,7 @@
     let mut desk = Desk::new(duty(&[Effect::Unrepeatable]), 2);
     let task = desk.arrive(0);
     let before = duty(&[Effect::Unrepeatable, Effect::Idempotent]);
-    desk.rules.retune(before, &[Some(0), Some(0)]);
+    desk.rules.reconfigure(before, &[Some(0), Some(0)]);
     let free = desk.arrive(1);
     desk.end(free, 0, Ending::Reset);
     desk.end(task, 0, Ending::Reset);
--- a/tests/words.rs
+++ b/tests/words.rs
@@ -5,7 +5,7 @@
 
 use helpers::{duty, ms, Desk};
 use insta::assert_snapshot;
-use tindock::terms::{Effect, Ending};
+use tindock::types::{Effect, Ending};
 
 /// The third of `schedulers` that all talk; many leave room to one another, few tell all.
 fn among(schedulers: usize, workers: usize) -> Desk {
@@ -14,12 +14,12 @@
 
 fn placed(schedulers: usize, position: usize, workers: usize) -> Desk {
     let mut sheet = duty(&[Effect::Idempotent]);
-    (sheet.schedulers, sheet.talkers, sheet.position, sheet.price_word) =
+    (sheet.schedulers, sheet.exchange_size, sheet.position, sheet.message_cost) =
         (schedulers, schedulers, position, 0.01);
     (sheet.report_free, sheet.report_waiting) = (Some(0), Some(1));
     let mut desk = Desk::new(sheet, workers);
     for worker in 0..workers {
-        desk.rules.marked(worker, 1000 + worker as u64);
+        desk.rules.set_worker_hash(worker, 1000 + worker as u64);
     }
     desk
 }
@@ -38,10 +38,10 @@
         desk.end(task, 0, Ending::Finished);
     }
     desk.note("scheduler 7 asks");
-    desk.rules.sought(7);
+    desk.rules.slots_requested(7);
     desk.pull();
     desk.note("one slot of worker 5 is left to this scheduler");
-    desk.rules.told(5, 1.0);
+    desk.rules.slots_granted(5, 1.0);
     desk.arrive(0);
     assert_snapshot!(desk.trace);
 }
@@ -59,7 +59,7 @@
     desk.rules.reported(0, &[3.0, 0.0]);
     desk.pull();
     desk.note("scheduler 7 asks");
-    desk.rules.sought(7);
+    desk.rules.slots_requested(7);
     desk.pull();
     assert_snapshot!(desk.trace);
 }
@@ -71,10 +71,10 @@
     let mut desk = among(3, 2);
     desk.until(1030);
     for peer in [0, 1] {
-        desk.rules.holds(0, peer, 7, 1.0);
-        desk.rules.holds(0, peer, 7, 1.0);
-        desk.rules.holds(0, peer, 6, 0.0);
-        desk.rules.holds(1, peer, 7, 0.0);
+        desk.rules.peer_usage(0, peer, 7, 1.0);
+        desk.rules.peer_usage(0, peer, 7, 1.0);
+        desk.rules.peer_usage(0, peer, 6, 0.0);
+        desk.rules.peer_usage(1, peer, 7, 0.0);
     }
     desk.until(2100); // added up: both others tell
     desk.note("worker 0 is full by the others' words");
@@ -92,7 +92,7 @@
         let mut homes = Vec::new();
         for set in 1..30 {
             let task = desk.rules.arrived(0, 1.0, ms(8000), 0);
-            desk.rules.needs(task, set);
+            desk.rules.set_data_set(task, set);
             desk.trace.clear();
             desk.pull();
             desk.trace.retain(|c| c != '\n');
@@ -117,12 +117,12 @@
         for number in 0..6 {
             let task = desk.arrive(0);
             if rubbish {
-                desk.rules.holds(99, 0, 1, 3.0); // a worker that no list has named
-                desk.rules.holds(0, 2, 1, 3.0); // from itself
-                desk.rules.holds(0, 777, 1, 3.0); // from nobody
-                desk.rules.told(99, 1.0);
-                desk.rules.told(0, 0.0);
-                desk.rules.sought(777);
+                desk.rules.peer_usage(99, 0, 1, 3.0); // a worker that no list has named
+                desk.rules.peer_usage(0, 2, 1, 3.0); // from itself
+                desk.rules.peer_usage(0, 777, 1, 3.0); // from nobody
+                desk.rules.slots_granted(99, 1.0);
+                desk.rules.slots_granted(0, 0.0);
+                desk.rules.slots_requested(777);
                 desk.rules.reported(0, &[]);
                 desk.rules.reported(0, &[f64::NAN, 1.0]);
                 desk.rules.reported(0, &[f64::INFINITY, 1.0]);
@@ -144,13 +144,13 @@
 fn a_scheduler_that_does_not_talk_decides_as_before() {
     let play = |words: bool| {
         let mut sheet = duty(&[Effect::Idempotent, Effect::Unrepeatable]);
-        sheet.talkers = usize::from(words);
+        sheet.exchange_size = usize::from(words);
         let mut desk = Desk::new(sheet, 4);
         for number in 0..12 {
             if words {
-                desk.rules.told(0, 2.0);
-                desk.rules.holds(1, 1, number as u16, 5.0);
-                desk.rules.sought(1);
+                desk.rules.slots_granted(0, 2.0);
+                desk.rules.peer_usage(1, 1, number as u16, 5.0);
+                desk.rules.slots_requested(1);
             }
             desk.run(number % 2, [300, 500]);
         }
@@ -163,12 +163,12 @@
 #[test]
 fn a_data_set_before_any_list_waits() {
     let mut sheet = duty(&[Effect::Idempotent]);
-    (sheet.talkers, sheet.price_word) = (2, 0.01);
-    let mut rules = tindock::rules::Rules::new(sheet, 7, ms(1000));
-    rules.clock(ms(1000));
+    (sheet.exchange_size, sheet.message_cost) = (2, 0.01);
+    let mut rules = tindock::policy::Policy::new(sheet, 7, ms(1000));
+    rules.set_time(ms(1000));
     let task = rules.arrived(0, 1.0, ms(8000), 0);
-    rules.needs(task, 5);
+    rules.set_data_set(task, 5);
     while let Some(decision) = rules.decide() {
-        assert!(matches!(decision, tindock::terms::Decision::Wake { .. }), "{decision:?}");
+        assert!(matches!(decision, tindock::types::Decision::Wake { .. }), "{decision:?}");
     }
 }
