--- a/crates/berth/src/installation.rs
+++ b/crates/berth/src/installation.rs
@@ -335,7 +335,7 @@
         r.problem(&place, format!("peers.all names {} schedulers; {most} at the most", all.len()));
     }
     let position = position?;
-    (sheet.exchange_size, sheet.position) = (all.len(), position);
+    (sheet.members, sheet.position) = (all.len(), position);
     Some(Others { all, position })
 }
 
--- a/crates/berth/src/platform.rs
+++ b/crates/berth/src/platform.rs
@@ -72,7 +72,7 @@
     let doc: Doc = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let mut sheet = tindock_sheet::read(&doc.settings)?;
     // The platform tells no addresses of other schedulers, so there is no way for words between them.
-    sheet.exchange_size = 0;
+    sheet.members = 0;
     let mut words = Words {
         workloads: words(&doc.settings, "workloads", Some("name"))?,
         customers: words(&doc.settings, "tenants", Some("name"))?,
--- a/crates/berth/tests/installation.rs
+++ b/crates/berth/tests/installation.rs
@@ -170,13 +170,13 @@
 #[test]
 fn schedulers_that_talk_know_their_place() {
     let (berth, _) = read(GOOD, &Layers::default()).expect("a configuration");
-    assert_eq!((berth.sheet.exchange_size, berth.sheet.live_weights, berth.others), (0, false, None));
+    assert_eq!((berth.sheet.members, berth.sheet.live_weights, berth.others), (0, false, None));
     let peers = "[peers]\nlisten = \"10.0.0.2:1\"\nall = [\"10.0.0.1:1\", \"10.0.0.2:1\"]\n\
                  [workers]\nschedulers = 3\nweights = \"moving\"\nreports = [\"backlog\", \"free-slots\"]";
     let (berth, _) =
         read(&GOOD.replacen("[workers]", peers, 1), &Layers::default()).expect("a configuration");
     let sheet = &berth.sheet;
-    assert_eq!((sheet.exchange_size, sheet.position, sheet.schedulers, sheet.message_cost), (2, 1, 3, 0.01));
+    assert_eq!((sheet.members, sheet.position, sheet.schedulers, sheet.message_cost), (2, 1, 3, 0.01));
     assert_eq!((sheet.live_weights, sheet.report_free, sheet.report_waiting), (true, Some(1), Some(0)));
     assert_eq!(berth.others.expect("others").all.len(), 2);
 }
--- a/crates/scheduler/src/rows.rs
+++ b/crates/scheduler/src/rows.rs
@@ -26,7 +26,7 @@
     pub customers: Vec<String>,
     /// The longest time after which clients may be asked to come back, if they may.
     pub come_back: Option<Duration>,
-    /// Where it stands among the schedulers: `exchange_size`, `position` and `zone` of the start.
+    /// Where it stands among the schedulers: `members`, `position` and `zone` of the start.
     place: (usize, usize, usize),
 }
 
@@ -35,7 +35,7 @@
         let names = words.workloads.iter().map(|name| Some(name.as_str().into())).collect();
         let (table, customers) = (sheet.workloads.clone(), words.customers.clone());
         let come_back = sheet.max_retry_after;
-        Rows { names, table, customers, come_back, place: (sheet.exchange_size, sheet.position, sheet.zone) }
+        Rows { names, table, customers, come_back, place: (sheet.members, sheet.position, sheet.zone) }
     }
 
     /// The names by which tasks are taken now.
@@ -45,8 +45,8 @@
 
     /// The sheet of a new file with the rows of this table. What sockets and workers stand on is as it was at the start.
     pub fn sheet(&self, sheet: PolicySettings) -> PolicySettings {
-        let (exchange_size, position, zone) = self.place;
-        PolicySettings { workloads: self.table.clone(), exchange_size, position, zone, ..sheet }
+        let (members, position, zone) = self.place;
+        PolicySettings { workloads: self.table.clone(), members, position, zone, ..sheet }
     }
 
     /// Takes in what a new file says. Gives for each row the one before whose figures it goes on with, none for
--- a/crates/scheduler/src/succession/heritage.rs
+++ b/crates/scheduler/src/succession/heritage.rs
@@ -57,7 +57,7 @@
         let WorkerState { speed_offset: apart, completions, fresh, peer_load: hidden, .. } = stand;
         (entry.name.clone(), StandDoc { rest_ms, barred_ms, apart, completions, fresh, hidden })
     });
-    let runs = rows.names.iter().zip(&known.run_times);
+    let runs = rows.names.iter().zip(&known.runs);
     let runs =
         runs.filter_map(|(name, r)| Some((name.as_deref()?.into(), [r.log, r.spread, r.mean, r.seen])));
     let kinds = words.kinds.iter().cloned().zip(&known.kinds).map(|(name, k)| (name, [k.speed, k.slots]));
@@ -99,7 +99,7 @@
         clock: &Clock,
     ) {
         let mut known: Model = rules.records().0.clone();
-        for (name, runs) in rows.names.iter().zip(&mut known.run_times) {
+        for (name, runs) in rows.names.iter().zip(&mut known.runs) {
             if let Some(&[log, spread, mean, seen]) = name.as_deref().and_then(|name| self.runs.get(name)) {
                 *runs = RunTimes { log, spread, mean, seen };
             }
--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -4,7 +4,7 @@
 #[path = "../../../tests/helpers/mod.rs"]
 mod helpers;
 
-use helpers::duty;
+use helpers::settings_for;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::future::Future;
@@ -146,7 +146,7 @@
     fn of(agent: &Rc<Agent>) -> Self {
         let clock = Clock::start();
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let sheet = duty(&[Effect::Idempotent]);
+        let sheet = settings_for(&[Effect::Idempotent]);
         let hard = Rows::new(&sheet, &Words::default());
         let rules = Policy::new(sheet, 7, clock.now());
         let now = Box::new(move || clock.now());
--- a/crates/scheduler/tests/exchange.rs
+++ b/crates/scheduler/tests/exchange.rs
@@ -4,7 +4,7 @@
 #[path = "../../../tests/helpers/mod.rs"]
 mod helpers;
 
-use helpers::{duty, ms};
+use helpers::{ms, settings_for};
 use insta::assert_snapshot;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -138,7 +138,7 @@
 /// about a task of an earlier life.
 #[test]
 fn news_counts_once_and_for_its_own_assignment() {
-    let mut floor = Floor::new(duty(&[Effect::Idempotent]), 2);
+    let mut floor = Floor::new(settings_for(&[Effect::Idempotent]), 2);
     floor.news(r#"{"id":"old","from":"w0","state":"done","result":"of an earlier life"}"#);
     floor.arrive("a");
     floor.news(r#"{"id":"a","from":"w9","state":"done","result":"of a worker never listed"}"#);
@@ -157,7 +157,7 @@
 /// Guards against late words on a place that another task has by now.
 #[test]
 fn a_place_used_again_hears_nothing_of_its_earlier_task() {
-    let mut floor = Floor::new(duty(&[Effect::Unrepeatable]), 1);
+    let mut floor = Floor::new(settings_for(&[Effect::Unrepeatable]), 1);
     floor.arrive("a");
     floor.arrive("a");
     floor.news(r#"{"id":"a","from":"w0","state":"done","result":"one"}"#);
@@ -171,7 +171,7 @@
 /// Guards against work for nobody: what a client leaves is called off, and not answered.
 #[test]
 fn what_its_client_left_is_called_off() {
-    let mut floor = Floor::new(duty(&[Effect::Idempotent]), 2);
+    let mut floor = Floor::new(settings_for(&[Effect::Idempotent]), 2);
     floor.arrive("a");
     let (_, hold) = floor.holds.remove(0);
     floor.note("the client goes away");
@@ -186,7 +186,7 @@
 /// Guards against tasks that end with the process: each has its answer before that, and its worker is told.
 #[test]
 fn what_is_unanswered_at_the_end_is_broken_off() {
-    let mut floor = Floor::new(duty(&[Effect::Unrepeatable]), 2);
+    let mut floor = Floor::new(settings_for(&[Effect::Unrepeatable]), 2);
     floor.arrive("a");
     floor.news(r#"{"id":"a","from":"w1","state":"started"}"#);
     floor.arrive("b");
@@ -201,7 +201,7 @@
 /// Guards against sends that were decided before a drain, a call-off or the final answer, and not yet begun.
 #[test]
 fn what_is_not_begun_is_asked_about_again() {
-    let mut floor = Floor::new(duty(&[Effect::Idempotent]), 1);
+    let mut floor = Floor::new(settings_for(&[Effect::Idempotent]), 1);
     floor.arrive("a");
     let wanted = |floor: &Floor| floor.exchange.still_wanted(floor.tickets[0]);
     assert!(wanted(&floor));
@@ -220,7 +220,8 @@
 /// Guards against a task without an answer where nothing can be called off and a worker never tells the end.
 #[test]
 fn a_silent_end_is_overdue_at_the_hard_limit() {
-    let mut floor = Floor::new(PolicySettings { may_cancel: false, ..duty(&[Effect::Unrepeatable]) }, 1);
+    let mut floor =
+        Floor::new(PolicySettings { may_cancel: false, ..settings_for(&[Effect::Unrepeatable]) }, 1);
     floor.arrive("a");
     floor.news(r#"{"id":"a","from":"w0","state":"started"}"#);
     floor.pass(8200);
@@ -260,7 +261,7 @@
 /// first sign, and a task is not passed round among workers that all leave; while lists come, signs change nothing.
 #[test]
 fn on_an_old_list_one_sign_leaves_a_worker_out() {
-    let mut floor = Floor::new(duty(&[Effect::Unrepeatable]), 2);
+    let mut floor = Floor::new(settings_for(&[Effect::Unrepeatable]), 2);
     floor.note("the list is fresh: turned away, and the next task may go there again");
     floor.arrive("a");
     floor.end(0, Close::TurnedAway);
--- a/crates/sheet/src/lib.rs
+++ b/crates/sheet/src/lib.rs
@@ -111,7 +111,7 @@
     Ok(PolicySettings {
         workloads: (0..rows).map(|row| workload(info, row)).collect::<Read<_>>()?,
         schedulers,
-        exchange_size: if flag(info, "/caps/peers") { schedulers } else { 0 },
+        members: if flag(info, "/caps/peers") { schedulers } else { 0 },
         position: optional(info, "/position")?.unwrap_or(0.0) as usize,
         zone: number(info, "/zone")? as usize,
         discovery,
--- a/crates/sheet/tests/settings.rs
+++ b/crates/sheet/tests/settings.rs
@@ -20,7 +20,7 @@
 #[test]
 fn the_new_shape_reaches_the_sheet() {
     let sheet = read(&settings(|_| ())).expect("settings");
-    assert_eq!((sheet.exchange_size, sheet.position, sheet.message_cost), (3, 2, 0.01));
+    assert_eq!((sheet.members, sheet.position, sheet.message_cost), (3, 2, 0.01));
     assert_eq!((sheet.live_weights, sheet.report_free, sheet.report_waiting), (true, Some(1), Some(0)));
     let sheet = read(&settings(|s| {
         s["caps"]["peers"] = json!(false);
@@ -28,7 +28,7 @@
         s["reporting"] = json!({"source": "silent", "names": []});
     }))
     .expect("settings");
-    assert_eq!((sheet.exchange_size, sheet.live_weights, sheet.report_free), (0, false, None));
+    assert_eq!((sheet.members, sheet.live_weights, sheet.report_free), (0, false, None));
 }
 
 #[test]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,13 @@
-//! tindock: a dispatcher that sits beside each submitter and pushes tasks to workers.
+//! tindock: a dispatcher that runs beside each submitter and pushes tasks to workers.
 //!
-//! All decisions are in [`rules`] and the files beside it, the index of workers in [`index`]; the words they are
-//! spoken in are in [`terms`].
+//! All decisions are in [`policy`] and its private modules, the index of workers in [`index`], the interface
+//! types in [`types`].
 
-mod choosing;
+mod exchange;
 pub mod index;
-mod news;
+mod inputs;
 pub mod policy;
+mod selection;
 pub mod state;
-mod sweeping;
-mod telling;
+mod sweep;
 pub mod types;
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,22 +1,22 @@
-//! The words between the decision module and its host.
+//! The types of the interface between the scheduling policy and its host.
 //!
-//! Times are spans since the start. Tasks, workers, workloads, customers, zones, cells and machine
-//! kinds are small indices; the host maps outside ids to them at the door.
+//! Times are spans since the start. Tasks, workers, workloads, tenants, zones, cells and machine
+//! kinds are small indices; the host maps external ids to them.
 
 use std::time::Duration;
 
-/// What a repeat of a task may do.
+/// The effect of running a task more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// May run again freely.
+    /// May run any number of times.
     Idempotent,
-    /// Repeats are dropped inside the group, for as long as its memory window lasts.
+    /// Repeats are dropped within the group, for as long as its memory window lasts.
     Deduplicated(Group),
     /// Must never run twice.
     Unrepeatable,
 }
 
-/// The workers that know each other's repeats.
+/// The workers that recognize repeats of each other's tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -25,7 +25,7 @@
 }
 
 impl Group {
-    /// Whether workers at these sites know each other's repeats.
+    /// Whether workers at these sites recognize repeats of each other's tasks.
     pub fn joins(self, one: Site, other: Site) -> bool {
         match self {
             Group::All => true,
@@ -35,53 +35,53 @@
     }
 }
 
-/// One row of the workload table: only what the decisions read.
+/// One row of the workload table: only what the policy reads.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workload {
     pub effect: Effect,
-    /// How long deduplicating workers remember, from the first assignment that might have run.
+    /// How long deduplicating workers remember a task, from the first assignment that might have run.
     pub memory: Duration,
     pub promised: Duration,
-    /// The promised time grows by this multiple of the task's own running time.
+    /// The promised time grows by this multiple of the task's run time.
     pub stretch: f64,
     pub hard_limit: Duration,
     pub utility: f64,
-    /// The one machine kind that runs it, if only one does.
+    /// The machine kind that runs it, if only one does.
     pub kind: Option<usize>,
     pub max_assignments: usize,
 }
 
-/// How news of the workers reaches this scheduler.
+/// How this scheduler learns about workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discovery {
     #[default]
     Pushed,
-    /// Only by subscribing or asking; silence longer than this counts as having been told.
+    /// Only by subscribing or polling; a scheduler that does not poll within this time counts as informed.
     Polled { within: Duration },
 }
 
-/// What a scheduler is handed at its start.
+/// The settings of a scheduler.
 #[derive(Clone, Debug, Default)]
 pub struct PolicySettings {
     pub workloads: Vec<Workload>,
     pub schedulers: usize,
-    /// How many of them tell one another of workers, this one included, and which of those it is, from 0.
-    pub exchange_size: usize,
+    /// Schedulers that exchange messages about workers, including this one, and its index among them.
+    pub members: usize,
     pub position: usize,
     pub zone: usize,
     pub discovery: Discovery,
-    /// Share of the utility that a task beyond its customer's share still has.
+    /// Share of the utility that a task beyond its tenant's quota still has.
     pub beyond_share: f64,
-    /// Tasks a second within each customer's share, over all schedulers.
+    /// Quota of each tenant in tasks per second, over all schedulers.
     pub quotas: Vec<f64>,
     pub may_cancel: bool,
 
-    /// Longest come-back time that clients heed; none where they are not told.
+    /// Longest retry delay that clients respect; none where they are not sent one.
     pub max_retry_after: Option<Duration>,
-    /// Gap between progress notes, none where workers send none.
+    /// Interval of progress messages; none where workers send none.
     pub progress_interval: Option<Duration>,
     pub reports_start: bool,
-    /// The list's weights fall with the tasks a worker holds, so they are no sizes.
+    /// The weights on the list fall with the tasks on a worker, so they are not sizes.
     pub live_weights: bool,
     /// Positions of free slots and of waiting tasks among the values of a worker's report.
     pub report_free: Option<usize>,
@@ -89,10 +89,10 @@
     pub overload_factor: f64,
     pub cold_share: f64,
     pub warm_within: Duration,
-    /// Points lost, as a share of all utility, if every task crosses zones once.
+    /// Cost, as a share of all utility, if every task crosses zones once.
     pub crossing_cost: f64,
 
-    /// The same for one full message to another scheduler a task.
+    /// The same for one full message to another scheduler per task.
     pub message_cost: f64,
 }
 
@@ -104,7 +104,7 @@
     Gone,
 }
 
-/// Where a worker stands and what it is built from.
+/// The location and machine kind of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub struct Site {
     pub zone: usize,
@@ -112,7 +112,7 @@
     pub kind: usize,
 }
 
-/// The energy state of a worker as the design page derives it from the own tasks.
+/// The energy state of a worker, derived from the local tasks as described in the design page.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Energy {
     #[default]
@@ -125,16 +125,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Finished,
-    /// The worker returned an error; it may have run.
+    /// The worker returned an error; the task may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected before it was read.
     Full,
     TimedOut,
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the task may have run.
     Reset,
     Cancelled,
-    /// Never sent.
     NotSent,
 }
 
@@ -144,26 +143,26 @@
     }
 }
 
-/// What the host carries out, one at a time.
+/// An action for the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// Send the task to the worker; its assignments are numbered from 0 in this order.
     Assign { task: usize, worker: usize },
-    /// Final answer: turned away; trying again is harmless.
+    /// Final answer: rejected; a retry is harmless.
     Shed { task: usize, retry_after: Option<Duration> },
-    /// Final answer: given up, nothing promised about its effect.
+    /// Final answer: given up; the task may or may not have had an effect.
     Abandon { task: usize },
     /// Stop waiting for one assignment.
     Cancel { task: usize, assignment: usize },
 
-    /// Word to another scheduler: this many slots of the worker are free and left to it.
+    /// Message to another scheduler: these free slots of the worker are left to it.
     Grant { to: usize, worker: usize, slots: f64 },
-    /// Word to another scheduler: tasks wait here, any room to leave?
+    /// Message to another scheduler: tasks are queued here and need free slots.
     RequestSlots { to: usize },
-    /// Word to all other schedulers: this many slots are out at the worker.
+    /// Message to all other schedulers: this many slots of the worker are in use by local tasks.
     Announce { worker: usize, slots: f64 },
-    /// Ring the bell after this span.
+    /// Call `timer_fired` after this time.
     Wake { after: Duration },
-    /// A short line for the log.
+    /// A line for the log.
     Log(String),
 }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,4 +1,4 @@
-//! A scheduler under test: feeds inputs, pulls decisions and prints them one a line.
+//! A scheduler under test: sends inputs to the policy and prints its decisions, one per line.
 
 use std::time::Duration;
 use tindock::policy::Policy;
@@ -21,7 +21,7 @@
     }
 }
 
-pub fn duty(effects: &[Effect]) -> PolicySettings {
+pub fn settings_for(effects: &[Effect]) -> PolicySettings {
     PolicySettings {
         workloads: effects.iter().map(|e| workload(*e)).collect(),
         schedulers: 2,
@@ -41,26 +41,30 @@
     Site { zone: worker % 2, cell: worker % 2, kind: usize::from(worker > 1) }
 }
 
-pub struct Desk {
-    pub rules: Policy,
+pub struct Harness {
+    pub policy: Policy,
     pub now: u64,
     pub trace: String,
-    /// Bells asked for.
-    pub bells: usize,
+    /// Timers requested.
+    pub timers: usize,
 }
 
-impl Desk {
+impl Harness {
     /// A scheduler with this many warm workers of two slots: odd ones in zone 1, those from 2 on of kind 1.
-    pub fn new(sheet: PolicySettings, workers: usize) -> Self {
-        let mut desk =
-            Desk { rules: Policy::new(sheet, 7, ms(1000)), now: 1000, trace: String::new(), bells: 0 };
-        desk.rules.set_time(ms(1000));
-        desk.rules.begin_list(true);
+    pub fn new(settings: PolicySettings, workers: usize) -> Self {
+        let mut harness = Harness {
+            policy: Policy::new(settings, 7, ms(1000)),
+            now: 1000,
+            trace: String::new(),
+            timers: 0,
+        };
+        harness.policy.set_time(ms(1000));
+        harness.policy.begin_list(true);
         for i in 0..workers {
-            desk.rules.listed(i, site(i), 2.0, Condition::Ready, None);
+            harness.policy.listed(i, site(i), 2.0, Condition::Ready, None);
         }
-        desk.pull();
-        desk
+        harness.pull();
+        harness
     }
 
     pub fn note(&mut self, line: &str) {
@@ -69,71 +73,71 @@
 
     pub fn at(&mut self, now: u64) -> &mut Self {
         self.now = now;
-        self.rules.set_time(ms(now));
+        self.policy.set_time(ms(now));
         self
     }
 
-    /// Rings the bell every 25 ms until then.
-    pub fn until(&mut self, then: u64) {
+    /// Fires the timer every 25 ms until then.
+    pub fn run_until(&mut self, then: u64) {
         while self.now + 25 <= then {
             let next = self.now + 25;
-            self.at(next).rules.timer_fired();
+            self.at(next).policy.timer_fired();
             self.pull();
         }
         self.at(then);
     }
 
     pub fn list(&mut self, worker: usize, condition: Condition, booted: Option<u64>) {
-        self.rules.begin_list(false);
-        self.rules.listed(worker, site(worker), 2.0, condition, booted.map(ms));
+        self.policy.begin_list(false);
+        self.policy.listed(worker, site(worker), 2.0, condition, booted.map(ms));
         self.pull();
     }
 
     pub fn arrive(&mut self, workload: usize) -> usize {
-        let task = self.rules.arrived(workload, 1.0, ms(8000), 0);
+        let task = self.policy.arrived(workload, 1.0, ms(8000), 0);
         self.pull();
         task
     }
 
     pub fn end(&mut self, task: usize, assignment: usize, ending: Ending) {
         self.note(&format!("task {task}/{assignment} {ending:?}"));
-        self.rules.ended(task, assignment, ending, ending == Ending::Finished);
+        self.policy.ended(task, assignment, ending, ending == Ending::Finished);
         self.pull();
     }
 
     /// A task that starts at once and runs this long on a worker of kind 0 and of kind 1.
     pub fn run(&mut self, workload: usize, spans: [u64; 2]) {
         let task = self.arrive(workload);
-        self.rules.started(task, 0);
+        self.policy.started(task, 0);
         let worker = self.trace.trim_end().chars().last().and_then(|c| c.to_digit(10)).unwrap_or(0);
         let then = self.now + spans[usize::from(worker > 1)];
-        self.at(then).rules.ended(task, 0, Ending::Finished, true);
+        self.at(then).policy.ended(task, 0, Ending::Finished, true);
         self.pull();
     }
 
     pub fn pull(&mut self) {
-        while let Some(decision) = self.rules.decide() {
-            let said = match decision {
+        while let Some(decision) = self.policy.decide() {
+            let text = match decision {
                 Decision::Wake { .. } => {
-                    self.bells += 1;
+                    self.timers += 1;
                     continue;
                 }
                 Decision::Assign { task, worker } => format!("task {task} to worker {worker}"),
                 Decision::Shed { task, retry_after } => {
-                    format!("shed task {task}, come back {retry_after:?}")
+                    format!("shed task {task}, retry after {retry_after:?}")
                 }
-                Decision::Abandon { task } => format!("break off task {task}"),
-                Decision::Cancel { task, assignment } => format!("call off {task}/{assignment}"),
+                Decision::Abandon { task } => format!("abandon task {task}"),
+                Decision::Cancel { task, assignment } => format!("cancel {task}/{assignment}"),
                 Decision::Grant { to, worker, slots } => {
-                    format!("leave {slots} slots of worker {worker} to scheduler {to}")
+                    format!("grant {slots} slots of worker {worker} to scheduler {to}")
                 }
-                Decision::RequestSlots { to } => format!("ask scheduler {to} for room"),
+                Decision::RequestSlots { to } => format!("request slots of scheduler {to}"),
                 Decision::Announce { worker, slots } => {
-                    format!("tell all: {slots} slots out at worker {worker}")
+                    format!("announce: {slots} slots in use on worker {worker}")
                 }
                 Decision::Log(line) => format!("log: {line}"),
             };
-            self.trace += &format!("{:5} {said}\n", self.now);
+            self.trace += &format!("{:5} {text}\n", self.now);
         }
     }
 }
