--- a/crates/scheduler/src/exchange.rs
+++ b/crates/scheduler/src/exchange.rs
@@ -22,7 +22,7 @@
 use tindock_berth::listing::{Entry, Listing};
 use tindock_berth::Words;
 use tindock_roster::vouching::Vouching;
-use tindock_words::{Address, Names};
+use tindock_words::{Address, WorkerNames};
 use tokio::sync::{mpsc, oneshot, Notify};
 
 /// A task as a client handed it in.
@@ -123,7 +123,7 @@
     bans: BTreeSet<String>,
     reports: Vec<String>,
     /// The workers' names in words between schedulers, and the words themselves.
-    names_told: Names,
+    names_told: WorkerNames,
     telling: Telling,
     told: Option<mpsc::Sender<Message>>,
     /// Hard limits of tasks in hand, soonest first.
@@ -161,7 +161,7 @@
             names: HashMap::new(),
             bans: BTreeSet::new(),
             reports: Vec::new(),
-            names_told: Names::default(),
+            names_told: WorkerNames::default(),
             telling: Telling::default(),
             told: None,
             limits: BTreeSet::new(),
@@ -395,7 +395,7 @@
 
     pub fn held(&self, from: usize, number: u16, words: &[[u8; 3]]) {
         self.feed(|state| {
-            for (worker, slots) in state.names_told.told(words) {
+            for (worker, slots) in state.names_told.resolve(words) {
                 state.rules.peer_usage(worker, from, number, slots);
             }
         });
@@ -643,12 +643,12 @@
         if known.is_some() {
             let before = std::mem::replace(&mut self.workers[at].entry, entry);
             if before.address != self.workers[at].entry.address {
-                self.names_told.forget(at);
+                self.names_told.remove(at);
             }
             return;
         }
         let (mark, banned) =
-            (self.names_told.enter(telling::address(entry.address)), self.bans.contains(&entry.name));
+            (self.names_told.insert(telling::address(entry.address)), self.bans.contains(&entry.name));
         self.names.insert(entry.name.as_str().into(), at);
         self.workers.push(Listed { entry, banned });
         self.rules.set_worker_hash(at, mark);
--- a/crates/scheduler/src/others/peers.rs
+++ b/crates/scheduler/src/others/peers.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tindock_berth::Others;
-use tindock_words::{self as words, Word, LONGEST};
+use tindock_words::{self as words, PeerMessage, MAX_MESSAGE_BYTES};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
@@ -39,7 +39,7 @@
     pub async fn hear(self) {
         let places: HashMap<SocketAddr, usize> =
             self.others.all.iter().enumerate().map(|(place, &at)| (at, place)).collect();
-        let (mut bytes, mut dropped) = ([0; LONGEST + 1], 0u64);
+        let (mut bytes, mut dropped) = ([0; MAX_MESSAGE_BYTES + 1], 0u64);
         let mut sums = tokio::time::interval(SUMS_EVERY);
         loop {
             tokio::select! {
@@ -47,7 +47,7 @@
                     // An error here tells of an earlier message that met nobody.
                     let Ok((length, from)) = heard else { continue };
                     let place = places.get(&from).copied().filter(|&place| place != self.others.position);
-                    match place.zip(words::read(&bytes[..length])) {
+                    match place.zip(words::decode(&bytes[..length])) {
                         Some((place, word)) => self.word(place, word),
                         None => dropped += 1,
                     }
@@ -62,11 +62,11 @@
         }
     }
 
-    fn word(&self, from: usize, word: Word) {
+    fn word(&self, from: usize, word: PeerMessage) {
         match word {
-            Word::Seek => self.exchange.sought(from),
-            Word::Leave(address, room) => self.exchange.room_left(address, room),
-            Word::Held(number, words) => self.exchange.held(from, number, words),
+            PeerMessage::SlotRequest => self.exchange.sought(from),
+            PeerMessage::Grant(address, room) => self.exchange.room_left(address, room),
+            PeerMessage::Usage(number, words) => self.exchange.held(from, number, words),
         }
     }
 }
--- a/crates/scheduler/src/others/telling.rs
+++ b/crates/scheduler/src/others/telling.rs
@@ -17,19 +17,19 @@
 /// Collects what the module says at one time: what is out goes into common messages.
 #[derive(Default)]
 pub struct Telling {
-    held: words::Telling,
+    held: words::Announcements,
     messages: Vec<Message>,
 }
 
 impl Telling {
-    pub fn say(&mut self, decision: &Decision, names: &words::Names) {
+    pub fn say(&mut self, decision: &Decision, names: &words::WorkerNames) {
         match *decision {
             Decision::Grant { to, worker, slots } => {
-                let message = names.address(worker).map(|at| (Some(to), words::leave(at, slots).to_vec()));
+                let message = names.address(worker).map(|at| (Some(to), words::grant(at, slots).to_vec()));
                 self.messages.extend(message);
             }
-            Decision::RequestSlots { to } => self.messages.push((Some(to), words::seek().to_vec())),
-            Decision::Announce { worker, slots } => self.held.add(names.short(worker), slots),
+            Decision::RequestSlots { to } => self.messages.push((Some(to), words::slot_request().to_vec())),
+            Decision::Announce { worker, slots } => self.held.add(names.short_id(worker), slots),
             _ => {}
         }
     }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -10,12 +10,12 @@
 use tindock::policy::Policy;
 use tindock::types::{Condition, Decision, Discovery, Ending, Site};
 use tindock_roster::asking::{Asking, Service, Step};
-use tindock_words::{self as words, Names, Telling, Word};
+use tindock_words::{self as words, Announcements, PeerMessage, WorkerNames};
 
 const BATCH_HEADER: usize = 20;
 const EVENT: usize = 56;
 const ENTRY: usize = 23;
-/// Names the bell that is for the list; the module's has 0.
+/// WorkerNames the bell that is for the list; the module's has 0.
 const LIST_BELL: u64 = 1;
 
 /// One scheduler: its decisions, and the outside names of its tasks and workers.
@@ -34,8 +34,8 @@
     workers: HashMap<[u8; 6], usize>,
     addresses: Vec<[u8; 6]>,
     /// The workers' names in messages between schedulers, and what is to be told.
-    names: Names,
-    telling: Telling,
+    names: WorkerNames,
+    telling: Announcements,
     /// Messages of others that could not be read.
     rubbish: u64,
 }
@@ -106,7 +106,7 @@
             let booted = Some(e.span(15)?).filter(|b| !b.is_zero());
             self.rules.listed(worker, site, f64::from(e.f32(1)?), condition, booted);
             if worker == fresh {
-                let mark = self.names.enter(Some(address));
+                let mark = self.names.insert(Some(address));
                 self.rules.set_worker_hash(worker, mark);
             }
         }
@@ -192,15 +192,15 @@
 
     /// A peer's word. Rubbish is dropped: only its own list makes a worker known to a scheduler.
     fn word(&mut self, from: usize, bytes: &[u8]) {
-        match words::read(bytes).filter(|_| from != self.position) {
-            Some(Word::Seek) => self.rules.slots_requested(from),
-            Some(Word::Leave(address, room)) => {
+        match words::decode(bytes).filter(|_| from != self.position) {
+            Some(PeerMessage::SlotRequest) => self.rules.slots_requested(from),
+            Some(PeerMessage::Grant(address, room)) => {
                 if let Some(&worker) = self.workers.get(&address) {
                     self.rules.slots_granted(worker, room);
                 }
             }
-            Some(Word::Held(number, words)) => {
-                for (worker, slots) in self.names.told(words) {
+            Some(PeerMessage::Usage(number, words)) => {
+                for (worker, slots) in self.names.resolve(words) {
                     self.rules.peer_usage(worker, from, number, slots);
                 }
             }
@@ -248,11 +248,11 @@
                     reply.record(1060).u64(self.ids[task]).raw(&[assignment as u8]);
                 }
                 Decision::Grant { to, worker, slots } => {
-                    reply.tell(to as u32, &words::leave(self.addresses[worker], slots));
+                    reply.tell(to as u32, &words::grant(self.addresses[worker], slots));
                 }
-                Decision::RequestSlots { to } => reply.tell(to as u32, &words::seek()),
+                Decision::RequestSlots { to } => reply.tell(to as u32, &words::slot_request()),
                 Decision::Announce { worker, slots } => {
-                    self.telling.add(self.names.short(worker), slots);
+                    self.telling.add(self.names.short_id(worker), slots);
                 }
                 Decision::Wake { after } => {
                     reply.record(1090).f64(after.as_secs_f64()).u64(0);
@@ -324,8 +324,8 @@
                 given: HashSet::new(),
                 workers: HashMap::new(),
                 addresses: Vec::new(),
-                names: Names::default(),
-                telling: Telling::default(),
+                names: WorkerNames::default(),
+                telling: Announcements::default(),
                 rubbish: 0,
             };
             hosted.insert(number, instance);
--- a/crates/words/src/names.rs
+++ b/crates/words/src/worker_names.rs
@@ -5,51 +5,51 @@
 
 /// Workers by index, with what stands for them in messages.
 #[derive(Default)]
-pub struct Names {
+pub struct WorkerNames {
     addresses: Vec<Option<Address>>,
-    shorts: Vec<Option<u16>>,
+    short_ids: Vec<Option<u16>>,
     by_address: HashMap<Address, usize>,
-    by_short: HashMap<u16, Option<usize>>,
+    by_short_id: HashMap<u16, Option<usize>>,
 }
 
 /// A number that stands for a worker at every scheduler.
-pub fn mark(address: Address) -> u64 {
+pub fn hash(address: Address) -> u64 {
     let [a, b, c, d, e, f] = address;
     let word = u64::from_le_bytes([a, b, c, d, e, f, 0, 0]);
     (word ^ (word >> 29)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-impl Names {
+impl WorkerNames {
     /// The next worker, by its address if it has one that fits; gives its mark.
-    pub fn enter(&mut self, address: Option<Address>) -> u64 {
+    pub fn insert(&mut self, address: Option<Address>) -> u64 {
         let worker = self.addresses.len();
         self.addresses.push(address);
-        self.shorts.push(None);
+        self.short_ids.push(None);
         let Some(address) = address else { return 0 };
         self.by_address.insert(address, worker);
-        let mark = mark(address);
+        let hash = hash(address);
         // Guards against taking one worker for another: of two with the same short name neither is told of.
-        let short = (mark >> 48) as u16;
-        match self.by_short.get_mut(&short) {
+        let short_id = (hash >> 48) as u16;
+        match self.by_short_id.get_mut(&short_id) {
             None => {
-                self.by_short.insert(short, Some(worker));
-                self.shorts[worker] = Some(short);
+                self.by_short_id.insert(short_id, Some(worker));
+                self.short_ids[worker] = Some(short_id);
             }
             Some(known) => {
                 if let Some(other) = known.take() {
-                    self.shorts[other] = None;
+                    self.short_ids[other] = None;
                 }
             }
         }
-        mark
+        hash
     }
 
     /// The worker moved to another address: nothing is told of it any more.
-    pub fn forget(&mut self, worker: usize) {
+    pub fn remove(&mut self, worker: usize) {
         if let Some(address) = self.addresses[worker].take() {
             self.by_address.remove(&address);
-            if let Some(short) = self.shorts[worker].take() {
-                self.by_short.remove(&short);
+            if let Some(short_id) = self.short_ids[worker].take() {
+                self.by_short_id.remove(&short_id);
             }
         }
     }
@@ -58,8 +58,8 @@
         self.addresses.get(worker).copied().flatten()
     }
 
-    pub fn short(&self, worker: usize) -> Option<u16> {
-        self.shorts.get(worker).copied().flatten()
+    pub fn short_id(&self, worker: usize) -> Option<u16> {
+        self.short_ids.get(worker).copied().flatten()
     }
 
     /// Only what the own list has named is known.
@@ -67,13 +67,13 @@
         self.by_address.get(&address).copied()
     }
 
-    fn by_short(&self, short: [u8; 2]) -> Option<usize> {
-        self.by_short.get(&u16::from_le_bytes(short)).copied().flatten()
+    fn by_short_id(&self, short_id: [u8; 2]) -> Option<usize> {
+        self.by_short_id.get(&u16::from_le_bytes(short_id)).copied().flatten()
     }
 
     /// The workers that another scheduler tells of, and its slots out there.
-    pub fn told<'a>(&'a self, words: &'a [[u8; 3]]) -> impl Iterator<Item = (usize, f64)> + 'a {
-        words.iter().filter_map(|&[a, b, slots]| Some((self.by_short([a, b])?, f64::from(slots))))
+    pub fn resolve<'a>(&'a self, entries: &'a [[u8; 3]]) -> impl Iterator<Item = (usize, f64)> + 'a {
+        entries.iter().filter_map(|&[a, b, slots]| Some((self.by_short_id([a, b])?, f64::from(slots))))
     }
 }
 
@@ -82,27 +82,30 @@
     use super::*;
 
     #[test]
-    fn of_two_workers_with_one_short_name_neither_is_told_of() {
-        let (mut names, mut seen) = (Names::default(), HashMap::new());
+    fn workers_with_the_same_short_id_are_not_announced() {
+        let (mut names, mut seen) = (WorkerNames::default(), HashMap::new());
         let address = |n: u32| {
             let [a, b, c, d] = (n * n).wrapping_mul(2_654_435_761).wrapping_add(n).to_be_bytes();
             [a, b, c, d, 27, 88]
         };
         // By the birthday rule some two of two thousand share one of 65,536.
         for n in 0..2000 {
-            names.enter(Some(address(n)));
-            seen.entry((mark(address(n)) >> 48) as u16).or_insert_with(Vec::new).push(n as usize);
+            names.insert(Some(address(n)));
+            seen.entry((hash(address(n)) >> 48) as u16).or_insert_with(Vec::new).push(n as usize);
         }
-        assert!(seen.values().any(|same| same.len() > 1), "a test that meets no clash shows nothing");
-        for (short, same) in seen {
-            let told = (same.len() == 1).then(|| same[0]);
-            assert_eq!(names.by_short(short.to_le_bytes()), told);
-            assert!(same.iter().all(|&w| names.short(w).is_some() == told.is_some()));
+        assert!(
+            seen.values().any(|same| same.len() > 1),
+            "no two workers share a short id, so this test checks nothing"
+        );
+        for (short_id, same) in seen {
+            let known = (same.len() == 1).then(|| same[0]);
+            assert_eq!(names.by_short_id(short_id.to_le_bytes()), known);
+            assert!(same.iter().all(|&w| names.short_id(w).is_some() == known.is_some()));
         }
         assert_eq!(names.worker(address(7)), Some(7));
         assert_eq!(names.worker(address(2000)), None);
-        assert_eq!((names.enter(None), names.short(2000)), (0, None));
-        names.forget(7);
-        assert_eq!((names.worker(address(7)), names.address(7), names.short(7)), (None, None, None));
+        assert_eq!((names.insert(None), names.short_id(2000)), (0, None));
+        names.remove(7);
+        assert_eq!((names.worker(address(7)), names.address(7), names.short_id(7)), (None, None, None));
     }
 }
