--- a/crates/words/src/lib.rs
+++ b/crates/words/src/lib.rs
@@ -1,11 +1,11 @@
-//! What schedulers tell one another, in messages of 256 bytes at the most. Words are told once: a lost, late or doubled
-//! one is harmless, and one that cannot be read is dropped by the host.
+//! Messages between schedulers, of at most 256 bytes. Each is sent once: a lost, late or duplicated
+//! one is harmless, and the host drops one that cannot be decoded.
 
 mod worker_names;
 
 pub use worker_names::WorkerNames;
 
-/// Collects what is told of workers at one time into common messages.
+/// Packs announcements of slots in use on workers into common messages.
 #[derive(Default)]
 pub struct Announcements {
     number: u16,
@@ -13,12 +13,12 @@
 }
 
 impl Announcements {
-    /// A worker that has no short name is not told of.
+    /// A worker without a short id is not announced.
     pub fn add(&mut self, id: Option<u16>, slots: f64) {
         self.slots.extend(id.map(|id| (id, slots)));
     }
 
-    /// The messages of this time, under a number of their own.
+    /// The messages since the last call, under a new number.
     pub fn messages(&mut self) -> Vec<Vec<u8>> {
         self.number = self.number.wrapping_add(u16::from(!self.slots.is_empty()));
         let messages = usage(self.number, &self.slots).collect();
@@ -27,23 +27,23 @@
     }
 }
 
-/// A worker's address and port, first byte first.
+/// A worker's IPv4 address and port, in network byte order.
 pub type Address = [u8; 6];
 
 const GRANT: u8 = 1;
 const USAGE: u8 = 2;
 const SLOT_REQUEST: u8 = 3;
-/// The longest message, and the workers that one tells of.
+/// The maximum size of a message, and below it the workers that fit into one.
 pub const MAX_MESSAGE_BYTES: usize = 256;
 const MAX_WORKERS: usize = (MAX_MESSAGE_BYTES - 3) / 3;
 
-/// This many free slots of a worker are left to the receiver.
+/// Free slots of a worker are granted to the receiver.
 pub fn grant(address: Address, slots: f64) -> [u8; 8] {
     let [a, b, c, d, e, f] = address;
     [GRANT, a, b, c, d, e, f, to_byte(slots)]
 }
 
-/// Tasks wait here: has the receiver room to leave?
+/// Tasks are queued at the sender: the receiver may grant it free slots.
 pub fn slot_request() -> [u8; 1] {
     [SLOT_REQUEST]
 }
@@ -52,7 +52,7 @@
     slots.clamp(0.0, 255.0) as u8
 }
 
-/// Messages of what is out at workers, by their short names, under a number that tells which is the newer one.
+/// Announcements of slots in use on workers, by their short ids; `number` orders the messages.
 fn usage(number: u16, in_use: &[(u16, f64)]) -> impl Iterator<Item = Vec<u8>> + '_ {
     in_use.chunks(MAX_WORKERS).map(move |chunk| {
         let [low, high] = number.to_le_bytes();
@@ -66,15 +66,15 @@
 
 #[derive(Debug, PartialEq)]
 pub enum PeerMessage<'a> {
-    /// The sender looks for room.
+    /// The sender needs free slots.
     SlotRequest,
-    /// This many free slots of a worker are left to the receiver.
+    /// Free slots of a worker are granted to the receiver.
     Grant(Address, f64),
-    /// The message's number, which wraps, and slots out at workers: a short name and a count, three bytes.
+    /// The message's number, which wraps, and slots in use on workers: a short id and a count, three bytes.
     Usage(u16, &'a [[u8; 3]]),
 }
 
-/// None for what is short, long, of another form, or tells of no room.
+/// None for a message that is too short, too long or of another form, or that grants no slots.
 pub fn decode(bytes: &[u8]) -> Option<PeerMessage<'_>> {
     match bytes {
         &[SLOT_REQUEST] => Some(PeerMessage::SlotRequest),
--- a/crates/words/src/worker_names.rs
+++ b/crates/words/src/worker_names.rs
@@ -1,9 +1,9 @@
-//! The workers' names in messages: the same at every scheduler without a word said.
+//! Identifiers of workers in messages: every scheduler derives the same ones from addresses.
 
 use crate::Address;
 use std::collections::HashMap;
 
-/// Workers by index, with what stands for them in messages.
+/// Workers by index, with their identifiers in messages.
 #[derive(Default)]
 pub struct WorkerNames {
     addresses: Vec<Option<Address>>,
@@ -12,15 +12,15 @@
     by_short_id: HashMap<u16, Option<usize>>,
 }
 
-/// A number that stands for a worker at every scheduler.
+/// A hash that identifies a worker, the same at every scheduler.
 pub fn hash(address: Address) -> u64 {
     let [a, b, c, d, e, f] = address;
-    let word = u64::from_le_bytes([a, b, c, d, e, f, 0, 0]);
-    (word ^ (word >> 29)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+    let bits = u64::from_le_bytes([a, b, c, d, e, f, 0, 0]);
+    (bits ^ (bits >> 29)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
 impl WorkerNames {
-    /// The next worker, by its address if it has one that fits; gives its mark.
+    /// Adds the next worker, by its address if that fits into a message; returns its hash.
     pub fn insert(&mut self, address: Option<Address>) -> u64 {
         let worker = self.addresses.len();
         self.addresses.push(address);
@@ -28,7 +28,7 @@
         let Some(address) = address else { return 0 };
         self.by_address.insert(address, worker);
         let hash = hash(address);
-        // Guards against taking one worker for another: of two with the same short name neither is told of.
+        // Prevents mistaking one worker for another: of two with the same short id neither is announced.
         let short_id = (hash >> 48) as u16;
         match self.by_short_id.get_mut(&short_id) {
             None => {
@@ -44,7 +44,7 @@
         hash
     }
 
-    /// The worker moved to another address: nothing is told of it any more.
+    /// The worker moved to another address: it is no longer announced.
     pub fn remove(&mut self, worker: usize) {
         if let Some(address) = self.addresses[worker].take() {
             self.by_address.remove(&address);
@@ -62,7 +62,7 @@
         self.short_ids.get(worker).copied().flatten()
     }
 
-    /// Only what the own list has named is known.
+    /// Only workers on this scheduler's list are known.
     pub fn worker(&self, address: Address) -> Option<usize> {
         self.by_address.get(&address).copied()
     }
@@ -71,7 +71,7 @@
         self.by_short_id.get(&u16::from_le_bytes(short_id)).copied().flatten()
     }
 
-    /// The workers that another scheduler tells of, and its slots out there.
+    /// The known workers in another scheduler's announcement, and the slots it uses there.
     pub fn resolve<'a>(&'a self, entries: &'a [[u8; 3]]) -> impl Iterator<Item = (usize, f64)> + 'a {
         entries.iter().filter_map(|&[a, b, slots]| Some((self.by_short_id([a, b])?, f64::from(slots))))
     }
@@ -88,7 +88,7 @@
             let [a, b, c, d] = (n * n).wrapping_mul(2_654_435_761).wrapping_add(n).to_be_bytes();
             [a, b, c, d, 27, 88]
         };
-        // By the birthday rule some two of two thousand share one of 65,536.
+        // By the birthday paradox, two of two thousand share one of 65,536.
         for n in 0..2000 {
             names.insert(Some(address(n)));
             seen.entry((hash(address(n)) >> 48) as u16).or_insert_with(Vec::new).push(n as usize);
