--- a/crates/berth/src/platform.rs
+++ b/crates/berth/src/platform.rs
@@ -70,7 +70,7 @@
 /// Reads the file's text.
 pub fn read(text: &str, process: &Process) -> Result<Berth, String> {
     let doc: Doc = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let mut sheet = tindock_sheet::read(&doc.settings)?;
+    let mut sheet = tindock_sheet::from_json(&doc.settings)?;
     // The platform tells no addresses of other schedulers, so there is no way for words between them.
     sheet.members = 0;
     let mut words = Words {
@@ -104,8 +104,8 @@
         words,
         known,
         rooms,
-        dial: tindock_sheet::span(&doc.settings, "/caps/dial_timeout_s")?,
-        keep: tindock_sheet::span(&doc.settings, "/caps/keepalive_s")?,
+        dial: tindock_sheet::duration(&doc.settings, "/caps/dial_timeout_s")?,
+        keep: tindock_sheet::duration(&doc.settings, "/caps/keepalive_s")?,
         log: LogForm::default(),
         keys: keys(text, &doc.settings)?,
         digest: digest(text),
--- a/crates/sheet/tests/settings.rs
+++ b/crates/sheet/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of a deployment: what of the new shape reaches the duty sheet, and one clear error for an unknown word.
 
 use serde_json::{json, Value};
-use tindock_sheet::read;
+use tindock_sheet::from_json;
 
 fn settings(change: impl Fn(&mut Value)) -> Value {
     let mut settings = json!({
@@ -19,10 +19,10 @@
 
 #[test]
 fn the_new_shape_reaches_the_sheet() {
-    let sheet = read(&settings(|_| ())).expect("settings");
+    let sheet = from_json(&settings(|_| ())).expect("settings");
     assert_eq!((sheet.members, sheet.position, sheet.message_cost), (3, 2, 0.01));
     assert_eq!((sheet.live_weights, sheet.report_free, sheet.report_waiting), (true, Some(1), Some(0)));
-    let sheet = read(&settings(|s| {
+    let sheet = from_json(&settings(|s| {
         s["caps"]["peers"] = json!(false);
         s["weights"] = json!("rough");
         s["reporting"] = json!({"source": "silent", "names": []});
@@ -33,7 +33,8 @@
 
 #[test]
 fn an_unknown_word_is_one_clear_error() {
-    let wrong = |key: &str, value: Value| read(&settings(|s| s[key] = value.clone())).expect_err("an error");
+    let wrong =
+        |key: &str, value: Value| from_json(&settings(|s| s[key] = value.clone())).expect_err("an error");
     assert_eq!(wrong("weights", json!("heavy")), "settings: unknown weights \"heavy\"");
     let reporting = json!({"source": "post", "names": []});
     assert_eq!(wrong("reporting", reporting), "settings: unknown reporting \"post\"");
--- a/crates/simhost/src/frame.rs
+++ b/crates/simhost/src/frame.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Write};
 use std::ops::Range;
 use std::time::Duration;
-use tindock_sheet::span_of;
+use tindock_sheet::checked_duration;
 
 const ACTION: usize = 24;
 
@@ -77,7 +77,7 @@
     pub fn span(&self, at: usize) -> Result<Duration, Wrong> {
         let seconds = f64::from_le_bytes(self.take(at)?);
         let wrong = || Wrong::at(self.base + at, format!("{seconds} is no time"));
-        span_of(if seconds < 0.0 { 0.0 } else { seconds }).ok_or_else(wrong)
+        checked_duration(if seconds < 0.0 { 0.0 } else { seconds }).ok_or_else(wrong)
     }
 
     pub fn address(&self, at: usize) -> Result<[u8; 6], Wrong> {
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -306,7 +306,7 @@
         let number = current.ok_or_else(|| Wrong::at(at, "event before any About".into()))?;
         if code == 1000 {
             let info = frame.tail_text(at + 10)?;
-            let sheet = tindock_sheet::read_text(info).map_err(|why| Wrong::at(at + 10, why))?;
+            let sheet = tindock_sheet::parse(info).map_err(|why| Wrong::at(at + 10, why))?;
             let seed = frame.u64(at + 2)?;
             let asking = match sheet.discovery {
                 Discovery::Pushed => None,
