--- a/crates/sheet/tests/settings.rs
+++ b/crates/sheet/tests/settings.rs
@@ -1,4 +1,5 @@
-//! The settings of a deployment: what of the new shape reaches the duty sheet, and one clear error for an unknown word.
+//! The settings of a deployment: keys that reach the policy settings, and one clear error for an unknown
+//! value.
 
 use serde_json::{json, Value};
 use tindock_sheet::from_json;
@@ -18,21 +19,21 @@
 }
 
 #[test]
-fn the_new_shape_reaches_the_sheet() {
-    let sheet = from_json(&settings(|_| ())).expect("settings");
-    assert_eq!((sheet.members, sheet.position, sheet.message_cost), (3, 2, 0.01));
-    assert_eq!((sheet.live_weights, sheet.report_free, sheet.report_waiting), (true, Some(1), Some(0)));
-    let sheet = from_json(&settings(|s| {
+fn optional_keys_reach_the_policy_settings() {
+    let parsed = from_json(&settings(|_| ())).expect("settings");
+    assert_eq!((parsed.members, parsed.position, parsed.message_cost), (3, 2, 0.01));
+    assert_eq!((parsed.live_weights, parsed.report_free, parsed.report_waiting), (true, Some(1), Some(0)));
+    let parsed = from_json(&settings(|s| {
         s["caps"]["peers"] = json!(false);
         s["weights"] = json!("rough");
         s["reporting"] = json!({"source": "silent", "names": []});
     }))
     .expect("settings");
-    assert_eq!((sheet.members, sheet.live_weights, sheet.report_free), (0, false, None));
+    assert_eq!((parsed.members, parsed.live_weights, parsed.report_free), (0, false, None));
 }
 
 #[test]
-fn an_unknown_word_is_one_clear_error() {
+fn an_unknown_value_is_reported_with_its_key() {
     let wrong =
         |key: &str, value: Value| from_json(&settings(|s| s[key] = value.clone())).expect_err("an error");
     assert_eq!(wrong("weights", json!("heavy")), "settings: unknown weights \"heavy\"");
