--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,9 +1,11 @@
-//! Hosts instances of the decision module on the simulator's wire: decodes frames, maps ids to small
-//! indices, keeps the instances apart, encodes replies. It decides nothing.
+//! Hosts instances of the scheduling policy for a simulator on standard input and output: decodes frames,
+//! maps ids to small indices, separates the instances and encodes replies. It makes no decisions.
 
+mod codes;
 mod frame;
 
-use frame::{Frame, Reply, Wrong};
+use codes::{event, reply as reply_code};
+use frame::{Frame, InputError, Reply};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::time::Duration;
@@ -12,53 +14,55 @@
 use tindock_roster::asking::{Asking, Service, Step};
 use tindock_words::{self as words, Announcements, PeerMessage, WorkerNames};
 
-const BATCH_HEADER: usize = 20;
-const EVENT: usize = 56;
-const ENTRY: usize = 23;
-/// WorkerNames the bell that is for the list; the module's has 0.
-const LIST_BELL: u64 = 1;
+const BATCH_HEADER_BYTES: usize = 20;
+const EVENT_BYTES: usize = 56;
+const LIST_ENTRY_BYTES: usize = 23;
+/// Id of the timer for requesting the list; the policy's timer has id 0.
+const LIST_TIMER: u64 = 1;
 
-/// One scheduler: its decisions, and the outside names of its tasks and workers.
+/// One scheduler: its policy, and the external ids of its tasks and workers.
 struct Instance {
-    rules: Policy,
-    /// Where the list must be asked for.
-    asking: Option<Asking>,
-    /// The call for it that was made last, and the bell asked for on its behalf.
-    call: u64,
-    asks_at: Option<Duration>,
+    policy: Policy,
+    /// Present where the list must be requested.
+    list_client: Option<Asking>,
+    /// Its last call, and the time of the timer requested for it.
+    list_call: u64,
+    list_timer_at: Option<Duration>,
     workloads: usize,
     position: usize,
-    places: HashMap<u64, usize>,
-    ids: Vec<u64>,
-    given: HashSet<u64>,
+    tasks: HashMap<u64, usize>,
+    task_ids: Vec<u64>,
+    received: HashSet<u64>,
     workers: HashMap<[u8; 6], usize>,
     addresses: Vec<[u8; 6]>,
-    /// The workers' names in messages between schedulers, and what is to be told.
+    /// Identifiers of workers in messages between schedulers, and announcements to send.
     names: WorkerNames,
-    telling: Announcements,
-    /// Messages of others that could not be read.
-    rubbish: u64,
+    announcements: Announcements,
+    /// Messages of peers that could not be decoded.
+    invalid_messages: u64,
 }
 
 impl Instance {
-    fn place(&self, id: u64, at: usize) -> Result<Option<usize>, Wrong> {
-        match self.places.get(&id) {
-            Some(&place) => Ok(Some(place)),
-            // Over and forgotten: a batch may still name it.
-            None if self.given.contains(&id) => Ok(None),
-            None => Err(Wrong::at(at, format!("task id {id} was never given to this instance"))),
+    fn task(&self, id: u64, at: usize) -> Result<Option<usize>, InputError> {
+        match self.tasks.get(&id) {
+            Some(&task) => Ok(Some(task)),
+            // A finished task whose entry was reused: a batch may still name it.
+            None if self.received.contains(&id) => Ok(None),
+            None => Err(InputError::new(at, format!("task id {id} was never given to this instance"))),
         }
     }
 
-    fn worker(&self, address: [u8; 6], at: usize) -> Result<usize, Wrong> {
+    fn worker(&self, address: [u8; 6], at: usize) -> Result<usize, InputError> {
         let known = self.workers.get(&address).copied();
-        known.ok_or_else(|| Wrong::at(at, format!("worker {address:?} is on none of this instance's lists")))
+        known.ok_or_else(|| {
+            InputError::new(at, format!("worker {address:?} is on none of this instance's lists"))
+        })
     }
 
-    fn report(frame: &Frame, at: usize) -> Result<([f64; 4], usize), Wrong> {
+    fn report(frame: &Frame, at: usize) -> Result<([f64; 4], usize), InputError> {
         let count = frame.u8(at)? as usize;
         if count > 4 {
-            return Err(Wrong::at(at, format!("load report of {count} values")));
+            return Err(InputError::new(at, format!("load report of {count} values")));
         }
         let mut values = [0.0; 4];
         for (i, value) in values.iter_mut().enumerate() {
@@ -67,206 +71,210 @@
         Ok((values, count))
     }
 
-    fn update(&mut self, frame: &Frame, at: usize, now: Duration) -> Result<(), Wrong> {
+    fn update(&mut self, frame: &Frame, at: usize, now: Duration) -> Result<(), InputError> {
         let whole = match frame.u8(at + 2)? {
             1 => {
-                if let Some(asking) = &mut self.asking {
-                    asking.failed(now, self.call);
+                if let Some(client) = &mut self.list_client {
+                    client.failed(now, self.list_call);
                 }
                 return Ok(());
             }
             3 => false,
             0 | 2 => true,
-            form => return Err(Wrong::at(at + 2, format!("unknown list form {form}"))),
+            form => return Err(InputError::new(at + 2, format!("unknown list form {form}"))),
         };
-        let entries = frame.tail(at + 11, ENTRY)?;
-        // The list it starts with answers no call; and events come in their order, so none is older than what is held.
+        let entries = frame.tail(at + 11, LIST_ENTRY_BYTES)?;
+        // The initial list answers no call. Events arrive in order, so no list is older than the current one.
         if frame.u8(at + 2)? != 0 {
             let index = frame.u64(at + 3)?;
-            if let Some(asking) = &mut self.asking {
-                asking.answered(now, self.call, index, whole);
+            if let Some(client) = &mut self.list_client {
+                client.answered(now, self.list_call, index, whole);
             }
         }
-        self.rules.begin_list(whole);
+        self.policy.begin_list(whole);
         for e in entries {
-            let e = Frame::over(&frame.bytes[e..e + ENTRY], e);
+            let e = Frame::new(&frame.bytes[e..e + LIST_ENTRY_BYTES], e);
             let site = Site { zone: e.u8(0)? as usize, cell: e.u16(5)? as usize, kind: e.u8(7)? as usize };
             let address = e.address(8)?;
             let condition = match e.u8(14)? {
                 0 => Condition::Gone,
                 1 => Condition::Ready,
                 2 => Condition::Draining,
-                other => return Err(Wrong::at(e.base + 14, format!("unknown condition {other}"))),
+                other => return Err(InputError::new(e.base + 14, format!("unknown condition {other}"))),
             };
             let fresh = self.addresses.len();
             let worker = *self.workers.entry(address).or_insert(fresh);
             if worker == fresh {
                 self.addresses.push(address);
             }
-            let booted = Some(e.span(15)?).filter(|b| !b.is_zero());
-            self.rules.listed(worker, site, f64::from(e.f32(1)?), condition, booted);
+            let booted = Some(e.duration(15)?).filter(|b| !b.is_zero());
+            self.policy.listed(worker, site, f64::from(e.f32(1)?), condition, booted);
             if worker == fresh {
-                let mark = self.names.insert(Some(address));
-                self.rules.set_worker_hash(worker, mark);
+                let hash = self.names.insert(Some(address));
+                self.policy.set_worker_hash(worker, hash);
             }
         }
         Ok(())
     }
 
-    fn event(&mut self, frame: &Frame, at: usize, code: u16, now: Duration) -> Result<(), Wrong> {
+    fn event(&mut self, frame: &Frame, at: usize, code: u16, now: Duration) -> Result<(), InputError> {
         match code {
-            1010 => self.update(frame, at, now)?,
-            1020 => {
+            event::LIST => self.update(frame, at, now)?,
+            event::TASK => {
                 let id = frame.u64(at + 2)?;
-                if !self.given.insert(id) {
-                    return Err(Wrong::at(at + 2, format!("task id {id} was given twice")));
+                if !self.received.insert(id) {
+                    return Err(InputError::new(at + 2, format!("task id {id} was given twice")));
                 }
                 let workload = frame.u8(at + 48)? as usize;
                 if workload >= self.workloads {
-                    return Err(Wrong::at(at + 48, format!("unknown workload {workload}")));
+                    return Err(InputError::new(at + 48, format!("unknown workload {workload}")));
                 }
                 let size = frame.f32(at + 30)?.max(frame.f32(at + 26)?);
-                let left = frame.span(at + 34)?;
-                let customer = frame.u32(at + 44)? as usize;
-                let place = self.rules.arrived(workload, f64::from(size), left, customer);
-                if place == self.ids.len() {
-                    self.ids.push(id);
+                let left = frame.duration(at + 34)?;
+                let tenant = frame.u32(at + 44)? as usize;
+                let task = self.policy.arrived(workload, f64::from(size), left, tenant);
+                if task == self.task_ids.len() {
+                    self.task_ids.push(id);
                 } else {
-                    self.places.remove(&self.ids[place]);
-                    self.ids[place] = id;
+                    self.tasks.remove(&self.task_ids[task]);
+                    self.task_ids[task] = id;
                 }
-                self.places.insert(id, place);
-                self.rules.set_data_set(place, frame.u64(at + 18)?);
+                self.tasks.insert(id, task);
+                self.policy.set_data_set(task, frame.u64(at + 18)?);
             }
-            1030 => {
-                // Streams: no deployment has them; the news that the answer began is a sign of life.
-                if let Some(place) = self.place(frame.u64(at + 2)?, at + 2)? {
-                    self.rules.started(place, frame.u8(at + 10)? as usize);
+            event::STARTED => {
+                // Start of a streamed answer: no deployment streams, but it shows that the task has started.
+                if let Some(task) = self.task(frame.u64(at + 2)?, at + 2)? {
+                    self.policy.started(task, frame.u8(at + 10)? as usize);
                 }
             }
-            1040 => {
-                let place = self.place(frame.u64(at + 2)?, at + 2)?;
+            event::ENDED => {
+                let task = self.task(frame.u64(at + 2)?, at + 2)?;
                 let assignment = frame.u8(at + 10)? as usize;
                 let worker = self.worker(frame.address(at + 11)?, at + 11)?;
                 let ending = ending(frame, at + 17)?;
                 let over = frame.u8(at + 26)? != 0;
                 let (values, count) = Self::report(frame, at + 28)?;
-                if let Some(place) = place {
-                    self.rules.ended(place, assignment, ending, over);
+                if let Some(task) = task {
+                    self.policy.ended(task, assignment, ending, over);
                 }
-                self.rules.reported(worker, &values[..count]);
+                self.policy.reported(worker, &values[..count]);
             }
-            1050 => {
-                if let Some(place) = self.place(frame.u64(at + 2)?, at + 2)? {
-                    self.rules.client_left(place);
+            event::CLIENT_LEFT => {
+                if let Some(task) = self.task(frame.u64(at + 2)?, at + 2)? {
+                    self.policy.client_left(task);
                 }
             }
-            1060 => match frame.u64(at + 2)? {
-                LIST_BELL => self.asks_at = None,
-                _ => self.rules.timer_fired(),
+            event::TIMER => match frame.u64(at + 2)? {
+                LIST_TIMER => self.list_timer_at = None,
+                _ => self.policy.timer_fired(),
             },
-            1070 => {
-                // No probes are sent here; what is told of one all the same is checked and left.
+            event::PROBE_ENDED => {
+                // No probes are sent; a result is checked and ignored.
                 self.worker(frame.address(at + 10)?, at + 10)?;
                 ending(frame, at + 16)?;
                 Self::report(frame, at + 17)?;
             }
-            1080 => {
+            event::PEER_MESSAGE => {
                 let from = frame.u32(at + 2)? as usize;
-                self.word(from, frame.tail_text(at + 6)?);
+                self.peer_message(from, frame.tail_text(at + 6)?);
             }
-            1100 => {
-                let place = self.place(frame.u64(at + 2)?, at + 2)?;
+            event::PROGRESS => {
+                let task = self.task(frame.u64(at + 2)?, at + 2)?;
                 let (topic, assignment) = (frame.u8(at + 16)?, frame.u8(at + 17)? as usize);
                 let share = f64::from(frame.f32(at + 18)?);
-                match (place, topic) {
-                    (Some(place), 1) => self.rules.started(place, assignment),
-                    (Some(place), 2) => self.rules.progressed(place, assignment, share),
+                match (task, topic) {
+                    (Some(task), 1) => self.policy.started(task, assignment),
+                    (Some(task), 2) => self.policy.progressed(task, assignment, share),
                     _ => {}
                 }
             }
-            other => return Err(Wrong::at(at, format!("unknown event code {other}"))),
+            other => return Err(InputError::new(at, format!("unknown event code {other}"))),
         }
         Ok(())
     }
 
-    /// A peer's word. Rubbish is dropped: only its own list makes a worker known to a scheduler.
-    fn word(&mut self, from: usize, bytes: &[u8]) {
+    /// A message of a peer. Invalid ones are dropped: a scheduler knows only workers on its own list.
+    fn peer_message(&mut self, from: usize, bytes: &[u8]) {
         match words::decode(bytes).filter(|_| from != self.position) {
-            Some(PeerMessage::SlotRequest) => self.rules.slots_requested(from),
-            Some(PeerMessage::Grant(address, room)) => {
+            Some(PeerMessage::SlotRequest) => self.policy.slots_requested(from),
+            Some(PeerMessage::Grant(address, slots)) => {
                 if let Some(&worker) = self.workers.get(&address) {
-                    self.rules.slots_granted(worker, room);
+                    self.policy.slots_granted(worker, slots);
                 }
             }
-            Some(PeerMessage::Usage(number, words)) => {
-                for (worker, slots) in self.names.resolve(words) {
-                    self.rules.peer_usage(worker, from, number, slots);
+            Some(PeerMessage::Usage(number, entries)) => {
+                for (worker, slots) in self.names.resolve(entries) {
+                    self.policy.peer_usage(worker, from, number, slots);
                 }
             }
-            None => self.rubbish += 1,
+            None => self.invalid_messages += 1,
         }
     }
 
-    /// Subscribes to the list when it is time to; there is no connection to be kept for it here.
-    fn ask(&mut self, reply: &mut Reply, now: Duration) {
-        let Some(asking) = &mut self.asking else { return };
-        while let Some(step) = asking.step(now) {
+    /// Subscribes to the list when due; there is no connection to maintain.
+    fn request_list(&mut self, reply: &mut Reply, now: Duration) {
+        let Some(client) = &mut self.list_client else { return };
+        while let Some(step) = client.step(now) {
             match step {
                 Step::Dial { line } => {
-                    self.call = line;
-                    asking.dialled(line);
+                    self.list_call = line;
+                    client.dialled(line);
                 }
                 Step::Ask { .. } => {
-                    reply.record(1110).raw(&[1]);
+                    reply.record(reply_code::SUBSCRIBE).raw(&[1]);
                 }
                 Step::Close { .. } => {}
             }
         }
-        let due = asking.due();
-        if due < Duration::MAX && self.asks_at.is_none_or(|at| due < at) {
-            self.asks_at = Some(due);
-            reply.record(1090).f64(due.saturating_sub(now).as_secs_f64()).u64(LIST_BELL);
+        let due = client.due();
+        if due < Duration::MAX && self.list_timer_at.is_none_or(|at| due < at) {
+            self.list_timer_at = Some(due);
+            reply.record(reply_code::TIMER).f64(due.saturating_sub(now).as_secs_f64()).u64(LIST_TIMER);
         }
     }
 
     fn pull(&mut self, reply: &mut Reply, now: Duration) {
-        self.ask(reply, now);
-        while let Some(decision) = self.rules.decide() {
+        self.request_list(reply, now);
+        while let Some(decision) = self.policy.decide() {
             match decision {
                 Decision::Assign { task, worker } => {
-                    reply.record(1000).u64(self.ids[task]).raw(&self.addresses[worker]).f64(0.0);
+                    reply
+                        .record(reply_code::ASSIGN)
+                        .u64(self.task_ids[task])
+                        .raw(&self.addresses[worker])
+                        .f64(0.0);
                 }
                 Decision::Shed { task, retry_after } => {
                     let wait = retry_after.map_or(0.0, |w| w.as_secs_f64());
-                    reply.record(1100).u64(self.ids[task]).f64(wait);
+                    reply.record(reply_code::SHED).u64(self.task_ids[task]).f64(wait);
                 }
                 Decision::Abandon { task } => {
-                    reply.record(1050).u64(self.ids[task]);
+                    reply.record(reply_code::ABANDON).u64(self.task_ids[task]);
                 }
                 Decision::Cancel { task, assignment } => {
-                    reply.record(1060).u64(self.ids[task]).raw(&[assignment as u8]);
+                    reply.record(reply_code::CANCEL).u64(self.task_ids[task]).raw(&[assignment as u8]);
                 }
                 Decision::Grant { to, worker, slots } => {
-                    reply.tell(to as u32, &words::grant(self.addresses[worker], slots));
+                    reply.message(to as u32, &words::grant(self.addresses[worker], slots));
                 }
-                Decision::RequestSlots { to } => reply.tell(to as u32, &words::slot_request()),
+                Decision::RequestSlots { to } => reply.message(to as u32, &words::slot_request()),
                 Decision::Announce { worker, slots } => {
-                    self.telling.add(self.names.short_id(worker), slots);
+                    self.announcements.add(self.names.short_id(worker), slots);
                 }
                 Decision::Wake { after } => {
-                    reply.record(1090).f64(after.as_secs_f64()).u64(0);
+                    reply.record(reply_code::TIMER).f64(after.as_secs_f64()).u64(0);
                 }
-                Decision::Log(line) => reply.text(1020, &line),
+                Decision::Log(line) => reply.text(reply_code::LOG, &line),
             }
         }
-        for message in self.telling.messages() {
-            reply.tell(u32::MAX, &message);
+        for message in self.announcements.messages() {
+            reply.message(u32::MAX, &message);
         }
     }
 }
 
-fn ending(frame: &Frame, at: usize) -> Result<Ending, Wrong> {
+fn ending(frame: &Frame, at: usize) -> Result<Ending, InputError> {
     Ok(match frame.u8(at)? {
         0 => Ending::Finished,
         255 => Ending::Error,
@@ -276,78 +284,79 @@
         251 => Ending::Reset,
         250 => Ending::Cancelled,
         249 => Ending::NotSent,
-        other => return Err(Wrong::at(at, format!("unknown outcome code {other}"))),
+        other => return Err(InputError::new(at, format!("unknown outcome code {other}"))),
     })
 }
 
-fn answer(
-    hosted: &mut BTreeMap<u32, Instance>,
+fn process_batch(
+    instances: &mut BTreeMap<u32, Instance>,
     frame: &Frame,
     count: usize,
     now: Duration,
-) -> Result<Reply, Wrong> {
+) -> Result<Reply, InputError> {
     let mut reply = Reply::new();
     let mut current: Option<u32> = None;
-    let mut order: Vec<u32> = Vec::new();
-    if frame.bytes.len() < count.saturating_mul(EVENT) {
-        return Err(Wrong::at(0, format!("{count} records do not fit in {} bytes", frame.bytes.len())));
+    let mut mentioned: Vec<u32> = Vec::new();
+    if frame.bytes.len() < count.saturating_mul(EVENT_BYTES) {
+        return Err(InputError::new(0, format!("{count} records do not fit in {} bytes", frame.bytes.len())));
     }
-    let frame = frame.with_tail(count * EVENT);
-    for at in (0..count * EVENT).step_by(EVENT) {
+    let frame = frame.with_tail(count * EVENT_BYTES);
+    for at in (0..count * EVENT_BYTES).step_by(EVENT_BYTES) {
         let code = frame.u16(at)?;
-        if code == 1110 {
+        if code == event::ABOUT {
             let number = frame.u32(at + 2)?;
             current = Some(number);
-            if !order.contains(&number) {
-                order.push(number);
+            if !mentioned.contains(&number) {
+                mentioned.push(number);
             }
             continue;
         }
-        let number = current.ok_or_else(|| Wrong::at(at, "event before any About".into()))?;
-        if code == 1000 {
-            let info = frame.tail_text(at + 10)?;
-            let sheet = tindock_sheet::parse(info).map_err(|why| Wrong::at(at + 10, why))?;
+        let number = current.ok_or_else(|| InputError::new(at, "event before any About".into()))?;
+        if code == event::START {
+            let text = frame.tail_text(at + 10)?;
+            let settings = tindock_sheet::parse(text).map_err(|reason| InputError::new(at + 10, reason))?;
             let seed = frame.u64(at + 2)?;
-            let asking = match sheet.discovery {
+            let list_client = match settings.discovery {
                 Discovery::Pushed => None,
                 Discovery::Polled { within } => Some(Asking::new(Service::Shared { within }, Some(0), !seed)),
             };
             let instance = Instance {
-                workloads: sheet.workloads.len(),
-                position: sheet.position,
-                asking,
-                call: 0,
-                asks_at: None,
-                rules: Policy::new(sheet, seed, now),
-                places: HashMap::new(),
-                ids: Vec::new(),
-                given: HashSet::new(),
+                workloads: settings.workloads.len(),
+                position: settings.position,
+                list_client,
+                list_call: 0,
+                list_timer_at: None,
+                policy: Policy::new(settings, seed, now),
+                tasks: HashMap::new(),
+                task_ids: Vec::new(),
+                received: HashSet::new(),
                 workers: HashMap::new(),
                 addresses: Vec::new(),
                 names: WorkerNames::default(),
-                telling: Announcements::default(),
-                rubbish: 0,
+                announcements: Announcements::default(),
+                invalid_messages: 0,
             };
-            hosted.insert(number, instance);
+            instances.insert(number, instance);
             continue;
         }
-        let missing = || Wrong::at(at, format!("event {code} for instance {number}, which was not started"));
-        if code == 1090 {
-            hosted.remove(&number).ok_or_else(missing)?;
+        let missing =
+            || InputError::new(at, format!("event {code} for instance {number}, which was not started"));
+        if code == event::STOP {
+            instances.remove(&number).ok_or_else(missing)?;
             continue;
         }
-        let instance = hosted.get_mut(&number).ok_or_else(missing)?;
-        instance.rules.set_time(now);
+        let instance = instances.get_mut(&number).ok_or_else(missing)?;
+        instance.policy.set_time(now);
         instance.event(&frame, at, code, now)?;
     }
-    for number in order {
-        if let Some(instance) = hosted.get_mut(&number) {
+    for number in mentioned {
+        if let Some(instance) = instances.get_mut(&number) {
             let before = reply.len();
-            reply.record(1120).raw(&number.to_le_bytes());
+            reply.record(reply_code::ABOUT).raw(&number.to_le_bytes());
             let opened = reply.len();
             instance.pull(&mut reply, now);
             if reply.len() == opened {
-                reply.cut(before);
+                reply.truncate(before);
             }
         }
     }
@@ -357,22 +366,22 @@
 fn serve() -> Result<(), String> {
     let mut input = BufReader::with_capacity(1 << 20, io::stdin().lock());
     let mut output = BufWriter::with_capacity(1 << 20, io::stdout().lock());
-    let mut hosted: BTreeMap<u32, Instance> = BTreeMap::new();
+    let mut instances: BTreeMap<u32, Instance> = BTreeMap::new();
     let mut body: Vec<u8> = Vec::new();
     let mut last = Duration::ZERO;
     loop {
-        let mut head = [0u8; BATCH_HEADER];
-        let mut got = 0;
-        while got < BATCH_HEADER {
-            match input.read(&mut head[got..]) {
-                Ok(0) if got == 0 => return Ok(()),
-                Ok(0) => return Err(format!("input ends after {got} bytes of a batch header")),
-                Ok(n) => got += n,
+        let mut head = [0u8; BATCH_HEADER_BYTES];
+        let mut filled = 0;
+        while filled < BATCH_HEADER_BYTES {
+            match input.read(&mut head[filled..]) {
+                Ok(0) if filled == 0 => return Ok(()),
+                Ok(0) => return Err(format!("input ends after {filled} bytes of a batch header")),
+                Ok(n) => filled += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(format!("reading input: {e}")),
             }
         }
-        let header = Frame::over(&head, 0);
+        let header = Frame::new(&head, 0);
         let number = header.u32(0).map_err(|w| w.to_string())?;
         let length = header.u32(4).map_err(|w| w.to_string())? as usize;
         body.clear();
@@ -381,21 +390,21 @@
             return Err(format!("batch {number}: {} of {length} bytes, then the input ends", body.len()));
         }
         let count = header.u32(8).map_err(|w| w.to_string())? as usize;
-        let now = header.span(12).map_err(|w| format!("batch {number}, header: {w}"))?;
+        let now = header.duration(12).map_err(|w| format!("batch {number}, header: {w}"))?;
         if now < last {
             return Err(format!("batch {number}: the clock goes back from {last:?} to {now:?}"));
         }
         last = now;
-        let reply = answer(&mut hosted, &Frame::over(&body, 0), count, now)
-            .map_err(|wrong| format!("batch {number}: {wrong}"))?;
-        let sent = reply.write(number, &mut output).and_then(|()| output.flush());
-        sent.map_err(|e| format!("writing a reply: {e}"))?;
+        let reply = process_batch(&mut instances, &Frame::new(&body, 0), count, now)
+            .map_err(|e| format!("batch {number}: {e}"))?;
+        let written = reply.write(number, &mut output).and_then(|()| output.flush());
+        written.map_err(|e| format!("writing a reply: {e}"))?;
     }
 }
 
 fn main() {
-    if let Err(why) = serve() {
-        eprintln!("tindock-simhost: {why}");
+    if let Err(reason) = serve() {
+        eprintln!("tindock-simhost: {reason}");
         std::process::exit(1);
     }
 }
