--- a/src/policy.rs
+++ b/src/policy.rs
@@ -96,6 +96,7 @@
         self.data_sets.record_request(data_set, self.now, RATE_WINDOW_S);
     }
 
+    /// A task has arrived and must be answered within `left`; returns its index.
     pub fn arrived(&mut self, workload: usize, size: f64, left: Duration, tenant: usize) -> usize {
         let size = size.floor().max(1.0); // rounding errors of fractions looked like a task that never ends
         self.arrivals.add(size, self.now, RATE_WINDOW_S);
@@ -123,6 +124,7 @@
         }
     }
 
+    /// The next action for the host; none until the next input or timer.
     pub fn decide(&mut self) -> Option<Decision> {
         loop {
             if self.due <= self.now {
