--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -4,7 +4,7 @@
 #[path = "../../../tests/helpers/mod.rs"]
 mod helpers;
 
-use helpers::duty;
+use helpers::settings_for;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::future::Future;
@@ -12,8 +12,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tindock::rules::Rules;
-use tindock::terms::Effect;
+use tindock::policy::Policy;
+use tindock::types::Effect;
 use tindock_roster::asking::{Asking, Service, SHORT_WATCH};
 use tindock_scheduler::berth::Words;
 use tindock_scheduler::clock::Clock;
@@ -146,9 +146,9 @@
     fn of(agent: &Rc<Agent>) -> Self {
         let clock = Clock::start();
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let sheet = duty(&[Effect::Idempotent]);
+        let sheet = settings_for(&[Effect::Idempotent]);
         let hard = Rows::new(&sheet, &Words::default());
-        let rules = Rules::new(sheet, 7, clock.now());
+        let rules = Policy::new(sheet, 7, clock.now());
         let now = Box::new(move || clock.now());
         let (exchange, _orders) = Exchange::new(rules, hard, clock, now, log.clone());
         let (address, place) = watch::channel(([127, 0, 0, 1], 1).into());
--- a/crates/sheet/tests/settings.rs
+++ b/crates/sheet/tests/settings.rs
@@ -1,7 +1,8 @@
-//! The settings of a deployment: what of the new shape reaches the duty sheet, and one clear error for an unknown word.
+//! The settings of a deployment: keys that reach the policy settings, and one clear error for an unknown
+//! value.
 
 use serde_json::{json, Value};
-use tindock_sheet::read;
+use tindock_sheet::from_json;
 
 fn settings(change: impl Fn(&mut Value)) -> Value {
     let mut settings = json!({
@@ -18,22 +19,23 @@
 }
 
 #[test]
-fn the_new_shape_reaches_the_sheet() {
-    let sheet = read(&settings(|_| ())).expect("settings");
-    assert_eq!((sheet.talkers, sheet.position, sheet.price_word), (3, 2, 0.01));
-    assert_eq!((sheet.moving_weights, sheet.report_free, sheet.report_waiting), (true, Some(1), Some(0)));
-    let sheet = read(&settings(|s| {
+fn optional_keys_reach_the_policy_settings() {
+    let parsed = from_json(&settings(|_| ())).expect("settings");
+    assert_eq!((parsed.members, parsed.position, parsed.message_cost), (3, 2, 0.01));
+    assert_eq!((parsed.live_weights, parsed.report_free, parsed.report_waiting), (true, Some(1), Some(0)));
+    let parsed = from_json(&settings(|s| {
         s["caps"]["peers"] = json!(false);
         s["weights"] = json!("rough");
         s["reporting"] = json!({"source": "silent", "names": []});
     }))
     .expect("settings");
-    assert_eq!((sheet.talkers, sheet.moving_weights, sheet.report_free), (0, false, None));
+    assert_eq!((parsed.members, parsed.live_weights, parsed.report_free), (0, false, None));
 }
 
 #[test]
-fn an_unknown_word_is_one_clear_error() {
-    let wrong = |key: &str, value: Value| read(&settings(|s| s[key] = value.clone())).expect_err("an error");
+fn an_unknown_value_is_reported_with_its_key() {
+    let wrong =
+        |key: &str, value: Value| from_json(&settings(|s| s[key] = value.clone())).expect_err("an error");
     assert_eq!(wrong("weights", json!("heavy")), "settings: unknown weights \"heavy\"");
     let reporting = json!({"source": "post", "names": []});
     assert_eq!(wrong("reporting", reporting), "settings: unknown reporting \"post\"");
