--- a/crates/controller/src/convert.rs
+++ b/crates/controller/src/convert.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use tindock_catalogue::Catalogue;
 use tindock_circulation::{Listed, Stacks};
-use tindock_stacks::{self as autoscaler, Entry, Service, Standing};
+use tindock_stacks::{self as autoscaler, Entry, InstanceState, Service};
 
 /// What the autoscaler needs of the configuration.
 pub fn services(configuration: &Catalogue) -> Vec<Service> {
@@ -41,18 +41,18 @@
         zone: entry.zone.clone(),
         host: entry.host.clone(),
         age: u32::try_from(age).unwrap_or(u32::MAX),
-        ready: !matches!(entry.standing, Standing::Starting),
-        lends: matches!(entry.standing, Standing::Starting | Standing::Ready),
+        ready: !matches!(entry.state, InstanceState::Starting),
+        lends: matches!(entry.state, InstanceState::Starting | InstanceState::Ready),
         replaces: entry.replaces.clone(),
     }
 }
 
 /// The entry that an instance on the wire stands for.
 pub fn entry_from_wire(now: Duration, listed: Listed) -> Entry {
-    let standing = match (listed.ready, listed.lends) {
-        (false, _) => Standing::Starting,
-        (true, true) => Standing::Ready,
-        (true, false) => Standing::Draining,
+    let state = match (listed.ready, listed.lends) {
+        (false, _) => InstanceState::Starting,
+        (true, true) => InstanceState::Ready,
+        (true, false) => InstanceState::Draining,
     };
     Entry {
         instance: listed.instance,
@@ -61,14 +61,14 @@
         zone: listed.zone,
         host: listed.host,
         since_ms: (now.as_millis() as u64).saturating_sub(listed.age.into()),
-        standing,
+        state,
         replaces: listed.replaces,
         version: 0,
     }
 }
 
 /// The platform's list as agents are told it while nobody holds the lease.
-pub fn platform_instances(listed: Vec<autoscaler::Listed>) -> Stacks {
+pub fn platform_instances(listed: Vec<autoscaler::ListedInstance>) -> Stacks {
     let entries = listed.into_iter().map(|instance| Listed {
         instance: instance.instance,
         service: instance.service,
--- a/crates/controller/src/lease_duties.rs
+++ b/crates/controller/src/lease_duties.rs
@@ -27,7 +27,7 @@
 /// What the autoscaler is told at its start.
 #[derive(Clone)]
 pub struct LeaseSettings {
-    pub terms: autoscaler::Terms,
+    pub terms: autoscaler::PlatformSettings,
     pub seed: u64,
     pub rebinding: Rebinding,
     pub list_interval: Duration,
@@ -65,7 +65,7 @@
         let mut scaler = Scaler::new(settings.terms, number, settings.seed, now);
         scaler.set_rebinding(now, settings.rebinding);
         if let Some(configuration) = configuration {
-            scaler.services(now, &services(configuration));
+            scaler.update_services(now, &services(configuration));
         }
         // What agents tell is added to this.
         let knew_starts = replica.tag() != 0;
@@ -120,11 +120,11 @@
     }
 
     /// The list of instances; none if it could not be read.
-    pub fn instances_read(&mut self, now: Duration, instances: Option<&[autoscaler::Listed]>) {
+    pub fn instances_read(&mut self, now: Duration, instances: Option<&[autoscaler::ListedInstance]>) {
         self.reading_instances = false;
         if let Some(instances) = instances {
             self.instances_known = true;
-            self.scaler.listed(now, instances);
+            self.scaler.update_instances(now, instances);
         }
     }
 
@@ -133,7 +133,7 @@
         self.reading_hosts = false;
         if let Some(hosts) = hosts {
             self.hosts_known = true;
-            self.scaler.hosts(now, hosts);
+            self.scaler.update_hosts(now, hosts);
         }
     }
 
@@ -186,19 +186,19 @@
 
     /// What changed in the instances after a version.
     pub fn changes_since(&self, now: Duration, version: u64) -> Stacks {
-        let news = self.scaler.since(version);
-        let (mut numbers, tag) = self.scaler.numbers();
-        if !news.whole {
+        let news = self.scaler.changes_since(version);
+        let (mut numbers, tag) = self.scaler.start_numbers();
+        if !news.complete {
             let changed: HashSet<&str> = news.entries.iter().map(|entry| entry.service.as_str()).collect();
             numbers.retain(|(service, _)| changed.contains(service.as_str()));
         }
         let told = self.proxies.told();
         let newer = |mark: Mark| mark > Mark { number: self.number, version };
-        let owners = told.filter(|owners| news.whole || newer(owners.mark)).cloned();
+        let owners = told.filter(|owners| news.complete || newer(owners.mark)).cloned();
         Stacks {
             number: self.number,
             from: version,
-            whole: news.whole,
+            whole: news.complete,
             version: news.version,
             entries: news.entries.iter().map(|entry| entry_to_wire(now, entry)).collect(),
             ended: news.ended.into_iter().map(|(id, _)| id).collect(),
--- a/crates/house/src/controller/agents.rs
+++ b/crates/house/src/controller/agents.rs
@@ -58,17 +58,17 @@
             Note::Demand(demands) => {
                 let Some(lease) = self.lease.as_mut() else { return };
                 for demand in demands {
-                    lease.duties.scaler.demand(now, demand_of(demand, &self.places));
+                    lease.duties.scaler.update_demand(now, demand_of(demand, &self.places));
                 }
             }
             Note::Gone(instance) => {
                 if let Some(lease) = self.lease.as_mut() {
-                    lease.duties.scaler.gone(now, &instance);
+                    lease.duties.scaler.instance_gone(now, &instance);
                 }
             }
             Note::Ready(instance) => {
                 if let Some(lease) = self.lease.as_mut() {
-                    lease.duties.scaler.ready(now, &instance);
+                    lease.duties.scaler.instance_ready(now, &instance);
                 }
             }
             Note::Inherit { entries, tag, numbers } => {
@@ -141,7 +141,11 @@
         });
     }
 
-    pub(super) fn first_instances_read(&mut self, now: Duration, read: Option<Vec<autoscaler::Listed>>) {
+    pub(super) fn first_instances_read(
+        &mut self,
+        now: Duration,
+        read: Option<Vec<autoscaler::ListedInstance>>,
+    ) {
         self.reading_first = false;
         let (Some(instances), None) = (read, self.holder) else { return };
         let bytes = frame(&Note::Stacks(platform_instances(instances)));
--- a/crates/house/src/controller/calls.rs
+++ b/crates/house/src/controller/calls.rs
@@ -90,7 +90,7 @@
                 let Some(number) = self.open_call(now, OpenCall { reply, came: now, sent }) else { return };
                 self.control_store.replace(now, number, revision, text);
                 if let Some(lease) = &mut self.lease {
-                    lease.duties.scaler.configuring(now);
+                    lease.duties.scaler.configuration_changing(now);
                 }
             }
             Err(fault) => {
--- a/crates/house/src/controller/lease_duties.rs
+++ b/crates/house/src/controller/lease_duties.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tindock_controller::{list_interval, LeaseDuties, LeaseSettings};
-use tindock_stacks::{self as autoscaler, Begun, Order};
+use tindock_stacks::{self as autoscaler, Order, StartResult};
 use tokio::sync::mpsc;
 
 const NO_ROOM: u16 = 409;
@@ -77,11 +77,11 @@
     fn lease_settings(&self, number: u64) -> LeaseSettings {
         let timers = &self.settings.timers;
         let provider = self.settings.provider_api.as_ref();
-        let terms = autoscaler::Terms {
+        let terms = autoscaler::PlatformSettings {
             zones: self.settings.places(),
             drain: seconds(timers.drain_ms / 1000.0),
             address_reuse: seconds(timers.address_reuse_s),
-            duty_rate: provider.map_or(DEFAULT_DUTY_RATE, |p| p.duty_rate_s),
+            call_rate: provider.map_or(DEFAULT_DUTY_RATE, |p| p.duty_rate_s),
             list_lag: seconds(provider.map_or(1.0, |p| p.max_lag_ms / 1000.0)),
         };
         LeaseSettings {
@@ -97,17 +97,17 @@
         self.lease.as_mut().filter(|lease| lease.duties.number == number)
     }
 
-    pub(super) fn instance_begun(&mut self, now: Duration, number: u64, token: u64, begun: Begun) {
+    pub(super) fn instance_begun(&mut self, now: Duration, number: u64, token: u64, begun: StartResult) {
         self.log.failures.count_start(now, &begun);
         if let Some(lease) = self.lease_under(number) {
-            lease.duties.scaler.begun(now, token, begun);
+            lease.duties.scaler.start_answered(now, token, begun);
         }
     }
 
     pub(super) fn instance_stopped(&mut self, now: Duration, number: u64, token: u64, ok: bool) {
         self.log.failures.count_stop(now, ok);
         if let Some(lease) = self.lease_under(number) {
-            lease.duties.scaler.stopped(now, token, ok);
+            lease.duties.scaler.stop_answered(now, token, ok);
         }
     }
 
@@ -115,7 +115,7 @@
         &mut self,
         now: Duration,
         number: u64,
-        read: Result<Vec<autoscaler::Listed>, Failed>,
+        read: Result<Vec<autoscaler::ListedInstance>, Failed>,
     ) {
         let Some(lease) = self.lease_under(number) else { return };
         lease.unread.instances_read(now, read.as_ref().err());
@@ -171,15 +171,15 @@
     let _ = events.send(event).await;
 }
 
-fn begun(answer: Result<crate::platform::Begun, Failed>) -> Begun {
+fn begun(answer: Result<crate::platform::Begun, Failed>) -> StartResult {
     match answer {
         Ok(begun) => match begun.address.parse() {
-            Ok(address) => Begun::Done { instance: begun.instance_id, address },
-            Err(_) => Begun::Unclear,
+            Ok(address) => StartResult::Started { instance: begun.instance_id, address },
+            Err(_) => StartResult::OutcomeUnknown,
         },
-        Err(Failed::Status(NO_ROOM)) => Begun::NoRoom,
-        Err(Failed::Status(TOO_MANY)) => Begun::TooMany,
-        Err(Failed::Status(NO_SERVICE)) => Begun::NoService,
-        Err(_) => Begun::Unclear,
+        Err(Failed::Status(NO_ROOM)) => StartResult::NoCapacity,
+        Err(Failed::Status(TOO_MANY)) => StartResult::RateLimited,
+        Err(Failed::Status(NO_SERVICE)) => StartResult::UnknownService,
+        Err(_) => StartResult::OutcomeUnknown,
     }
 }
--- a/crates/house/src/controller/log_lines.rs
+++ b/crates/house/src/controller/log_lines.rs
@@ -5,7 +5,7 @@
 use spdlog::{info, warn};
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_stacks::Begun;
+use tindock_stacks::StartResult;
 
 /// What lasts is looked at this often.
 const LOOK_INTERVAL: Duration = Duration::from_millis(100);
@@ -116,13 +116,13 @@
 }
 
 impl Failures {
-    pub fn count_start(&mut self, now: Duration, begun: &Begun) {
+    pub fn count_start(&mut self, now: Duration, begun: &StartResult) {
         match begun {
-            Begun::Done { .. } => return,
-            Begun::NoRoom => self.no_room += 1,
-            Begun::TooMany => self.too_many += 1,
-            Begun::NoService => self.no_service += 1,
-            Begun::Unclear => self.unclear += 1,
+            StartResult::Started { .. } => return,
+            StartResult::NoCapacity => self.no_room += 1,
+            StartResult::RateLimited => self.too_many += 1,
+            StartResult::UnknownService => self.no_service += 1,
+            StartResult::OutcomeUnknown => self.unclear += 1,
         }
         self.since.get_or_insert(now);
     }
--- a/crates/house/src/controller/mod.rs
+++ b/crates/house/src/controller/mod.rs
@@ -62,12 +62,12 @@
     /// A write of this token has ended, with success or not.
     Stored(u64, bool),
     /// The platform's answers, with the number of the lease under which it was asked.
-    Begun(u64, u64, autoscaler::Begun),
+    Begun(u64, u64, autoscaler::StartResult),
     Stopped(u64, u64, bool),
-    Instances(u64, Result<Vec<autoscaler::Listed>, Failed>),
+    Instances(u64, Result<Vec<autoscaler::ListedInstance>, Failed>),
     Hosts(u64, Result<Vec<autoscaler::Host>, Failed>),
     /// The platform's list, read while nobody holds the lease.
-    FirstInstances(Option<Vec<autoscaler::Listed>>),
+    FirstInstances(Option<Vec<autoscaler::ListedInstance>>),
     /// SIGTERM.
     Leave,
 }
@@ -346,7 +346,7 @@
         match Catalogue::read(&committed.text) {
             Ok(configuration) => {
                 if let Some(lease) = &mut self.lease {
-                    lease.duties.scaler.services(now, &tindock_controller::services(&configuration));
+                    lease.duties.scaler.update_services(now, &tindock_controller::services(&configuration));
                 }
                 info!("revision {} in force", configuration.revision);
                 if let Some(old) = self.configuration.replace(configuration) {
--- a/crates/house/src/controller/platform_lists.rs
+++ b/crates/house/src/controller/platform_lists.rs
@@ -1,14 +1,14 @@
 //! The platform's lists as the autoscaler takes them.
 
 use crate::platform::{self, Failed, Platform};
-use tindock_stacks::{Host, Listed};
+use tindock_stacks::{Host, ListedInstance};
 
 /// Bounds a list whose pages never end.
 const MOST_PAGES: usize = 1000;
 const DRAINING: &str = "draining";
 
 /// The whole list of instances, page by page, or why a page failed. A list without end is none.
-pub(super) async fn read_instances(platform: &Platform) -> Result<Vec<Listed>, Failed> {
+pub(super) async fn read_instances(platform: &Platform) -> Result<Vec<ListedInstance>, Failed> {
     let mut all = Vec::new();
     let mut token = None;
     for _ in 0..MOST_PAGES {
@@ -28,8 +28,8 @@
     Ok(pool.worker_pool.into_iter().map(host).collect())
 }
 
-fn listed(instance: platform::Instance) -> Option<Listed> {
-    Some(Listed {
+fn listed(instance: platform::Instance) -> Option<ListedInstance> {
+    Some(ListedInstance {
         instance: instance.instance_id,
         service: instance.service,
         address: instance.address.parse().ok()?,
--- a/crates/house/src/rebinding.rs
+++ b/crates/house/src/rebinding.rs
@@ -13,7 +13,7 @@
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::time::Duration;
 use tindock_folio::{answer_head, Body, Read};
-use tindock_stacks::{NotRun, Rebinding, Scaler};
+use tindock_stacks::{Rebinding, RunRefusal, Scaler};
 
 /// An archive answers sooner, or not at all.
 const PATIENCE: Duration = Duration::from_secs(8);
@@ -163,7 +163,7 @@
             .map_or(Reply::Unavailable(Unavailable::new("no holder is known", SOON)), Reply::Redirect);
     };
     let told = match ask {
-        Ask::Show => Ok(shown(node, scaler.rebinding_shown(now)).serialize_json()),
+        Ask::Show => Ok(shown(node, scaler.rebinding_status(now)).serialize_json()),
         Ask::Plan => scaler
             .rebinding_plan(now)
             .map(|(plan, may)| planned(plan, may.err().map(|no| format!("{no:?}"))).serialize_json()),
@@ -172,10 +172,10 @@
     };
     match told {
         Ok(text) => Reply::Json(text.into_bytes()),
-        Err(NotRun::Off) => Reply::Refused("off by [rebinding] in the settings of the holder".into()),
-        Err(NotRun::Busy) => Reply::Refused("moves are under way".into()),
-        Err(NotRun::TooLarge) => Reply::Refused("more instances than are planned for".into()),
-        Err(NotRun::Not(no)) => Reply::Refused(format!("not now: {no:?}")),
+        Err(RunRefusal::Off) => Reply::Refused("off by [rebinding] in the settings of the holder".into()),
+        Err(RunRefusal::Busy) => Reply::Refused("moves are under way".into()),
+        Err(RunRefusal::TooLarge) => Reply::Refused("more instances than are planned for".into()),
+        Err(RunRefusal::Blocked(no)) => Reply::Refused(format!("not now: {no:?}")),
     }
 }
 
@@ -212,7 +212,7 @@
     }
 }
 
-fn shown(node: &str, shown: tindock_stacks::Shown) -> Shown {
+fn shown(node: &str, shown: tindock_stacks::RebindingStatus) -> Shown {
     let moves = shown.moves.into_iter().map(|p| Moving {
         instance: p.instance,
         new: p.new,
@@ -222,7 +222,7 @@
         phase: format!("{:?}", p.phase),
         undoing: p.undoing,
     });
-    let ends = shown.ends.into_iter().map(|(ago, instance, outcome)| End {
+    let ends = shown.finished.into_iter().map(|(ago, instance, outcome)| End {
         instance,
         outcome: format!("{outcome:?}"),
         ago_ms: ago.as_millis() as u64,
@@ -231,10 +231,10 @@
         holder: node.to_string(),
         mode: format!("{:?}", shown.mode).to_lowercase(),
         paused: shown.paused,
-        not: shown.not.map(|no| format!("{no:?}")),
+        not: shown.blocked_by.map(|no| format!("{no:?}")),
         moves: moves.collect(),
         waiting: shown.waiting as u64,
-        expected: shown.expected,
+        expected: shown.blocked_functions,
         ends: ends.collect(),
     }
 }
--- a/crates/house/tests/rebinding.rs
+++ b/crates/house/tests/rebinding.rs
@@ -65,11 +65,11 @@
 /// Four functions on two hosts, and one whose start finds no room.
 fn scaler(mode: stacks::Rebinding) -> (stacks::Scaler, Duration) {
     let ms = Duration::from_millis;
-    let terms = stacks::Terms {
+    let terms = stacks::PlatformSettings {
         zones: vec![("a".into(), "r".into())],
         drain: ms(3000),
         address_reuse: ms(2000),
-        duty_rate: 150.0,
+        call_rate: 150.0,
         list_lag: ms(100),
     };
     let service = |name: String, memory_mb, target_ms| stacks::Service {
@@ -85,7 +85,7 @@
     services.push(service("big".into(), 1024, 20_000));
     let mut s = stacks::Scaler::new(terms, 1, 1, ms(0));
     s.set_rebinding(ms(0), mode);
-    s.services(ms(0), &services);
+    s.update_services(ms(0), &services);
     let hosts: Vec<stacks::Host> = ["h0", "h1"]
         .map(|name| stacks::Host {
             name: name.into(),
@@ -95,8 +95,8 @@
             up: true,
         })
         .into();
-    let list: Vec<stacks::Listed> = (0..4)
-        .map(|n| stacks::Listed {
+    let list: Vec<stacks::ListedInstance> = (0..4)
+        .map(|n| stacks::ListedInstance {
             instance: format!("i-{n}"),
             service: format!("d{n}"),
             address: SocketAddr::from(([10, 0, 0, 1], 8000 + n)),
@@ -108,10 +108,10 @@
     let mut now = ms(0);
     for step in 0..300 {
         now = ms(step * 100);
-        s.hosts(now, &hosts);
-        s.listed(now, &list);
+        s.update_hosts(now, &hosts);
+        s.update_instances(now, &list);
         if step > 280 {
-            s.demand(
+            s.update_demand(
                 now,
                 stacks::Demand {
                     service: "big".into(),
--- a/crates/rehearsal/src/controller.rs
+++ b/crates/rehearsal/src/controller.rs
@@ -45,9 +45,9 @@
 /// How it was answered; `Unclear` also for lists that did not come.
 #[derive(Clone, Debug)]
 pub enum Answer {
-    List(Vec<stacks::Listed>),
+    List(Vec<stacks::ListedInstance>),
     Hosts(Vec<stacks::Host>),
-    Begun(stacks::Begun),
+    Begun(stacks::StartResult),
     Stopped(bool),
     Unclear,
 }
@@ -75,7 +75,7 @@
 pub struct Terms {
     pub name: String,
     pub setup: MemberSettings,
-    pub stacks: stacks::Terms,
+    pub stacks: stacks::PlatformSettings,
     pub list_rate: f64,
     pub rebinding: stacks::Rebinding,
     pub planted: Option<Planted>,
@@ -144,7 +144,7 @@
                     return;
                 }
                 if let Some(lease) = &mut self.lease {
-                    lease.scaler.configuring(now);
+                    lease.scaler.configuration_changing(now);
                 }
                 self.control_store.replace(now, call, catalogue.revision, text.to_vec());
             }
@@ -221,11 +221,15 @@
                 lease.hosts_read(now, hosts.as_deref());
             }
             Call::Begin { token, .. } => {
-                let begun = if let Answer::Begun(begun) = answer { begun } else { stacks::Begun::Unclear };
-                lease.scaler.begun(now, *token, begun);
+                let begun = if let Answer::Begun(begun) = answer {
+                    begun
+                } else {
+                    stacks::StartResult::OutcomeUnknown
+                };
+                lease.scaler.start_answered(now, *token, begun);
             }
             Call::Stop { token, .. } => {
-                lease.scaler.stopped(now, *token, matches!(answer, Answer::Stopped(true)));
+                lease.scaler.stop_answered(now, *token, matches!(answer, Answer::Stopped(true)));
             }
         }
     }
@@ -264,17 +268,17 @@
             Note::Demand(demands) => {
                 let Some(lease) = self.lease.as_mut() else { return };
                 for demand in demands {
-                    lease.scaler.demand(now, demand);
+                    lease.scaler.update_demand(now, demand);
                 }
             }
             Note::Gone(instance) => {
                 if let Some(lease) = self.lease.as_mut() {
-                    lease.scaler.gone(now, &instance);
+                    lease.scaler.instance_gone(now, &instance);
                 }
             }
             Note::Ready(instance) => {
                 if let Some(lease) = self.lease.as_mut() {
-                    lease.scaler.ready(now, &instance);
+                    lease.scaler.instance_ready(now, &instance);
                 }
             }
             Note::Inherit { entries, tag, numbers } => {
@@ -317,7 +321,7 @@
         self.out.push(Out::Platform { number: 0, call: Call::First });
     }
 
-    fn show_first(&mut self, now: Duration, list: Vec<stacks::Listed>) {
+    fn show_first(&mut self, now: Duration, list: Vec<stacks::ListedInstance>) {
         let stacks = Rc::new(platform_instances(list));
         for ip in self.relay.blank(now) {
             self.send(SocketAddr::new(ip, PEER_PORT), Note::Stacks(stacks.clone()));
@@ -406,7 +410,7 @@
             self.control_store.committed().filter(|w| w.revision > revision || self.catalogue.is_none());
         if let Some(catalogue) = word.and_then(|word| Catalogue::read(&word.text).ok()) {
             if let Some(lease) = &mut self.lease {
-                lease.scaler.services(now, &services(&catalogue));
+                lease.scaler.update_services(now, &services(&catalogue));
             }
             self.catalogue = Some(Rc::new(catalogue));
             self.send_word(now, None);
--- a/crates/rehearsal/src/platform.rs
+++ b/crates/rehearsal/src/platform.rs
@@ -203,7 +203,7 @@
         }
         let refused = self.moods.calls_refused || !Platform::rate(&mut self.calls, now, self.terms.duty);
         let answer = match call {
-            Call::Begin { .. } if refused => Answer::Begun(stacks::Begun::TooMany),
+            Call::Begin { .. } if refused => Answer::Begun(stacks::StartResult::RateLimited),
             Call::Stop { .. } if refused => Answer::Stopped(false),
             Call::Begin { service, host, nonce, .. } => {
                 Answer::Begun(self.begin(now, chance, service, host, nonce))
@@ -217,14 +217,14 @@
         (!self.moods.unanswered).then_some((takes, answer))
     }
 
-    fn list(&self, view: Duration) -> Vec<stacks::Listed> {
+    fn list(&self, view: Duration) -> Vec<stacks::ListedInstance> {
         let shown = self.instances.iter().filter(|i| {
             let gone = i.ghost.or(i.freed.max(i.closed));
             i.up <= view && gone.is_none_or(|gone| gone > view)
         });
         let listed = |i: &Instance| {
             let host = self.hosts.get(i.host);
-            stacks::Listed {
+            stacks::ListedInstance {
                 instance: i.id.clone(),
                 service: i.service.clone(),
                 address: i.at,
@@ -257,18 +257,20 @@
         service: &str,
         host: &str,
         nonce: &str,
-    ) -> stacks::Begun {
+    ) -> stacks::StartResult {
         if let Some(known) = self.nonces.get(&format!("{service} {nonce}")) {
             let known = &self.instances[*known];
-            return stacks::Begun::Done { instance: known.id.clone(), address: known.at };
+            return stacks::StartResult::Started { instance: known.id.clone(), address: known.at };
         }
-        let Some(kind) = self.kinds.get(service).cloned() else { return stacks::Begun::NoService };
-        let Some(n) = self.hosts.iter().position(|h| h.name == host) else { return stacks::Begun::NoRoom };
+        let Some(kind) = self.kinds.get(service).cloned() else { return stacks::StartResult::UnknownService };
+        let Some(n) = self.hosts.iter().position(|h| h.name == host) else {
+            return stacks::StartResult::NoCapacity;
+        };
         let up = self.hosts[n].drains.is_none() && self.hosts[n].down.is_none_or(|(_, to)| now >= to);
         if !up || self.free_memory(n, now) < kind.memory {
-            return stacks::Begun::NoRoom;
+            return stacks::StartResult::NoCapacity;
         }
-        let Some(at) = self.address(now, service) else { return stacks::Begun::NoRoom };
+        let Some(at) = self.address(now, service) else { return stacks::StartResult::NoCapacity };
         let id = format!("i-{}", self.instances.len() + 1);
         let boot = chance.spread(f64::from(kind.boot), kind.spread) / 1e3;
         let pace = if kind.uneven > 0.0 { chance.spread(1.0, kind.uneven) } else { 1.0 };
@@ -294,7 +296,7 @@
             pace,
             memory: kind.memory,
         });
-        stacks::Begun::Done { instance: id, address: at }
+        stacks::StartResult::Started { instance: id, address: at }
     }
 
     fn stop(&mut self, now: Duration, id: &str) {
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -1106,11 +1106,11 @@
                 let terms = controller::Terms {
                     name: core.name.clone(),
                     setup,
-                    stacks: tindock_stacks::Terms {
+                    stacks: tindock_stacks::PlatformSettings {
                         zones,
                         drain: secs(timers.drain),
                         address_reuse: secs(timers.reuse),
-                        duty_rate: platform.duty,
+                        call_rate: platform.duty,
                         list_lag: secs(platform.lag),
                     },
                     list_rate: platform.rate,
--- a/crates/scale-run/src/autoscaler.rs
+++ b/crates/scale-run/src/autoscaler.rs
@@ -6,7 +6,7 @@
 use crate::usage::{own_memory, timed};
 use crate::{Size, ZONES};
 use std::time::Duration;
-use tindock_stacks::{Demand, Host, Listed, Scaler, Service, Terms};
+use tindock_stacks::{Demand, Host, ListedInstance, PlatformSettings, Scaler, Service};
 
 /// Virtual time that the figures are taken over.
 const LENGTH: Duration = Duration::from_secs(5);
@@ -17,12 +17,12 @@
 const TOLD_OF: usize = 20;
 const HOSTS: usize = 500;
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> PlatformSettings {
+    PlatformSettings {
         zones: ZONES.iter().map(|(zone, region)| (zone.to_string(), region.to_string())).collect(),
         drain: Duration::from_secs(3),
         address_reuse: Duration::from_secs(2),
-        duty_rate: 150.0,
+        call_rate: 150.0,
         list_lag: Duration::from_millis(800),
     }
 }
@@ -49,9 +49,9 @@
     }
 }
 
-fn listed(number: usize, size: Size) -> Listed {
+fn listed(number: usize, size: Size) -> ListedInstance {
     let instance = instance(number, size);
-    Listed {
+    ListedInstance {
         instance: instance.instance,
         service: instance.service,
         address: instance.at,
@@ -82,25 +82,25 @@
     let memory = own_memory();
     let services: Vec<Service> = (0..size.functions).map(service).collect();
     let hosts: Vec<Host> = (0..HOSTS).map(host).collect();
-    let list: Vec<Listed> = (0..size.instances).map(|number| listed(number, size)).collect();
+    let list: Vec<ListedInstance> = (0..size.instances).map(|number| listed(number, size)).collect();
     let inputs = own_memory() - memory;
     let mut now = Duration::ZERO;
     let mut scaler = Scaler::new(terms(), 1, 1, now);
-    let (_, configuring) = timed(|| scaler.services(now, &services));
+    let (_, configuring) = timed(|| scaler.update_services(now, &services));
     scaler.inherit(now, &[], &[], 1);
     let (mut listing, mut lists, mut passing, mut telling, mut told, mut orders) =
         (Duration::ZERO, 0u32, Duration::ZERO, Duration::ZERO, 0u32, 0u32);
     let mut turn = 0;
     while now < LENGTH {
         if now.as_millis().is_multiple_of(LIST.as_millis()) {
-            listing += timed(|| scaler.listed(now, &list)).1;
-            scaler.hosts(now, &hosts);
+            listing += timed(|| scaler.update_instances(now, &list)).1;
+            scaler.update_hosts(now, &hosts);
             lists += 1;
         }
         let words: Vec<Demand> =
             (turn % TOLD_OF..size.functions).step_by(TOLD_OF).map(|n| demand(n, size)).collect();
         told += words.len() as u32;
-        telling += timed(|| words.into_iter().for_each(|word| scaler.demand(now, word))).1;
+        telling += timed(|| words.into_iter().for_each(|word| scaler.update_demand(now, word))).1;
         passing += timed(|| {
             while scaler.next(now).is_some() {
                 orders += 1;
@@ -111,7 +111,7 @@
         now += STEP;
     }
     let held = own_memory() - memory - inputs;
-    let (news, gathering) = timed(|| scaler.since(0));
+    let (news, gathering) = timed(|| scaler.changes_since(0));
     let ms = |span: Duration| span.as_secs_f64() * 1e3;
     vec![
         Figure::new("functions", size.functions as f64, ""),
--- a/crates/stacks/src/book.rs
+++ b/crates/stacks/src/book.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use crate::words::{Entry, Standing};
+use crate::words::{Entry, InstanceState};
 
 /// Ended instances remembered for those who pull.
 const ENDED_MOST: usize = 8192;
@@ -11,9 +11,9 @@
 
 /// What changed after a version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct ChangeSet {
     /// The entries are all there are: what is not among them has ended.
-    pub whole: bool,
+    pub complete: bool,
     pub entries: Vec<Entry>,
     /// Instances that ended, with the version at which they did.
     pub ended: Vec<(String, u64)>,
@@ -45,7 +45,7 @@
 impl Held {
     /// Counts as capacity of the future.
     pub(crate) fn counts(&self) -> bool {
-        matches!(self.entry.standing, Standing::Starting | Standing::Ready) && !self.leaving
+        matches!(self.entry.state, InstanceState::Starting | InstanceState::Ready) && !self.leaving
     }
 }
 
@@ -165,13 +165,13 @@
         self.held.values()
     }
 
-    pub(crate) fn since(&self, version: u64) -> News {
-        let whole = self.settled && version < self.base;
-        let from = if whole { 0 } else { version.saturating_add(1) };
+    pub(crate) fn since(&self, version: u64) -> ChangeSet {
+        let complete = self.settled && version < self.base;
+        let from = if complete { 0 } else { version.saturating_add(1) };
         let entries = self.by_version.range(from..).filter_map(|(_, id)| self.held.get(id));
         let ended = self.ended.iter().rev().take_while(|e| e.0 > version).map(|e| (e.1.clone(), e.0));
-        News {
-            whole,
+        ChangeSet {
+            complete,
             entries: entries.map(|h| h.entry.clone()).collect(),
             ended: ended.collect(),
             version: self.version,
--- a/crates/stacks/src/lib.rs
+++ b/crates/stacks/src/lib.rs
@@ -20,9 +20,9 @@
 mod want;
 mod words;
 
-pub use book::News;
-pub use rebind::{NotRun, Rebinding, Shown};
+pub use book::ChangeSet;
+pub use rebind::{Rebinding, RebindingStatus, RunRefusal};
 pub use scaler::Scaler;
 pub use tindock_rebinding as rebinding;
-pub use want::{wanted, Pull, Wanted};
+pub use want::{desired_instances, DesiredInstances, ZoneDemand};
 pub use words::*;
--- a/crates/stacks/src/rebind.rs
+++ b/crates/stacks/src/rebind.rs
@@ -13,7 +13,7 @@
 use crate::book::{Book, Held};
 use crate::room::Room;
 use crate::scaler::{Scaler, Start};
-use crate::words::{Order, Standing};
+use crate::words::{InstanceState, Order};
 
 /// A start without room is expected again for so long.
 const EXPECTED: Duration = Duration::from_secs(20);
@@ -52,29 +52,29 @@
 
 /// Why staff's wish was not followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotRun {
+pub enum RunRefusal {
     Off,
     /// Moves are under way.
     Busy,
     /// Above what is planned for at once.
     TooLarge,
-    Not(No),
+    Blocked(No),
 }
 
 /// How it stands, for staff.
 #[derive(Clone, Debug, Default)]
-pub struct Shown {
+pub struct RebindingStatus {
     pub mode: Rebinding,
     pub paused: bool,
     /// Why a plan would not be run now.
-    pub not: Option<No>,
+    pub blocked_by: Option<No>,
     pub moves: Vec<Progress>,
     /// Of the plan, not begun.
     pub waiting: usize,
     /// Functions whose starts find no room.
-    pub expected: Vec<String>,
+    pub blocked_functions: Vec<String>,
     /// The last ends of moves, the newest last, with the time since then.
-    pub ends: Vec<(Duration, String, Outcome)>,
+    pub finished: Vec<(Duration, String, Outcome)>,
 }
 
 #[derive(Debug)]
@@ -183,7 +183,7 @@
     }
 
     /// A configuration is on its way: nothing is moved for a while.
-    pub fn configuring(&mut self, now: Duration) {
+    pub fn configuration_changing(&mut self, now: Duration) {
         if let Some(r) = &mut self.rebind {
             r.configuring = Some(now);
         }
@@ -218,7 +218,7 @@
     pub(crate) fn rebind_pass(&mut self, now: Duration) {
         let Some(mut r) = self.rebind.take() else { return };
         // The holder's carrier calls no pass after the end of the lease.
-        r.mover.lease(now + 2 * self.habits.pass);
+        r.mover.lease(now + 2 * self.tuning.pass);
         r.blocked.retain(|name, b| b.1 + EXPECTED > now && self.services.contains_key(name));
         if self.book.settled {
             r.settled.get_or_insert(now);
@@ -298,7 +298,7 @@
             runs.insert(name, Duration::from_secs_f64(3.0 * run / 1e3));
             needs.push(Need {
                 service: name.clone(),
-                urgent: !self.habits.sleeps(&svc.spec),
+                urgent: !self.tuning.sleeps(&svc.spec),
                 need: svc.want,
                 // What is beyond is lowered by the scaler itself.
                 wanted: None,
@@ -313,22 +313,22 @@
             let moved =
                 r.mover.holds(&e.instance) || e.replaces.is_some() || replaced.contains(e.instance.as_str());
             // What the scaler ends itself is not the mover's.
-            if e.standing == Standing::Ending && !moved {
+            if e.state == InstanceState::Ending && !moved {
                 return None;
             }
             let span = runs.get(e.service.as_str()).copied().unwrap_or_default();
             // Lenders tell no calls by instance: what a stop waits for today is waited for here.
             let ends = r.letting.get(&e.instance).copied();
-            let span_end = span.max(self.habits.ending).min(self.habits.ending_max);
+            let span_end = span.max(self.tuning.ending).min(self.tuning.ending_max);
             Some(Seen {
                 instance: e.instance.clone(),
                 service: e.service.clone(),
                 host: e.host.clone(),
-                standing: match e.standing {
-                    Standing::Starting => moving::Standing::Starting,
-                    Standing::Ready => moving::Standing::Ready,
-                    Standing::Draining => moving::Standing::Draining,
-                    Standing::Ending => moving::Standing::Ending,
+                standing: match e.state {
+                    InstanceState::Starting => moving::Standing::Starting,
+                    InstanceState::Ready => moving::Standing::Ready,
+                    InstanceState::Draining => moving::Standing::Draining,
+                    InstanceState::Ending => moving::Standing::Ending,
                 },
                 serving: match h.ready {
                     Some(at) if h.listed && at + span.max(ANSWERED) <= now => Serving::Answered,
@@ -374,15 +374,15 @@
             }
             moving::Order::LendNoMore { instance, .. } => {
                 r.letting.entry(instance.clone()).or_insert(now);
-                self.book.change(&instance, |h| h.entry.standing = Standing::Ending);
+                self.book.change(&instance, |h| h.entry.state = InstanceState::Ending);
                 self.touch(&instance);
             }
             moving::Order::LendAgain { instance, .. } => {
                 r.letting.remove(&instance);
                 self.book.change(&instance, |h| {
-                    if h.entry.standing == Standing::Ending && !h.stop_sent {
+                    if h.entry.state == InstanceState::Ending && !h.stop_sent {
                         let up = h.ready.is_some();
-                        h.entry.standing = if up { Standing::Ready } else { Standing::Starting };
+                        h.entry.state = if up { InstanceState::Ready } else { InstanceState::Starting };
                     }
                 });
                 self.touch(&instance);
@@ -426,7 +426,7 @@
                         }
                     }
                     self.pace.made(now);
-                    self.stopping.insert(token, (instance.clone(), now + self.habits.answer));
+                    self.stopping.insert(token, (instance.clone(), now + self.tuning.answer));
                     return Some(Order::Stop { token, instance });
                 }
             }
@@ -446,7 +446,7 @@
             if count == 0 {
                 continue;
             }
-            let urgent = !self.habits.sleeps(&svc.spec);
+            let urgent = !self.tuning.sleeps(&svc.spec);
             fleet.functions.push(moving::Function {
                 name: name.clone(),
                 takes: Measure::mb(svc.spec.memory_mb),
@@ -466,7 +466,7 @@
         for h in self.book.all() {
             let e = &h.entry;
             let lacks = self.services.get(&e.service).is_none_or(|s| s.there < s.want);
-            let stands = e.standing == Standing::Ready && h.listed && !h.leaving && h.missing == 0;
+            let stands = e.state == InstanceState::Ready && h.listed && !h.leaving && h.missing == 0;
             let own = r.blocked.contains_key(&e.service);
             fleet.instances.push(moving::Instance {
                 id: e.instance.clone(),
@@ -480,9 +480,9 @@
             });
         }
         let terms = moving::Terms {
-            instance_gb_s: self.habits.memory_gb_s,
-            start: self.habits.start_cost,
-            crossing_s: self.habits.crossing_cost,
+            instance_gb_s: self.tuning.memory_gb_s,
+            start: self.tuning.start_cost,
+            crossing_s: self.tuning.crossing_cost,
             // Two that swap are out for a while, and need to be known as empty by instance.
             may_break: false,
             probes: PROBES,
@@ -492,36 +492,36 @@
     }
 
     /// The plan that would be run now, and why it would not.
-    pub fn rebinding_plan(&mut self, now: Duration) -> Result<(Plan, Result<(), No>), NotRun> {
-        let mut r = self.rebind.take().ok_or(NotRun::Off)?;
+    pub fn rebinding_plan(&mut self, now: Duration) -> Result<(Plan, Result<(), No>), RunRefusal> {
+        let mut r = self.rebind.take().ok_or(RunRefusal::Off)?;
         let moment = self.moment(now, &mut r);
         let plan = self.rebind_plan(now, &r);
         let may = plan.as_ref().map(|plan| r.judge.clone().allows(now, &moment, plan, price(plan)));
         self.rebind = Some(r);
-        plan.zip(may).ok_or(NotRun::TooLarge)
+        plan.zip(may).ok_or(RunRefusal::TooLarge)
     }
 
     /// Runs a plan made now, if the moment allows: how many moves.
-    pub fn rebinding_run(&mut self, now: Duration) -> Result<usize, NotRun> {
-        let mut r = self.rebind.take().ok_or(NotRun::Off)?;
+    pub fn rebinding_run(&mut self, now: Duration) -> Result<usize, RunRefusal> {
+        let mut r = self.rebind.take().ok_or(RunRefusal::Off)?;
         let run = self.rebind_run(now, &mut r);
         self.rebind = Some(r);
         run
     }
 
-    fn rebind_run(&mut self, now: Duration, r: &mut Rebind) -> Result<usize, NotRun> {
+    fn rebind_run(&mut self, now: Duration, r: &mut Rebind) -> Result<usize, RunRefusal> {
         if !r.mover.idle() {
-            return Err(NotRun::Busy);
+            return Err(RunRefusal::Busy);
         }
         let moment = self.moment(now, r);
         // Not a search for one that would not be run.
         if let Some(no) = r.judge.moment(now, &moment).or(r.judge.ready(now).err()) {
-            return Err(NotRun::Not(no));
+            return Err(RunRefusal::Blocked(no));
         }
-        let plan = self.rebind_plan(now, r).ok_or(NotRun::TooLarge)?;
-        r.judge.allows(now, &moment, &plan, price(&plan)).map_err(NotRun::Not)?;
+        let plan = self.rebind_plan(now, r).ok_or(RunRefusal::TooLarge)?;
+        r.judge.allows(now, &moment, &plan, price(&plan)).map_err(RunRefusal::Blocked)?;
         if !r.mover.take(&plan) {
-            return Err(NotRun::Not(No::Unsettled));
+            return Err(RunRefusal::Blocked(No::Unsettled));
         }
         r.seed = r.seed.wrapping_add(1);
         self.rebind_look(now, r);
@@ -529,8 +529,8 @@
     }
 
     /// No move begins while paused; `undo` also gives up those whose new instance does not serve yet.
-    pub fn rebinding_pause(&mut self, now: Duration, paused: bool, undo: bool) -> Result<(), NotRun> {
-        let r = self.rebind.as_mut().ok_or(NotRun::Off)?;
+    pub fn rebinding_pause(&mut self, now: Duration, paused: bool, undo: bool) -> Result<(), RunRefusal> {
+        let r = self.rebind.as_mut().ok_or(RunRefusal::Off)?;
         r.judge.paused = paused;
         r.mover.pause(paused);
         if undo {
@@ -539,18 +539,18 @@
         Ok(())
     }
 
-    pub fn rebinding_shown(&mut self, now: Duration) -> Shown {
-        let Some(mut r) = self.rebind.take() else { return Shown::default() };
+    pub fn rebinding_status(&mut self, now: Duration) -> RebindingStatus {
+        let Some(mut r) = self.rebind.take() else { return RebindingStatus::default() };
         let moment = self.moment(now, &mut r);
         let ago = |e: &(Duration, String, Outcome)| (now.saturating_sub(e.0), e.1.clone(), e.2);
-        let shown = Shown {
+        let shown = RebindingStatus {
             mode: r.mode,
             paused: r.judge.paused,
-            not: r.judge.moment(now, &moment).or(r.judge.ready(now).err()),
+            blocked_by: r.judge.moment(now, &moment).or(r.judge.ready(now).err()),
             moves: r.mover.progress(),
             waiting: r.mover.waiting(),
-            expected: r.expected(now).cloned().collect(),
-            ends: r.ends.iter().map(ago).collect(),
+            blocked_functions: r.expected(now).cloned().collect(),
+            finished: r.ends.iter().map(ago).collect(),
         };
         self.rebind = Some(r);
         shown
--- a/crates/stacks/src/scaler/handover.rs
+++ b/crates/stacks/src/scaler/handover.rs
@@ -23,14 +23,14 @@
             if self.book.get(&e.instance).is_some() || self.dead.contains_key(&e.instance) {
                 continue;
             }
-            if e.standing == Standing::Starting {
+            if e.state == InstanceState::Starting {
                 if let Some(svc) = self.services.get(&e.service) {
                     self.tokens += 1;
                     self.room.take(&e.host, self.tokens, svc.spec.memory_mb, Some(now));
                 }
             }
-            let ready = (e.standing != Standing::Starting).then_some(now);
-            let ending = e.standing == Standing::Ending;
+            let ready = (e.state != InstanceState::Starting).then_some(now);
+            let ending = e.state == InstanceState::Ending;
             let mut entry = e.clone();
             entry.since_ms = now.as_millis() as u64;
             self.book.insert(Held {
@@ -49,14 +49,14 @@
             self.look_at_host(&e.instance);
             self.welcome(now, &e.instance, &e.service);
             if ending {
-                self.end(now, &e.instance, self.habits.ending);
+                self.end(now, &e.instance, self.tuning.ending);
             }
         }
     }
 
     /// The highest accession number of each service, and the tag of the numbering. To be told
     /// before or with the entries; a number is used once it is in an order.
-    pub fn numbers(&self) -> (Vec<(String, u32)>, u64) {
+    pub fn start_numbers(&self) -> (Vec<(String, u32)>, u64) {
         (self.numbers.iter().map(|(s, n)| (s.clone(), *n)).collect(), self.tag)
     }
 }
--- a/crates/stacks/src/scaler/instances.rs
+++ b/crates/stacks/src/scaler/instances.rs
@@ -4,7 +4,7 @@
 
 impl Scaler {
     /// The whole answer of `GET /instances`.
-    pub fn listed(&mut self, now: Duration, list: &[Listed]) {
+    pub fn update_instances(&mut self, now: Duration, list: &[ListedInstance]) {
         self.listed = true;
         let seen: BTreeSet<&str> = list.iter().map(|l| l.instance.as_str()).collect();
         for l in list {
@@ -20,7 +20,7 @@
                 h.listed_draining = l.draining;
                 // Pages tell a new holder what lends no more as draining, whether its host leaves or the holder before was
                 // about to stop it: the platform never takes one that it shows as up for so long, so it would stay for ever.
-                let drains = h.entry.standing == Standing::Draining && !l.draining;
+                let drains = h.entry.state == InstanceState::Draining && !l.draining;
                 h.up = if drains { h.up.saturating_add(1) } else { 0 };
                 left = h.up >= UP_LISTS;
                 turned = !h.listed;
@@ -35,12 +35,12 @@
                     h.entry.zone.clone_from(&l.zone);
                     h.entry.address = l.address;
                 }
-                match h.entry.standing {
-                    Standing::Starting | Standing::Ready if l.draining => {
+                match h.entry.state {
+                    InstanceState::Starting | InstanceState::Ready if l.draining => {
                         turned = true;
-                        h.entry.standing = Standing::Draining;
+                        h.entry.state = InstanceState::Draining;
                     }
-                    Standing::Starting => h.entry.standing = Standing::Ready,
+                    InstanceState::Starting => h.entry.state = InstanceState::Ready,
                     _ => {}
                 }
             });
@@ -60,20 +60,20 @@
             if let Some(h) = self.book.mark(&id) {
                 if h.listed {
                     h.missing = h.missing.saturating_add(1);
-                    if h.missing >= 2 || h.entry.standing == Standing::Draining {
+                    if h.missing >= 2 || h.entry.state == InstanceState::Draining {
                         lost.push(id);
                     }
                 }
             }
         }
         for id in lost {
-            self.lose(now, &id, self.habits.gone_lasts);
+            self.lose(now, &id, self.tuning.gone_lasts);
         }
         self.settle(now);
     }
 
-    fn adopt(&mut self, now: Duration, l: &Listed) {
-        let standing = if l.draining { Standing::Draining } else { Standing::Ready };
+    fn adopt(&mut self, now: Duration, l: &ListedInstance) {
+        let state = if l.draining { InstanceState::Draining } else { InstanceState::Ready };
         self.book.insert(Held {
             entry: Entry {
                 instance: l.instance.clone(),
@@ -82,7 +82,7 @@
                 zone: l.zone.clone(),
                 host: l.host.clone(),
                 since_ms: now.as_millis() as u64,
-                standing,
+                state,
                 replaces: None,
                 version: 0,
             },
@@ -121,7 +121,7 @@
     }
 
     /// What a lender tells.
-    pub fn demand(&mut self, now: Duration, mut d: Demand) {
+    pub fn update_demand(&mut self, now: Duration, mut d: Demand) {
         let Some(svc) = self.services.get_mut(&d.service) else { return };
         for x in [&mut d.rate, &mut d.busy, &mut d.run_ms] {
             *x = if x.is_finite() { x.clamp(0.0, 65_536.0) } else { 0.0 };
@@ -149,7 +149,7 @@
         let gap = now.saturating_sub(told.at);
         told.slow += (busy - told.slow) * (1.0 - (-gap.as_secs_f64() / 4.0).exp());
         told.steady += (f64::from(d.rate) - told.steady) * (1.0 - (-gap.as_secs_f64() / 8.0).exp());
-        if gap > self.habits.told_lasts {
+        if gap > self.tuning.told_lasts {
             told.rates.clear();
         }
         while told.rates.front().is_some_and(|r| r.0 + Duration::from_millis(1100) < now) {
@@ -167,28 +167,28 @@
     }
 
     /// A lender found the instance gone. Believed over the list for a while.
-    pub fn gone(&mut self, now: Duration, instance: &str) {
+    pub fn instance_gone(&mut self, now: Duration, instance: &str) {
         if self.book.get(instance).is_some() {
-            self.lose(now, instance, self.habits.gone_lasts);
+            self.lose(now, instance, self.tuning.gone_lasts);
         }
     }
 
     /// A lender had its first connection accepted.
-    pub fn ready(&mut self, now: Duration, instance: &str) {
+    pub fn instance_ready(&mut self, now: Duration, instance: &str) {
         if let Some(h) = self.book.mark(instance) {
             h.ready.get_or_insert(now);
         }
         self.book.change(instance, |h| {
-            if h.entry.standing == Standing::Starting {
-                h.entry.standing = Standing::Ready;
+            if h.entry.state == InstanceState::Starting {
+                h.entry.state = InstanceState::Ready;
             }
         });
     }
 
     /// Marks an instance as ending; it is stopped after `wait`.
     pub(super) fn end(&mut self, now: Duration, instance: &str, wait: Duration) {
-        let at = now + wait.max(self.habits.ending).min(self.habits.ending_max.max(self.habits.ending));
-        self.book.change(instance, |h| h.entry.standing = Standing::Ending);
+        let at = now + wait.max(self.tuning.ending).min(self.tuning.ending_max.max(self.tuning.ending));
+        self.book.change(instance, |h| h.entry.state = InstanceState::Ending);
         if let Some(h) = self.book.mark(instance) {
             if h.stop_at.is_none() {
                 h.stop_at = Some(at);
--- a/crates/stacks/src/scaler/mod.rs
+++ b/crates/stacks/src/scaler/mod.rs
@@ -11,11 +11,11 @@
 
 use oorandom::Rand32;
 
-use crate::book::{Book, Held, News};
+use crate::book::{Book, ChangeSet, Held};
 use crate::pace::Pace;
 use crate::rebind::{Came, Rebind};
 use crate::room::{Room, Seating};
-use crate::want::{wanted, Pull, Wanted};
+use crate::want::{desired_instances, DesiredInstances, ZoneDemand};
 use crate::words::*;
 
 /// Zones that may tell demand for one service.
@@ -95,8 +95,8 @@
 /// Decides starts and stops; see the crate's page.
 #[derive(Debug)]
 pub struct Scaler {
-    pub(crate) terms: Terms,
-    pub habits: Habits,
+    pub(crate) terms: PlatformSettings,
+    pub tuning: Tuning,
     pub(crate) chance: Rand32,
     pub(crate) born: Duration,
     pub(crate) tag: u64,
@@ -131,16 +131,22 @@
     /// `tag` is the number of the lease; it grows from holder to holder and is part of the nonces
     /// until [`Scaler::inherit`] brings an earlier one. Versions begin above those of any earlier
     /// lease.
-    pub fn new(terms: Terms, tag: u64, seed: u64, now: Duration) -> Scaler {
-        Scaler::with_habits(terms, Habits::default(), tag, seed, now)
+    pub fn new(terms: PlatformSettings, tag: u64, seed: u64, now: Duration) -> Scaler {
+        Scaler::with_tuning(terms, Tuning::default(), tag, seed, now)
     }
 
-    pub fn with_habits(terms: Terms, habits: Habits, tag: u64, seed: u64, now: Duration) -> Scaler {
-        let pace = Pace::new(terms.duty_rate * habits.duty_share);
+    pub fn with_tuning(
+        terms: PlatformSettings,
+        tuning: Tuning,
+        tag: u64,
+        seed: u64,
+        now: Duration,
+    ) -> Scaler {
+        let pace = Pace::new(terms.call_rate * tuning.duty_share);
         Scaler {
             room: Room::new(&terms.zones, terms.list_lag),
             terms,
-            habits,
+            tuning,
             chance: Rand32::new(seed),
             born: now,
             tag,
@@ -167,11 +173,11 @@
     }
 
     /// The configuration in force, whole. Services that are not in it are weeded.
-    pub fn services(&mut self, now: Duration, services: &[Service]) {
+    pub fn update_services(&mut self, now: Duration, services: &[Service]) {
         if !self.configured || self.services.len() != services.len() || {
             services.iter().any(|s| self.services.get(&s.name).is_none_or(|svc| svc.spec != *s))
         } {
-            self.configuring(now);
+            self.configuration_changing(now);
         }
         self.configured = true;
         let names: BTreeSet<&str> = services.iter().map(|s| s.name.as_str()).collect();
@@ -226,7 +232,7 @@
     }
 
     /// The whole answer of `GET /v1/workers`.
-    pub fn hosts(&mut self, now: Duration, hosts: &[Host]) {
+    pub fn update_hosts(&mut self, now: Duration, hosts: &[Host]) {
         if !self.room.report(now, hosts) {
             return;
         }
@@ -249,9 +255,9 @@
             }
         }
         for id in down {
-            self.lose(now, &id, self.habits.gone_lasts);
+            self.lose(now, &id, self.tuning.gone_lasts);
         }
-        let starting = self.book.all().filter(|h| h.entry.standing == Standing::Starting);
+        let starting = self.book.all().filter(|h| h.entry.state == InstanceState::Starting);
         for id in starting.map(|h| h.entry.instance.clone()).collect::<Vec<_>>() {
             self.end_if_too_late(now, &id);
         }
@@ -260,14 +266,14 @@
     /// The list shows an instance once it is up: one still starting on a host that drains is lent from its first connection
     /// until the list shows it as draining, which may be after it has to take nothing any more.
     fn end_if_too_late(&mut self, now: Duration, instance: &str) {
-        let starting = self.book.get(instance).filter(|h| h.entry.standing == Standing::Starting);
+        let starting = self.book.get(instance).filter(|h| h.entry.state == InstanceState::Starting);
         if starting.is_some_and(|h| self.room.drains(&h.entry.host)) {
             self.end(now, instance, Duration::ZERO);
         }
     }
 
     fn settle(&mut self, now: Duration) {
-        let told = self.inherited_tag.is_some() || now >= self.born + self.habits.settle;
+        let told = self.inherited_tag.is_some() || now >= self.born + self.tuning.settle;
         if self.listed && self.room.known && self.configured && told && !self.book.settled {
             self.book.settle();
             self.touched.extend(self.services.keys().cloned());
@@ -290,7 +296,7 @@
     }
 
     /// What changed after `version`. While the holder is new and does not know all, never whole.
-    pub fn since(&self, version: u64) -> News {
+    pub fn changes_since(&self, version: u64) -> ChangeSet {
         self.book.since(version)
     }
 
@@ -302,7 +308,7 @@
     /// When [`Scaler::next`] may have something without a further input.
     pub fn next_due(&self) -> Duration {
         let Some(last) = self.last_pass else { return Duration::ZERO };
-        let mut due = last + self.habits.pass;
+        let mut due = last + self.tuning.pass;
         if !self.touched.is_empty() {
             return last;
         }
--- a/crates/stacks/src/scaler/orders.rs
+++ b/crates/stacks/src/scaler/orders.rs
@@ -5,7 +5,7 @@
 impl Scaler {
     /// The next call to the platform, if there is one to make now.
     pub fn next(&mut self, now: Duration) -> Option<Order> {
-        if self.last_pass.is_none_or(|l| l + self.habits.pass <= now) {
+        if self.last_pass.is_none_or(|l| l + self.tuning.pass <= now) {
             self.pass(now);
         }
         while let Some(name) = self.touched.pop_first() {
@@ -59,7 +59,7 @@
             h.stop_at = None;
             self.pace.made(now);
             self.tokens += 1;
-            self.stopping.insert(self.tokens, (id.clone(), now + self.habits.answer));
+            self.stopping.insert(self.tokens, (id.clone(), now + self.tuning.answer));
             return Some(Order::Stop { token: self.tokens, instance: id });
         }
         self.quiet = Some(now);
@@ -69,7 +69,7 @@
     pub(crate) fn send(&mut self, now: Duration, token: u64) -> Option<Order> {
         let start = self.starts.get_mut(&token)?;
         start.sent = true;
-        start.at = now + self.habits.answer;
+        start.at = now + self.tuning.answer;
         self.again.insert((start.at, token));
         self.pace.made(now);
         let Start { service, host, nonce, .. } = &*start;
@@ -78,7 +78,7 @@
 
     /// A new start, for the service that needs it most.
     fn start(&mut self, now: Duration) -> Option<Order> {
-        if !self.listed || !self.room.known || self.starts.len() >= self.habits.under_way {
+        if !self.listed || !self.room.known || self.starts.len() >= self.tuning.under_way {
             return None;
         }
         let mut blocked = Vec::new();
@@ -103,7 +103,7 @@
             let host = zone.and_then(|z| self.room.place(now, &z, memory, &on, &mut self.chance));
             let Some(host) = host else {
                 if svc.not_before <= now {
-                    svc.not_before = now + self.habits.pass;
+                    svc.not_before = now + self.tuning.pass;
                     if let Some(r) = &mut self.rebind {
                         r.blocked(now, &name);
                     }
@@ -141,26 +141,26 @@
     }
 
     /// The answer to [`Order::Begin`].
-    pub fn begun(&mut self, now: Duration, token: u64, answer: Begun) {
+    pub fn start_answered(&mut self, now: Duration, token: u64, answer: StartResult) {
         let Some(start) = self.starts.get(&token) else { return };
         self.again.remove(&(start.at, token));
         let service = start.service.clone();
         match answer {
-            Begun::Done { instance, address } => {
+            StartResult::Started { instance, address } => {
                 let Some(start) = self.starts.remove(&token) else { return };
                 self.room.done(&start.host, token, now);
                 self.drop_under_way(&service, token);
                 self.came(now, &start, Came::Here { instance: instance.clone() });
                 self.accession(now, &start, instance, address);
             }
-            Begun::NoRoom => {
+            StartResult::NoCapacity => {
                 let Some(start) = self.starts.remove(&token) else { return };
                 let until = now + self.terms.list_lag + Duration::from_millis(200);
                 self.room.refused(&start.host, token, until);
                 self.drop_under_way(&service, token);
                 self.came(now, &start, Came::Refused);
             }
-            Begun::NoService => {
+            StartResult::UnknownService => {
                 let Some(start) = self.starts.remove(&token) else { return };
                 self.room.forget(&start.host, token);
                 self.drop_under_way(&service, token);
@@ -169,13 +169,13 @@
                     svc.not_before = now + Duration::from_secs(1);
                 }
             }
-            Begun::TooMany => {
+            StartResult::RateLimited => {
                 let pause = Duration::from_millis(150 + u64::from(self.chance.rand_range(0..100)));
                 self.pace.refused(now, pause);
                 self.start_again(token, now + pause);
                 self.trouble(now);
             }
-            Begun::Unclear => {
+            StartResult::OutcomeUnknown => {
                 self.unclear(now, token);
                 self.trouble(now);
             }
@@ -200,7 +200,7 @@
                 zone,
                 host: start.host.clone(),
                 since_ms: now.as_millis() as u64,
-                standing: Standing::Starting,
+                state: InstanceState::Starting,
                 replaces: start.replaces.clone(),
                 version: 0,
             },
@@ -233,7 +233,7 @@
     fn unclear(&mut self, now: Duration, token: u64) {
         let Some(s) = self.starts.get_mut(&token) else { return };
         s.tries = (s.tries + 1).min(RETRY_MOST);
-        let at = now + self.habits.repeat * s.tries;
+        let at = now + self.tuning.repeat * s.tries;
         self.start_again(token, at);
     }
 
@@ -244,14 +244,14 @@
     }
 
     /// The answer to [`Order::Stop`]; `ok` also when no such instance is known there (404).
-    pub fn stopped(&mut self, now: Duration, token: u64, ok: bool) {
+    pub fn stop_answered(&mut self, now: Duration, token: u64, ok: bool) {
         let Some((instance, _)) = self.stopping.remove(&token) else { return };
         if ok {
             self.ended(&instance);
-            self.lose(now, &instance, 3 * self.habits.gone_lasts);
+            self.lose(now, &instance, 3 * self.tuning.gone_lasts);
         } else if let Some(h) = self.book.mark(&instance) {
             h.stop_tries = (h.stop_tries + 1).min(RETRY_MOST);
-            let at = now + self.habits.repeat * h.stop_tries;
+            let at = now + self.tuning.repeat * h.stop_tries;
             h.stop_at = Some(at);
             self.stops.insert((at, instance));
         }
--- a/crates/stacks/src/scaler/planning.rs
+++ b/crates/stacks/src/scaler/planning.rs
@@ -22,11 +22,11 @@
             }
         }
         for id in lost {
-            self.lose(now, &id, self.habits.gone_lasts);
+            self.lose(now, &id, self.tuning.gone_lasts);
         }
         let silent: Vec<u64> = self.stopping.iter().filter(|s| s.1 .1 <= now).map(|s| *s.0).collect();
         for token in silent {
-            self.stopped(now, token, false);
+            self.stop_answered(now, token, false);
         }
         self.touched.clear();
         for name in self.services.keys().cloned().collect::<Vec<_>>() {
@@ -36,10 +36,10 @@
     }
 
     /// Demand of one service by the zone it comes from, cleaned, and calls waiting.
-    pub(crate) fn pulls(&self, now: Duration, svc: &Svc) -> (Vec<Pull>, u32) {
+    pub(crate) fn pulls(&self, now: Duration, svc: &Svc) -> (Vec<ZoneDemand>, u32) {
         let mut waiting = 0;
-        let lasts = self.habits.told_lasts;
-        let mut pulls: BTreeMap<&str, Pull> = BTreeMap::new();
+        let lasts = self.tuning.told_lasts;
+        let mut pulls: BTreeMap<&str, ZoneDemand> = BTreeMap::new();
         for t in svc.told.values().filter(|t| t.at + lasts > now) {
             let d = &t.demand;
             waiting += u32::from(d.waiting);
@@ -47,8 +47,9 @@
             let then = t.rates.front().map_or(rate, |r| r.1);
             let rise = (rate - then - 1.5 * (then + 0.5).sqrt()).max(0.0);
             for (zone, share) in t.shares() {
-                let pull =
-                    pulls.entry(zone).or_insert_with(|| Pull { zone: zone.to_string(), ..Pull::default() });
+                let pull = pulls
+                    .entry(zone)
+                    .or_insert_with(|| ZoneDemand { zone: zone.to_string(), ..ZoneDemand::default() });
                 // Run times of several lenders, weighed by their calls.
                 let (had, come) = (pull.rate + pull.busy, share * (rate + f64::from(d.busy)));
                 let weight = if had + come > 0.0 { come / (had + come) } else { 1.0 };
@@ -81,7 +82,7 @@
         let Some(svc) = self.services.get(name) else { return };
         let (pulls, waiting) = self.pulls(now, svc);
         let spec = svc.spec.clone();
-        let sleeps = self.habits.sleeps(&spec);
+        let sleeps = self.tuning.sleeps(&spec);
         let told_rate: f64 = pulls.iter().map(|p| p.rate).sum();
         let past = now.saturating_sub(svc.rate_at).as_secs_f64();
         let rate = svc.rate + (told_rate - svc.rate) * (1.0 - (-past / 15.0).exp());
@@ -102,7 +103,7 @@
                 *have.entry(&h.entry.zone).or_default() += 1;
                 there += 1;
                 last_ready = last_ready.max(h.ready.unwrap_or(now));
-            } else if h.entry.standing == Standing::Ending {
+            } else if h.entry.state == InstanceState::Ending {
                 ending += 1;
             }
         }
@@ -118,23 +119,23 @@
 
         let floor = if sleeps || !spec.routed {
             0
-        } else if svc.first_traffic.is_some_and(|f| f > Duration::ZERO && now < f + self.habits.early) {
-            self.habits.early_floor.max(self.habits.floor)
+        } else if svc.first_traffic.is_some_and(|f| f > Duration::ZERO && now < f + self.tuning.early) {
+            self.tuning.early_floor.max(self.tuning.floor)
         } else {
-            self.habits.floor
+            self.tuning.floor
         };
         // A start that takes longer than a drain leaves a gap wherever the only instance is lost.
         let covered = u128::from(spec.boot_ms) <= self.terms.drain.as_millis();
         let floor = if floor > 0 && !covered { floor.max(2) } else { floor };
         let homes = if floor > 0 { self.homes(name) } else { Vec::new() };
-        let mut want = wanted(&self.habits, &spec, &pulls, floor, &homes);
+        let mut want = desired_instances(&self.tuning, &spec, &pulls, floor, &homes);
         // Asleep, or idle for longer than an instance is worth.
         let mut idle = false;
         if floor == 0 && waiting == 0 {
             let last = svc.last_call.unwrap_or_default().max(last_ready);
-            idle = now > last + self.habits.window(&spec, usual) && !self.habits.keeps(&spec, 1.4 * usual);
-            if there == 0 && (svc.last_call.is_none_or(|c| c + self.habits.pass < now) || sleeps) || idle {
-                want = Wanted::default();
+            idle = now > last + self.tuning.window(&spec, usual) && !self.tuning.keeps(&spec, 1.4 * usual);
+            if there == 0 && (svc.last_call.is_none_or(|c| c + self.tuning.pass < now) || sleeps) || idle {
+                want = DesiredInstances::default();
             } else if want.total == 0 {
                 want.total = there.min(1);
                 want.zones = have.iter().take(1).map(|(z, _)| (z.to_string(), 1)).collect();
@@ -148,7 +149,7 @@
         let spread = |have: &BTreeMap<&str, u32>, zone: &str| {
             i64::from(want.in_zone(zone)) - i64::from(have.get(zone).copied().unwrap_or(0))
         };
-        let after = if sleeps { self.habits.lower_after_sleeper } else { self.habits.lower_after };
+        let after = if sleeps { self.tuning.lower_after_sleeper } else { self.tuning.lower_after };
         let watched = svc.watched.unwrap_or(now);
         let most =
             svc.highs.iter().filter(|h| h.0 + after > now).map(|h| h.1).max().unwrap_or(0).max(want.total);
@@ -159,7 +160,7 @@
         let mut zone_lack = None;
         if there < want.total {
             let mut count = want.total - there;
-            for h in self.book.of(name).filter(|h| h.entry.standing == Standing::Ending) {
+            for h in self.book.of(name).filter(|h| h.entry.state == InstanceState::Ending) {
                 if count > 0
                     && !h.stop_sent
                     && !h.leaving
@@ -171,7 +172,7 @@
                     count -= 1;
                 }
             }
-            for _ in 0..count.min(self.habits.under_way as u32) {
+            for _ in 0..count.min(self.tuning.under_way as u32) {
                 let most = want.zones.iter().max_by_key(|z| (spread(&have, &z.0), z.1));
                 let Some((zone, _)) = most else { break };
                 lacks.push(zone.clone());
@@ -187,7 +188,7 @@
             {
                 let since = svc.zone_lack.unwrap_or(now);
                 zone_lack = Some(since);
-                if since + self.habits.move_after <= now && ending == 0 {
+                if since + self.tuning.move_after <= now && ending == 0 {
                     lacks.push(zone.clone());
                     zone_lack = None;
                 }
@@ -196,14 +197,14 @@
                 // One that slept through its window is not kept longer; the last stops are never
                 // those of a service that cannot sleep, as `want` has its floor.
                 let down_to = if idle { want.total } else { most };
-                let due = idle || watched + after <= now && lowered + self.habits.lower_again <= now;
+                let due = idle || watched + after <= now && lowered + self.tuning.lower_again <= now;
                 let a_round = (begun / 3).max(1).saturating_sub(ending);
                 let count = (there - down_to.min(there)).min(a_round).min(begun.saturating_sub(down_to));
                 if due && count > 0 {
                     let mut ready: Vec<&Held> = self
                         .book
                         .of(name)
-                        .filter(|h| h.counts() && h.entry.standing == Standing::Ready)
+                        .filter(|h| h.counts() && h.entry.state == InstanceState::Ready)
                         .filter(|h| !moves.holds(&h.entry.instance))
                         .collect();
                     for _ in 0..count {
@@ -258,7 +259,8 @@
                 self.stops.remove(&(at, id.clone()));
             }
             self.book.change(&id, |h| {
-                h.entry.standing = if h.ready.is_some() { Standing::Ready } else { Standing::Starting };
+                h.entry.state =
+                    if h.ready.is_some() { InstanceState::Ready } else { InstanceState::Starting };
             });
         }
         for id in end {
--- a/crates/stacks/src/want.rs
+++ b/crates/stacks/src/want.rs
@@ -1,10 +1,10 @@
 //! How many instances a service wants, and in which zones.
 
-use crate::words::{Habits, Service};
+use crate::words::{Service, Tuning};
 
 /// Demand for a service in one zone, cleaned.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Pull {
+pub struct ZoneDemand {
     pub zone: String,
     /// Arrivals a second.
     pub rate: f64,
@@ -23,7 +23,7 @@
 
 /// Instances wanted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Wanted {
+pub struct DesiredInstances {
     pub total: u32,
     /// By zone, the sum is `total`; zones with none are left out.
     pub zones: Vec<(String, u32)>,
@@ -31,7 +31,7 @@
     pub own: Vec<(String, u32)>,
 }
 
-impl Wanted {
+impl DesiredInstances {
     pub(crate) fn in_zone(&self, zone: &str) -> u32 {
         self.zones.iter().find(|z| z.0 == zone).map_or(0, |z| z.1)
     }
@@ -41,7 +41,13 @@
 const MOST: f64 = 4096.0;
 
 /// What `pulls` want, with at least `floor` instances, which without demand go to `homes` in turn.
-pub fn wanted(habits: &Habits, s: &Service, pulls: &[Pull], floor: u32, homes: &[String]) -> Wanted {
+pub fn desired_instances(
+    tuning: &Tuning,
+    s: &Service,
+    pulls: &[ZoneDemand],
+    floor: u32,
+    homes: &[String],
+) -> DesiredInstances {
     let slots = f64::from(s.max_inflight.max(1));
     let target = f64::from(s.target_ms.max(1));
     let (mut busy, mut extra, mut peak) = (0.0, 0.0, 0.0);
@@ -56,8 +62,8 @@
         let b = p.busy.min(most).max(by_rate);
         let growth = (p.rise * f64::from(s.boot_ms) / 1e3 * run / 1e3).min(b.max(1.0));
         // Slots that catch up what waits; what gathers during a start is not all owed at once.
-        let catch_up = p.waiting * run / (target * habits.catch_up).max(run).max(1.0);
-        let wait = catch_up.min(b * habits.catch_up_most).max(p.waiting.min(1.0));
+        let catch_up = p.waiting * run / (target * tuning.catch_up).max(run).max(1.0);
+        let wait = catch_up.min(b * tuning.catch_up_most).max(p.waiting.min(1.0));
         busy += b;
         lent += p.busy;
         work += b * run;
@@ -65,37 +71,37 @@
         waits += wait;
         peak += p.peak;
         let share = b + growth + wait;
-        shares.push(if habits.sleeps(s) { share.min(p.peak.max(p.busy)) } else { share });
+        shares.push(if tuning.sleeps(s) { share.min(p.peak.max(p.busy)) } else { share });
     }
     // A call whose target is many runs may wait for a slot: then little is spare.
     let tight = if busy > 0.0 {
-        (habits.spare_runs * work / busy / target).clamp(habits.spare_least, 1.0)
+        (tuning.spare_runs * work / busy / target).clamp(tuning.spare_least, 1.0)
     } else {
         1.0
     };
     let spare = tight * busy.sqrt();
-    let need = if habits.sleeps(s) {
+    let need = if tuning.sleeps(s) {
         // Calls that can wait for a start can wait for a slot: no spare, and one call is no reason for a second instance. A call
         // that waits is in the peak and in the rate already; counted three times it had two or three instances started.
-        (busy / habits.used).max(lent + waits).max(peak.min(1.0)).min(peak.max(lent).max(1.0))
+        (busy / tuning.used).max(lent + waits).max(peak.min(1.0)).min(peak.max(lent).max(1.0))
     } else {
-        let need = busy + extra + habits.spare * spare;
-        let need = need.max((habits.peak_share * peak).min(busy + waits + 2.0 * spare));
+        let need = busy + extra + tuning.spare * spare;
+        let need = need.max((tuning.peak_share * peak).min(busy + waits + 2.0 * spare));
         // A quarter above what was ever wanted at once is enough.
         need.min((1.25 * peak).max(busy) + extra)
     };
     // Where calls come so often that crossing costs more than memory, a zone has its own.
-    let near = |p: &Pull| habits.crossing_cost * p.steady > habits.memory_a_second(s);
-    let own = |p: &Pull, busy: f64| {
-        (busy / slots + 1.0 - habits.own_zone).floor().clamp(0.0, MOST).max(f64::from(u8::from(near(p))))
+    let near = |p: &ZoneDemand| tuning.crossing_cost * p.steady > tuning.memory_a_second(s);
+    let own = |p: &ZoneDemand, busy: f64| {
+        (busy / slots + 1.0 - tuning.own_zone).floor().clamp(0.0, MOST).max(f64::from(u8::from(near(p))))
     };
     let total = (need / slots).min(MOST).ceil().max(f64::from(floor)) as u32;
     let owned: f64 = pulls.iter().zip(&shares).map(|(p, b)| own(p, *b)).sum();
     let total = total.max(owned as u32);
     if total == 0 {
-        return Wanted::default();
+        return DesiredInstances::default();
     }
-    let mut out = Wanted { total, zones: Vec::new(), own: Vec::new() };
+    let mut out = DesiredInstances { total, zones: Vec::new(), own: Vec::new() };
     out.own = pulls.iter().map(|p| (p.zone.clone(), own(p, p.slow) as u32)).filter(|z| z.1 > 0).collect();
     let sum: f64 = shares.iter().sum();
     if sum <= 0.0 {
--- a/crates/stacks/src/words.rs
+++ b/crates/stacks/src/words.rs
@@ -5,7 +5,7 @@
 
 /// What the settings say of the platform.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct PlatformSettings {
     /// Every zone with its region.
     pub zones: Vec<(String, String)>,
     /// How long a draining instance goes on serving.
@@ -13,7 +13,7 @@
     /// An ended instance's address may belong to another service after this long.
     pub address_reuse: Duration,
     /// Starts and stops a second which the platform allows to all schedulers together.
-    pub duty_rate: f64,
+    pub call_rate: f64,
     /// How late the platform's lists may be.
     pub list_lag: Duration,
 }
@@ -51,7 +51,7 @@
 
 /// An instance as `GET /instances` tells it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedInstance {
     pub instance: String,
     pub service: String,
     pub address: SocketAddr,
@@ -84,7 +84,7 @@
 
 /// Where an instance is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum InstanceState {
     /// Begun, and not known to accept connections.
     Starting,
     Ready,
@@ -104,7 +104,7 @@
     pub host: String,
     /// When it was begun or first heard of, ms on the clock of the holder that tells it.
     pub since_ms: u64,
-    pub standing: Standing,
+    pub state: InstanceState,
     /// While it is moved: the instance that it is to stand in for. A next holder goes on from there.
     pub replaces: Option<String>,
     /// Changes with each change of the entry; grows over holders too.
@@ -114,32 +114,32 @@
 /// A call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// `POST /v1/begin`; the answer goes to [`crate::Scaler::begun`].
+    /// `POST /v1/begin`; the answer goes to [`crate::Scaler::start_answered`].
     Begin { token: u64, service: String, host: String, nonce: String },
-    /// `POST /v1/stop`; the answer goes to [`crate::Scaler::stopped`].
+    /// `POST /v1/stop`; the answer goes to [`crate::Scaler::stop_answered`].
     Stop { token: u64, instance: String },
 }
 
 /// How a start was answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Begun {
-    Done {
+pub enum StartResult {
+    Started {
         instance: String,
         address: SocketAddr,
     },
     /// 409.
-    NoRoom,
+    NoCapacity,
     /// 429.
-    TooMany,
+    RateLimited,
     /// 400.
-    NoService,
+    UnknownService,
     /// No answer, or none that can be read: it may have been done.
-    Unclear,
+    OutcomeUnknown,
 }
 
 /// The scaler's judgement in figures.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Habits {
+pub struct Tuning {
     /// A full pass over all services happens this often.
     pub pass: Duration,
     /// What was told of demand counts for this long.
@@ -205,10 +205,10 @@
     pub settle: Duration,
 }
 
-impl Default for Habits {
-    fn default() -> Habits {
+impl Default for Tuning {
+    fn default() -> Tuning {
         let ms = Duration::from_millis;
-        Habits {
+        Tuning {
             pass: ms(250),
             told_lasts: ms(1500),
             sleep_factor: 1.3,
@@ -246,7 +246,7 @@
     }
 }
 
-impl Habits {
+impl Tuning {
     /// Whether a call can wait for a start and still be in time.
     pub fn sleeps(&self, s: &Service) -> bool {
         f64::from(s.target_ms) >= self.sleep_factor * f64::from(s.boot_ms) + self.sleep_margin_ms
--- a/crates/stacks/tests/origins.rs
+++ b/crates/stacks/tests/origins.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_stacks::{Begun, Demand, Entry, Host, Listed, Order, Scaler, Service, Standing, Terms};
+use tindock_stacks::{
+    Demand, Entry, Host, InstanceState, ListedInstance, Order, PlatformSettings, Scaler, Service, StartResult,
+};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -12,15 +14,15 @@
 
 fn scaler(service: Service) -> Scaler {
     let zone = |zone: &str| (zone.to_string(), "r".to_string());
-    let terms = Terms {
+    let terms = PlatformSettings {
         zones: vec![zone("a"), zone("b")],
         drain: ms(3000),
         address_reuse: ms(2000),
-        duty_rate: 100.0,
+        call_rate: 100.0,
         list_lag: ms(0),
     };
     let mut scaler = Scaler::new(terms, 1, 1, ms(0));
-    scaler.services(ms(0), &[service]);
+    scaler.update_services(ms(0), &[service]);
     let host = |zone: &str| Host {
         name: format!("w-{zone}"),
         zone: zone.into(),
@@ -28,8 +30,8 @@
         free_memory_mb: 8192,
         up: true,
     };
-    scaler.hosts(ms(0), &[host("a"), host("b")]);
-    scaler.listed(ms(0), &[]);
+    scaler.update_hosts(ms(0), &[host("a"), host("b")]);
+    scaler.update_instances(ms(0), &[]);
     scaler.inherit(ms(0), &[], &[], 1);
     scaler
 }
@@ -44,16 +46,20 @@
     let at = SocketAddr::from(([10, 0, 0, 1], 80));
     for t in (0..end).step_by(50) {
         if let Some(demand) = demand(t).filter(|_| t % 250 == 0) {
-            scaler.demand(ms(t), demand);
+            scaler.update_demand(ms(t), demand);
         }
         while let Some(order) = scaler.next(ms(t)) {
             match order {
                 Order::Begin { token, host, nonce, .. } => {
                     *by.entry(host).or_default() += 1;
-                    scaler.begun(ms(t), token, Begun::Done { instance: nonce.clone(), address: at });
-                    scaler.ready(ms(t), &nonce);
+                    scaler.start_answered(
+                        ms(t),
+                        token,
+                        StartResult::Started { instance: nonce.clone(), address: at },
+                    );
+                    scaler.instance_ready(ms(t), &nonce);
                 }
-                Order::Stop { token, .. } => scaler.stopped(ms(t), token, true),
+                Order::Stop { token, .. } => scaler.stop_answered(ms(t), token, true),
             }
         }
     }
@@ -128,11 +134,11 @@
         zone: "a".into(),
         host: "w-a".into(),
         since_ms: 0,
-        standing: Standing::Draining,
+        state: InstanceState::Draining,
         version: 0,
         replaces: None,
     };
-    let listed = Listed {
+    let listed = ListedInstance {
         instance: "i-1".into(),
         service: "s".into(),
         address: entry.address,
@@ -144,12 +150,12 @@
     let mut stopped = false;
     for t in (0..10_000).step_by(100) {
         if t % 500 == 0 && !stopped {
-            scaler.listed(ms(t), std::slice::from_ref(&listed));
+            scaler.update_instances(ms(t), std::slice::from_ref(&listed));
         }
         while let Some(order) = scaler.next(ms(t)) {
             let Order::Stop { token, instance } = order else { panic!("{order:?}") };
             assert_eq!(instance, "i-1");
-            scaler.stopped(ms(t), token, true);
+            scaler.stop_answered(ms(t), token, true);
             stopped = true;
         }
     }
@@ -164,7 +170,7 @@
     let mut scaler = scaler(service(128, 2900, 1, 1500));
     let Some(Order::Begin { token, host, .. }) = scaler.next(ms(0)) else { panic!("no start") };
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
-    scaler.begun(ms(0), token, Begun::Done { instance: "i-1".into(), address });
+    scaler.start_answered(ms(0), token, StartResult::Started { instance: "i-1".into(), address });
     let hosts = ["w-a", "w-b"].map(|name| Host {
         name: name.into(),
         zone: name[2..].into(),
@@ -172,7 +178,7 @@
         free_memory_mb: 8064,
         up: !drains || name != host,
     });
-    scaler.hosts(ms(500), &hosts);
+    scaler.update_hosts(ms(500), &hosts);
     let mut stopped = 0;
     for t in (500..2500).step_by(50) {
         while let Some(order) = scaler.next(ms(t)) {
--- a/crates/stacks/tests/sim.rs
+++ b/crates/stacks/tests/sim.rs
@@ -60,7 +60,7 @@
     made: VecDeque<u64>,
     rate: usize,
     unclear: f64,
-    lists: VecDeque<(u64, Vec<Host>, Vec<Listed>)>,
+    lists: VecDeque<(u64, Vec<Host>, Vec<ListedInstance>)>,
     loads: BTreeMap<(String, &'static str), Load>,
     /// (end, service, zone of the call, instance)
     running: Vec<(u64, String, &'static str, String)>,
@@ -77,18 +77,18 @@
 }
 
 enum Answer {
-    Begun(u64, Begun),
+    Started(u64, StartResult),
     Stopped(u64, bool),
 }
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> PlatformSettings {
+    PlatformSettings {
         zones: vec![("a".into(), "r".into()), ("b".into(), "r".into()), ("c".into(), "s".into())],
         drain: ms(3000),
         address_reuse: ms(2000),
-        duty_rate: 150.0,
+        call_rate: 150.0,
         list_lag: ms(LAG),
     }
 }
@@ -120,7 +120,7 @@
 impl World {
     fn new(seed: u64, services: Vec<Service>, hosts: usize, memory: u32) -> World {
         let mut scaler = Scaler::new(terms(), 7, seed, ms(0));
-        scaler.services(ms(0), &services);
+        scaler.update_services(ms(0), &services);
         let machines = (0..hosts)
             .map(|i| (format!("h{i}"), Machine { zone: ZONES[i % 3], memory, up: true, drains: false }));
         World {
@@ -200,11 +200,11 @@
             Order::Begin { token, service, host, nonce } => {
                 if busy {
                     self.refused += 1;
-                    self.answers.push((at, Answer::Begun(token, Begun::TooMany)));
+                    self.answers.push((at, Answer::Started(token, StartResult::RateLimited)));
                     return;
                 }
                 if lost && !done {
-                    self.answers.push((at + 300, Answer::Begun(token, Begun::Unclear)));
+                    self.answers.push((at + 300, Answer::Started(token, StartResult::OutcomeUnknown)));
                     return;
                 }
                 assert!(nonce.len() <= 64);
@@ -213,9 +213,9 @@
                 let answer = if let Some(id) = known {
                     let address =
                         format!("10.0.0.1:{}", 1000 + id[2..].parse::<u16>().unwrap()).parse().unwrap();
-                    Begun::Done { instance: id, address }
+                    StartResult::Started { instance: id, address }
                 } else if !m.up || m.drains || self.free(&host) < self.services[&service].memory_mb {
-                    Begun::NoRoom
+                    StartResult::NoCapacity
                 } else {
                     self.next_id += 1;
                     self.starts += 1;
@@ -237,10 +237,10 @@
                     };
                     self.insts.insert(id.clone(), inst);
                     self.nonces.insert(nonce, id.clone());
-                    Begun::Done { instance: id, address }
+                    StartResult::Started { instance: id, address }
                 };
-                let answer = if lost { Begun::Unclear } else { answer };
-                self.answers.push((at, Answer::Begun(token, answer)));
+                let answer = if lost { StartResult::OutcomeUnknown } else { answer };
+                self.answers.push((at, Answer::Started(token, answer)));
             }
             Order::Stop { token, instance } => {
                 if busy {
@@ -299,7 +299,7 @@
                     up: !m.drains,
                 })
                 .collect();
-            let list = self.insts.iter().filter(|i| i.1.up_at <= t).map(|(id, i)| Listed {
+            let list = self.insts.iter().filter(|i| i.1.up_at <= t).map(|(id, i)| ListedInstance {
                 instance: id.clone(),
                 service: i.service.clone(),
                 address: i.address,
@@ -314,8 +314,8 @@
                 self.lists.pop_front();
             }
             if let Some((_, hosts, list)) = self.lists.front().cloned() {
-                self.scaler.hosts(now, &hosts);
-                self.scaler.listed(now, &list);
+                self.scaler.update_hosts(now, &hosts);
+                self.scaler.update_instances(now, &list);
             }
         }
         // Answers of the platform.
@@ -323,8 +323,8 @@
         self.answers = later;
         for (_, a) in due {
             match a {
-                Answer::Begun(token, b) => self.scaler.begun(now, token, b),
-                Answer::Stopped(token, ok) => self.scaler.stopped(now, token, ok),
+                Answer::Started(token, b) => self.scaler.start_answered(now, token, b),
+                Answer::Stopped(token, ok) => self.scaler.stop_answered(now, token, ok),
             }
         }
         self.calls();
@@ -359,7 +359,7 @@
         }
         let mut lend: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for e in self.scaler.entries() {
-            if e.standing != Standing::Ending {
+            if e.state != InstanceState::Ending {
                 lend.entry(e.service.clone()).or_default().push(e.instance.clone());
             }
         }
@@ -408,7 +408,7 @@
             if l.told + 250 <= t && l.last.is_some_and(|x| x + 8000 > t) || urgent {
                 l.told = t;
                 let rate: f64 = l.carry.iter().map(|c| (-((t - c) as f64) / 1e3).exp()).sum();
-                self.scaler.demand(
+                self.scaler.update_demand(
                     now,
                     Demand {
                         service: service.clone(),
@@ -426,9 +426,9 @@
         }
         for (id, ready) in news {
             if ready {
-                self.scaler.ready(now, &id);
+                self.scaler.instance_ready(now, &id);
             } else {
-                self.scaler.gone(now, &id);
+                self.scaler.instance_gone(now, &id);
             }
         }
     }
@@ -482,7 +482,7 @@
     w.run(1400);
     assert_eq!(w.served, 1);
     assert_eq!(w.late, 0);
-    let window = Habits::default().window(&log("l"), 1.0).as_millis() as u64;
+    let window = Tuning::default().window(&log("l"), 1.0).as_millis() as u64;
     w.run(window + 2000);
     assert_eq!(w.alive("l"), 0);
     assert_eq!((w.starts, w.stops), (1, 1));
@@ -637,10 +637,10 @@
     let before = w.starts;
     let specs: Vec<Service> = w.services.values().cloned().collect();
     let entries: Vec<Entry> = w.scaler.entries().cloned().collect();
-    let (numbers, tag) = w.scaler.numbers();
+    let (numbers, tag) = w.scaler.start_numbers();
     let version = w.scaler.version();
     let mut next = Scaler::new(terms(), 8, seed, ms(w.t));
-    next.services(ms(w.t), &specs);
+    next.update_services(ms(w.t), &specs);
     if inherits {
         next.inherit(ms(w.t), &entries, &numbers, tag);
     }
@@ -649,7 +649,7 @@
     w.run(8000);
     assert!(w.scaler.settled());
     assert!(w.scaler.version() > version);
-    assert!(w.scaler.since(version).whole);
+    assert!(w.scaler.changes_since(version).complete);
     assert!(w.starts <= before + 2, "{} after {before}", w.starts);
     w.agrees();
     w.run(10_000);
@@ -676,7 +676,7 @@
 fn a_service_that_is_gone_is_weeded() {
     let mut w = World::new(1, vec![dock("d"), dock("e")], 3, 8000);
     w.run(5000);
-    w.scaler.services(ms(w.t), &[dock("e")]);
+    w.scaler.update_services(ms(w.t), &[dock("e")]);
     w.run(1500);
     assert_eq!((w.alive("d"), w.alive("e")), (0, 1));
     w.run(5000);
@@ -691,8 +691,8 @@
     for round in 0..300 {
         w.load("d", "a", if round % 40 < 20 { 60.0 } else { 5.0 });
         w.run(300);
-        let news = w.scaler.since(version);
-        if news.whole {
+        let news = w.scaler.changes_since(version);
+        if news.complete {
             have.clear();
         }
         version = news.version;
@@ -708,7 +708,7 @@
     let all: Vec<Service> =
         (0..1000).map(|i| if i < 100 { dock(&format!("s{i}")) } else { log(&format!("s{i}")) }).collect();
     let mut s = Scaler::new(terms(), 1, 1, ms(0));
-    s.services(ms(0), &all);
+    s.update_services(ms(0), &all);
     let hosts: Vec<Host> = (0..40)
         .map(|i| Host {
             name: format!("h{i}"),
@@ -724,11 +724,11 @@
     for t in (0..20_000).step_by(50) {
         let now = ms(t);
         if t % 500 == 0 {
-            s.hosts(now, &hosts);
-            let list: Vec<Listed> = s
+            s.update_hosts(now, &hosts);
+            let list: Vec<ListedInstance> = s
                 .entries()
                 .filter(|e| e.since_ms + 2000 < t)
-                .map(|e| Listed {
+                .map(|e| ListedInstance {
                     instance: e.instance.clone(),
                     service: e.service.clone(),
                     address,
@@ -737,11 +737,11 @@
                     draining: false,
                 })
                 .collect();
-            s.listed(now, &list);
+            s.update_instances(now, &list);
         }
         if t % 250 == 0 {
             for spec in &all {
-                s.demand(
+                s.update_demand(
                     now,
                     Demand {
                         service: spec.name.clone(),
@@ -760,7 +760,7 @@
         while let Some(order) = s.next(now) {
             orders += 1;
             if let Order::Begin { token, nonce, .. } = order {
-                s.begun(now, token, Begun::Done { instance: nonce, address });
+                s.start_answered(now, token, StartResult::Started { instance: nonce, address });
             }
         }
     }
@@ -772,10 +772,13 @@
 
 #[rstest]
 fn odd_input_does_no_harm() {
-    let mut s = Scaler::new(Terms { zones: vec![], ..terms() }, 1, 1, ms(5));
-    s.services(ms(0), &[Service { memory_mb: 0, boot_ms: 0, max_inflight: 0, target_ms: 0, ..dock("d") }]);
-    s.hosts(ms(0), &[]);
-    s.listed(ms(0), &[]);
+    let mut s = Scaler::new(PlatformSettings { zones: vec![], ..terms() }, 1, 1, ms(5));
+    s.update_services(
+        ms(0),
+        &[Service { memory_mb: 0, boot_ms: 0, max_inflight: 0, target_ms: 0, ..dock("d") }],
+    );
+    s.update_hosts(ms(0), &[]);
+    s.update_instances(ms(0), &[]);
     for x in [f32::NAN, f32::INFINITY, -1.0, 1e30] {
         let d = Demand {
             service: "d".into(),
@@ -788,13 +791,13 @@
             idle_ms: u32::MAX,
             origins: Vec::new(),
         };
-        s.demand(ms(10), d);
+        s.update_demand(ms(10), d);
         assert_eq!(s.next(ms(10)), None);
     }
-    s.begun(ms(1), 99, Begun::Unclear);
-    s.stopped(ms(1), 99, true);
-    s.gone(ms(1), "x");
-    s.ready(ms(1), "x");
+    s.start_answered(ms(1), 99, StartResult::OutcomeUnknown);
+    s.stop_answered(ms(1), 99, true);
+    s.instance_gone(ms(1), "x");
+    s.instance_ready(ms(1), "x");
     assert!(s.next_due() > ms(10));
 }
 
@@ -853,8 +856,8 @@
 
 /// As pages hand it on: what lends no more is told as draining.
 fn by_wire(mut e: Entry) -> Entry {
-    if e.standing == Standing::Ending {
-        e.standing = Standing::Draining;
+    if e.state == InstanceState::Ending {
+        e.state = InstanceState::Draining;
     }
     e
 }
@@ -875,10 +878,10 @@
     let specs: Vec<Service> = w.services.values().cloned().collect();
     let entries = w.scaler.entries().cloned().map(|e| if wire { by_wire(e) } else { e });
     let entries: Vec<Entry> = entries.collect();
-    let (numbers, tag) = w.scaler.numbers();
+    let (numbers, tag) = w.scaler.start_numbers();
     let mut next = Scaler::new(terms(), 8, seed, ms(w.t));
     next.set_rebinding(ms(w.t), Rebinding::Holes);
-    next.services(ms(w.t), &specs);
+    next.update_services(ms(w.t), &specs);
     next.inherit(ms(w.t), &entries, &numbers, tag);
     w.scaler = next;
     w.answers.clear();
@@ -919,12 +922,12 @@
             w.load("big", "b", 6.0);
         }
         match what {
-            "configuration" => w.scaler.configuring(now),
+            "configuration" => w.scaler.configuration_changing(now),
             "trouble" => {
                 let drains = round / 4 % 2 == 0;
                 w.machines.insert("x".into(), Machine { zone: "a", memory: 0, up: true, drains });
             }
-            _ => w.scaler.demand(
+            _ => w.scaler.update_demand(
                 now,
                 Demand {
                     service: quiet.clone(),
@@ -955,20 +958,20 @@
     let (plan, may) = w.scaler.rebinding_plan(now).unwrap();
     assert_eq!((plan.before.holes_lacking, plan.after.holes_lacking, may), (1, 0, Ok(())));
     w.scaler.rebinding_pause(now, true, false).unwrap();
-    assert_eq!(w.scaler.rebinding_run(now), Err(NotRun::Not(rebinding::No::Paused)));
-    assert!(w.scaler.rebinding_shown(now).paused);
+    assert_eq!(w.scaler.rebinding_run(now), Err(RunRefusal::Blocked(rebinding::No::Paused)));
+    assert!(w.scaler.rebinding_status(now).paused);
     w.scaler.rebinding_pause(now, false, false).unwrap();
     assert_eq!(w.scaler.rebinding_run(now), Ok(plan.moves.len()));
     w.run(500);
     let now = ms(w.t);
-    assert_eq!(w.scaler.rebinding_run(now), Err(NotRun::Busy));
-    let shown = w.scaler.rebinding_shown(now);
-    assert_eq!((shown.moves.len(), shown.expected), (plan.moves.len(), vec!["big".to_string()]));
+    assert_eq!(w.scaler.rebinding_run(now), Err(RunRefusal::Busy));
+    let shown = w.scaler.rebinding_status(now);
+    assert_eq!((shown.moves.len(), shown.blocked_functions), (plan.moves.len(), vec!["big".to_string()]));
     // Given up before the new one serves: all is as it was.
     w.scaler.rebinding_pause(now, true, true).unwrap();
     w.run(25_000);
-    let shown = w.scaler.rebinding_shown(ms(w.t));
-    assert!(shown.moves.is_empty() && shown.ends.iter().all(|e| e.2 == rebinding::Outcome::Undone));
+    let shown = w.scaler.rebinding_status(ms(w.t));
+    assert!(shown.moves.is_empty() && shown.finished.iter().all(|e| e.2 == rebinding::Outcome::Undone));
     docks_stand(&w);
 }
 
@@ -985,7 +988,7 @@
     let mut stopped = 0;
     for _ in 0..6000 {
         w.run(10);
-        for e in w.scaler.entries().filter(|e| e.standing == Standing::Ending) {
+        for e in w.scaler.entries().filter(|e| e.state == InstanceState::Ending) {
             letting.entry(e.instance.clone()).or_insert(w.t);
         }
         let replaced: Vec<String> = w.scaler.entries().filter_map(|e| e.replaces.clone()).collect();
@@ -1005,7 +1008,7 @@
 #[rstest]
 fn one_that_drains_is_not_taken_back_before_its_stop(#[values(false, true)] drains: bool) {
     let at: SocketAddr = "10.0.0.1:80".parse().unwrap();
-    let listed = |n: u32, draining: bool| Listed {
+    let listed = |n: u32, draining: bool| ListedInstance {
         instance: format!("i{n}"),
         service: "d".into(),
         address: at,
@@ -1015,12 +1018,12 @@
     };
     let host = Host { name: "m".into(), zone: "a".into(), memory_mb: 8000, free_memory_mb: 0, up: true };
     let mut scaler = Scaler::new(terms(), 7, 1, ms(0));
-    scaler.services(ms(0), &[dock("d")]);
+    scaler.update_services(ms(0), &[dock("d")]);
     scaler.inherit(ms(0), &[], &[], 7);
-    scaler.hosts(ms(0), &[host]);
-    scaler.listed(ms(0), &[listed(0, false), listed(1, false), listed(2, false)]);
+    scaler.update_hosts(ms(0), &[host]);
+    scaler.update_instances(ms(0), &[listed(0, false), listed(1, false), listed(2, false)]);
     let ending = |scaler: &Scaler| {
-        let ends = |e: &&Entry| e.standing == Standing::Ending;
+        let ends = |e: &&Entry| e.state == InstanceState::Ending;
         scaler.entries().find(ends).map(|e| e.instance.clone())
     };
     let mut t = 0;
@@ -1030,8 +1033,8 @@
         while scaler.next(ms(t)).is_some() {}
     }
     let leaves = ending(&scaler).unwrap();
-    let list: Vec<Listed> = (0..3).map(|n| listed(n, drains && leaves == format!("i{n}"))).collect();
-    scaler.listed(ms(t + STEP), &list);
+    let list: Vec<ListedInstance> = (0..3).map(|n| listed(n, drains && leaves == format!("i{n}"))).collect();
+    scaler.update_instances(ms(t + STEP), &list);
     let demand = Demand {
         service: "d".into(),
         zone: "a".into(),
@@ -1043,7 +1046,7 @@
         idle_ms: 0,
         origins: Vec::new(),
     };
-    scaler.demand(ms(t + 2 * STEP), demand);
+    scaler.update_demand(ms(t + 2 * STEP), demand);
     while scaler.next(ms(t + 2 * STEP)).is_some() {}
     assert_eq!(ending(&scaler), drains.then_some(leaves));
 }
