--- a/crates/stacks/src/lib.rs
+++ b/crates/stacks/src/lib.rs
@@ -1,28 +1,29 @@
-//! The scaler: how many instances of each function run, where, and which one to stop.
+//! The autoscaler: how many instances of each function run, where, and which one to stop.
 //!
-//! A decider without I/O. Inputs carry the time on the caller's steady clock; [`Scaler::next`] is
-//! called until it gives `None`, and again at [`Scaler::next_due`] or after any input. Chance is
-//! seeded, so a run can be played again.
+//! Decision logic without I/O. Inputs carry the time on the caller's monotonic clock; [`Scaler::next`] is
+//! called until it returns `None`, and again at [`Scaler::next_due`] or after any input. The random generator
+//! is seeded, so that a run can be reproduced.
 //!
-//! Words: an *instance* is one running worker of a service and an [`Entry`] of the stacks; a
-//! *host* is a machine of the platform; an *accession* is a start, *weeding* a stop. In each zone
-//! one *lender* gives out the slots of the instances there and tells [`Demand`].
+//! Terms: an *instance* is one running worker of a service, recorded as an [`Entry`]; a *host* is a machine
+//! of the platform. In each zone one *slot allocator* assigns calls to the slots of the instances there and
+//! reports [`Demand`].
 //!
-//! Whoever holds the lease runs one `Scaler`. Its successor begins with [`Scaler::inherit`] (what
-//! the schedulers know) and with the platform's lists; accessions go on under the numbers of the
-//! earlier holder, so that one which was done but never told is repeated, not doubled.
+//! The holder of the leadership lease runs one `Scaler`. Its successor begins with [`Scaler::inherit`] (what
+//! the schedulers know) and with the platform's lists. Starts are numbered on from the previous holder's
+//! numbers: a start that was executed but not yet reported is requested again under the same nonce, and so
+//! not executed twice.
 
-mod book;
-mod pace;
+mod capacity;
+mod desired;
+mod rate_limiter;
 mod rebind;
-mod room;
+mod registry;
 mod scaler;
-mod want;
-mod words;
+mod types;
 
-pub use book::ChangeSet;
+pub use desired::{desired_instances, DesiredInstances, ZoneDemand};
 pub use rebind::{Rebinding, RebindingStatus, RunRefusal};
+pub use registry::ChangeSet;
 pub use scaler::Scaler;
 pub use tindock_rebinding as rebinding;
-pub use want::{desired_instances, DesiredInstances, ZoneDemand};
-pub use words::*;
+pub use types::*;
--- a/crates/stacks/src/rebind.rs
+++ b/crates/stacks/src/rebind.rs
@@ -1,5 +1,5 @@
-//! Moves of instances in the scaler's pass: what the mover sees, what is made of its orders, when a plan is made.
-//! `docs/design/rebinding.md`, "Who calls it".
+//! Moves of instances within the autoscaler's pass: the input of the mover, the execution of its orders, and
+//! when a plan is made. See `docs/design/rebinding.md`, "Who calls it".
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -10,58 +10,61 @@
 
 pub(crate) use tindock_rebinding::Came;
 
-use crate::book::{Book, Held};
-use crate::room::Room;
+use crate::capacity::HostCapacity;
+use crate::registry::{InstanceRecord, Registry};
 use crate::scaler::{Scaler, Start};
-use crate::words::{InstanceState, Order};
-
-/// A start without room is expected again for so long.
-const EXPECTED: Duration = Duration::from_secs(20);
-/// Starts that holes are made for at once.
-const EXPECTED_MOST: usize = 4;
-/// Plans are looked for this often while one is wanted.
-const PLAN_AGAIN: Duration = Duration::from_secs(5);
-/// After a configuration, or something lost: not calm.
-const UNREST: Duration = Duration::from_secs(2);
-const CONFIGURING: Duration = Duration::from_secs(5);
-/// A new holder has not heard all lenders before.
-const HEARD: Duration = Duration::from_secs(3);
-/// Slots wanted are compared with those of so long ago.
-const BEFORE: Duration = Duration::from_secs(10);
-/// Accepted without a complaint for so long, and for three runs: then it has answered.
-const ANSWERED: Duration = Duration::from_secs(1);
-/// Ends of moves told to staff.
-const ENDS: usize = 32;
-/// A holder shares a fraction of a core with its lease: no search where there is more.
-const PLANNED_MOST: usize = 2000;
+use crate::types::{InstanceState, Order};
+
+/// A start that found no free capacity is expected to be retried for this long.
+const START_EXPECTED_FOR: Duration = Duration::from_secs(20);
+/// Blocked starts that a plan makes room for at once.
+const MAX_EXPECTED_STARTS: usize = 4;
+/// Interval between attempts to make a plan while one is needed.
+const PLAN_INTERVAL: Duration = Duration::from_secs(5);
+/// No moves for this long after a disturbance (a lost instance, a failed call) or a configuration change.
+const DISTURBANCE_PAUSE: Duration = Duration::from_secs(2);
+const CONFIGURATION_PAUSE: Duration = Duration::from_secs(5);
+/// A new lease holder may lack the demand of some slot allocators for this long after the registry is
+/// complete.
+const SETTLING_PAUSE: Duration = Duration::from_secs(3);
+/// The wanted slots are compared with those of this long ago.
+const GROWTH_WINDOW: Duration = Duration::from_secs(10);
+/// An instance that accepted connections for this long, and for three mean run times, without a reported loss
+/// counts as having answered.
+const ANSWERED_AFTER: Duration = Duration::from_secs(1);
+/// Finished moves kept for operators.
+const MAX_FINISHED: usize = 32;
+/// With more instances no plan is searched for: the search runs on the fraction of a core that also renews
+/// the lease.
+const MAX_PLANNED_INSTANCES: usize = 2000;
 const PROBES: u64 = 20_000;
 
-/// What may be moved.
+/// Which instances may be moved.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Rebinding {
-    /// Nothing, and no plan is made.
+    /// None, and no plan is made.
     #[default]
     Off,
-    /// Nothing by itself; staff may ask for a plan and run it.
+    /// None automatically; operators may request a plan and run it.
     Plan,
-    /// To make room for a start that finds none.
+    /// Those whose move makes room for a blocked start.
     Holes,
-    /// And to take urgent instances of one function from one host.
+    /// Also urgent instances of one function that share a host.
     All,
 }
 
-/// Why staff's wish was not followed.
+/// Why a plan requested by operators was not made or run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunRefusal {
     Off,
     /// Moves are under way.
     Busy,
-    /// Above what is planned for at once.
+    /// More instances than a plan is searched for.
     TooLarge,
     Blocked(No),
 }
 
-/// How it stands, for staff.
+/// State of the moves, for operators.
 #[derive(Clone, Debug, Default)]
 pub struct RebindingStatus {
     pub mode: Rebinding,
@@ -69,36 +72,36 @@
     /// Why a plan would not be run now.
     pub blocked_by: Option<No>,
     pub moves: Vec<Progress>,
-    /// Of the plan, not begun.
+    /// Moves of the plan that have not begun.
     pub waiting: usize,
-    /// Functions whose starts find no room.
+    /// Functions whose starts find no free capacity.
     pub blocked_functions: Vec<String>,
-    /// The last ends of moves, the newest last, with the time since then.
+    /// The last finished moves, the newest last, with the time since then.
     pub finished: Vec<(Duration, String, Outcome)>,
 }
 
 #[derive(Debug)]
-enum Todo {
+enum PendingCall {
     Begin { service: String, host: String, nonce: String, replaces: String },
     Stop(String),
 }
 
-/// The moves under way of one function, for the scaler's count: a pair is one instance.
+/// The moves in progress of one function. The old and the new instance of a move count as one.
 #[derive(Debug, Default)]
 pub(crate) struct Moves {
-    held: BTreeSet<String>,
-    silent: BTreeSet<String>,
-    /// Zones where one is to come whose old one no longer counts.
-    pub(crate) coming: Vec<String>,
+    instances: BTreeSet<String>,
+    uncounted: BTreeSet<String>,
+    /// Zones of new instances that are not started yet and whose old instance no longer counts.
+    pub(crate) awaited_zones: Vec<String>,
 }
 
 impl Moves {
     pub(crate) fn holds(&self, instance: &str) -> bool {
-        self.held.contains(instance)
+        self.instances.contains(instance)
     }
 
     pub(crate) fn counts(&self, instance: &str) -> bool {
-        !self.silent.contains(instance)
+        !self.uncounted.contains(instance)
     }
 }
 
@@ -107,109 +110,109 @@
     mode: Rebinding,
     mover: Mover,
     judge: Judge,
-    looked: bool,
+    observed: bool,
     seed: u64,
-    /// Functions whose starts found no room: first, last.
-    blocked: BTreeMap<String, (Duration, Duration)>,
-    slots: VecDeque<(Duration, u32)>,
-    trouble: Option<Duration>,
-    configuring: Option<Duration>,
-    settled: Option<Duration>,
-    /// Since when an instance lends no more.
-    letting: BTreeMap<String, Duration>,
-    todo: VecDeque<Todo>,
-    planned: Option<Duration>,
-    ends: VecDeque<(Duration, String, Outcome)>,
+    /// Functions whose starts found no free capacity, with the first and the last time.
+    blocked_starts: BTreeMap<String, (Duration, Duration)>,
+    slot_history: VecDeque<(Duration, u32)>,
+    last_disturbance: Option<Duration>,
+    last_configuration: Option<Duration>,
+    settled_since: Option<Duration>,
+    /// Since when the slots of an instance are no longer allocated.
+    unallocated_since: BTreeMap<String, Duration>,
+    pending_calls: VecDeque<PendingCall>,
+    last_plan: Option<Duration>,
+    finished: VecDeque<(Duration, String, Outcome)>,
 }
 
 impl Rebind {
-    pub(crate) fn blocked(&mut self, now: Duration, service: &str) {
-        if self.blocked.len() < 256 || self.blocked.contains_key(service) {
-            self.blocked.entry(service.to_string()).or_insert((now, now)).1 = now;
+    pub(crate) fn record_blocked(&mut self, now: Duration, service: &str) {
+        if self.blocked_starts.len() < 256 || self.blocked_starts.contains_key(service) {
+            self.blocked_starts.entry(service.to_string()).or_insert((now, now)).1 = now;
         }
     }
 
     pub(crate) fn has_orders(&self) -> bool {
-        !self.todo.is_empty()
+        !self.pending_calls.is_empty()
     }
 
-    pub(crate) fn moves_of(&self, service: &str, book: &Book, room: &Room) -> Moves {
+    pub(crate) fn moves_of(&self, service: &str, registry: &Registry, capacity: &HostCapacity) -> Moves {
         let mut moves = Moves::default();
         if self.mover.idle() {
             return moves;
         }
         for p in self.mover.progress().into_iter().filter(|p| p.service == service) {
-            let counts = |id: &str| book.get(id).is_some_and(Held::counts);
+            let counts = |id: &str| registry.get(id).is_some_and(InstanceRecord::counts);
             let old = counts(&p.instance);
             let new = p.new.as_deref().is_some_and(counts);
             if let Some(id) = p.new.clone().filter(|_| p.undoing || old) {
-                moves.silent.insert(id);
+                moves.uncounted.insert(id);
             }
             if let Some(to) = p.to.as_deref().filter(|_| !p.undoing && !old && !new) {
-                moves.coming.push(room.zone(to).unwrap_or_default().to_string());
+                moves.awaited_zones.push(capacity.zone(to).unwrap_or_default().to_string());
             }
-            moves.held.insert(p.instance);
-            moves.held.extend(p.new);
+            moves.instances.insert(p.instance);
+            moves.instances.extend(p.new);
         }
         moves
     }
 
-    fn expected(&self, now: Duration) -> impl Iterator<Item = &String> {
-        self.blocked.iter().filter(move |b| b.1 .1 + EXPECTED > now).map(|b| b.0)
+    fn recently_blocked(&self, now: Duration) -> impl Iterator<Item = &String> {
+        self.blocked_starts.iter().filter(move |b| b.1 .1 + START_EXPECTED_FOR > now).map(|b| b.0)
     }
 }
 
 impl Scaler {
-    /// What may be moved; to be told once, before the first pass. Off unless told.
+    /// Sets what may be moved; to be called once, before the first pass. `Off` by default.
     pub fn set_rebinding(&mut self, now: Duration, mode: Rebinding) {
         self.rebind = (mode != Rebinding::Off).then(|| {
             Box::new(Rebind {
                 mode,
                 mover: Mover::new(self.tag, now, moving::Habits::default()),
                 judge: Judge::new(now),
-                looked: false,
+                observed: false,
                 seed: self.tag,
-                blocked: BTreeMap::new(),
-                slots: VecDeque::new(),
-                trouble: None,
-                configuring: None,
-                settled: None,
-                letting: BTreeMap::new(),
-                todo: VecDeque::new(),
-                planned: None,
-                ends: VecDeque::new(),
+                blocked_starts: BTreeMap::new(),
+                slot_history: VecDeque::new(),
+                last_disturbance: None,
+                last_configuration: None,
+                settled_since: None,
+                unallocated_since: BTreeMap::new(),
+                pending_calls: VecDeque::new(),
+                last_plan: None,
+                finished: VecDeque::new(),
             })
         });
     }
 
-    /// A configuration is on its way: nothing is moved for a while.
+    /// A configuration change is being distributed: nothing is moved for a while.
     pub fn configuration_changing(&mut self, now: Duration) {
         if let Some(r) = &mut self.rebind {
-            r.configuring = Some(now);
+            r.last_configuration = Some(now);
         }
     }
 
-    pub(crate) fn trouble(&mut self, now: Duration) {
+    pub(crate) fn note_disturbance(&mut self, now: Duration) {
         if let Some(r) = &mut self.rebind {
-            r.trouble = Some(now);
+            r.last_disturbance = Some(now);
         }
     }
 
-    pub(crate) fn came(&mut self, now: Duration, start: &Start, came: Came) {
+    pub(crate) fn move_start_answered(&mut self, now: Duration, start: &Start, outcome: Came) {
         if let Some(r) = self.rebind.as_mut().filter(|_| start.replaces.is_some()) {
-            let again = match &came {
-                Came::Here { instance } => self.dead.contains_key(instance).then(|| instance.clone()),
+            let again = match &outcome {
+                Came::Here { instance } => self.tombstones.contains_key(instance).then(|| instance.clone()),
                 Came::Refused => None,
             };
-            r.mover.began(now, &start.nonce, came);
-            // The repeat of an earlier holder's start, whose instance has ended since.
+            r.mover.began(now, &start.nonce, outcome);
+            // The repeated start of a previous lease holder, whose instance has ended since.
             if let Some(instance) = again {
                 r.mover.ended(&instance);
             }
         }
     }
 
-    pub(crate) fn ended(&mut self, instance: &str) {
+    pub(crate) fn move_instance_ended(&mut self, instance: &str) {
         if let Some(r) = &mut self.rebind {
             r.mover.ended(instance);
         }
@@ -217,67 +220,75 @@
 
     pub(crate) fn rebind_pass(&mut self, now: Duration) {
         let Some(mut r) = self.rebind.take() else { return };
-        // The holder's carrier calls no pass after the end of the lease.
-        r.mover.lease(now + 2 * self.tuning.pass);
-        r.blocked.retain(|name, b| b.1 + EXPECTED > now && self.services.contains_key(name));
-        if self.book.settled {
-            r.settled.get_or_insert(now);
+        // The caller runs no pass after the end of the lease.
+        r.mover.lease(now + 2 * self.tuning.pass_interval);
+        r.blocked_starts.retain(|name, b| b.1 + START_EXPECTED_FOR > now && self.services.contains_key(name));
+        if self.registry.settled {
+            r.settled_since.get_or_insert(now);
         }
-        if self.book.settled && (!r.looked || !r.mover.idle()) {
-            r.looked = true;
-            self.rebind_look(now, &mut r);
+        if self.registry.settled && (!r.observed || !r.mover.idle()) {
+            r.observed = true;
+            self.step_moves(now, &mut r);
         }
-        let moment = self.moment(now, &mut r);
+        let moment = self.conditions(now, &mut r);
         let no = r.judge.moment(now, &moment);
         let wants = match r.mode {
             Rebinding::Off | Rebinding::Plan => false,
-            Rebinding::Holes => self.holes(now, &r).next().is_some(),
+            Rebinding::Holes => self.blocked_starts_that_fit(now, &r).next().is_some(),
             Rebinding::All => true,
         };
-        let due = r.planned.is_none_or(|p| p + PLAN_AGAIN <= now);
+        let due = r.last_plan.is_none_or(|p| p + PLAN_INTERVAL <= now);
         if wants && due && no.is_none() {
-            r.planned = Some(now);
-            let _ = self.rebind_run(now, &mut r);
+            r.last_plan = Some(now);
+            let _ = self.run_plan(now, &mut r);
         }
         self.rebind = Some(r);
     }
 
-    /// Expected starts that would fit into what is free on all hosts together.
-    fn holes<'a>(&'a self, now: Duration, r: &'a Rebind) -> impl Iterator<Item = (&'a str, Measure)> + 'a {
-        let free: u64 = self.room.all(now).filter(|h| h.4).map(|h| u64::from(h.3)).sum();
-        r.expected(now)
+    /// Blocked starts that would fit into the free memory of all hosts together.
+    fn blocked_starts_that_fit<'a>(
+        &'a self,
+        now: Duration,
+        r: &'a Rebind,
+    ) -> impl Iterator<Item = (&'a str, Measure)> + 'a {
+        let free: u64 = self.capacity.all(now).filter(|h| h.4).map(|h| u64::from(h.3)).sum();
+        r.recently_blocked(now)
             .filter_map(|name| self.services.get(name))
-            .map(|svc| (svc.spec.name.as_str(), Measure::mb(svc.spec.memory_mb)))
+            .map(|service_state| {
+                (service_state.spec.name.as_str(), Measure::mb(service_state.spec.memory_mb))
+            })
             .filter(move |s| u64::from(s.1.memory_mb) <= free)
-            .take(EXPECTED_MOST)
+            .take(MAX_EXPECTED_STARTS)
     }
 
-    fn moment(&self, now: Duration, r: &mut Rebind) -> Moment {
+    fn conditions(&self, now: Duration, r: &mut Rebind) -> Moment {
         let (mut waiting, mut slots) = (0, 0u32);
-        for (name, svc) in &self.services {
-            // Calls that wait for the hole are no reason not to make it.
-            if r.blocked.contains_key(name) {
+        for (name, service_state) in &self.services {
+            // Calls waiting for a blocked start do not count: they must not prevent the move that makes room
+            // for it.
+            if r.blocked_starts.contains_key(name) {
                 continue;
             }
-            waiting += self.pulls(now, svc).1;
-            slots = slots.saturating_add(svc.want.saturating_mul(svc.spec.max_inflight));
+            waiting += self.demands(now, service_state).1;
+            slots =
+                slots.saturating_add(service_state.target.saturating_mul(service_state.spec.max_inflight));
         }
-        while r.slots.front().is_some_and(|s| s.0 + BEFORE < now) {
-            r.slots.pop_front();
+        while r.slot_history.front().is_some_and(|s| s.0 + GROWTH_WINDOW < now) {
+            r.slot_history.pop_front();
         }
-        let before = r.slots.front().map_or(slots, |s| s.1);
-        r.slots.push_back((now, slots));
-        let lately = |at: Option<Duration>, lasts: Duration| at.is_some_and(|at| now < at + lasts);
+        let before = r.slot_history.front().map_or(slots, |s| s.1);
+        r.slot_history.push_back((now, slots));
+        let within = |at: Option<Duration>, lasts: Duration| at.is_some_and(|at| now < at + lasts);
         Moment {
             waiting,
             growth: f64::from(slots) / f64::from(before.max(1)),
-            trouble: lately(r.trouble, UNREST),
-            configuring: lately(r.configuring, CONFIGURING),
-            settled: r.settled.is_some_and(|s| s + HEARD <= now),
+            trouble: within(r.last_disturbance, DISTURBANCE_PAUSE),
+            configuring: within(r.last_configuration, CONFIGURATION_PAUSE),
+            settled: r.settled_since.is_some_and(|s| s + SETTLING_PAUSE <= now),
         }
     }
 
-    fn hosts_seen(&self, now: Duration) -> Vec<moving::Host> {
+    fn host_list(&self, now: Duration) -> Vec<moving::Host> {
         let host = |(name, zone, whole, free, up): (&str, &str, u32, u32, bool)| moving::Host {
             name: name.to_string(),
             zone: zone.to_string(),
@@ -285,41 +296,43 @@
             free: Measure::mb(free),
             up,
         };
-        self.room.all(now).map(host).collect()
+        self.capacity.all(now).map(host).collect()
     }
 
-    fn rebind_look(&mut self, now: Duration, r: &mut Rebind) {
-        let hosts = self.hosts_seen(now);
+    fn step_moves(&mut self, now: Duration, r: &mut Rebind) {
+        let hosts = self.host_list(now);
         let mut needs = Vec::with_capacity(self.services.len());
         let mut runs = BTreeMap::<&str, Duration>::new();
-        for (name, svc) in &self.services {
-            let (pulls, _) = self.pulls(now, svc);
-            let run = pulls.iter().map(|p| p.run_ms).fold(0.0, f64::max);
+        for (name, service_state) in &self.services {
+            let (demands, _) = self.demands(now, service_state);
+            let run = demands.iter().map(|p| p.run_ms).fold(0.0, f64::max);
             runs.insert(name, Duration::from_secs_f64(3.0 * run / 1e3));
             needs.push(Need {
                 service: name.clone(),
-                urgent: !self.tuning.sleeps(&svc.spec),
-                need: svc.want,
-                // What is beyond is lowered by the scaler itself.
+                urgent: !self.tuning.scales_to_zero(&service_state.spec),
+                need: service_state.target,
+                // Surplus instances are stopped by the autoscaler itself.
                 wanted: None,
-                boot: Duration::from_millis(svc.spec.boot_ms.into()),
-                takes: Measure::mb(svc.spec.memory_mb),
-                quiet: pulls.iter().all(|p| p.peak == 0.0 && p.rate < 0.05),
+                boot: Duration::from_millis(service_state.spec.boot_ms.into()),
+                takes: Measure::mb(service_state.spec.memory_mb),
+                quiet: demands.iter().all(|p| p.peak == 0.0 && p.rate < 0.05),
             });
         }
-        let replaced: BTreeSet<&str> = self.book.all().filter_map(|h| h.entry.replaces.as_deref()).collect();
-        let seen = |h: &Held| {
+        let replaced: BTreeSet<&str> =
+            self.registry.all().filter_map(|h| h.entry.replaces.as_deref()).collect();
+        let seen = |h: &InstanceRecord| {
             let e = &h.entry;
             let moved =
                 r.mover.holds(&e.instance) || e.replaces.is_some() || replaced.contains(e.instance.as_str());
-            // What the scaler ends itself is not the mover's.
+            // Instances that the autoscaler stops are not the mover's.
             if e.state == InstanceState::Ending && !moved {
                 return None;
             }
             let span = runs.get(e.service.as_str()).copied().unwrap_or_default();
-            // Lenders tell no calls by instance: what a stop waits for today is waited for here.
-            let ends = r.letting.get(&e.instance).copied();
-            let span_end = span.max(self.tuning.ending).min(self.tuning.ending_max);
+            // Slot allocators report no calls by instance, so this waits as long as a stop by the autoscaler
+            // does.
+            let ends = r.unallocated_since.get(&e.instance).copied();
+            let span_end = span.max(self.tuning.stop_delay).min(self.tuning.max_stop_delay);
             Some(Seen {
                 instance: e.instance.clone(),
                 service: e.service.clone(),
@@ -330,8 +343,8 @@
                     InstanceState::Draining => moving::Standing::Draining,
                     InstanceState::Ending => moving::Standing::Ending,
                 },
-                serving: match h.ready {
-                    Some(at) if h.listed && at + span.max(ANSWERED) <= now => Serving::Answered,
+                serving: match h.ready_since {
+                    Some(at) if h.listed && at + span.max(ANSWERED_AFTER) <= now => Serving::Answered,
                     Some(_) => Serving::Accepts,
                     None => Serving::No,
                 },
@@ -339,151 +352,155 @@
                 replaces: e.replaces.clone(),
             })
         };
-        let seen: Vec<Seen> = self.book.all().filter_map(seen).collect();
+        let seen: Vec<Seen> = self.registry.all().filter_map(seen).collect();
         let sight = Sight { seen: &seen, hosts: &hosts, needs: &needs, whole: true };
         let orders = r.mover.look(now, &sight);
         for order in orders {
-            self.rebind_do(now, r, order);
+            self.apply_move_order(now, r, order);
         }
         for (instance, outcome) in r.mover.outcomes() {
             if matches!(outcome, Outcome::Kept | Outcome::NoRoom) {
                 r.judge.unfinished(now);
             }
-            r.ends.push_back((now, instance, outcome));
-            while r.ends.len() > ENDS {
-                r.ends.pop_front();
+            r.finished.push_back((now, instance, outcome));
+            while r.finished.len() > MAX_FINISHED {
+                r.finished.pop_front();
             }
         }
-        r.letting.retain(|id, _| r.mover.holds(id));
-        // A pair that is none any more is not told as one.
-        let over = |h: &&Held| h.entry.replaces.as_ref().is_some_and(|old| !r.mover.holds(old));
-        for id in self.book.all().filter(over).map(|h| h.entry.instance.clone()).collect::<Vec<_>>() {
-            self.book.change(&id, |h| h.entry.replaces = None);
+        r.unallocated_since.retain(|id, _| r.mover.holds(id));
+        // The new instance of a finished move no longer names the old one.
+        let over = |h: &&InstanceRecord| h.entry.replaces.as_ref().is_some_and(|old| !r.mover.holds(old));
+        for id in self.registry.all().filter(over).map(|h| h.entry.instance.clone()).collect::<Vec<_>>() {
+            self.registry.update(&id, |h| h.entry.replaces = None);
         }
     }
 
-    fn rebind_do(&mut self, now: Duration, r: &mut Rebind, order: moving::Order) {
+    fn apply_move_order(&mut self, now: Duration, r: &mut Rebind, order: moving::Order) {
         match order {
             moving::Order::Begin { service, host, nonce, replaces, .. } => {
-                // Asked for on by the scaler's own repeats.
-                let asked = self.starts.values().any(|s| s.nonce == nonce)
-                    || r.todo.iter().any(|t| matches!(t, Todo::Begin { nonce: n, .. } if *n == nonce));
-                if !asked {
-                    r.todo.push_back(Todo::Begin { service, host, nonce, replaces });
+                // Already requested; the autoscaler repeats it itself.
+                let requested = self.starts.values().any(|s| s.nonce == nonce)
+                    || r.pending_calls
+                        .iter()
+                        .any(|t| matches!(t, PendingCall::Begin { nonce: n, .. } if *n == nonce));
+                if !requested {
+                    r.pending_calls.push_back(PendingCall::Begin { service, host, nonce, replaces });
                 }
             }
             moving::Order::LendNoMore { instance, .. } => {
-                r.letting.entry(instance.clone()).or_insert(now);
-                self.book.change(&instance, |h| h.entry.state = InstanceState::Ending);
-                self.touch(&instance);
+                r.unallocated_since.entry(instance.clone()).or_insert(now);
+                self.registry.update(&instance, |h| h.entry.state = InstanceState::Ending);
+                self.mark_dirty(&instance);
             }
             moving::Order::LendAgain { instance, .. } => {
-                r.letting.remove(&instance);
-                self.book.change(&instance, |h| {
+                r.unallocated_since.remove(&instance);
+                self.registry.update(&instance, |h| {
                     if h.entry.state == InstanceState::Ending && !h.stop_sent {
-                        let up = h.ready.is_some();
+                        let up = h.ready_since.is_some();
                         h.entry.state = if up { InstanceState::Ready } else { InstanceState::Starting };
                     }
                 });
-                self.touch(&instance);
+                self.mark_dirty(&instance);
             }
             moving::Order::Stop { instance, .. } => {
-                let asked = self.stopping.values().any(|s| s.0 == instance)
-                    || r.todo.iter().any(|t| matches!(t, Todo::Stop(id) if *id == instance));
-                if !asked {
-                    r.todo.push_back(Todo::Stop(instance));
+                let requested = self.pending_stops.values().any(|s| s.0 == instance)
+                    || r.pending_calls.iter().any(|t| matches!(t, PendingCall::Stop(id) if *id == instance));
+                if !requested {
+                    r.pending_calls.push_back(PendingCall::Stop(instance));
                 }
             }
         }
     }
 
-    fn touch(&mut self, instance: &str) {
-        if let Some(h) = self.book.get(instance) {
-            self.touched.insert(h.entry.service.clone());
+    fn mark_dirty(&mut self, instance: &str) {
+        if let Some(h) = self.registry.get(instance) {
+            self.dirty.insert(h.entry.service.clone());
         }
     }
 
-    /// The next call of a move.
-    pub(crate) fn rebind_order(&mut self, now: Duration) -> Option<Order> {
+    /// The next call that a move needs.
+    pub(crate) fn next_move_call(&mut self, now: Duration) -> Option<Order> {
         loop {
-            let todo = self.rebind.as_mut()?.todo.pop_front()?;
-            self.tokens += 1;
-            let token = self.tokens;
-            match todo {
-                Todo::Begin { service, host, nonce, replaces } => {
-                    let Some(svc) = self.services.get(&service) else { continue };
-                    self.room.take(&host, token, svc.spec.memory_mb, None);
+            let call = self.rebind.as_mut()?.pending_calls.pop_front()?;
+            self.last_token += 1;
+            let token = self.last_token;
+            match call {
+                PendingCall::Begin { service, host, nonce, replaces } => {
+                    let Some(service_state) = self.services.get(&service) else { continue };
+                    self.capacity.reserve(&host, token, service_state.spec.memory_mb, None);
                     let replaces = Some(replaces);
-                    let start = Start { service, host, nonce, at: now, sent: false, tries: 0, replaces };
+                    let start = Start { service, host, nonce, at: now, sent: false, attempts: 0, replaces };
                     self.starts.insert(token, start);
                     return self.send(now, token);
                 }
-                Todo::Stop(instance) => {
-                    if let Some(h) = self.book.mark(&instance) {
+                PendingCall::Stop(instance) => {
+                    if let Some(h) = self.registry.record_mut(&instance) {
                         h.stop_sent = true;
                         if let Some(at) = h.stop_at.take() {
-                            self.stops.remove(&(at, instance.clone()));
+                            self.stop_queue.remove(&(at, instance.clone()));
                         }
                     }
-                    self.pace.made(now);
-                    self.stopping.insert(token, (instance.clone(), now + self.tuning.answer));
+                    self.rate_limiter.record_call(now);
+                    self.pending_stops.insert(token, (instance.clone(), now + self.tuning.call_timeout));
                     return Some(Order::Stop { token, instance });
                 }
             }
         }
     }
 
-    fn rebind_plan(&self, now: Duration, r: &Rebind) -> Option<Plan> {
-        if self.book.all().count() > PLANNED_MOST {
+    fn make_plan(&self, now: Duration, r: &Rebind) -> Option<Plan> {
+        if self.registry.all().count() > MAX_PLANNED_INSTANCES {
             return None;
         }
         let apart = if r.mode == Rebinding::Holes { Apart::empty() } else { Apart::HOST };
-        let mut fleet = Fleet { hosts: self.hosts_seen(now), ..Fleet::default() };
-        fleet.expected = self.holes(now, r).map(|h| h.1).collect();
+        let mut fleet = Fleet { hosts: self.host_list(now), ..Fleet::default() };
+        fleet.expected = self.blocked_starts_that_fit(now, r).map(|h| h.1).collect();
         let mut busy = BTreeMap::<(&str, &str), f64>::new();
-        for (name, svc) in &self.services {
-            let count = self.book.of(name).count() as u32;
+        for (name, service_state) in &self.services {
+            let count = self.registry.of_service(name).count() as u32;
             if count == 0 {
                 continue;
             }
-            let urgent = !self.tuning.sleeps(&svc.spec);
+            let urgent = !self.tuning.scales_to_zero(&service_state.spec);
             fleet.functions.push(moving::Function {
                 name: name.clone(),
-                takes: Measure::mb(svc.spec.memory_mb),
+                takes: Measure::mb(service_state.spec.memory_mb),
                 urgent,
-                need: svc.want.min(count),
+                need: service_state.target.min(count),
                 wanted: count,
-                boot_ms: svc.spec.boot_ms,
+                boot_ms: service_state.spec.boot_ms,
                 apart: if urgent { apart } else { Apart::empty() },
             });
-            for p in self.pulls(now, svc).0 {
-                let here = self.book.of(name).filter(|h| h.entry.zone == p.zone).count().max(1);
-                if let Some((zone, _)) = svc.told.get_key_value(&p.zone) {
-                    busy.insert((name, zone), p.slow / here as f64);
+            for p in self.demands(now, service_state).0 {
+                let here = self.registry.of_service(name).filter(|h| h.entry.zone == p.zone).count().max(1);
+                if let Some((zone, _)) = service_state.reports.get_key_value(&p.zone) {
+                    busy.insert((name, zone), p.sustained_busy / here as f64);
                 }
             }
         }
-        for h in self.book.all() {
+        for h in self.registry.all() {
             let e = &h.entry;
-            let lacks = self.services.get(&e.service).is_none_or(|s| s.there < s.want);
-            let stands = e.state == InstanceState::Ready && h.listed && !h.leaving && h.missing == 0;
-            let own = r.blocked.contains_key(&e.service);
+            let incomplete = self.services.get(&e.service).is_none_or(|s| s.present < s.target);
+            let serving_now =
+                e.state == InstanceState::Ready && h.listed && !h.host_leaving && h.missed_lists == 0;
+            let blocked = r.blocked_starts.contains_key(&e.service);
             fleet.instances.push(moving::Instance {
                 id: e.instance.clone(),
                 function: e.service.clone(),
                 host: e.host.clone(),
                 load: busy.get(&(e.service.as_str(), e.zone.as_str())).copied().unwrap_or(0.0) as f32,
-                age: now.saturating_sub(h.known),
+                age: now.saturating_sub(h.known_since),
                 lender_zone: e.zone.clone(),
-                // What drains is replaced by the scaler at once, sooner than a plan is allowed.
-                movable: stands && !lacks && !own && !r.mover.holds(&e.instance),
+                // The autoscaler replaces draining instances at once, sooner than a plan may run.
+                movable: serving_now && !incomplete && !blocked && !r.mover.holds(&e.instance),
             });
         }
         let terms = moving::Terms {
-            instance_gb_s: self.tuning.memory_gb_s,
+            instance_gb_s: self.tuning.memory_cost_gb_s,
             start: self.tuning.start_cost,
-            crossing_s: self.tuning.crossing_cost,
-            // Two that swap are out for a while, and need to be known as empty by instance.
+            crossing_s: self.tuning.cross_zone_cost,
+            // Swapping two instances would leave both out of service for a while, and would need calls
+            // reported by instance.
             may_break: false,
             probes: PROBES,
             ..moving::Terms::default()
@@ -491,44 +508,45 @@
         Some(moving::plan(&fleet, &terms, r.seed))
     }
 
-    /// The plan that would be run now, and why it would not.
+    /// The plan that would be run now, and whether it may run.
     pub fn rebinding_plan(&mut self, now: Duration) -> Result<(Plan, Result<(), No>), RunRefusal> {
         let mut r = self.rebind.take().ok_or(RunRefusal::Off)?;
-        let moment = self.moment(now, &mut r);
-        let plan = self.rebind_plan(now, &r);
-        let may = plan.as_ref().map(|plan| r.judge.clone().allows(now, &moment, plan, price(plan)));
+        let moment = self.conditions(now, &mut r);
+        let plan = self.make_plan(now, &r);
+        let may =
+            plan.as_ref().map(|plan| r.judge.clone().allows(now, &moment, plan, double_memory_cost(plan)));
         self.rebind = Some(r);
         plan.zip(may).ok_or(RunRefusal::TooLarge)
     }
 
-    /// Runs a plan made now, if the moment allows: how many moves.
+    /// Makes a plan and runs it if conditions allow; returns the number of moves.
     pub fn rebinding_run(&mut self, now: Duration) -> Result<usize, RunRefusal> {
         let mut r = self.rebind.take().ok_or(RunRefusal::Off)?;
-        let run = self.rebind_run(now, &mut r);
+        let run = self.run_plan(now, &mut r);
         self.rebind = Some(r);
         run
     }
 
-    fn rebind_run(&mut self, now: Duration, r: &mut Rebind) -> Result<usize, RunRefusal> {
+    fn run_plan(&mut self, now: Duration, r: &mut Rebind) -> Result<usize, RunRefusal> {
         if !r.mover.idle() {
             return Err(RunRefusal::Busy);
         }
-        let moment = self.moment(now, r);
-        // Not a search for one that would not be run.
+        let moment = self.conditions(now, r);
+        // Saves the search for a plan that would not be run.
         if let Some(no) = r.judge.moment(now, &moment).or(r.judge.ready(now).err()) {
             return Err(RunRefusal::Blocked(no));
         }
-        let plan = self.rebind_plan(now, r).ok_or(RunRefusal::TooLarge)?;
-        r.judge.allows(now, &moment, &plan, price(&plan)).map_err(RunRefusal::Blocked)?;
+        let plan = self.make_plan(now, r).ok_or(RunRefusal::TooLarge)?;
+        r.judge.allows(now, &moment, &plan, double_memory_cost(&plan)).map_err(RunRefusal::Blocked)?;
         if !r.mover.take(&plan) {
             return Err(RunRefusal::Blocked(No::Unsettled));
         }
         r.seed = r.seed.wrapping_add(1);
-        self.rebind_look(now, r);
+        self.step_moves(now, r);
         Ok(plan.moves.len())
     }
 
-    /// No move begins while paused; `undo` also gives up those whose new instance does not serve yet.
+    /// No move begins while paused; `undo` also cancels those whose new instance does not serve yet.
     pub fn rebinding_pause(&mut self, now: Duration, paused: bool, undo: bool) -> Result<(), RunRefusal> {
         let r = self.rebind.as_mut().ok_or(RunRefusal::Off)?;
         r.judge.paused = paused;
@@ -541,23 +559,23 @@
 
     pub fn rebinding_status(&mut self, now: Duration) -> RebindingStatus {
         let Some(mut r) = self.rebind.take() else { return RebindingStatus::default() };
-        let moment = self.moment(now, &mut r);
+        let moment = self.conditions(now, &mut r);
         let ago = |e: &(Duration, String, Outcome)| (now.saturating_sub(e.0), e.1.clone(), e.2);
-        let shown = RebindingStatus {
+        let status = RebindingStatus {
             mode: r.mode,
             paused: r.judge.paused,
             blocked_by: r.judge.moment(now, &moment).or(r.judge.ready(now).err()),
             moves: r.mover.progress(),
             waiting: r.mover.waiting(),
-            blocked_functions: r.expected(now).cloned().collect(),
-            finished: r.ends.iter().map(ago).collect(),
+            blocked_functions: r.recently_blocked(now).cloned().collect(),
+            finished: r.finished.iter().map(ago).collect(),
         };
         self.rebind = Some(r);
-        shown
+        status
     }
 }
 
-/// Of the memory that is taken twice, in the worth of a call.
-fn price(plan: &Plan) -> f64 {
+/// Cost of the memory that a plan occupies twice, in units of the value of one call.
+fn double_memory_cost(plan: &Plan) -> f64 {
     plan.double_mb_s as f64 / 1024.0 * moving::Terms::default().instance_gb_s
 }
--- a/crates/stacks/src/scaler/mod.rs
+++ b/crates/stacks/src/scaler/mod.rs
@@ -1,4 +1,4 @@
-//! The decider.
+//! The autoscaler's state and its inputs.
 
 mod handover;
 mod instances;
@@ -11,61 +11,61 @@
 
 use oorandom::Rand32;
 
-use crate::book::{Book, ChangeSet, Held};
-use crate::pace::Pace;
+use crate::capacity::{HostCapacity, HostStatus};
+use crate::desired::{desired_instances, DesiredInstances, ZoneDemand};
+use crate::rate_limiter::RateLimiter;
 use crate::rebind::{Came, Rebind};
-use crate::room::{Room, Seating};
-use crate::want::{desired_instances, DesiredInstances, ZoneDemand};
-use crate::words::*;
+use crate::registry::{ChangeSet, InstanceRecord, Registry};
+use crate::types::*;
 
-/// Zones that may tell demand for one service.
-const ZONES_MOST: usize = 64;
-/// Instances whose end is remembered against the late list.
-const DEAD_MOST: usize = 20_000;
-const RETRY_MOST: u32 = 4;
-/// A list lags by less than so many readings.
-const UP_LISTS: u8 = 4;
+/// Zones that may report demand for one service.
+const MAX_ZONES: usize = 64;
+/// Ended instances that are remembered, as the platform's list may still show them.
+const MAX_TOMBSTONES: usize = 20_000;
+const MAX_RETRY_FACTOR: u32 = 4;
+/// A list lags by less than this many readings.
+const MAX_UP_LISTS: u8 = 4;
 
 #[derive(Debug)]
-pub(crate) struct Told {
+pub(crate) struct DemandReport {
     pub(crate) demand: Demand,
     pub(crate) at: Duration,
-    pub(crate) slow: f64,
-    /// Smoothed over 8 s from zero, and since when.
-    pub(crate) steady: f64,
-    began: Duration,
-    /// Rates of the last second.
+    pub(crate) sustained_busy: f64,
+    /// Arrivals a second, smoothed over 8 s from zero, and the time of the first report.
+    pub(crate) sustained_rate: f64,
+    first_at: Duration,
+    /// Reported rates of the last second.
     pub(crate) rates: VecDeque<(Duration, f64)>,
 }
 
 #[derive(Debug)]
-pub(crate) struct Svc {
+pub(crate) struct ServiceState {
     pub(crate) spec: Service,
-    pub(crate) told: BTreeMap<String, Told>,
-    /// Starts under way: token and zone.
-    pub(crate) under_way: Vec<(u64, String)>,
+    pub(crate) reports: BTreeMap<String, DemandReport>,
+    /// Pending starts: token and zone.
+    pub(crate) pending_starts: Vec<(u64, String)>,
     pub(crate) first_traffic: Option<Duration>,
     pub(crate) last_call: Option<Duration>,
-    /// Smoothed over 15 s: calls a second.
+    /// Calls a second, smoothed over 15 s.
     pub(crate) rate: f64,
     pub(crate) rate_at: Duration,
-    /// Highest wanted counts of the last while, falling; since when they are watched; the last
-    /// round of stops.
-    pub(crate) highs: VecDeque<(Duration, u32)>,
-    pub(crate) watched: Option<Duration>,
-    pub(crate) lowered: Duration,
-    pub(crate) zone_lack: Option<Duration>,
-    /// Zones that want a start, and the rank among all services that do.
-    pub(crate) lacks: Vec<String>,
+    /// Recent maxima of the target, in falling order; since when they are recorded; the last round of stops.
+    pub(crate) recent_targets: VecDeque<(Duration, u32)>,
+    pub(crate) watched_since: Option<Duration>,
+    pub(crate) last_scale_down: Duration,
+    pub(crate) zone_missing_since: Option<Duration>,
+    /// Zones that need a start, and the rank among all services that need one.
+    pub(crate) missing_zones: Vec<String>,
     pub(crate) rank: Option<Rank>,
-    /// Instances wanted, and there, at the last look.
-    pub(crate) want: u32,
-    pub(crate) there: u32,
-    /// No host had room, or the platform does not know the service.
+    /// Target and present number of instances, as of the last planning.
+    pub(crate) target: u32,
+    pub(crate) present: u32,
+    /// No start before this: no host had free capacity, or the platform does not know the service.
     pub(crate) not_before: Duration,
 }
 
-/// Urgent first: calls that wait, priority, how many wait, name.
+/// Order of starts, the most urgent first: no call waiting, priority, number of waiting calls (inverted),
+/// name.
 pub(crate) type Rank = (bool, u8, u16, String);
 
 #[derive(Debug)]
@@ -73,16 +73,16 @@
     pub(crate) service: String,
     pub(crate) host: String,
     pub(crate) nonce: String,
-    /// When to send (again), or since when it is unanswered.
+    /// When to send it (again), or when its response times out.
     pub(crate) at: Duration,
     pub(crate) sent: bool,
-    pub(crate) tries: u32,
-    /// A move's: the instance that it is to stand in for.
+    pub(crate) attempts: u32,
+    /// For a move: the instance that it replaces.
     pub(crate) replaces: Option<String>,
 }
 
-impl Told {
-    /// Zones that the demand comes from, with their shares of it.
+impl DemandReport {
+    /// Zones from which the demand comes, with their shares.
     fn shares(&self) -> Vec<(&str, f64)> {
         let all: f32 = self.demand.origins.iter().map(|(_, share)| share).sum();
         if all <= 0.0 {
@@ -92,240 +92,249 @@
     }
 }
 
-/// Decides starts and stops; see the crate's page.
+/// Decides starts and stops; see the crate documentation.
 #[derive(Debug)]
 pub struct Scaler {
-    pub(crate) terms: PlatformSettings,
+    pub(crate) platform: PlatformSettings,
     pub tuning: Tuning,
-    pub(crate) chance: Rand32,
-    pub(crate) born: Duration,
+    pub(crate) rng: Rand32,
+    pub(crate) created: Duration,
     pub(crate) tag: u64,
     pub(crate) inherited_tag: Option<u64>,
     pub(crate) numbers: BTreeMap<String, u32>,
-    pub(crate) tokens: u64,
+    pub(crate) last_token: u64,
     pub(crate) configured: bool,
-    pub(crate) listed: bool,
-    pub(crate) services: BTreeMap<String, Svc>,
-    pub(crate) touched: BTreeSet<String>,
-    pub(crate) eager: BTreeSet<Rank>,
-    pub(crate) room: Room,
-    pub(crate) book: Book,
-    pub(crate) pace: Pace,
+    pub(crate) list_received: bool,
+    pub(crate) services: BTreeMap<String, ServiceState>,
+    pub(crate) dirty: BTreeSet<String>,
+    pub(crate) start_queue: BTreeSet<Rank>,
+    pub(crate) capacity: HostCapacity,
+    pub(crate) registry: Registry,
+    pub(crate) rate_limiter: RateLimiter,
     pub(crate) starts: BTreeMap<u64, Start>,
-    /// Starts to send again, and starts that wait for their answer, by time.
-    pub(crate) again: BTreeSet<(Duration, u64)>,
+    /// Starts to repeat and starts that wait for their response, by time.
+    pub(crate) start_deadlines: BTreeSet<(Duration, u64)>,
     /// Stops to send, by time.
-    pub(crate) stops: BTreeSet<(Duration, String)>,
-    pub(crate) stopping: BTreeMap<u64, (String, Duration)>,
-    /// Ended instances; the list is not believed about them until then.
-    pub(crate) dead: BTreeMap<String, Duration>,
-    pub(crate) dead_by: BTreeSet<(Duration, String)>,
+    pub(crate) stop_queue: BTreeSet<(Duration, String)>,
+    pub(crate) pending_stops: BTreeMap<u64, (String, Duration)>,
+    /// Ended instances, with the time until which the platform's list is ignored for them.
+    pub(crate) tombstones: BTreeMap<String, Duration>,
+    pub(crate) tombstone_expiry: BTreeSet<(Duration, String)>,
     pub(crate) last_pass: Option<Duration>,
-    /// When `next` last had nothing though it might have called.
-    pub(crate) quiet: Option<Duration>,
-    /// Moves; without it nothing is moved.
+    /// When `next` last returned nothing although the rate limit allowed a call.
+    pub(crate) idle_since: Option<Duration>,
+    /// State of the moves; `None` if nothing may be moved.
     pub(crate) rebind: Option<Box<Rebind>>,
 }
 
 impl Scaler {
-    /// `tag` is the number of the lease; it grows from holder to holder and is part of the nonces
-    /// until [`Scaler::inherit`] brings an earlier one. Versions begin above those of any earlier
-    /// lease.
-    pub fn new(terms: PlatformSettings, tag: u64, seed: u64, now: Duration) -> Scaler {
-        Scaler::with_tuning(terms, Tuning::default(), tag, seed, now)
+    /// `tag` is the number of the lease, which grows from one holder to the next. It is part of the nonces
+    /// unless [`Scaler::inherit`] supplies an earlier one. Versions begin above those of any earlier lease.
+    pub fn new(platform: PlatformSettings, tag: u64, seed: u64, now: Duration) -> Scaler {
+        Scaler::with_tuning(platform, Tuning::default(), tag, seed, now)
     }
 
     pub fn with_tuning(
-        terms: PlatformSettings,
+        platform: PlatformSettings,
         tuning: Tuning,
         tag: u64,
         seed: u64,
         now: Duration,
     ) -> Scaler {
-        let pace = Pace::new(terms.call_rate * tuning.duty_share);
+        let rate_limiter = RateLimiter::new(platform.call_rate * tuning.call_rate_share);
         Scaler {
-            room: Room::new(&terms.zones, terms.list_lag),
-            terms,
+            capacity: HostCapacity::new(&platform.zones, platform.list_lag),
+            platform,
             tuning,
-            chance: Rand32::new(seed),
-            born: now,
+            rng: Rand32::new(seed),
+            created: now,
             tag,
             inherited_tag: None,
             numbers: BTreeMap::new(),
-            tokens: 0,
+            last_token: 0,
             configured: false,
-            listed: false,
+            list_received: false,
             services: BTreeMap::new(),
-            touched: BTreeSet::new(),
-            eager: BTreeSet::new(),
-            book: Book::new(tag << 32),
-            pace,
+            dirty: BTreeSet::new(),
+            start_queue: BTreeSet::new(),
+            registry: Registry::new(tag << 32),
+            rate_limiter,
             starts: BTreeMap::new(),
-            again: BTreeSet::new(),
-            stops: BTreeSet::new(),
-            stopping: BTreeMap::new(),
-            dead: BTreeMap::new(),
-            dead_by: BTreeSet::new(),
+            start_deadlines: BTreeSet::new(),
+            stop_queue: BTreeSet::new(),
+            pending_stops: BTreeMap::new(),
+            tombstones: BTreeMap::new(),
+            tombstone_expiry: BTreeSet::new(),
             last_pass: None,
-            quiet: None,
+            idle_since: None,
             rebind: None,
         }
     }
 
-    /// The configuration in force, whole. Services that are not in it are weeded.
+    /// Takes the complete configuration in force. Instances of services that are not in it are stopped.
     pub fn update_services(&mut self, now: Duration, services: &[Service]) {
         if !self.configured || self.services.len() != services.len() || {
-            services.iter().any(|s| self.services.get(&s.name).is_none_or(|svc| svc.spec != *s))
+            services
+                .iter()
+                .any(|s| self.services.get(&s.name).is_none_or(|service_state| service_state.spec != *s))
         } {
             self.configuration_changing(now);
         }
         self.configured = true;
         let names: BTreeSet<&str> = services.iter().map(|s| s.name.as_str()).collect();
-        let gone: Vec<String> =
+        let removed: Vec<String> =
             self.services.keys().filter(|n| !names.contains(n.as_str())).cloned().collect();
-        for name in gone {
+        for name in removed {
             if let Some(rank) = self.services.remove(&name).and_then(|s| s.rank) {
-                self.eager.remove(&rank);
+                self.start_queue.remove(&rank);
             }
         }
         for spec in services {
-            self.touched.insert(spec.name.clone());
+            self.dirty.insert(spec.name.clone());
             match self.services.get_mut(&spec.name) {
                 Some(s) => s.spec = spec.clone(),
                 None => {
-                    let svc = Svc {
+                    let service_state = ServiceState {
                         spec: spec.clone(),
-                        told: BTreeMap::new(),
-                        under_way: self
+                        reports: BTreeMap::new(),
+                        pending_starts: self
                             .starts
                             .iter()
                             .filter(|(_, s)| s.service == spec.name && s.replaces.is_none())
-                            .map(|(t, s)| (*t, self.room.zone(&s.host).unwrap_or_default().to_string()))
+                            .map(|(t, s)| (*t, self.capacity.zone(&s.host).unwrap_or_default().to_string()))
                             .collect(),
                         first_traffic: None,
                         last_call: None,
                         rate: 0.0,
                         rate_at: now,
-                        highs: VecDeque::new(),
-                        watched: None,
-                        lowered: Duration::ZERO,
-                        zone_lack: None,
-                        lacks: Vec::new(),
+                        recent_targets: VecDeque::new(),
+                        watched_since: None,
+                        last_scale_down: Duration::ZERO,
+                        zone_missing_since: None,
+                        missing_zones: Vec::new(),
                         rank: None,
-                        want: 0,
-                        there: 0,
+                        target: 0,
+                        present: 0,
                         not_before: Duration::ZERO,
                     };
-                    self.services.insert(spec.name.clone(), svc);
+                    self.services.insert(spec.name.clone(), service_state);
                 }
             }
         }
-        let homeless: Vec<String> = self
-            .book
+        let unconfigured: Vec<String> = self
+            .registry
             .all()
             .filter(|h| !self.services.contains_key(&h.entry.service))
             .map(|h| h.entry.instance.clone())
             .collect();
-        for id in homeless {
+        for id in unconfigured {
             self.end(now, &id, Duration::ZERO);
         }
     }
 
-    /// The whole answer of `GET /v1/workers`.
+    /// Takes the complete response of `GET /v1/workers`.
     pub fn update_hosts(&mut self, now: Duration, hosts: &[Host]) {
-        if !self.room.report(now, hosts) {
+        if !self.capacity.update(now, hosts) {
             return;
         }
-        self.trouble(now);
-        // A host came, left or turned: what runs on it counts anew.
+        self.note_disturbance(now);
+        // A host appeared, disappeared or changed its state: its instances are re-evaluated.
         let mut down = Vec::new();
         let mut leaving = Vec::new();
-        for h in self.book.all() {
-            match self.room.seating(&h.entry.host) {
-                Seating::Down => down.push(h.entry.instance.clone()),
-                s => leaving.push((h.entry.instance.clone(), h.entry.service.clone(), s == Seating::Leaving)),
+        for h in self.registry.all() {
+            match self.capacity.status(&h.entry.host) {
+                HostStatus::Down => down.push(h.entry.instance.clone()),
+                s => leaving.push((
+                    h.entry.instance.clone(),
+                    h.entry.service.clone(),
+                    s == HostStatus::Leaving,
+                )),
             }
         }
         for (id, service, leaves) in leaving {
-            if let Some(h) = self.book.mark(&id) {
-                if h.leaving != leaves {
-                    h.leaving = leaves;
-                    self.touched.insert(service);
+            if let Some(h) = self.registry.record_mut(&id) {
+                if h.host_leaving != leaves {
+                    h.host_leaving = leaves;
+                    self.dirty.insert(service);
                 }
             }
         }
         for id in down {
-            self.lose(now, &id, self.tuning.gone_lasts);
+            self.remove_instance(now, &id, self.tuning.loss_ttl);
         }
-        let starting = self.book.all().filter(|h| h.entry.state == InstanceState::Starting);
+        let starting = self.registry.all().filter(|h| h.entry.state == InstanceState::Starting);
         for id in starting.map(|h| h.entry.instance.clone()).collect::<Vec<_>>() {
-            self.end_if_too_late(now, &id);
+            self.end_if_host_drains(now, &id);
         }
     }
 
-    /// The list shows an instance once it is up: one still starting on a host that drains is lent from its first connection
-    /// until the list shows it as draining, which may be after it has to take nothing any more.
-    fn end_if_too_late(&mut self, now: Duration, instance: &str) {
-        let starting = self.book.get(instance).filter(|h| h.entry.state == InstanceState::Starting);
-        if starting.is_some_and(|h| self.room.drains(&h.entry.host)) {
+    /// Ends an instance that is still starting on a draining host. The platform's list shows an instance only
+    /// once it is up, so its slots would be allocated from its first connection until the list shows it as
+    /// draining, which may be after the time at which it must not take calls any more.
+    fn end_if_host_drains(&mut self, now: Duration, instance: &str) {
+        let starting = self.registry.get(instance).filter(|h| h.entry.state == InstanceState::Starting);
+        if starting.is_some_and(|h| self.capacity.drains(&h.entry.host)) {
             self.end(now, instance, Duration::ZERO);
         }
     }
 
     fn settle(&mut self, now: Duration) {
-        let told = self.inherited_tag.is_some() || now >= self.born + self.tuning.settle;
-        if self.listed && self.room.known && self.configured && told && !self.book.settled {
-            self.book.settle();
-            self.touched.extend(self.services.keys().cloned());
+        let informed = self.inherited_tag.is_some() || now >= self.created + self.tuning.settle_delay;
+        if self.list_received && self.capacity.known && self.configured && informed && !self.registry.settled
+        {
+            self.registry.settle();
+            self.dirty.extend(self.services.keys().cloned());
         }
     }
 
-    /// Every instance known.
+    /// All known instances.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
-        self.book.all().map(|h| &h.entry)
+        self.registry.all().map(|h| &h.entry)
     }
 
     /// The version of the last change.
     pub fn version(&self) -> u64 {
-        self.book.version()
+        self.registry.version()
     }
 
-    /// The version of a change that is told beside those of the instances.
+    /// A new version, for a change that is announced along with those of the instances.
     pub fn next_version(&mut self) -> u64 {
-        self.book.next_version()
+        self.registry.next_version()
     }
 
-    /// What changed after `version`. While the holder is new and does not know all, never whole.
+    /// The changes after `version`. Never the complete set while a new lease holder does not know all
+    /// instances yet.
     pub fn changes_since(&self, version: u64) -> ChangeSet {
-        self.book.since(version)
+        self.registry.changes_since(version)
     }
 
-    /// Whether the entries are known to be all there are.
+    /// Whether the entries are known to be complete.
     pub fn settled(&self) -> bool {
-        self.book.settled
+        self.registry.settled
     }
 
-    /// When [`Scaler::next`] may have something without a further input.
+    /// When [`Scaler::next`] may return an order without a further input.
     pub fn next_due(&self) -> Duration {
         let Some(last) = self.last_pass else { return Duration::ZERO };
-        let mut due = last + self.tuning.pass;
-        if !self.touched.is_empty() {
+        let mut due = last + self.tuning.pass_interval;
+        if !self.dirty.is_empty() {
             return last;
         }
-        // What `next` left alone though it might have called waits for an input or the next pass.
-        let (asked, quiet) = (self.quiet.unwrap_or(last), self.quiet.is_some());
-        let again = self.again.first().map(|a| a.0);
-        let stop = self.stops.first().map(|s| s.0).filter(|at| !quiet || *at > asked);
-        let eager = (!self.eager.is_empty() && !quiet).then_some(last);
-        let moves = (self.rebind.as_ref().is_some_and(|r| r.has_orders()) && !quiet).then_some(last);
-        for at in [again, stop, eager, moves].into_iter().flatten() {
-            due = due.min(self.pace.free_at(at.max(asked)));
+        // Orders that `next` held back although the rate limit allowed a call wait for an input or the next
+        // pass.
+        let (last_asked, idle) = (self.idle_since.unwrap_or(last), self.idle_since.is_some());
+        let start_deadlines = self.start_deadlines.first().map(|a| a.0);
+        let stop = self.stop_queue.first().map(|s| s.0).filter(|at| !idle || *at > last_asked);
+        let start_queue = (!self.start_queue.is_empty() && !idle).then_some(last);
+        let moves = (self.rebind.as_ref().is_some_and(|r| r.has_orders()) && !idle).then_some(last);
+        for at in [start_deadlines, stop, start_queue, moves].into_iter().flatten() {
+            due = due.min(self.rate_limiter.next_allowed(at.max(last_asked)));
         }
         due
     }
 }
 
-/// At most 64 bytes; the name of a service that is too long is given by its digest.
+/// Idempotency key of a start, at most 64 bytes; a service name that is too long is replaced by its digest.
 fn nonce(tag: u64, service: &str, n: u32) -> String {
     let plain = format!("{tag:x}.{service}.{n}");
     if plain.len() <= 64 {
--- a/crates/stacks/src/scaler/orders.rs
+++ b/crates/stacks/src/scaler/orders.rs
@@ -1,198 +1,205 @@
-//! Orders to the platform, and its answers to them.
+//! Orders to the platform, and its responses.
 
 use super::*;
 
 impl Scaler {
-    /// The next call to the platform, if there is one to make now.
+    /// The next call to make to the platform, if any is due.
     pub fn next(&mut self, now: Duration) -> Option<Order> {
-        if self.last_pass.is_none_or(|l| l + self.tuning.pass <= now) {
+        if self.last_pass.is_none_or(|l| l + self.tuning.pass_interval <= now) {
             self.pass(now);
         }
-        while let Some(name) = self.touched.pop_first() {
+        while let Some(name) = self.dirty.pop_first() {
             self.plan(now, &name);
         }
-        // Starts without an answer.
-        while let Some((at, token)) = self.again.first().copied() {
+        // Starts whose response timed out.
+        while let Some((at, token)) = self.start_deadlines.first().copied() {
             if at > now {
                 break;
             }
             if self.starts.get(&token).is_some_and(|s| s.sent) {
-                self.again.pop_first();
-                self.unclear(now, token);
+                self.start_deadlines.pop_first();
+                self.retry_start(now, token);
                 continue;
             }
             break;
         }
-        self.quiet = None;
-        let left = self.pace.left(now);
+        self.idle_since = None;
+        let left = self.rate_limiter.remaining(now);
         if left == 0 {
             return None;
         }
-        // A start that waits for its answer may lie before one to repeat; there are few.
+        // A start that waits for its response may come before one to repeat; there are few.
         let due = self
-            .again
+            .start_deadlines
             .iter()
             .take_while(|a| a.0 <= now)
             .find(|a| self.starts.get(&a.1).is_some_and(|s| !s.sent));
         if let Some((at, token)) = due.copied() {
-            self.again.remove(&(at, token));
+            self.start_deadlines.remove(&(at, token));
             return self.send(now, token);
         }
         if let Some(order) = self.start(now) {
             return Some(order);
         }
-        let reserve = if self.eager.is_empty() { 0 } else { self.pace.most() / 4 };
-        if left <= reserve {
-            self.quiet = Some(now);
+        let reserved = if self.start_queue.is_empty() { 0 } else { self.rate_limiter.limit() / 4 };
+        if left <= reserved {
+            self.idle_since = Some(now);
             return None;
         }
-        if let Some(order) = self.rebind_order(now) {
+        if let Some(order) = self.next_move_call(now) {
             return Some(order);
         }
-        while let Some((at, id)) = self.stops.first().cloned() {
+        while let Some((at, id)) = self.stop_queue.first().cloned() {
             if at > now {
                 break;
             }
-            self.stops.pop_first();
-            let Some(h) = self.book.mark(&id) else { continue };
+            self.stop_queue.pop_first();
+            let Some(h) = self.registry.record_mut(&id) else { continue };
             h.stop_sent = true;
             h.stop_at = None;
-            self.pace.made(now);
-            self.tokens += 1;
-            self.stopping.insert(self.tokens, (id.clone(), now + self.tuning.answer));
-            return Some(Order::Stop { token: self.tokens, instance: id });
+            self.rate_limiter.record_call(now);
+            self.last_token += 1;
+            self.pending_stops.insert(self.last_token, (id.clone(), now + self.tuning.call_timeout));
+            return Some(Order::Stop { token: self.last_token, instance: id });
         }
-        self.quiet = Some(now);
+        self.idle_since = Some(now);
         None
     }
 
     pub(crate) fn send(&mut self, now: Duration, token: u64) -> Option<Order> {
         let start = self.starts.get_mut(&token)?;
         start.sent = true;
-        start.at = now + self.tuning.answer;
-        self.again.insert((start.at, token));
-        self.pace.made(now);
+        start.at = now + self.tuning.call_timeout;
+        self.start_deadlines.insert((start.at, token));
+        self.rate_limiter.record_call(now);
         let Start { service, host, nonce, .. } = &*start;
         Some(Order::Begin { token, service: service.clone(), host: host.clone(), nonce: nonce.clone() })
     }
 
-    /// A new start, for the service that needs it most.
+    /// A new start, for the service with the highest rank.
     fn start(&mut self, now: Duration) -> Option<Order> {
-        if !self.listed || !self.room.known || self.starts.len() >= self.tuning.under_way {
+        if !self.list_received || !self.capacity.known || self.starts.len() >= self.tuning.max_pending_starts
+        {
             return None;
         }
         let mut blocked = Vec::new();
         let mut order = None;
-        while let Some(rank) = self.eager.first().cloned() {
+        while let Some(rank) = self.start_queue.first().cloned() {
             let name = rank.3.clone();
-            let Some(svc) = self.services.get_mut(&name) else {
-                self.eager.remove(&rank);
+            let Some(service_state) = self.services.get_mut(&name) else {
+                self.start_queue.remove(&rank);
                 continue;
             };
-            let mut on = BTreeMap::<String, u32>::new();
-            for h in self.book.of(&name) {
-                *on.entry(h.entry.host.clone()).or_default() += 1;
+            let mut instances_on = BTreeMap::<String, u32>::new();
+            for h in self.registry.of_service(&name) {
+                *instances_on.entry(h.entry.host.clone()).or_default() += 1;
             }
-            for (token, _) in &svc.under_way {
+            for (token, _) in &service_state.pending_starts {
                 if let Some(s) = self.starts.get(token) {
-                    *on.entry(s.host.clone()).or_default() += 1;
+                    *instances_on.entry(s.host.clone()).or_default() += 1;
                 }
             }
-            let memory = svc.spec.memory_mb;
-            let zone = svc.lacks.last().cloned().filter(|_| svc.not_before <= now);
-            let host = zone.and_then(|z| self.room.place(now, &z, memory, &on, &mut self.chance));
+            let memory = service_state.spec.memory_mb;
+            let zone =
+                service_state.missing_zones.last().cloned().filter(|_| service_state.not_before <= now);
+            let host = zone.and_then(|z| self.capacity.place(now, &z, memory, &instances_on, &mut self.rng));
             let Some(host) = host else {
-                if svc.not_before <= now {
-                    svc.not_before = now + self.tuning.pass;
+                if service_state.not_before <= now {
+                    service_state.not_before = now + self.tuning.pass_interval;
                     if let Some(r) = &mut self.rebind {
-                        r.blocked(now, &name);
+                        r.record_blocked(now, &name);
                     }
                 }
-                self.eager.remove(&rank);
+                self.start_queue.remove(&rank);
                 blocked.push(rank);
                 continue;
             };
-            svc.lacks.pop();
-            if svc.lacks.is_empty() {
-                self.eager.remove(&rank);
-                svc.rank = None;
+            service_state.missing_zones.pop();
+            if service_state.missing_zones.is_empty() {
+                self.start_queue.remove(&rank);
+                service_state.rank = None;
             }
-            self.tokens += 1;
-            let token = self.tokens;
-            svc.under_way.push((token, self.room.zone(&host).unwrap_or_default().to_string()));
+            self.last_token += 1;
+            let token = self.last_token;
+            service_state
+                .pending_starts
+                .push((token, self.capacity.zone(&host).unwrap_or_default().to_string()));
             let n = self.numbers.entry(name.clone()).or_default();
             *n = n.wrapping_add(1);
             let nonce = nonce(self.tag, &name, *n);
-            self.room.take(&host, token, memory, None);
+            self.capacity.reserve(&host, token, memory, None);
             self.starts.insert(
                 token,
-                Start { service: name, host, nonce, at: now, sent: false, tries: 0, replaces: None },
+                Start { service: name, host, nonce, at: now, sent: false, attempts: 0, replaces: None },
             );
             order = self.send(now, token);
             break;
         }
-        // Tried again in the next pass, which ranks them anew.
+        // Retried in the next pass, which ranks them again.
         for rank in blocked {
-            if let Some(svc) = self.services.get_mut(&rank.3) {
-                svc.rank = None;
+            if let Some(service_state) = self.services.get_mut(&rank.3) {
+                service_state.rank = None;
             }
         }
         order
     }
 
-    /// The answer to [`Order::Begin`].
+    /// Takes the response to [`Order::Begin`].
     pub fn start_answered(&mut self, now: Duration, token: u64, answer: StartResult) {
         let Some(start) = self.starts.get(&token) else { return };
-        self.again.remove(&(start.at, token));
+        self.start_deadlines.remove(&(start.at, token));
         let service = start.service.clone();
         match answer {
             StartResult::Started { instance, address } => {
                 let Some(start) = self.starts.remove(&token) else { return };
-                self.room.done(&start.host, token, now);
-                self.drop_under_way(&service, token);
-                self.came(now, &start, Came::Here { instance: instance.clone() });
-                self.accession(now, &start, instance, address);
+                self.capacity.confirm(&start.host, token, now);
+                self.drop_pending_start(&service, token);
+                self.move_start_answered(now, &start, Came::Here { instance: instance.clone() });
+                self.add_started(now, &start, instance, address);
             }
             StartResult::NoCapacity => {
                 let Some(start) = self.starts.remove(&token) else { return };
-                let until = now + self.terms.list_lag + Duration::from_millis(200);
-                self.room.refused(&start.host, token, until);
-                self.drop_under_way(&service, token);
-                self.came(now, &start, Came::Refused);
+                let until = now + self.platform.list_lag + Duration::from_millis(200);
+                self.capacity.reject(&start.host, token, until);
+                self.drop_pending_start(&service, token);
+                self.move_start_answered(now, &start, Came::Refused);
             }
             StartResult::UnknownService => {
                 let Some(start) = self.starts.remove(&token) else { return };
-                self.room.forget(&start.host, token);
-                self.drop_under_way(&service, token);
-                self.came(now, &start, Came::Refused);
-                if let Some(svc) = self.services.get_mut(&service) {
-                    svc.not_before = now + Duration::from_secs(1);
+                self.capacity.release(&start.host, token);
+                self.drop_pending_start(&service, token);
+                self.move_start_answered(now, &start, Came::Refused);
+                if let Some(service_state) = self.services.get_mut(&service) {
+                    service_state.not_before = now + Duration::from_secs(1);
                 }
             }
             StartResult::RateLimited => {
-                let pause = Duration::from_millis(150 + u64::from(self.chance.rand_range(0..100)));
-                self.pace.refused(now, pause);
-                self.start_again(token, now + pause);
-                self.trouble(now);
+                let pause = Duration::from_millis(150 + u64::from(self.rng.rand_range(0..100)));
+                self.rate_limiter.throttled(now, pause);
+                self.schedule_start(token, now + pause);
+                self.note_disturbance(now);
             }
             StartResult::OutcomeUnknown => {
-                self.unclear(now, token);
-                self.trouble(now);
+                self.retry_start(now, token);
+                self.note_disturbance(now);
             }
         }
-        self.touched.insert(service);
+        self.dirty.insert(service);
     }
 
-    fn accession(&mut self, now: Duration, start: &Start, instance: String, address: SocketAddr) {
-        // Already listed, or a repeat of a start whose instance has ended since.
+    fn add_started(&mut self, now: Duration, start: &Start, instance: String, address: SocketAddr) {
+        // The instance may already be listed, or this may be the repeat of a start whose instance has ended
+        // since.
         if start.replaces.is_some() {
-            self.book.change(&instance, |h| h.entry.replaces.clone_from(&start.replaces));
+            self.registry.update(&instance, |h| h.entry.replaces.clone_from(&start.replaces));
         }
-        if self.book.get(&instance).is_some() || self.dead.get(&instance).is_some_and(|until| now < *until) {
+        if self.registry.get(&instance).is_some()
+            || self.tombstones.get(&instance).is_some_and(|until| now < *until)
+        {
             return;
         }
-        let zone = self.room.zone(&start.host).unwrap_or_default().to_string();
-        self.book.insert(Held {
+        let zone = self.capacity.zone(&start.host).unwrap_or_default().to_string();
+        self.registry.insert(InstanceRecord {
             entry: Entry {
                 instance: instance.clone(),
                 service: start.service.clone(),
@@ -204,56 +211,56 @@
                 replaces: start.replaces.clone(),
                 version: 0,
             },
-            known: now,
-            ready: None,
+            known_since: now,
+            ready_since: None,
             listed: false,
             listed_draining: false,
-            missing: 0,
-            up: 0,
+            missed_lists: 0,
+            up_lists: 0,
             stop_at: None,
             stop_sent: false,
-            stop_tries: 0,
-            leaving: false,
+            stop_attempts: 0,
+            host_leaving: false,
         });
-        self.look_at_host(&instance);
-        self.end_if_too_late(now, &instance);
+        self.update_host_state(&instance);
+        self.end_if_host_drains(now, &instance);
         if !self.services.contains_key(&start.service) {
             self.end(now, &instance, Duration::ZERO);
         }
     }
 
-    fn start_again(&mut self, token: u64, at: Duration) {
+    fn schedule_start(&mut self, token: u64, at: Duration) {
         if let Some(s) = self.starts.get_mut(&token) {
             s.sent = false;
             s.at = at;
-            self.again.insert((at, token));
+            self.start_deadlines.insert((at, token));
         }
     }
 
-    fn unclear(&mut self, now: Duration, token: u64) {
+    fn retry_start(&mut self, now: Duration, token: u64) {
         let Some(s) = self.starts.get_mut(&token) else { return };
-        s.tries = (s.tries + 1).min(RETRY_MOST);
-        let at = now + self.tuning.repeat * s.tries;
-        self.start_again(token, at);
+        s.attempts = (s.attempts + 1).min(MAX_RETRY_FACTOR);
+        let at = now + self.tuning.retry_delay * s.attempts;
+        self.schedule_start(token, at);
     }
 
-    fn drop_under_way(&mut self, service: &str, token: u64) {
-        if let Some(svc) = self.services.get_mut(service) {
-            svc.under_way.retain(|u| u.0 != token);
+    fn drop_pending_start(&mut self, service: &str, token: u64) {
+        if let Some(service_state) = self.services.get_mut(service) {
+            service_state.pending_starts.retain(|u| u.0 != token);
         }
     }
 
-    /// The answer to [`Order::Stop`]; `ok` also when no such instance is known there (404).
+    /// Takes the response to [`Order::Stop`]; `ok` also if the platform knows no such instance (404).
     pub fn stop_answered(&mut self, now: Duration, token: u64, ok: bool) {
-        let Some((instance, _)) = self.stopping.remove(&token) else { return };
+        let Some((instance, _)) = self.pending_stops.remove(&token) else { return };
         if ok {
-            self.ended(&instance);
-            self.lose(now, &instance, 3 * self.tuning.gone_lasts);
-        } else if let Some(h) = self.book.mark(&instance) {
-            h.stop_tries = (h.stop_tries + 1).min(RETRY_MOST);
-            let at = now + self.tuning.repeat * h.stop_tries;
+            self.move_instance_ended(&instance);
+            self.remove_instance(now, &instance, 3 * self.tuning.loss_ttl);
+        } else if let Some(h) = self.registry.record_mut(&instance) {
+            h.stop_attempts = (h.stop_attempts + 1).min(MAX_RETRY_FACTOR);
+            let at = now + self.tuning.retry_delay * h.stop_attempts;
             h.stop_at = Some(at);
-            self.stops.insert((at, instance));
+            self.stop_queue.insert((at, instance));
         }
     }
 }
--- a/crates/stacks/tests/origins.rs
+++ b/crates/stacks/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where instances go by where calls come from, and how many a waiting call has started.
+//! Placement of instances by the zones of their calls, and the number of starts and stops in special cases.
 
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -14,14 +14,14 @@
 
 fn scaler(service: Service) -> Scaler {
     let zone = |zone: &str| (zone.to_string(), "r".to_string());
-    let terms = PlatformSettings {
+    let platform_settings = PlatformSettings {
         zones: vec![zone("a"), zone("b")],
         drain: ms(3000),
         address_reuse: ms(2000),
         call_rate: 100.0,
         list_lag: ms(0),
     };
-    let mut scaler = Scaler::new(terms, 1, 1, ms(0));
+    let mut scaler = Scaler::new(platform_settings, 1, 1, ms(0));
     scaler.update_services(ms(0), &[service]);
     let host = |zone: &str| Host {
         name: format!("w-{zone}"),
@@ -40,7 +40,7 @@
     Service { name: "s".into(), memory_mb, boot_ms, max_inflight, target_ms, priority: 2, routed: true }
 }
 
-/// Plays until `end`, `demand` being told each 250 ms; starts by host.
+/// Runs until `end` with `demand` reported every 250 ms; returns the number of starts by host.
 fn starts(mut scaler: Scaler, end: u64, demand: impl Fn(u64) -> Option<Demand>) -> BTreeMap<String, usize> {
     let mut by = BTreeMap::new();
     let at = SocketAddr::from(([10, 0, 0, 1], 80));
@@ -66,14 +66,14 @@
     by
 }
 
-/// Guards against what the lender's zone says: all calls are asked for where the instances are, so a zone that keeps an
-/// instance busy never had one of its own, and three of four calls crossed.
+/// Guards against placement by the slot allocator's zone. Slots are requested in the zones of the instances,
+/// so a zone that kept an instance busy never got a local one, and three of four calls crossed zones.
 #[rstest]
 #[case::all_from_b(vec![("b", 1.0)], &["w-b"])]
 #[case::from_both(vec![("a", 0.5), ("b", 0.5)], &["w-a", "w-b"])]
 #[case::few_from_b(vec![("a", 0.96), ("b", 0.04)], &["w-a"])]
-#[case::not_told(vec![], &["w-a"])]
-fn a_zone_has_its_own_instance_by_the_calls_it_sends(
+#[case::no_origins(vec![], &["w-a"])]
+fn local_instances_follow_the_zones_that_send_calls(
     #[case] origins: Vec<(&str, f32)>,
     #[case] hosts: &[&str],
 ) {
@@ -92,19 +92,20 @@
         })
     };
     let by = starts(scaler(service(1024, 1400, 8, 300)), 12_000, demand);
-    // One stands where its name puts it before there is any traffic, and the rise at the beginning has some more started.
+    // One instance is started in the zone derived from the service name before any traffic, and the initial
+    // rise of the rate starts a few more.
     for host in hosts {
         assert!(by.contains_key(*host), "{by:?}");
     }
     assert!(by.values().sum::<usize>() <= hosts.len() + 2, "{by:?}");
 }
 
-/// Guards against starts that serve nobody: one waiting call was counted as busy, as a peak and as waiting, and had two or
-/// three instances started (1,381 of 3,246 on a calm day never got a request).
+/// Guards against starts that serve no call: one waiting call was counted as busy, as peak and as waiting,
+/// and started two or three instances (1,381 of 3,246 instances of a quiet day never got a request).
 #[rstest]
 #[case::short_runs(60.0, 1)]
 #[case::long_runs(1500.0, 1)]
-fn a_call_that_waits_has_one_instance_started(#[case] run_ms: f32, #[case] most: usize) {
+fn waiting_call_starts_only_one_instance(#[case] run_ms: f32, #[case] most: usize) {
     let demand = |t: u64| {
         (1000..=1250).contains(&t).then(|| Demand {
             service: "s".into(),
@@ -122,10 +123,10 @@
     assert_eq!(by.values().sum::<usize>(), most, "{by:?}");
 }
 
-/// Guards against instances that nobody stops: one that the holder before was about to stop reached the next holder as
-/// draining, which the platform shows as up, and was still there a minute later.
+/// Guards against instances that are never stopped: an instance that the previous lease holder was about to
+/// stop reached the next holder as draining, while the platform listed it as up; a minute later it still ran.
 #[test]
-fn what_the_holder_before_was_about_to_stop_is_stopped() {
+fn instance_ending_under_the_previous_holder_is_stopped() {
     let mut scaler = scaler(service(128, 900, 1, 1500));
     let entry = Entry {
         instance: "i-1".into(),
@@ -162,11 +163,12 @@
     assert!(stopped);
 }
 
-/// Guards against calls after a drain's end: one that came up on a host which drains was lent until the list showed it.
+/// Guards against calls after the end of a drain: slots of an instance that became ready on a draining host
+/// were allocated until the list showed it as draining.
 #[rstest]
 #[case(false, 0)]
 #[case(true, 1)]
-fn one_still_starting_on_a_host_that_drains_is_stopped(#[case] drains: bool, #[case] stops: usize) {
+fn starting_instance_on_a_draining_host_is_stopped(#[case] drains: bool, #[case] stops: usize) {
     let mut scaler = scaler(service(128, 2900, 1, 1500));
     let Some(Order::Begin { token, host, .. }) = scaler.next(ms(0)) else { panic!("no start") };
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
@@ -188,12 +190,13 @@
     assert_eq!(stopped, stops);
 }
 
-/// Guards against the gap of a whole start after the only instance is lost, where that is longer than a drain (3 s).
+/// Guards against a gap as long as a start after the loss of the only instance, where a start takes longer
+/// than a drain (3 s).
 #[rstest]
 #[case(2900, 1)]
 #[case(20_000, 2)]
-fn what_starts_slower_than_a_drain_has_two(#[case] boot_ms: u32, #[case] there: usize) {
+fn service_booting_slower_than_a_drain_has_two_instances(#[case] boot_ms: u32, #[case] expected: usize) {
     let by = starts(scaler(service(128, boot_ms, 4, 1000)), 2000, |_| None);
-    assert_eq!(by.values().sum::<usize>(), there);
-    assert_eq!(by.len(), there);
+    assert_eq!(by.values().sum::<usize>(), expected);
+    assert_eq!(by.len(), expected);
 }
--- a/crates/stacks/tests/sim.rs
+++ b/crates/stacks/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! A platform, lenders and calls on simulated time, in steps of 10 ms.
+//! Autoscaler against a simulated platform, slot allocators and calls, on simulated time in steps of 10 ms.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     Duration::from_millis(n)
 }
 
-struct Inst {
+struct SimInstance {
     service: String,
     host: String,
     zone: String,
@@ -23,13 +23,13 @@
     up_at: u64,
     draining: bool,
     ends: Option<u64>,
-    /// Shown in the list until then, after a crash.
-    ghost: Option<u64>,
+    /// After a crash: the list shows it until then.
+    listed_until: Option<u64>,
     begun: u64,
     busy: u32,
 }
 
-struct Machine {
+struct SimHost {
     zone: &'static str,
     memory: u32,
     up: bool,
@@ -39,27 +39,27 @@
 #[derive(Default)]
 struct Load {
     rate: f64,
-    carry: Vec<u64>, // arrivals of the last 3 s
+    arrivals: Vec<u64>, // arrivals of the last 3 s
     waiting: VecDeque<u64>,
     busy: f64,
-    smooth: f64,
+    busy_average: f64,
     peak: VecDeque<(u64, u32)>,
     last: Option<u64>,
-    told: u64,
+    reported_at: u64,
 }
 
 struct World {
     t: u64,
-    chance: Rand64,
+    rng: Rand64,
     scaler: Scaler,
     services: BTreeMap<String, Service>,
     run_ms: f64,
-    machines: BTreeMap<String, Machine>,
-    insts: BTreeMap<String, Inst>,
+    machines: BTreeMap<String, SimHost>,
+    instances: BTreeMap<String, SimInstance>,
     nonces: BTreeMap<String, String>,
-    made: VecDeque<u64>,
-    rate: usize,
-    unclear: f64,
+    recent_calls: VecDeque<u64>,
+    call_rate: usize,
+    answer_loss: f64,
     lists: VecDeque<(u64, Vec<Host>, Vec<ListedInstance>)>,
     loads: BTreeMap<(String, &'static str), Load>,
     /// (end, service, zone of the call, instance)
@@ -69,11 +69,11 @@
     starts: u64,
     stops: u64,
     refused: u64,
-    late: u64,
+    late_calls: u64,
     served: u64,
-    min_ready: BTreeMap<String, u32>,
-    waits: Vec<(u64, u64)>,
-    ordered: Vec<(u64, Order)>,
+    min_up: BTreeMap<String, u32>,
+    wait_times: Vec<(u64, u64)>,
+    issued_orders: Vec<(u64, Order)>,
 }
 
 enum Answer {
@@ -83,7 +83,7 @@
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-fn terms() -> PlatformSettings {
+fn platform_settings() -> PlatformSettings {
     PlatformSettings {
         zones: vec![("a".into(), "r".into()), ("b".into(), "r".into()), ("c".into(), "s".into())],
         drain: ms(3000),
@@ -93,7 +93,7 @@
     }
 }
 
-fn dock(name: &str) -> Service {
+fn urgent_service(name: &str) -> Service {
     Service {
         name: name.into(),
         memory_mb: 512,
@@ -105,7 +105,7 @@
     }
 }
 
-fn log(name: &str) -> Service {
+fn sleeping_service(name: &str) -> Service {
     Service {
         name: name.into(),
         memory_mb: 192,
@@ -119,22 +119,22 @@
 
 impl World {
     fn new(seed: u64, services: Vec<Service>, hosts: usize, memory: u32) -> World {
-        let mut scaler = Scaler::new(terms(), 7, seed, ms(0));
+        let mut scaler = Scaler::new(platform_settings(), 7, seed, ms(0));
         scaler.update_services(ms(0), &services);
         let machines = (0..hosts)
-            .map(|i| (format!("h{i}"), Machine { zone: ZONES[i % 3], memory, up: true, drains: false }));
+            .map(|i| (format!("h{i}"), SimHost { zone: ZONES[i % 3], memory, up: true, drains: false }));
         World {
             t: 0,
-            chance: Rand64::new(seed as u128),
+            rng: Rand64::new(seed as u128),
             scaler,
             services: services.into_iter().map(|s| (s.name.clone(), s)).collect(),
             run_ms: 80.0,
             machines: machines.collect(),
-            insts: BTreeMap::new(),
+            instances: BTreeMap::new(),
             nonces: BTreeMap::new(),
-            made: VecDeque::new(),
-            rate: 150,
-            unclear: 0.0,
+            recent_calls: VecDeque::new(),
+            call_rate: 150,
+            answer_loss: 0.0,
             lists: VecDeque::new(),
             loads: BTreeMap::new(),
             running: Vec::new(),
@@ -143,11 +143,11 @@
             starts: 0,
             stops: 0,
             refused: 0,
-            late: 0,
+            late_calls: 0,
             served: 0,
-            min_ready: BTreeMap::new(),
-            waits: Vec::new(),
-            ordered: Vec::new(),
+            min_up: BTreeMap::new(),
+            wait_times: Vec::new(),
+            issued_orders: Vec::new(),
         }
     }
 
@@ -159,43 +159,44 @@
         let t = self.t;
         let l = self.loads.entry((service.into(), zone)).or_default();
         l.waiting.push_back(t);
-        l.carry.push(t);
+        l.arrivals.push(t);
         l.last = Some(t);
-        l.told = 0;
+        l.reported_at = 0;
     }
 
     fn free(&self, host: &str) -> u32 {
         let used: u32 = self
-            .insts
+            .instances
             .values()
-            .filter(|i| i.host == host && i.ghost.is_none())
+            .filter(|i| i.host == host && i.listed_until.is_none())
             .map(|i| self.services[&i.service].memory_mb)
             .sum();
-        assert!(used <= self.machines[host].memory, "host over its memory");
+        assert!(used <= self.machines[host].memory, "host memory exceeded");
         self.machines[host].memory - used
     }
 
     fn alive(&self, service: &str) -> usize {
-        self.insts.values().filter(|i| i.service == service && i.ghost.is_none()).count()
+        self.instances.values().filter(|i| i.service == service && i.listed_until.is_none()).count()
     }
 
     fn up(&self, service: &str) -> usize {
-        let up =
-            |i: &&Inst| i.service == service && i.ghost.is_none() && i.up_at <= self.t && i.ends.is_none();
-        self.insts.values().filter(up).count()
+        let up = |i: &&SimInstance| {
+            i.service == service && i.listed_until.is_none() && i.up_at <= self.t && i.ends.is_none()
+        };
+        self.instances.values().filter(up).count()
     }
 
     fn platform(&mut self, order: Order) {
-        while self.made.front().is_some_and(|m| m + 1000 <= self.t) {
-            self.made.pop_front();
+        while self.recent_calls.front().is_some_and(|m| m + 1000 <= self.t) {
+            self.recent_calls.pop_front();
         }
-        let busy = self.made.len() >= self.rate;
+        let busy = self.recent_calls.len() >= self.call_rate;
         if !busy {
-            self.made.push_back(self.t);
+            self.recent_calls.push_back(self.t);
         }
-        let lost = self.chance.rand_float() < self.unclear;
-        let done = self.chance.rand_float() < 0.5;
-        let at = self.t + 10 + self.chance.rand_range(0..20);
+        let lost = self.rng.rand_float() < self.answer_loss;
+        let done = self.rng.rand_float() < 0.5;
+        let at = self.t + 10 + self.rng.rand_range(0..20);
         match order {
             Order::Begin { token, service, host, nonce } => {
                 if busy {
@@ -221,9 +222,8 @@
                     self.starts += 1;
                     let id = format!("i-{}", self.next_id);
                     let address: SocketAddr = format!("10.0.0.1:{}", 1000 + self.next_id).parse().unwrap();
-                    let boot =
-                        self.services[&service].boot_ms as f64 * (0.7 + 0.6 * self.chance.rand_float());
-                    let inst = Inst {
+                    let boot = self.services[&service].boot_ms as f64 * (0.7 + 0.6 * self.rng.rand_float());
+                    let inst = SimInstance {
                         zone: self.machines[&host].zone.into(),
                         service,
                         host,
@@ -231,11 +231,11 @@
                         up_at: self.t + boot as u64,
                         draining: false,
                         ends: None,
-                        ghost: None,
+                        listed_until: None,
                         begun: self.t,
                         busy: 0,
                     };
-                    self.insts.insert(id.clone(), inst);
+                    self.instances.insert(id.clone(), inst);
                     self.nonces.insert(nonce, id.clone());
                     StartResult::Started { instance: id, address }
                 };
@@ -248,7 +248,7 @@
                     return;
                 }
                 if !lost || done {
-                    if let Some(i) = self.insts.get_mut(&instance) {
+                    if let Some(i) = self.instances.get_mut(&instance) {
                         self.stops += 1;
                         i.ends = Some(self.t + 200);
                     }
@@ -260,14 +260,15 @@
 
     fn crash(&mut self, id: &str) {
         let t = self.t;
-        if let Some(i) = self.insts.get_mut(id) {
-            i.ghost = Some(t + 4000);
+        if let Some(i) = self.instances.get_mut(id) {
+            i.listed_until = Some(t + 4000);
         }
         self.running.retain(|r| r.3 != id);
     }
 
     fn crash_host(&mut self, host: &str) {
-        let ids: Vec<String> = self.insts.iter().filter(|i| i.1.host == host).map(|i| i.0.clone()).collect();
+        let ids: Vec<String> =
+            self.instances.iter().filter(|i| i.1.host == host).map(|i| i.0.clone()).collect();
         ids.iter().for_each(|i| self.crash(i));
         self.machines.get_mut(host).unwrap().up = false;
     }
@@ -275,7 +276,7 @@
     fn drain_host(&mut self, host: &str) {
         self.machines.get_mut(host).unwrap().drains = true;
         let t = self.t;
-        for i in self.insts.values_mut().filter(|i| i.host == host && i.ghost.is_none()) {
+        for i in self.instances.values_mut().filter(|i| i.host == host && i.listed_until.is_none()) {
             i.draining = true;
             i.ends = Some(t + LAG + 3000);
         }
@@ -284,8 +285,8 @@
     fn step(&mut self) {
         self.t += STEP;
         let (t, now) = (self.t, ms(self.t));
-        self.insts.retain(|_, i| i.ends.is_none_or(|e| e > t) && i.ghost.is_none_or(|g| g > t));
-        // Lists, late.
+        self.instances.retain(|_, i| i.ends.is_none_or(|e| e > t) && i.listed_until.is_none_or(|g| g > t));
+        // Lists, delivered with a lag.
         if t.is_multiple_of(100) {
             let hosts: Vec<Host> = self
                 .machines
@@ -299,7 +300,7 @@
                     up: !m.drains,
                 })
                 .collect();
-            let list = self.insts.iter().filter(|i| i.1.up_at <= t).map(|(id, i)| ListedInstance {
+            let list = self.instances.iter().filter(|i| i.1.up_at <= t).map(|(id, i)| ListedInstance {
                 instance: id.clone(),
                 service: i.service.clone(),
                 address: i.address,
@@ -318,7 +319,7 @@
                 self.scaler.update_instances(now, &list);
             }
         }
-        // Answers of the platform.
+        // Responses of the platform.
         let (due, later) = std::mem::take(&mut self.answers).into_iter().partition(|a| a.0 <= t);
         self.answers = later;
         for (_, a) in due {
@@ -332,13 +333,13 @@
         for n in 0.. {
             assert!(n < 1000, "orders without end");
             let Some(order) = self.scaler.next(now) else { break };
-            self.ordered.push((t, order.clone()));
+            self.issued_orders.push((t, order.clone()));
             self.platform(order);
         }
-        assert!(self.scaler.next_due() > now, "asked again at once: {:?} at {now:?}", self.scaler.next_due());
+        assert!(self.scaler.next_due() > now, "due again at once: {:?} at {now:?}", self.scaler.next_due());
         for name in self.services.keys() {
             let up = self.up(name) as u32;
-            let least = self.min_ready.entry(name.clone()).or_insert(up);
+            let least = self.min_up.entry(name.clone()).or_insert(up);
             *least = (*least).min(up);
         }
     }
@@ -350,71 +351,71 @@
         self.running = run;
         for (_, service, zone, id) in ended {
             self.served += 1;
-            if let Some(i) = self.insts.get_mut(&id) {
+            if let Some(i) = self.instances.get_mut(&id) {
                 i.busy -= 1;
             }
             if let Some(l) = self.loads.get_mut(&(service, zone)) {
                 l.busy -= 1.0;
             }
         }
-        let mut lend: BTreeMap<String, Vec<String>> = BTreeMap::new();
+        let mut allocatable: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for e in self.scaler.entries() {
             if e.state != InstanceState::Ending {
-                lend.entry(e.service.clone()).or_default().push(e.instance.clone());
+                allocatable.entry(e.service.clone()).or_default().push(e.instance.clone());
             }
         }
-        let mut news = Vec::new();
+        let mut instance_events = Vec::new();
         for ((service, zone), l) in &mut self.loads {
-            if self.chance.rand_float() < l.rate * STEP as f64 / 1e3 {
+            if self.rng.rand_float() < l.rate * STEP as f64 / 1e3 {
                 l.waiting.push_back(t);
-                l.carry.push(t);
+                l.arrivals.push(t);
                 l.last = Some(t);
             }
-            l.carry.retain(|c| c + 3000 > t);
+            l.arrivals.retain(|c| c + 3000 > t);
             while let Some(since) = l.waiting.front().copied() {
                 let mut found = None;
-                for id in lend.get(service).into_iter().flatten() {
-                    match self.insts.get(id) {
+                for id in allocatable.get(service).into_iter().flatten() {
+                    match self.instances.get(id) {
                         Some(i)
-                            if i.ghost.is_none()
+                            if i.listed_until.is_none()
                                 && i.up_at <= t
                                 && i.busy < self.services[service].max_inflight =>
                         {
                             found = Some(id.clone());
                             break;
                         }
-                        Some(i) if i.ghost.is_some() => news.push((id.clone(), false)),
-                        None => news.push((id.clone(), false)),
+                        Some(i) if i.listed_until.is_some() => instance_events.push((id.clone(), false)),
+                        None => instance_events.push((id.clone(), false)),
                         _ => {}
                     }
                 }
                 let Some(id) = found else { break };
-                news.push((id.clone(), true));
-                self.insts.get_mut(&id).unwrap().busy += 1;
+                instance_events.push((id.clone(), true));
+                self.instances.get_mut(&id).unwrap().busy += 1;
                 l.busy += 1.0;
-                let run = -self.run_ms * (1.0 - self.chance.rand_float()).ln();
+                let run = -self.run_ms * (1.0 - self.rng.rand_float()).ln();
                 self.running.push((t + 1 + run as u64, service.clone(), zone, id));
                 l.waiting.pop_front();
-                self.waits.push((t, t - since));
+                self.wait_times.push((t, t - since));
                 if t - since > u64::from(self.services[service].target_ms) {
-                    self.late += 1;
+                    self.late_calls += 1;
                 }
             }
-            l.smooth += (l.busy - l.smooth) * STEP as f64 / 500.0;
+            l.busy_average += (l.busy - l.busy_average) * STEP as f64 / 500.0;
             l.peak.push_back((t, l.busy as u32 + l.waiting.len() as u32));
             l.peak.retain(|p| p.0 + 1000 > t);
             let Some(last) = l.last else { continue };
-            let urgent = !l.waiting.is_empty() && l.told + 50 <= t;
-            if l.told + 250 <= t && l.last.is_some_and(|x| x + 8000 > t) || urgent {
-                l.told = t;
-                let rate: f64 = l.carry.iter().map(|c| (-((t - c) as f64) / 1e3).exp()).sum();
+            let urgent = !l.waiting.is_empty() && l.reported_at + 50 <= t;
+            if l.reported_at + 250 <= t && l.last.is_some_and(|x| x + 8000 > t) || urgent {
+                l.reported_at = t;
+                let rate: f64 = l.arrivals.iter().map(|c| (-((t - c) as f64) / 1e3).exp()).sum();
                 self.scaler.update_demand(
                     now,
                     Demand {
                         service: service.clone(),
                         zone: zone.to_string(),
                         rate: rate as f32,
-                        busy: l.smooth as f32,
+                        busy: l.busy_average as f32,
                         peak: l.peak.iter().map(|p| p.1).max().unwrap_or(0) as u16,
                         waiting: l.waiting.len() as u16,
                         run_ms: self.run_ms as f32,
@@ -424,7 +425,7 @@
                 );
             }
         }
-        for (id, ready) in news {
+        for (id, ready) in instance_events {
             if ready {
                 self.scaler.instance_ready(now, &id);
             } else {
@@ -440,49 +441,50 @@
         }
     }
 
-    /// Nothing lives that the scaler does not know, and nothing it counts on is dead.
-    fn agrees(&self) {
+    /// The autoscaler knows every running instance, and every instance it knows exists.
+    fn assert_registry_matches(&self) {
         for (id, _) in self
-            .insts
+            .instances
             .iter()
-            .filter(|i| i.1.ghost.is_none() && i.1.ends.is_none() && i.1.begun + 1500 < self.t)
+            .filter(|i| i.1.listed_until.is_none() && i.1.ends.is_none() && i.1.begun + 1500 < self.t)
         {
-            assert!(self.scaler.entries().any(|e| e.instance == *id), "{id} unknown");
+            assert!(self.scaler.entries().any(|e| e.instance == *id), "{id} unknown to the autoscaler");
         }
         for e in self.scaler.entries() {
-            assert!(self.insts.contains_key(&e.instance), "{} is dead", e.instance);
+            assert!(self.instances.contains_key(&e.instance), "{} does not exist", e.instance);
         }
     }
 }
 
 #[rstest]
-fn one_of_each_before_traffic(#[values(1, 2, 3)] seed: u64) {
-    let docks: Vec<Service> = (0..8).map(|i| dock(&format!("d{i}"))).chain([log("l0")]).collect();
-    let mut w = World::new(seed, docks, 6, 8000);
+fn urgent_services_have_one_instance_before_traffic(#[values(1, 2, 3)] seed: u64) {
+    let urgent: Vec<Service> =
+        (0..8).map(|i| urgent_service(&format!("d{i}"))).chain([sleeping_service("l0")]).collect();
+    let mut w = World::new(seed, urgent, 6, 8000);
     w.run(1500 + 1400 * 13 / 10 + 1000);
     for i in 0..8 {
         assert_eq!(w.up(&format!("d{i}")), 1);
     }
     assert_eq!(w.alive("l0"), 0);
-    let zones: std::collections::BTreeSet<_> = w.insts.values().map(|i| i.zone.clone()).collect();
-    assert!(zones.len() > 1, "spread over zones");
+    let zones: std::collections::BTreeSet<_> = w.instances.values().map(|i| i.zone.clone()).collect();
+    assert!(zones.len() > 1, "all instances in one zone");
     w.run(60_000);
     assert_eq!((w.starts, w.stops), (8, 0));
-    w.agrees();
+    w.assert_registry_matches();
 }
 
 #[rstest]
-fn rare_function_starts_on_demand_and_is_weeded(#[values(1, 2, 3)] seed: u64) {
-    let mut w = World::new(seed, vec![log("l")], 3, 4000);
+fn rare_service_starts_on_demand_and_stops_when_idle(#[values(1, 2, 3)] seed: u64) {
+    let mut w = World::new(seed, vec![sleeping_service("l")], 3, 4000);
     w.run(5000);
     w.call("l", "b");
     w.run(100);
     assert_eq!(w.alive("l"), 1);
-    assert_eq!(w.insts.values().next().unwrap().zone, "b");
+    assert_eq!(w.instances.values().next().unwrap().zone, "b");
     w.run(1400);
     assert_eq!(w.served, 1);
-    assert_eq!(w.late, 0);
-    let window = Tuning::default().window(&log("l"), 1.0).as_millis() as u64;
+    assert_eq!(w.late_calls, 0);
+    let window = Tuning::default().idle_window(&sleeping_service("l"), 1.0).as_millis() as u64;
     w.run(window + 2000);
     assert_eq!(w.alive("l"), 0);
     assert_eq!((w.starts, w.stops), (1, 1));
@@ -493,8 +495,12 @@
 #[rstest]
 #[case::steady(1.0, 1)]
 #[case::rare(0.05, 12)]
-fn a_steady_trickle_keeps_its_instance(#[case] rate: f64, #[case] most: u64, #[values(1, 2, 3)] seed: u64) {
-    let mut w = World::new(seed, vec![log("l")], 3, 4000);
+fn low_steady_rate_does_not_cause_repeated_starts(
+    #[case] rate: f64,
+    #[case] most: u64,
+    #[values(1, 2, 3)] seed: u64,
+) {
+    let mut w = World::new(seed, vec![sleeping_service("l")], 3, 4000);
     w.run(5000);
     w.load("l", "a", rate);
     w.run(120_000);
@@ -502,8 +508,8 @@
 }
 
 #[rstest]
-fn wanted_is_reached_within_boot_and_a_second(#[values(1, 2, 3, 4)] seed: u64) {
-    let mut w = World::new(seed, vec![dock("d")], 6, 8000);
+fn target_is_reached_within_boot_time_plus_one_second(#[values(1, 2, 3, 4)] seed: u64) {
+    let mut w = World::new(seed, vec![urgent_service("d")], 6, 8000);
     w.run(5000);
     ZONES.into_iter().for_each(|z| w.load("d", z, 40.0)); // 9.6 slots busy
     w.run(1400 * 13 / 10 + 1000);
@@ -512,15 +518,15 @@
     let up = w.up("d");
     assert!((4..=6).contains(&up), "{up}");
     let from = w.t - 15_000;
-    let slow = w.waits.iter().filter(|x| x.0 > from && x.1 > 200).count();
-    let all = w.waits.iter().filter(|x| x.0 > from).count();
+    let slow = w.wait_times.iter().filter(|x| x.0 > from && x.1 > 200).count();
+    let all = w.wait_times.iter().filter(|x| x.0 > from).count();
     assert!(slow * 100 < all, "{slow} of {all}");
-    w.agrees();
+    w.assert_registry_matches();
 }
 
 #[rstest]
-fn burst_of_two_and_a_half(#[values(1, 2, 3, 4)] seed: u64) {
-    let mut w = World::new(seed, vec![dock("d")], 6, 8000);
+fn burst_is_absorbed_and_scaled_down_afterwards(#[values(1, 2, 3, 4)] seed: u64) {
+    let mut w = World::new(seed, vec![urgent_service("d")], 6, 8000);
     w.run(4000);
     ZONES.into_iter().for_each(|z| w.load("d", z, 30.0));
     w.run(25_000);
@@ -531,7 +537,7 @@
     w.run(2000);
     let from = w.t;
     w.run(8000);
-    let slow = w.waits.iter().filter(|x| x.0 > from && x.1 > 250).count();
+    let slow = w.wait_times.iter().filter(|x| x.0 > from && x.1 > 250).count();
     assert!(slow < 40, "{slow}");
     assert!(w.up("d") <= 10, "{}", w.up("d"));
     ZONES.into_iter().for_each(|z| w.load("d", z, 30.0));
@@ -540,86 +546,89 @@
 }
 
 #[rstest]
-fn drained_host_is_replaced_before_it_ends(#[values(1, 2, 3)] seed: u64) {
-    let docks: Vec<Service> = (0..8).map(|i| dock(&format!("d{i}"))).collect();
-    let mut w = World::new(seed, docks, 6, 8000);
+fn instances_of_a_draining_host_are_replaced_before_they_end(#[values(1, 2, 3)] seed: u64) {
+    let urgent: Vec<Service> = (0..8).map(|i| urgent_service(&format!("d{i}"))).collect();
+    let mut w = World::new(seed, urgent, 6, 8000);
     w.run(6000);
-    w.min_ready.clear();
-    let host = w.insts.values().next().unwrap().host.clone();
+    w.min_up.clear();
+    let host = w.instances.values().next().unwrap().host.clone();
     w.drain_host(&host);
     w.run(10_000);
-    // Draining ones end after the lag and 3 s; up() leaves them out, so look at the living.
+    // Draining instances end after the lag and 3 s; up() does not count them.
     for i in 0..8 {
         assert_eq!(w.up(&format!("d{i}")), 1);
     }
-    let replaced = w.insts.values().filter(|i| i.begun >= 6000).map(|i| i.up_at).max().unwrap();
+    let replaced = w.instances.values().filter(|i| i.begun >= 6000).map(|i| i.up_at).max().unwrap();
     assert!(replaced < 6000 + LAG + 3000, "{replaced}");
-    assert!(w.insts.values().all(|i| i.host != host));
-    w.agrees();
+    assert!(w.instances.values().all(|i| i.host != host));
+    w.assert_registry_matches();
 }
 
 #[rstest]
-fn crashes_are_replaced(#[values(1, 2, 3)] seed: u64, #[values(false, true)] told: bool) {
-    let mut w = World::new(seed, vec![dock("d"), dock("e")], 6, 8000);
+fn instances_lost_in_a_host_crash_are_replaced(
+    #[values(1, 2, 3)] seed: u64,
+    #[values(false, true)] has_load: bool,
+) {
+    let mut w = World::new(seed, vec![urgent_service("d"), urgent_service("e")], 6, 8000);
     w.run(4000);
-    if told {
+    if has_load {
         w.load("d", "a", 20.0);
     }
     w.run(12_000);
-    let host = w.insts.values().find(|i| i.service == "d").unwrap().host.clone();
+    let host = w.instances.values().find(|i| i.service == "d").unwrap().host.clone();
     w.crash_host(&host);
-    w.run(if told { 3200 } else { 6000 });
+    w.run(if has_load { 3200 } else { 6000 });
     assert!(w.up("d") >= 1);
     w.run(8000);
-    w.agrees();
+    w.assert_registry_matches();
     assert!(w.up("d") <= 2);
 }
 
 #[rstest]
-fn unclear_calls_are_repeated_and_never_doubled(#[values(1, 2, 3, 4, 5)] seed: u64) {
-    let docks: Vec<Service> = (0..20).map(|i| dock(&format!("d{i}"))).collect();
-    let mut w = World::new(seed, docks, 6, 8000);
-    w.unclear = 0.5;
+fn starts_with_lost_answers_are_not_executed_twice(#[values(1, 2, 3, 4, 5)] seed: u64) {
+    let urgent: Vec<Service> = (0..20).map(|i| urgent_service(&format!("d{i}"))).collect();
+    let mut w = World::new(seed, urgent, 6, 8000);
+    w.answer_loss = 0.5;
     w.run(12_000);
     assert_eq!(w.starts, 20);
     w.load("d3", "b", 60.0);
     w.run(15_000);
     w.load("d3", "b", 0.0);
     w.run(25_000);
-    assert_eq!(w.insts.len(), 20);
-    w.agrees();
+    assert_eq!(w.instances.len(), 20);
+    w.assert_registry_matches();
 }
 
 #[rstest]
-fn never_more_than_the_hosts_hold(#[values(1, 2, 3)] seed: u64) {
-    // free() asserts at every list and start.
-    let docks: Vec<Service> = (0..8).map(|i| dock(&format!("d{i}"))).collect();
-    let mut w = World::new(seed, docks, 3, 2100);
+fn starts_never_exceed_host_memory(#[values(1, 2, 3)] seed: u64) {
+    // free() asserts this at every list and start.
+    let urgent: Vec<Service> = (0..8).map(|i| urgent_service(&format!("d{i}"))).collect();
+    let mut w = World::new(seed, urgent, 3, 2100);
     ZONES.into_iter().for_each(|z| w.load("d0", z, 200.0));
     w.run(20_000);
-    assert_eq!(w.insts.len(), 12);
-    w.agrees();
+    assert_eq!(w.instances.len(), 12);
+    w.assert_registry_matches();
 }
 
 #[rstest]
-fn many_rare_at_once_keep_the_rate(#[values(1, 2)] seed: u64) {
-    let logs: Vec<Service> = (0..150).map(|i| log(&format!("l{i}"))).collect();
-    let mut w = World::new(seed, logs, 12, 7413);
+fn simultaneous_cold_starts_stay_under_the_rate_limit(#[values(1, 2)] seed: u64) {
+    let sleeping: Vec<Service> = (0..150).map(|i| sleeping_service(&format!("l{i}"))).collect();
+    let mut w = World::new(seed, sleeping, 12, 7413);
     w.run(4000);
     (0..150).for_each(|i| w.call(&format!("l{i}"), ZONES[i % 3]));
     w.run(3500);
     assert_eq!(w.refused, 0);
     assert_eq!(w.served, 150);
     w.run(10_000);
-    assert_eq!(w.insts.len(), 0);
+    assert_eq!(w.instances.len(), 0);
     assert_eq!(w.starts, 150);
 }
 
 #[rstest]
-fn a_platform_that_allows_less_is_heeded(#[values(1, 2)] seed: u64) {
-    let logs: Vec<Service> = (0..100).map(|i| log(&format!("l{i}"))).collect();
-    let mut w = World::new(seed, logs, 12, 7413);
-    w.rate = 40;
+fn lower_platform_rate_limit_is_respected(#[values(1, 2)] seed: u64) {
+    let sleeping: Vec<Service> = (0..100).map(|i| sleeping_service(&format!("l{i}"))).collect();
+    let mut w = World::new(seed, sleeping, 12, 7413);
+    w.call_rate = 40;
     w.run(4000);
     (0..100).for_each(|i| w.call(&format!("l{i}"), ZONES[i % 3]));
     w.run(9000);
@@ -628,9 +637,10 @@
 }
 
 #[rstest]
-fn a_successor_goes_on(#[values(1, 2, 3)] seed: u64, #[values(false, true)] inherits: bool) {
-    let docks: Vec<Service> = (0..8).map(|i| dock(&format!("d{i}"))).chain([log("l")]).collect();
-    let mut w = World::new(seed, docks, 6, 8000);
+fn successor_does_not_repeat_starts(#[values(1, 2, 3)] seed: u64, #[values(false, true)] inherits: bool) {
+    let urgent: Vec<Service> =
+        (0..8).map(|i| urgent_service(&format!("d{i}"))).chain([sleeping_service("l")]).collect();
+    let mut w = World::new(seed, urgent, 6, 8000);
     w.load("d1", "a", 50.0);
     w.load("l", "c", 3.0);
     w.run(20_000);
@@ -639,7 +649,7 @@
     let entries: Vec<Entry> = w.scaler.entries().cloned().collect();
     let (numbers, tag) = w.scaler.start_numbers();
     let version = w.scaler.version();
-    let mut next = Scaler::new(terms(), 8, seed, ms(w.t));
+    let mut next = Scaler::new(platform_settings(), 8, seed, ms(w.t));
     next.update_services(ms(w.t), &specs);
     if inherits {
         next.inherit(ms(w.t), &entries, &numbers, tag);
@@ -651,32 +661,32 @@
     assert!(w.scaler.version() > version);
     assert!(w.scaler.changes_since(version).complete);
     assert!(w.starts <= before + 2, "{} after {before}", w.starts);
-    w.agrees();
+    w.assert_registry_matches();
     w.run(10_000);
-    assert!(w.min_ready["d0"] <= 1 && w.up("d0") == 1);
+    assert!(w.min_up["d0"] <= 1 && w.up("d0") == 1);
 }
 
 #[rstest]
-fn stops_never_go_below_need(#[values(1, 2, 3)] seed: u64) {
-    let mut w = World::new(seed, vec![dock("d")], 6, 8000);
+fn scale_down_never_goes_below_demand(#[values(1, 2, 3)] seed: u64) {
+    let mut w = World::new(seed, vec![urgent_service("d")], 6, 8000);
     w.run(4000);
     for round in 0..6 {
         ZONES.into_iter().for_each(|z| w.load("d", z, if round % 2 == 0 { 50.0 } else { 10.0 }));
         w.run(4000);
-        w.min_ready.clear();
+        w.min_up.clear();
         w.run(12_000);
-        // 1 slot busy of 4 at 10 a second and zone, 12 at 50.
+        // Of 4 slots per instance: 1 busy at 10 calls a second and zone, 12 at 50.
         let least = if round % 2 == 0 { 3 } else { 1 };
-        assert!(w.min_ready["d"] >= least, "{} in round {round}", w.min_ready["d"]);
+        assert!(w.min_up["d"] >= least, "{} in round {round}", w.min_up["d"]);
     }
     assert!(w.starts < 40, "{} starts", w.starts);
 }
 
 #[rstest]
-fn a_service_that_is_gone_is_weeded() {
-    let mut w = World::new(1, vec![dock("d"), dock("e")], 3, 8000);
+fn removed_service_is_stopped() {
+    let mut w = World::new(1, vec![urgent_service("d"), urgent_service("e")], 3, 8000);
     w.run(5000);
-    w.scaler.update_services(ms(w.t), &[dock("e")]);
+    w.scaler.update_services(ms(w.t), &[urgent_service("e")]);
     w.run(1500);
     assert_eq!((w.alive("d"), w.alive("e")), (0, 1));
     w.run(5000);
@@ -684,30 +694,31 @@
 }
 
 #[rstest]
-fn pullers_hold_what_the_book_holds(#[values(1, 2)] seed: u64) {
-    let mut w = World::new(seed, vec![dock("d"), log("l")], 6, 8000);
+fn incremental_changes_match_the_registry(#[values(1, 2)] seed: u64) {
+    let mut w = World::new(seed, vec![urgent_service("d"), sleeping_service("l")], 6, 8000);
     let (mut have, mut version) = (BTreeMap::<String, Entry>::new(), 0);
     w.load("l", "a", 0.2);
     for round in 0..300 {
         w.load("d", "a", if round % 40 < 20 { 60.0 } else { 5.0 });
         w.run(300);
-        let news = w.scaler.changes_since(version);
-        if news.complete {
+        let changes = w.scaler.changes_since(version);
+        if changes.complete {
             have.clear();
         }
-        version = news.version;
-        news.ended.iter().for_each(|e| drop(have.remove(&e.0)));
-        have.extend(news.entries.into_iter().map(|e| (e.instance.clone(), e)));
+        version = changes.version;
+        changes.ended.iter().for_each(|e| drop(have.remove(&e.0)));
+        have.extend(changes.entries.into_iter().map(|e| (e.instance.clone(), e)));
         assert!(have.values().eq(w.scaler.entries()));
     }
     assert!(w.stops > 2);
 }
 
 #[rstest]
-fn a_thousand_services_are_cheap() {
-    let all: Vec<Service> =
-        (0..1000).map(|i| if i < 100 { dock(&format!("s{i}")) } else { log(&format!("s{i}")) }).collect();
-    let mut s = Scaler::new(terms(), 1, 1, ms(0));
+fn thousand_services_are_planned_in_time() {
+    let all: Vec<Service> = (0..1000)
+        .map(|i| if i < 100 { urgent_service(&format!("s{i}")) } else { sleeping_service(&format!("s{i}")) })
+        .collect();
+    let mut s = Scaler::new(platform_settings(), 1, 1, ms(0));
     s.update_services(ms(0), &all);
     let hosts: Vec<Host> = (0..40)
         .map(|i| Host {
@@ -771,11 +782,11 @@
 }
 
 #[rstest]
-fn odd_input_does_no_harm() {
-    let mut s = Scaler::new(PlatformSettings { zones: vec![], ..terms() }, 1, 1, ms(5));
+fn invalid_input_is_ignored() {
+    let mut s = Scaler::new(PlatformSettings { zones: vec![], ..platform_settings() }, 1, 1, ms(5));
     s.update_services(
         ms(0),
-        &[Service { memory_mb: 0, boot_ms: 0, max_inflight: 0, target_ms: 0, ..dock("d") }],
+        &[Service { memory_mb: 0, boot_ms: 0, max_inflight: 0, target_ms: 0, ..urgent_service("d") }],
     );
     s.update_hosts(ms(0), &[]);
     s.update_instances(ms(0), &[]);
@@ -802,17 +813,18 @@
 }
 
 fn big() -> Service {
-    Service { memory_mb: 1024, boot_ms: 1000, target_ms: 20_000, priority: 3, ..dock("big") }
+    Service { memory_mb: 1024, boot_ms: 1000, target_ms: 20_000, priority: 3, ..urgent_service("big") }
 }
 
-/// Docks of which each zone has six, and two hosts a zone that are left with half of what `big` takes.
-fn packed(seed: u64, mode: Rebinding) -> World {
-    let all: Vec<Service> = (0..40).map(|i| dock(&format!("d{i}"))).collect();
+/// Six urgent services in each zone, whose two hosts each have half of the memory free that `big` needs.
+fn nearly_full_hosts(seed: u64, mode: Rebinding) -> World {
+    let all: Vec<Service> = (0..40).map(|i| urgent_service(&format!("d{i}"))).collect();
     let mut w = World::new(seed, all.clone(), 3, 64_000);
     w.run(3000);
     let mut chosen = vec![big()];
     for z in ZONES {
-        chosen.extend(w.insts.values().filter(|i| i.zone == z).take(6).map(|i| dock(&i.service)));
+        chosen
+            .extend(w.instances.values().filter(|i| i.zone == z).take(6).map(|i| urgent_service(&i.service)));
     }
     assert_eq!(chosen.len(), 19);
     let mut w = World::new(seed, chosen.clone(), 6, 2048);
@@ -821,20 +833,20 @@
         w.load(&s.name, ZONES[n / 6], 1.0);
     }
     w.run(22_000);
-    w.min_ready.clear();
+    w.min_up.clear();
     w
 }
 
-fn moved(w: &World) -> usize {
+fn moves_started(w: &World) -> usize {
     w.nonces.keys().filter(|n| n.starts_with("rb.")).count()
 }
 
-fn docks_stand(w: &World) {
+fn assert_urgent_services_running(w: &World) {
     for name in w.services.keys().filter(|n| *n != "big") {
-        assert!(w.min_ready[name] >= 1, "{name} was without an instance");
+        assert!(w.min_up[name] >= 1, "{name} had no instance");
         assert_eq!(w.alive(name), 1, "{name}");
     }
-    w.agrees();
+    w.assert_registry_matches();
 }
 
 #[rstest]
@@ -842,20 +854,24 @@
 #[case(Rebinding::Plan, 0)]
 #[case(Rebinding::Holes, 1)]
 #[case(Rebinding::All, 1)]
-fn a_hole_is_made(#[case] mode: Rebinding, #[case] made: usize, #[values(1, 2, 3, 4)] seed: u64) {
-    let mut w = packed(seed, mode);
+fn blocked_start_gets_memory_through_a_move(
+    #[case] mode: Rebinding,
+    #[case] made: usize,
+    #[values(1, 2, 3, 4)] seed: u64,
+) {
+    let mut w = nearly_full_hosts(seed, mode);
     w.load("big", "b", 6.0);
     w.run(30_000);
     assert_eq!(w.alive("big"), made);
-    assert_eq!(moved(&w) > 0, made > 0);
-    assert!(moved(&w) <= 2, "{} moves", moved(&w));
+    assert_eq!(moves_started(&w) > 0, made > 0);
+    assert!(moves_started(&w) <= 2, "{} moves", moves_started(&w));
     w.run(10_000);
-    docks_stand(&w);
+    assert_urgent_services_running(&w);
     assert!(w.scaler.entries().all(|e| e.replaces.is_none()));
 }
 
-/// As pages hand it on: what lends no more is told as draining.
-fn by_wire(mut e: Entry) -> Entry {
+/// An entry as agents pass it on: an instance without allocatable slots is reported as draining.
+fn as_reported_by_agents(mut e: Entry) -> Entry {
     if e.state == InstanceState::Ending {
         e.state = InstanceState::Draining;
     }
@@ -863,57 +879,57 @@
 }
 
 #[rstest]
-fn a_holder_killed_in_a_move(
+fn move_is_finished_after_the_lease_holder_is_killed(
     #[values(1, 2, 3)] seed: u64,
     #[values(0, 1, 3, 6, 9, 12, 15, 18, 21, 24, 30, 40)] after: u64,
     #[values(false, true)] wire: bool,
 ) {
-    let mut w = packed(seed, Rebinding::Holes);
+    let mut w = nearly_full_hosts(seed, Rebinding::Holes);
     w.load("big", "b", 6.0);
-    while moved(&w) == 0 {
+    while moves_started(&w) == 0 {
         w.run(10);
         assert!(w.t < 60_000, "no move");
     }
     w.run(after * 100);
     let specs: Vec<Service> = w.services.values().cloned().collect();
-    let entries = w.scaler.entries().cloned().map(|e| if wire { by_wire(e) } else { e });
+    let entries = w.scaler.entries().cloned().map(|e| if wire { as_reported_by_agents(e) } else { e });
     let entries: Vec<Entry> = entries.collect();
     let (numbers, tag) = w.scaler.start_numbers();
-    let mut next = Scaler::new(terms(), 8, seed, ms(w.t));
+    let mut next = Scaler::new(platform_settings(), 8, seed, ms(w.t));
     next.set_rebinding(ms(w.t), Rebinding::Holes);
     next.update_services(ms(w.t), &specs);
     next.inherit(ms(w.t), &entries, &numbers, tag);
     w.scaler = next;
     w.answers.clear();
-    // A start that nobody told of is weeded as one too many, and the move made again a minute later.
+    // A start that was never reported is stopped as surplus, and the move is made again a minute later.
     w.run(if after == 0 { 120_000 } else { 30_000 });
     assert_eq!(w.alive("big"), 1);
-    docks_stand(&w);
+    assert_urgent_services_running(&w);
 }
 
 #[rstest]
-fn what_may_not_move_changes_nothing(#[values(1, 2, 3)] seed: u64) {
-    let play = |mode| {
-        let mut w = packed(seed, mode);
+fn plan_mode_issues_the_same_orders_as_off(#[values(1, 2, 3)] seed: u64) {
+    let run_mode = |mode| {
+        let mut w = nearly_full_hosts(seed, mode);
         w.load("big", "b", 6.0);
         w.run(5000);
         w.drain_host("h1");
         w.run(8000);
         w.crash_host("h2");
         w.run(10_000);
-        w.ordered
+        w.issued_orders
     };
-    let off = play(Rebinding::Off);
+    let off = run_mode(Rebinding::Off);
     assert!(off.len() > 20);
-    assert_eq!(off, play(Rebinding::Plan));
+    assert_eq!(off, run_mode(Rebinding::Plan));
 }
 
 #[rstest]
 #[case("configuration")]
 #[case("trouble")]
 #[case("rush")]
-fn not_now(#[case] what: &str) {
-    let mut w = packed(1, Rebinding::Holes);
+fn no_move_while_unsettled(#[case] what: &str) {
+    let mut w = nearly_full_hosts(1, Rebinding::Holes);
     let quiet =
         w.services.keys().find(|n| *n != "big" && w.loads.keys().all(|l| l.0 != **n)).unwrap().clone();
     for round in 0..120 {
@@ -925,7 +941,7 @@
             "configuration" => w.scaler.configuration_changing(now),
             "trouble" => {
                 let drains = round / 4 % 2 == 0;
-                w.machines.insert("x".into(), Machine { zone: "a", memory: 0, up: true, drains });
+                w.machines.insert("x".into(), SimHost { zone: "a", memory: 0, up: true, drains });
             }
             _ => w.scaler.update_demand(
                 now,
@@ -944,14 +960,14 @@
         }
         w.run(250);
     }
-    assert_eq!(moved(&w), 0);
+    assert_eq!(moves_started(&w), 0);
     w.run(20_000);
-    assert!(moved(&w) > 0, "calm again");
+    assert!(moves_started(&w) > 0, "no move after the disturbance ended");
 }
 
 #[rstest]
-fn staff_plan_run_and_pause() {
-    let mut w = packed(2, Rebinding::Plan);
+fn operators_plan_run_pause_and_undo_moves() {
+    let mut w = nearly_full_hosts(2, Rebinding::Plan);
     w.load("big", "b", 6.0);
     w.run(3000);
     let now = ms(w.t);
@@ -965,38 +981,39 @@
     w.run(500);
     let now = ms(w.t);
     assert_eq!(w.scaler.rebinding_run(now), Err(RunRefusal::Busy));
-    let shown = w.scaler.rebinding_status(now);
-    assert_eq!((shown.moves.len(), shown.blocked_functions), (plan.moves.len(), vec!["big".to_string()]));
-    // Given up before the new one serves: all is as it was.
+    let status = w.scaler.rebinding_status(now);
+    assert_eq!((status.moves.len(), status.blocked_functions), (plan.moves.len(), vec!["big".to_string()]));
+    // Cancelled before the new instance serves: the previous state is restored.
     w.scaler.rebinding_pause(now, true, true).unwrap();
     w.run(25_000);
-    let shown = w.scaler.rebinding_status(ms(w.t));
-    assert!(shown.moves.is_empty() && shown.finished.iter().all(|e| e.2 == rebinding::Outcome::Undone));
-    docks_stand(&w);
+    let status = w.scaler.rebinding_status(ms(w.t));
+    assert!(status.moves.is_empty() && status.finished.iter().all(|e| e.2 == rebinding::Outcome::Undone));
+    assert_urgent_services_running(&w);
 }
 
 #[rstest]
-fn the_old_one_has_time_for_what_it_holds(#[values(1, 2)] seed: u64) {
-    let mut w = packed(seed, Rebinding::Holes);
+fn replaced_instance_is_not_stopped_before_its_calls_end(#[values(1, 2)] seed: u64) {
+    let mut w = nearly_full_hosts(seed, Rebinding::Holes);
     w.run_ms = 1000.0;
-    for (name, zone) in w.insts.values().map(|i| (i.service.clone(), i.zone.clone())).collect::<Vec<_>>() {
+    for (name, zone) in w.instances.values().map(|i| (i.service.clone(), i.zone.clone())).collect::<Vec<_>>()
+    {
         w.load(&name, ZONES.into_iter().find(|z| **z == zone).unwrap(), 0.3);
     }
     w.run(20_000);
     w.load("big", "b", 2.0);
-    let mut letting = BTreeMap::<String, u64>::new();
+    let mut ending_since = BTreeMap::<String, u64>::new();
     let mut stopped = 0;
     for _ in 0..6000 {
         w.run(10);
         for e in w.scaler.entries().filter(|e| e.state == InstanceState::Ending) {
-            letting.entry(e.instance.clone()).or_insert(w.t);
+            ending_since.entry(e.instance.clone()).or_insert(w.t);
         }
         let replaced: Vec<String> = w.scaler.entries().filter_map(|e| e.replaces.clone()).collect();
-        for (t, order) in std::mem::take(&mut w.ordered) {
+        for (t, order) in std::mem::take(&mut w.issued_orders) {
             if let Order::Stop { instance, .. } = order {
                 if replaced.contains(&instance) {
                     stopped += 1;
-                    assert!(t >= letting[&instance] + 2000, "{} after {}", t, letting[&instance]);
+                    assert!(t >= ending_since[&instance] + 2000, "{} after {}", t, ending_since[&instance]);
                 }
             }
         }
@@ -1004,9 +1021,9 @@
     assert!(stopped > 0);
 }
 
-/// Guards against one that is listed as leaving, taken back into service because it was about to be stopped anyway.
+/// Guards against putting an ending instance back into service although the platform lists it as draining.
 #[rstest]
-fn one_that_drains_is_not_taken_back_before_its_stop(#[values(false, true)] drains: bool) {
+fn draining_instance_is_not_revived_before_its_stop(#[values(false, true)] drains: bool) {
     let at: SocketAddr = "10.0.0.1:80".parse().unwrap();
     let listed = |n: u32, draining: bool| ListedInstance {
         instance: format!("i{n}"),
@@ -1017,8 +1034,8 @@
         draining,
     };
     let host = Host { name: "m".into(), zone: "a".into(), memory_mb: 8000, free_memory_mb: 0, up: true };
-    let mut scaler = Scaler::new(terms(), 7, 1, ms(0));
-    scaler.update_services(ms(0), &[dock("d")]);
+    let mut scaler = Scaler::new(platform_settings(), 7, 1, ms(0));
+    scaler.update_services(ms(0), &[urgent_service("d")]);
     scaler.inherit(ms(0), &[], &[], 7);
     scaler.update_hosts(ms(0), &[host]);
     scaler.update_instances(ms(0), &[listed(0, false), listed(1, false), listed(2, false)]);
@@ -1029,7 +1046,7 @@
     let mut t = 0;
     while ending(&scaler).is_none() {
         t += STEP;
-        assert!(t < 60_000, "nothing is too many");
+        assert!(t < 60_000, "no surplus instance was ended");
         while scaler.next(ms(t)).is_some() {}
     }
     let leaves = ending(&scaler).unwrap();
