--- a/crates/house/src/rebinding.rs
+++ b/crates/house/src/rebinding.rs
@@ -179,13 +179,13 @@
     }
 }
 
-fn figures(f: &tindock_stacks::rebinding::Figures) -> Figures {
+fn figures(f: &tindock_stacks::rebinding::FleetMetrics) -> Figures {
     Figures {
         exposed: f.exposed,
-        together: f.together,
-        holes_lacking: f.holes_lacking,
+        together: f.colocated,
+        holes_lacking: f.unplaced_starts,
         open_mb: f.open_mb,
-        taken_mb: f.taken_mb,
+        taken_mb: f.used_mb,
         open_hosts: f.open_hosts,
     }
 }
@@ -196,9 +196,9 @@
         function: m.function,
         from: m.from,
         to: m.to,
-        why: format!("{:?}", m.why),
+        why: format!("{:?}", m.reason),
         urgent: m.urgent,
-        meanwhile_mb: m.meanwhile.memory_mb,
+        meanwhile_mb: m.reserved.memory_mb,
     });
     Plan {
         not,
@@ -206,8 +206,8 @@
         before: figures(&plan.before),
         after: figures(&plan.after),
         starts: plan.starts,
-        double_mb_s: plan.double_mb_s,
-        meanwhile_mb: plan.meanwhile_mb,
+        double_mb_s: plan.overlap_mb_s,
+        meanwhile_mb: plan.peak_reserved_mb,
         saving: plan.saving,
     }
 }
@@ -218,7 +218,7 @@
         new: p.new,
         function: p.service,
         to: p.to,
-        why: format!("{:?}", p.why),
+        why: format!("{:?}", p.reason),
         phase: format!("{:?}", p.phase),
         undoing: p.undoing,
     });
--- a/crates/rebinding/examples/ways.rs
+++ b/crates/rebinding/examples/ways.rs
@@ -4,21 +4,21 @@
 
 use std::time::Instant;
 
-use tindock_rebinding::{best_known, check, lower_bound, plan_by, sample, Terms, Way};
+use tindock_rebinding::{best_known, check, lower_bound, plan_with, sample_fleet, PlanSettings, Strategy};
 
 fn main() {
     println!("| instances | hosts | moves allowed | way | open GB | over lower bound | over best known | moves | double GB·s | ms, median | ms, worst |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for (size, seeds, tries) in [(40, 20, 3000), (1000, 5, 60), (10_000, 2, 6)] {
         for limit in [size / 5, size * 2] {
-            let fleets: Vec<_> = (1..=seeds).map(|s| sample(s, size, 0.55)).collect();
-            let terms = Terms { host_gb_s: 1.1, moves: limit, ..Terms::default() };
+            let fleets: Vec<_> = (1..=seeds).map(|s| sample_fleet(s, size, 0.55)).collect();
+            let terms = PlanSettings { host_cost_gb_s: 1.1, max_moves: limit, ..PlanSettings::default() };
             let now: f64 = fleets
                 .iter()
-                .map(|f| plan_by(f, &Terms::default(), Way::FirstFit, 1).before.open_mb as f64)
+                .map(|f| plan_with(f, &PlanSettings::default(), Strategy::FirstFit, 1).before.open_mb as f64)
                 .sum();
             let low: f64 = fleets.iter().map(|f| lower_bound(f) as f64).sum();
-            let ways = [Way::FirstFit, Way::Cheapest, Way::Search];
+            let ways = [Strategy::FirstFit, Strategy::Cheapest, Strategy::Search];
             let plans: Vec<Vec<_>> = ways
                 .iter()
                 .map(|way| {
@@ -27,7 +27,7 @@
                         .enumerate()
                         .map(|(n, f)| {
                             let start = Instant::now();
-                            let p = plan_by(f, &terms, *way, n as u64);
+                            let p = plan_with(f, &terms, *way, n as u64);
                             let ms = start.elapsed().as_secs_f64() * 1e3;
                             if let Err(fault) = check(f, &p, limit) {
                                 println!("broken: {way:?} {size} seed {n}: {fault:?}");
@@ -58,7 +58,7 @@
                 let mut ms: Vec<f64> = plans.iter().map(|p| p.1).collect();
                 ms.sort_by(f64::total_cmp);
                 let moves: usize = plans.iter().map(|p| p.0.moves.len()).sum();
-                let double: f64 = plans.iter().map(|p| p.0.double_mb_s as f64).sum();
+                let double: f64 = plans.iter().map(|p| p.0.overlap_mb_s as f64).sum();
                 println!(
                     "| {size} | {hosts} | {limit} | {way:?} | {:.1} | {:.3} | {:.3} | {:.1} | {:.1} | {:.2} | {:.2} |",
                     open / n / 1024.0,
--- a/crates/rebinding/src/ground.rs
+++ b/crates/rebinding/src/ground.rs
@@ -2,10 +2,10 @@
 
 use std::collections::HashMap;
 
-use crate::words::{Apart, Figures, Fleet, Function, Instance, Measure, Mode, Move, Why};
+use crate::words::{Fleet, FleetMetrics, Function, Instance, Mode, Move, MoveReason, Resources, Separation};
 
 /// Adds or takes away, wrapping: two that swap pass below 0 in between, and every step must be undone exactly.
-fn shift(a: &Measure, b: &Measure, add: bool) -> Measure {
+fn shift(a: &Resources, b: &Resources, add: bool) -> Resources {
     let mut m = *a;
     if add {
         m.memory_mb = m.memory_mb.wrapping_add(b.memory_mb);
@@ -27,19 +27,19 @@
     pub(crate) from: usize,
     pub(crate) to: Option<usize>,
     pub(crate) mode: Mode,
-    pub(crate) why: Why,
+    pub(crate) reason: MoveReason,
 }
 
 #[derive(Clone)]
 pub(crate) struct Ground<'a> {
     pub(crate) fleet: &'a Fleet,
-    pub(crate) free: Vec<Measure>,
+    pub(crate) free: Vec<Resources>,
     /// Host of each instance; `None` once let go.
     pub(crate) at: Vec<Option<usize>>,
     pub(crate) on: Vec<Vec<usize>>,
     pub(crate) function: Vec<usize>,
     pub(crate) zone: Vec<usize>,
-    lender_zone: Vec<Option<usize>>,
+    home_zone: Vec<Option<usize>>,
     zones: usize,
     zones_up: u32,
     hosts_up: u32,
@@ -76,12 +76,12 @@
         }
         let mut ground = Ground {
             fleet,
-            free: fleet.hosts.iter().map(|h| h.whole).collect(),
+            free: fleet.hosts.iter().map(|h| h.total).collect(),
             at: Vec::with_capacity(fleet.instances.len()),
             on: vec![Vec::new(); hosts],
             function: Vec::with_capacity(fleet.instances.len()),
             zone,
-            lender_zone: Vec::with_capacity(fleet.instances.len()),
+            home_zone: Vec::with_capacity(fleet.instances.len()),
             zones,
             zones_up: up.iter().filter(|u| **u).count() as u32,
             hosts_up: fleet.hosts.iter().filter(|h| h.up).count() as u32,
@@ -98,10 +98,10 @@
             let host = host_of.get(instance.host.as_str()).copied();
             let function = function_of.get(instance.function.as_str()).copied();
             ground.function.push(function.unwrap_or(usize::MAX));
-            ground.lender_zone.push(zone_of.get(instance.lender_zone.as_str()).copied());
+            ground.home_zone.push(zone_of.get(instance.home_zone.as_str()).copied());
             ground.at.push(host.filter(|_| function.is_some()));
             if let (Some(h), Some(f)) = (host, function) {
-                ground.free[h] = ground.free[h].less(&fleet.functions[f].takes);
+                ground.free[h] = ground.free[h].less(&fleet.functions[f].size);
                 ground.on[h].push(i);
                 ground.counts(f, h, true);
             }
@@ -133,8 +133,8 @@
         &self.fleet.instances[i]
     }
 
-    pub(crate) fn takes(&self, i: usize) -> Measure {
-        self.function(i).takes
+    pub(crate) fn size(&self, i: usize) -> Resources {
+        self.function(i).size
     }
 
     pub(crate) fn up(&self, h: usize) -> bool {
@@ -150,19 +150,19 @@
     }
 
     /// Instances of an urgent function beyond what [`Apart`] allows.
-    pub(crate) fn together(&self, f: usize) -> u32 {
+    pub(crate) fn colocated(&self, f: usize) -> u32 {
         let function = &self.fleet.functions[f];
         if !function.urgent {
             return 0;
         }
         let mut n = 0;
-        if function.apart.contains(Apart::HOST) {
+        if function.separation.contains(Separation::HOST) {
             let per_host = self.count[f].div_ceil(self.hosts_up.max(1));
             for h in 0..self.on.len() {
                 n += self.on_host.get(&(f, h)).map_or(0, |c| c.saturating_sub(per_host));
             }
         }
-        if function.apart.contains(Apart::ZONE) {
+        if function.separation.contains(Separation::ZONE) {
             let even = self.even(f);
             n += (0..self.zones).map(|z| self.in_zone[f][z].saturating_sub(even)).sum::<u32>();
         }
@@ -170,21 +170,21 @@
     }
 
     /// Whether moving `i` to `to` would put more of its function together than its host and zone of now.
-    fn worse_together(&self, i: usize, to: usize) -> bool {
+    fn increases_colocation(&self, i: usize, to: usize) -> bool {
         let f = self.function[i];
         let function = &self.fleet.functions[f];
         let Some(from) = self.at[i] else { return false };
         if !function.urgent {
             return false;
         }
-        if function.apart.contains(Apart::HOST) {
+        if function.separation.contains(Separation::HOST) {
             let at = |h: usize| self.on_host.get(&(f, h)).copied().unwrap_or(0);
             let per_host = self.count[f].div_ceil(self.hosts_up.max(1));
             if at(to) + 1 > per_host && at(from) <= per_host {
                 return true;
             }
         }
-        if function.apart.contains(Apart::ZONE) && self.zone[from] != self.zone[to] {
+        if function.separation.contains(Separation::ZONE) && self.zone[from] != self.zone[to] {
             let even = self.even(f);
             let (a, b) = (self.in_zone[f][self.zone[from]], self.in_zone[f][self.zone[to]]);
             if b + 1 > even && a <= even {
@@ -198,15 +198,15 @@
     pub(crate) fn allowed(&mut self, i: usize, to: usize, far: bool) -> bool {
         self.probes += 1;
         let Some(from) = self.at[i] else { return false };
-        let home = self.lender_zone[i].unwrap_or(self.zone[from]);
+        let home = self.home_zone[i].unwrap_or(self.zone[from]);
         to != from
             && self.up(to)
             && (far || !self.function(i).urgent || self.zone[to] == home || self.zone[to] == self.zone[from])
-            && !self.worse_together(i, to)
+            && !self.increases_colocation(i, to)
     }
 
     pub(crate) fn crosses(&self, i: usize, to: usize) -> bool {
-        self.lender_zone[i].is_some_and(|z| z != self.zone[to])
+        self.home_zone[i].is_some_and(|z| z != self.zone[to])
     }
 
     /// Back to so many moves.
@@ -219,13 +219,13 @@
     }
 
     pub(crate) fn apply(&mut self, done: Done) {
-        let (i, f, takes) = (done.instance, self.function[done.instance], self.takes(done.instance));
+        let (i, f, size) = (done.instance, self.function[done.instance], self.size(done.instance));
         self.on[done.from].retain(|x| *x != i);
-        self.free[done.from] = shift(&self.free[done.from], &takes, true);
+        self.free[done.from] = shift(&self.free[done.from], &size, true);
         self.counts(f, done.from, false);
         if let Some(to) = done.to {
             self.on[to].push(i);
-            self.free[to] = shift(&self.free[to], &takes, false);
+            self.free[to] = shift(&self.free[to], &size, false);
             self.counts(f, to, true);
         }
         self.at[i] = done.to;
@@ -236,14 +236,14 @@
     pub(crate) fn back(&mut self, mark: &Mark) {
         while self.log.len() > mark.0 {
             let Some(done) = self.log.pop() else { break };
-            let (i, f, takes) = (done.instance, self.function[done.instance], self.takes(done.instance));
+            let (i, f, size) = (done.instance, self.function[done.instance], self.size(done.instance));
             if let Some(to) = done.to {
                 self.on[to].retain(|x| *x != i);
-                self.free[to] = shift(&self.free[to], &takes, true);
+                self.free[to] = shift(&self.free[to], &size, true);
                 self.counts(f, to, false);
             }
             self.on[done.from].push(i);
-            self.free[done.from] = shift(&self.free[done.from], &takes, false);
+            self.free[done.from] = shift(&self.free[done.from], &size, false);
             self.counts(f, done.from, true);
             self.at[i] = Some(done.from);
             self.moved[i] = false;
@@ -251,10 +251,10 @@
     }
 
     /// Expected starts that find no hole: the largest first, each where it leaves least.
-    pub(crate) fn holes_lacking(&self) -> u32 {
-        let mut expected = self.fleet.expected.clone();
+    pub(crate) fn unplaced_starts(&self) -> u32 {
+        let mut expected = self.fleet.expected_starts.clone();
         expected.sort_by_key(|e| std::cmp::Reverse((e.memory_mb, e.slices)));
-        let mut used: Vec<(usize, Measure)> = Vec::new();
+        let mut used: Vec<(usize, Resources)> = Vec::new();
         let mut lacking = 0;
         for e in expected {
             let rest =
@@ -270,20 +270,20 @@
         lacking
     }
 
-    pub(crate) fn figures(&self) -> Figures {
-        let mut figures = Figures::default();
+    pub(crate) fn figures(&self) -> FleetMetrics {
+        let mut figures = FleetMetrics::default();
         for (h, host) in self.fleet.hosts.iter().enumerate() {
             if self.open(h) {
-                figures.open_mb += u64::from(host.whole.memory_mb);
+                figures.open_mb += u64::from(host.total.memory_mb);
                 figures.open_hosts += 1;
             }
             for i in &self.on[h] {
-                figures.taken_mb += u64::from(self.takes(*i).memory_mb);
+                figures.used_mb += u64::from(self.size(*i).memory_mb);
                 figures.exposed += u32::from(!host.up && self.function(*i).urgent);
             }
         }
-        figures.together = (0..self.fleet.functions.len()).map(|f| self.together(f)).sum();
-        figures.holes_lacking = self.holes_lacking();
+        figures.colocated = (0..self.fleet.functions.len()).map(|f| self.colocated(f)).sum();
+        figures.unplaced_starts = self.unplaced_starts();
         figures
     }
 
@@ -296,9 +296,9 @@
                 function: self.function(d.instance).name.clone(),
                 from: name(d.from),
                 to: d.to.map(name),
-                meanwhile: d.to.map(|_| self.takes(d.instance)).unwrap_or_default(),
+                reserved: d.to.map(|_| self.size(d.instance)).unwrap_or_default(),
                 mode: d.mode,
-                why: d.why,
+                reason: d.reason,
                 urgent: self.function(d.instance).urgent,
             })
             .collect()
--- a/crates/rebinding/src/judge.rs
+++ b/crates/rebinding/src/judge.rs
@@ -6,13 +6,13 @@
 
 /// What goes on at the moment.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Moment {
+pub struct Conditions {
     /// Calls waiting for a slot, of all functions.
     pub waiting: u32,
     /// Slots wanted over slots wanted a while ago.
     pub growth: f64,
     /// Hosts or instances were lost, or starts refused, in the last while.
-    pub trouble: bool,
+    pub disturbed: bool,
     /// A configuration is on its way.
     pub configuring: bool,
     /// The holder knows all instances, and demand is told by all lenders.
@@ -21,7 +21,7 @@
 
 /// Why not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum No {
+pub enum Obstacle {
     Paused,
     Unsettled,
     Configuring,
@@ -35,7 +35,7 @@
 
 /// Keeps the time since the last rush and the last run.
 #[derive(Clone, Debug)]
-pub struct Judge {
+pub struct MovePolicy {
     /// Calm for so long before a run.
     pub calm: Duration,
     /// From one run to the next.
@@ -53,9 +53,9 @@
     ran: Option<Duration>,
 }
 
-impl Judge {
-    pub fn new(now: Duration) -> Judge {
-        Judge {
+impl MovePolicy {
+    pub fn new(now: Duration) -> MovePolicy {
+        MovePolicy {
             calm: Duration::from_secs(10),
             again: Duration::from_secs(60),
             retry: Duration::from_secs(15),
@@ -69,22 +69,22 @@
     }
 
     /// A move of the last run was given up without a fault of its own.
-    pub fn unfinished(&mut self, now: Duration) {
+    pub fn run_incomplete(&mut self, now: Duration) {
         if self.ran.is_some() {
             self.ran = Some((now + self.retry).saturating_sub(self.again));
         }
     }
 
     /// To be told at every pass.
-    pub fn moment(&mut self, now: Duration, m: &Moment) -> Option<No> {
+    pub fn observe(&mut self, now: Duration, m: &Conditions) -> Option<Obstacle> {
         let no = if !m.settled {
-            Some(No::Unsettled)
+            Some(Obstacle::Unsettled)
         } else if m.configuring {
-            Some(No::Configuring)
-        } else if m.trouble {
-            Some(No::Trouble)
+            Some(Obstacle::Configuring)
+        } else if m.disturbed {
+            Some(Obstacle::Trouble)
         } else if m.waiting > 0 || m.growth > self.growth {
-            Some(No::Rush)
+            Some(Obstacle::Rush)
         } else {
             None
         };
@@ -95,31 +95,38 @@
     }
 
     /// Whether a plan made now might be allowed; to be asked before one is made.
-    pub fn ready(&self, now: Duration) -> Result<(), No> {
+    pub fn may_plan(&self, now: Duration) -> Result<(), Obstacle> {
         let since = |at: Option<Duration>, least: Duration| at.is_none_or(|at| now >= at + least);
         match self.paused {
-            true => Err(No::Paused),
+            true => Err(Obstacle::Paused),
             false if since(self.restless, self.calm) && since(self.ran, self.again) => Ok(()),
-            false => Err(No::TooSoon),
+            false => Err(Obstacle::TooSoon),
         }
     }
 
     /// Whether `plan` should be run now. `price`: of its double memory, in the worth of a call.
-    pub fn allows(&mut self, now: Duration, m: &Moment, plan: &Plan, price: f64) -> Result<(), No> {
-        let no = self.moment(now, m);
+    pub fn approve(
+        &mut self,
+        now: Duration,
+        m: &Conditions,
+        plan: &Plan,
+        price: f64,
+    ) -> Result<(), Obstacle> {
+        let no = self.observe(now, m);
         if self.paused {
-            return Err(No::Paused);
+            return Err(Obstacle::Paused);
         }
         if let Some(no) = no {
             return Err(no);
         }
-        self.ready(now)?;
+        self.may_plan(now)?;
         let (a, b) = (plan.before, plan.after);
         // Goals that come before price.
-        let forced = b.exposed < a.exposed || b.together < a.together || b.holes_lacking < a.holes_lacking;
+        let forced =
+            b.exposed < a.exposed || b.colocated < a.colocated || b.unplaced_starts < a.unplaced_starts;
         if plan.moves.is_empty() || !forced && (plan.saving < self.least || plan.saving < self.factor * price)
         {
-            return Err(No::TooLittle);
+            return Err(Obstacle::TooLittle);
         }
         self.ran = Some(now);
         Ok(())
--- a/crates/rebinding/src/lib.rs
+++ b/crates/rebinding/src/lib.rs
@@ -18,11 +18,12 @@
 mod sample;
 mod words;
 
-pub use check::{check, Fault};
-pub use judge::{Judge, Moment, No};
+pub use check::{check, Violation};
+pub use judge::{Conditions, MovePolicy, Obstacle};
 pub use mover::{
-    nonce, Came, Flaw, Habits, Mover, Need, Order, Outcome, Phase, Progress, Seen, Serving, Sight, Standing,
+    nonce, FleetView, InjectedDefect, InstanceState, InstanceView, Mover, MoverSettings, Order, Outcome,
+    Phase, Progress, ServiceNeed, Serving, StartOutcome,
 };
-pub use plan::{best_known, lower_bound, plan, plan_by, Way};
-pub use sample::sample;
+pub use plan::{best_known, lower_bound, plan, plan_with, Strategy};
+pub use sample::sample_fleet;
 pub use words::*;
--- a/crates/rebinding/src/mover.rs
+++ b/crates/rebinding/src/mover.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use crate::words::{Host, Measure, Mode, Move, Plan, Why};
+use crate::words::{Host, Mode, Move, MoveReason, Plan, Resources};
 
 /// Where an instance is in its life, as the stacks tell it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum InstanceState {
     Starting,
     Ready,
     /// The platform takes it away.
@@ -28,62 +28,62 @@
 
 /// An instance as the holder sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct InstanceView {
     pub instance: String,
     pub service: String,
     pub host: String,
-    pub standing: Standing,
+    pub state: InstanceState,
     pub serving: Serving,
     /// Slots lent of it; `None` if its lender has not said lately.
-    pub held: Option<u16>,
+    pub slots_in_use: Option<u16>,
     /// The instance it is to stand in for, told with its entry; a next holder goes on from there.
     pub replaces: Option<String>,
 }
 
 /// What a function needs now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Need {
+pub struct ServiceNeed {
     pub service: String,
     pub urgent: bool,
     /// Serving instances without which it would be late.
-    pub need: u32,
+    pub required: u32,
     /// Instances that are to be kept; `None` while its demand has not been told to this holder.
-    pub wanted: Option<u32>,
+    pub desired: Option<u32>,
     /// Mean start.
     pub boot: Duration,
-    pub takes: Measure,
+    pub size: Resources,
     /// No calls: then a connection accepted is all that can be asked of a new instance.
-    pub quiet: bool,
+    pub idle: bool,
 }
 
 /// All that is seen at one look.
 #[derive(Clone, Copy, Debug)]
-pub struct Sight<'a> {
-    pub seen: &'a [Seen],
+pub struct FleetView<'a> {
+    pub seen: &'a [InstanceView],
     /// With what is free after all starts under way.
     pub hosts: &'a [Host],
-    pub needs: &'a [Need],
+    pub needs: &'a [ServiceNeed],
     /// The instances are known to be all there are. Until then nothing is ordered.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 /// What is to be done, under the number of the lease. Each may be carried out again without harm.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Begin one under this nonce until it is answered with [`Mover::began`]; tell `replaces` with its entry.
+    /// Begin one under this nonce until it is answered with [`Mover::start_answered`]; tell `replaces` with its entry.
     Begin { number: u64, service: String, host: String, nonce: String, replaces: String },
     /// Tell it as ending: lenders lend no more of it.
-    LendNoMore { number: u64, instance: String },
+    StopAllocating { number: u64, instance: String },
     /// Tell it as ready again.
-    LendAgain { number: u64, instance: String },
-    /// Stop it; answered with [`Mover::ended`], or by its absence.
+    ResumeAllocating { number: u64, instance: String },
+    /// Stop it; answered with [`Mover::instance_ended`], or by its absence.
     Stop { number: u64, instance: String },
 }
 
 /// How a begin was answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Came {
-    Here {
+pub enum StartOutcome {
+    Started {
         instance: String,
     },
     /// No room, no such host or service: nothing was begun. (Not for 429 or silence: ask again with the same nonce.)
@@ -129,14 +129,14 @@
     pub new: Option<String>,
     pub service: String,
     pub to: Option<String>,
-    pub why: Why,
+    pub reason: MoveReason,
     pub phase: Phase,
     pub undoing: bool,
 }
 
 /// Bounds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Habits {
+pub struct MoverSettings {
     /// Moves at once.
     pub at_once: usize,
     /// Functions that can wait and are without an instance because of a move, at once.
@@ -165,13 +165,13 @@
     pub resume_to: Duration,
     /// For tests: a defect planted.
     #[doc(hidden)]
-    pub flaw: Option<Flaw>,
+    pub flaw: Option<InjectedDefect>,
 }
 
-impl Default for Habits {
-    fn default() -> Habits {
+impl Default for MoverSettings {
+    fn default() -> MoverSettings {
         let ms = Duration::from_millis;
-        Habits {
+        MoverSettings {
             at_once: 3,
             yielding: 2,
             yield_most: ms(6000),
@@ -193,7 +193,7 @@
 /// Defects that the tests plant and find.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum InjectedDefect {
     /// The old one lends no more as soon as the new one is begun.
     HandsOverEarly,
     /// Stops without waiting for what is held.
@@ -237,7 +237,7 @@
     /// The new one was seen as started. Before that its absence says nothing: whoever tells the entries forgets a start
     /// that is not listed in time, and the platform may still have it.
     met: bool,
-    why: Why,
+    reason: MoveReason,
 }
 
 /// Carries plans out; see the crate's page.
@@ -247,7 +247,7 @@
     until: Duration,
     born: Option<Duration>,
     picked_up: bool,
-    pub habits: Habits,
+    pub habits: MoverSettings,
     queue: VecDeque<Move>,
     head_since: Option<Duration>,
     active: Vec<Active>,
@@ -271,8 +271,8 @@
 }
 
 impl Mover {
-    /// `number` of the lease, which ends at `until` unless [`Mover::lease`] says more.
-    pub fn new(number: u64, until: Duration, habits: Habits) -> Mover {
+    /// `number` of the lease, which ends at `until` unless [`Mover::extend_lease`] says more.
+    pub fn new(number: u64, until: Duration, habits: MoverSettings) -> Mover {
         Mover {
             number,
             until,
@@ -290,12 +290,12 @@
     }
 
     /// The lease lasts until then, on the own clock.
-    pub fn lease(&mut self, until: Duration) {
+    pub fn extend_lease(&mut self, until: Duration) {
         self.until = self.until.max(until);
     }
 
     /// Takes a plan on; false while an earlier one is under way or before the first whole look.
-    pub fn take(&mut self, plan: &Plan) -> bool {
+    pub fn accept_plan(&mut self, plan: &Plan) -> bool {
         if !self.idle() || !self.picked_up {
             return false;
         }
@@ -313,11 +313,11 @@
     }
 
     /// Gives the rest of the plan up: new ones that do not serve yet are stopped, hand-overs are ended.
-    pub fn stop(&mut self, now: Duration) {
+    pub fn cancel(&mut self, now: Duration) {
         self.queue.clear();
         let Mover { active, .. } = self;
         for a in active.iter_mut().filter(|a| matches!(a.phase, Phase::Begun | Phase::Coming)) {
-            if a.mode == Mode::MakeFirst {
+            if a.mode == Mode::MakeBeforeBreak {
                 undo(a, now);
             }
         }
@@ -329,7 +329,7 @@
             new: a.new.clone(),
             service: a.service.clone(),
             to: a.to.clone(),
-            why: a.why,
+            reason: a.reason,
             phase: a.phase,
             undoing: a.undoing,
         };
@@ -337,36 +337,36 @@
     }
 
     /// Moves that have not begun.
-    pub fn waiting(&self) -> usize {
+    pub fn pending_moves(&self) -> usize {
         self.queue.len()
     }
 
     /// What ended since the last call, by the old instance.
-    pub fn outcomes(&mut self) -> Vec<(String, Outcome)> {
+    pub fn take_outcomes(&mut self) -> Vec<(String, Outcome)> {
         std::mem::take(&mut self.outcomes)
     }
 
     /// Whether the mover has this instance in hand: nobody else should end, revive or count it as surplus.
-    pub fn holds(&self, instance: &str) -> bool {
+    pub fn manages(&self, instance: &str) -> bool {
         self.active.iter().any(|a| a.old == instance || a.new.as_deref() == Some(instance))
     }
 
     /// The answer to [`Order::Begin`].
-    pub fn began(&mut self, now: Duration, nonce: &str, came: Came) {
+    pub fn start_answered(&mut self, now: Duration, nonce: &str, came: StartOutcome) {
         let Some(at) = self.active.iter().position(|a| a.nonce == nonce && a.phase == Phase::Begun) else {
             return;
         };
         let a = &mut self.active[at];
         match came {
-            Came::Here { instance } => {
+            StartOutcome::Started { instance } => {
                 a.new = Some(instance);
                 a.phase = if a.undoing { Phase::Letting } else { Phase::Coming };
                 (a.since, a.told, a.missing) = (now, None, 0);
             }
-            Came::Refused => {
+            StartOutcome::Refused => {
                 let outcome = match (a.undoing, a.mode) {
                     (true, _) => Outcome::Undone,
-                    (_, Mode::BreakFirst { .. }) => Outcome::LeftToScaler,
+                    (_, Mode::BreakBeforeMake { .. }) => Outcome::LeftToScaler,
                     _ => Outcome::Refused,
                 };
                 self.end(at, outcome);
@@ -375,8 +375,8 @@
     }
 
     /// The platform has ended it, or knows no such instance.
-    pub fn ended(&mut self, instance: &str) {
-        if self.holds(instance) {
+    pub fn instance_ended(&mut self, instance: &str) {
+        if self.manages(instance) {
             self.ended.insert(instance.to_string());
         }
     }
@@ -395,14 +395,14 @@
         self.outcomes.push((a.old, outcome));
     }
 
-    fn flaw(&self, flaw: Flaw) -> bool {
+    fn flaw(&self, flaw: InjectedDefect) -> bool {
         self.habits.flaw == Some(flaw)
     }
 
     /// One look, and what is to be done. To be called several times a second.
-    pub fn look(&mut self, now: Duration, ground: &Sight) -> Vec<Order> {
+    pub fn update(&mut self, now: Duration, ground: &FleetView) -> Vec<Order> {
         let mut orders = Vec::new();
-        if !ground.whole || now >= self.until && !self.flaw(Flaw::Outlives) {
+        if !ground.complete || now >= self.until && !self.flaw(InjectedDefect::Outlives) {
             return orders;
         }
         let born = *self.born.get_or_insert(now);
@@ -431,20 +431,28 @@
             let Some(old) = &s.replaces else { continue };
             let Some(o) = look.get(old) else { continue };
             // The new one itself is on its way out: an undoing, which the list of endings below goes on with.
-            if s.standing == Standing::Ending || self.holds(old) {
+            if s.state == InstanceState::Ending || self.manages(old) {
                 continue;
             }
-            let mut a = active(now, old, &s.service, Some(s.host.clone()), Mode::MakeFirst, Why::Surplus);
+            let mut a = active(
+                now,
+                old,
+                &s.service,
+                Some(s.host.clone()),
+                Mode::MakeBeforeBreak,
+                MoveReason::Surplus,
+            );
             a.new = Some(s.instance.clone());
             a.phase = Phase::Coming;
-            if o.standing == Standing::Ending {
+            if o.state == InstanceState::Ending {
                 (a.phase, a.let_since) = (Phase::Letting, Some(now));
             }
             self.active.push(a);
         }
         for s in look.ground.seen {
-            if s.standing == Standing::Ending && !self.holds(&s.instance) {
-                let mut a = active(now, &s.instance, &s.service, None, Mode::MakeFirst, Why::Surplus);
+            if s.state == InstanceState::Ending && !self.manages(&s.instance) {
+                let mut a =
+                    active(now, &s.instance, &s.service, None, Mode::MakeBeforeBreak, MoveReason::Surplus);
                 (a.phase, a.let_since) = (Phase::Letting, Some(now));
                 self.active.push(a);
             }
@@ -454,27 +462,29 @@
     /// A start of an earlier holder that nobody told of shows as one more than wanted.
     fn surplus(&mut self, now: Duration, look: &Look) {
         for need in look.ground.needs {
-            let Some(wanted) = need.wanted else { continue };
+            let Some(desired) = need.desired else { continue };
             let of = || {
                 look.ground.seen.iter().filter(|s| {
-                    s.service == need.service && matches!(s.standing, Standing::Starting | Standing::Ready)
+                    s.service == need.service
+                        && matches!(s.state, InstanceState::Starting | InstanceState::Ready)
                 })
             };
             let taken = self.active.iter().any(|a| a.service == need.service);
             if taken
                 || self.active.len() >= self.habits.at_once
-                || of().count() as u32 <= wanted.max(need.need)
+                || of().count() as u32 <= desired.max(need.required)
             {
                 continue;
             }
             // Where it drains, else where least is in use: that is where a plan would have taken one from.
-            let victim = of().filter(|s| s.standing == Standing::Ready).min_by_key(|s| {
+            let victim = of().filter(|s| s.state == InstanceState::Ready).min_by_key(|s| {
                 let h = look.hosts.get(s.host.as_str());
-                let used = h.map_or(0, |h| h.whole.memory_mb.saturating_sub(h.free.memory_mb));
+                let used = h.map_or(0, |h| h.total.memory_mb.saturating_sub(h.free.memory_mb));
                 (h.is_some_and(|h| h.up), used, s.instance.clone())
             });
             if let Some(v) = victim {
-                let mut a = active(now, &v.instance, &v.service, None, Mode::MakeFirst, Why::Surplus);
+                let mut a =
+                    active(now, &v.instance, &v.service, None, Mode::MakeBeforeBreak, MoveReason::Surplus);
                 a.phase = Phase::Coming;
                 self.active.push(a);
             }
@@ -483,13 +493,13 @@
 
     /// Whether `service` holds its need without `old`, and without others that are on their way out.
     fn enough(&self, look: &Look, a: &Active) -> bool {
-        if self.flaw(Flaw::ForgetsNeed) {
+        if self.flaw(InjectedDefect::ForgetsNeed) {
             return true;
         }
         let Some(need) = look.needs.get(a.service.as_str()) else { return true };
         // One that drains serves no new calls: nothing is lost with it.
         let old = look.get(&a.old);
-        if old.is_some_and(|o| o.standing == Standing::Draining) {
+        if old.is_some_and(|o| o.state == InstanceState::Draining) {
             return true;
         }
         let out = |id: &str| {
@@ -502,11 +512,11 @@
             s.service == a.service
                 && s.instance != a.old
                 && !out(&s.instance)
-                && s.standing == Standing::Ready
+                && s.state == InstanceState::Ready
                 && look.hosts.get(s.host.as_str()).is_some_and(|h| h.up)
                 && serves(s, need)
         });
-        others.count() as u32 >= need.need
+        others.count() as u32 >= need.required
     }
 
     /// One move, one look; its end if it has come.
@@ -523,8 +533,8 @@
             match look.get(id) {
                 Some(s) => {
                     a.missing = 0;
-                    a.met |= s.standing != Standing::Starting;
-                    matches!(s.standing, Standing::Draining)
+                    a.met |= s.state != InstanceState::Starting;
+                    matches!(s.state, InstanceState::Draining)
                         || !look.hosts.get(s.host.as_str()).is_some_and(|h| h.up)
                 }
                 None => {
@@ -536,8 +546,9 @@
         let mut outcome = None;
         match a.phase {
             Phase::Begun => {
-                let gone = !self.flaw(Flaw::LeavesNew)
-                    && (now >= a.since + bound || a.mode == Mode::MakeFirst && look.get(&a.old).is_none());
+                let gone = !self.flaw(InjectedDefect::LeavesNew)
+                    && (now >= a.since + bound
+                        || a.mode == Mode::MakeBeforeBreak && look.get(&a.old).is_none());
                 if gone && !a.undoing {
                     // Whether it was begun is not known until the answer: it is asked for on, and stopped then.
                     a.undoing = true;
@@ -552,7 +563,7 @@
                         replaces: a.old.clone(),
                     });
                 }
-                if self.flaw(Flaw::LeavesNew) && now >= a.since + bound {
+                if self.flaw(InjectedDefect::LeavesNew) && now >= a.since + bound {
                     outcome = Some(Outcome::Undone);
                 }
             }
@@ -561,27 +572,29 @@
                 let gone = new.as_deref().is_some_and(|id| lost(&mut a, id) || self.ended.contains(id));
                 let seen = new.as_deref().and_then(|id| look.get(id));
                 let up = match (seen, need) {
-                    (Some(s), Some(n)) if s.standing == Standing::Ready && s.serving >= Serving::Accepts => {
+                    (Some(s), Some(n))
+                        if s.state == InstanceState::Ready && s.serving >= Serving::Accepts =>
+                    {
                         let accepts = *a.accepts.get_or_insert(now);
-                        let quiet = n.quiet && now >= accepts + h.quiet;
+                        let quiet = n.idle && now >= accepts + h.quiet;
                         !n.urgent || s.serving == Serving::Answered || quiet
                     }
                     (_, None) => true,
                     _ => new.is_none(),
                 };
-                let early = self.flaw(Flaw::HandsOverEarly);
-                if look.get(&a.old).is_none() && a.mode == Mode::MakeFirst && (up || gone) {
+                let early = self.flaw(InjectedDefect::HandsOverEarly);
+                if look.get(&a.old).is_none() && a.mode == Mode::MakeBeforeBreak && (up || gone) {
                     // The old one went by itself: the new one stands in for it, once it is up.
                     outcome = Some(Outcome::Gone);
                 } else if gone || !up && !early && now >= a.since + bound {
-                    if self.flaw(Flaw::LeavesNew) {
+                    if self.flaw(InjectedDefect::LeavesNew) {
                         outcome = Some(Outcome::Undone);
-                    } else if matches!(a.mode, Mode::BreakFirst { .. }) && gone {
+                    } else if matches!(a.mode, Mode::BreakBeforeMake { .. }) && gone {
                         outcome = Some(Outcome::LeftToScaler);
                     } else {
                         undo(&mut a, now);
                     }
-                } else if (up || early) && matches!(a.mode, Mode::BreakFirst { .. }) {
+                } else if (up || early) && matches!(a.mode, Mode::BreakBeforeMake { .. }) {
                     outcome = Some(Outcome::Moved);
                 } else if early || up && self.enough(look, &a) {
                     (a.phase, a.since, a.told, a.let_since) = (Phase::Letting, now, None, Some(now));
@@ -594,18 +607,19 @@
                 let subject = if a.undoing { a.new.clone().unwrap_or_default() } else { a.old.clone() };
                 let seen = look.get(&subject);
                 let new_lost = !a.undoing
-                    && a.mode == Mode::MakeFirst
+                    && a.mode == Mode::MakeBeforeBreak
                     && a.new.clone().is_some_and(|id| lost(&mut a, &id) || self.ended.contains(&id));
                 let met_gone = seen.is_none() && (!a.undoing || a.met || self.ended.contains(&subject));
                 if met_gone {
                     outcome = self.after_stop(&mut a, now);
-                } else if (new_lost || !a.undoing && a.mode == Mode::MakeFirst && !self.enough(look, &a))
-                    && !seen.is_some_and(|s| s.standing == Standing::Draining)
-                    && !self.flaw(Flaw::HandsOverEarly)
+                } else if (new_lost
+                    || !a.undoing && a.mode == Mode::MakeBeforeBreak && !self.enough(look, &a))
+                    && !seen.is_some_and(|s| s.state == InstanceState::Draining)
+                    && !self.flaw(InjectedDefect::HandsOverEarly)
                 {
                     // The function needs the old one after all.
-                    if !self.flaw(Flaw::LeavesOld) {
-                        orders.push(Order::LendAgain { number, instance: a.old.clone() });
+                    if !self.flaw(InjectedDefect::LeavesOld) {
+                        orders.push(Order::ResumeAllocating { number, instance: a.old.clone() });
                     }
                     if new_lost {
                         undo(&mut a, now);
@@ -613,16 +627,16 @@
                         outcome = Some(Outcome::Kept);
                     }
                 } else {
-                    if seen.is_some_and(|s| s.standing != Standing::Ending) && due(&a) {
+                    if seen.is_some_and(|s| s.state != InstanceState::Ending) && due(&a) {
                         a.told = Some(now);
-                        orders.push(Order::LendNoMore { number, instance: subject.clone() });
+                        orders.push(Order::StopAllocating { number, instance: subject.clone() });
                     }
                     let since = *a.let_since.get_or_insert(now);
-                    let ending = seen.is_none_or(|s| s.standing == Standing::Ending);
-                    let empty = seen.is_none_or(|s| s.held == Some(0)) && ending;
+                    let ending = seen.is_none_or(|s| s.state == InstanceState::Ending);
+                    let empty = seen.is_none_or(|s| s.slots_in_use == Some(0)) && ending;
                     let over = now >= since + h.ending_least && empty
                         || now >= since + h.ending_most
-                        || self.flaw(Flaw::CutsCalls) && ending;
+                        || self.flaw(InjectedDefect::CutsCalls) && ending;
                     if over {
                         (a.phase, a.since, a.told) = (Phase::Stopping, now, Some(now));
                         orders.push(Order::Stop { number, instance: subject });
@@ -642,7 +656,7 @@
             Phase::Out => {
                 let out = a.let_since.unwrap_or(a.since) + h.yield_most + h.ending_most.min(h.yield_most);
                 let room = match (&a.to, need) {
-                    (Some(to), Some(n)) => look.room(to, &n.takes, orders),
+                    (Some(to), Some(n)) => look.room(to, &n.size, orders),
                     _ => false,
                 };
                 // Once begun it counts as begun: what follows is bounded by the start.
@@ -672,8 +686,8 @@
             return Some(Outcome::Undone);
         }
         match a.mode {
-            Mode::MakeFirst => Some(Outcome::Moved),
-            Mode::BreakFirst { .. } => {
+            Mode::MakeBeforeBreak => Some(Outcome::Moved),
+            Mode::BreakBeforeMake { .. } => {
                 (a.phase, a.since, a.told) = (Phase::Out, now, None);
                 None
             }
@@ -683,7 +697,7 @@
     fn nonce(&self, old: &str, to: &str) -> String {
         let tries = self.tries.get(&(old.to_string(), to.to_string())).copied().unwrap_or(0);
         let mut n = nonce(old, to, tries);
-        if self.flaw(Flaw::NonceOfHolder) {
+        if self.flaw(InjectedDefect::NonceOfHolder) {
             n = format!("{n}.{}", self.number);
         }
         n
@@ -693,7 +707,7 @@
     /// room that the earlier one waits for.
     fn begin(&mut self, now: Duration, look: &Look, orders: &mut Vec<Order>) {
         while let Some(m) = self.queue.front().cloned() {
-            let most = if self.flaw(Flaw::Crowds) { usize::MAX } else { self.habits.at_once };
+            let most = if self.flaw(InjectedDefect::Crowds) { usize::MAX } else { self.habits.at_once };
             if self.paused || self.active.len() >= most {
                 self.head_since = None;
                 return;
@@ -706,23 +720,23 @@
             };
             let old = look.get(&m.instance);
             let there = old.is_some_and(|o| {
-                o.host == m.from && matches!(o.standing, Standing::Ready | Standing::Draining)
+                o.host == m.from && matches!(o.state, InstanceState::Ready | InstanceState::Draining)
             });
             let Some(need) = look.needs.get(m.function.as_str()).filter(|_| there) else {
                 drop(self, Outcome::Gone);
                 continue;
             };
-            if self.holds(&m.instance) {
+            if self.manages(&m.instance) {
                 drop(self, Outcome::Gone);
                 continue;
             }
-            let mut a = active(now, &m.instance, &m.function, m.to.clone(), m.mode, m.why);
+            let mut a = active(now, &m.instance, &m.function, m.to.clone(), m.mode, m.reason);
             match (&m.to, m.mode) {
                 // Let go: the same way from where a new one serves.
                 (None, _) => a.phase = Phase::Coming,
-                (Some(to), Mode::MakeFirst) => {
+                (Some(to), Mode::MakeBeforeBreak) => {
                     let up = look.hosts.get(to.as_str()).is_some_and(|h| h.up);
-                    if !up || !look.room(to, &need.takes, orders) {
+                    if !up || !look.room(to, &need.size, orders) {
                         if up && now < since + self.habits.room_wait {
                             return;
                         }
@@ -738,17 +752,20 @@
                         nonce: a.nonce.clone(),
                         replaces: m.instance.clone(),
                     });
-                    if self.flaw(Flaw::BreaksUrgent) {
-                        orders.push(Order::LendNoMore { number: self.number, instance: m.instance.clone() });
+                    if self.flaw(InjectedDefect::BreaksUrgent) {
+                        orders.push(Order::StopAllocating {
+                            number: self.number,
+                            instance: m.instance.clone(),
+                        });
                     }
                 }
-                (Some(_), Mode::BreakFirst { .. }) => {
+                (Some(_), Mode::BreakBeforeMake { .. }) => {
                     if need.urgent {
                         // It has become urgent since: never.
                         drop(self, Outcome::Kept);
                         continue;
                     }
-                    let yields = |a: &&Active| matches!(a.mode, Mode::BreakFirst { .. });
+                    let yields = |a: &&Active| matches!(a.mode, Mode::BreakBeforeMake { .. });
                     if self.active.iter().filter(yields).count() >= self.habits.yielding {
                         return;
                     }
@@ -762,7 +779,14 @@
     }
 }
 
-fn active(now: Duration, old: &str, service: &str, to: Option<String>, mode: Mode, why: Why) -> Active {
+fn active(
+    now: Duration,
+    old: &str,
+    service: &str,
+    to: Option<String>,
+    mode: Mode,
+    reason: MoveReason,
+) -> Active {
     Active {
         old: old.to_string(),
         service: service.to_string(),
@@ -778,7 +802,7 @@
         accepts: None,
         missing: 0,
         met: false,
-        why,
+        reason,
     }
 }
 
@@ -790,20 +814,20 @@
     }
 }
 
-fn serves(s: &Seen, need: &Need) -> bool {
-    s.serving == Serving::Answered || s.serving == Serving::Accepts && (need.quiet || !need.urgent)
+fn serves(s: &InstanceView, need: &ServiceNeed) -> bool {
+    s.serving == Serving::Answered || s.serving == Serving::Accepts && (need.idle || !need.urgent)
 }
 
 /// A look by names.
 struct Look<'a> {
-    ground: &'a Sight<'a>,
-    seen: BTreeMap<&'a str, &'a Seen>,
+    ground: &'a FleetView<'a>,
+    seen: BTreeMap<&'a str, &'a InstanceView>,
     hosts: BTreeMap<&'a str, &'a Host>,
-    needs: BTreeMap<&'a str, &'a Need>,
+    needs: BTreeMap<&'a str, &'a ServiceNeed>,
 }
 
 impl<'a> Look<'a> {
-    fn new(ground: &'a Sight<'a>) -> Look<'a> {
+    fn new(ground: &'a FleetView<'a>) -> Look<'a> {
         Look {
             ground,
             seen: ground.seen.iter().map(|s| (s.instance.as_str(), s)).collect(),
@@ -812,21 +836,21 @@
         }
     }
 
-    fn get(&self, instance: &str) -> Option<&'a Seen> {
+    fn get(&self, instance: &str) -> Option<&'a InstanceView> {
         self.seen.get(instance).copied()
     }
 
     /// Whether `host` has room, with what is ordered in this look.
-    fn room(&self, host: &str, takes: &Measure, orders: &[Order]) -> bool {
+    fn room(&self, host: &str, size: &Resources, orders: &[Order]) -> bool {
         let Some(h) = self.hosts.get(host) else { return false };
         let mut free = h.free;
         for o in orders {
             if let Order::Begin { service, host: at, .. } = o {
                 if at == host {
-                    free = free.less(&self.needs.get(service.as_str()).map(|n| n.takes).unwrap_or_default());
+                    free = free.less(&self.needs.get(service.as_str()).map(|n| n.size).unwrap_or_default());
                 }
             }
         }
-        h.up && takes.fits(&free)
+        h.up && size.fits(&free)
     }
 }
--- a/crates/rebinding/src/words.rs
+++ b/crates/rebinding/src/words.rs
@@ -5,27 +5,27 @@
 use bitflags::bitflags;
 
 /// Kinds of accelerator slices that a fleet may name; the caller gives each kind a place.
-pub const KINDS: usize = 3;
+pub const SLICE_KINDS: usize = 3;
 
 /// A vector of resources: memory in MB, and whole slices of accelerators by kind. A platform without accelerators
 /// leaves the slices at 0 everywhere.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Measure {
+pub struct Resources {
     pub memory_mb: u32,
-    pub slices: [u16; KINDS],
+    pub slices: [u16; SLICE_KINDS],
 }
 
-impl Measure {
-    pub const fn mb(memory_mb: u32) -> Measure {
-        Measure { memory_mb, slices: [0; KINDS] }
+impl Resources {
+    pub const fn mb(memory_mb: u32) -> Resources {
+        Resources { memory_mb, slices: [0; SLICE_KINDS] }
     }
 
     /// Whether `other` has at least this much of everything.
-    pub fn fits(&self, other: &Measure) -> bool {
+    pub fn fits(&self, other: &Resources) -> bool {
         self.memory_mb <= other.memory_mb && self.slices.iter().zip(&other.slices).all(|(a, b)| a <= b)
     }
 
-    pub fn plus(&self, other: &Measure) -> Measure {
+    pub fn plus(&self, other: &Resources) -> Resources {
         let mut m = *self;
         m.memory_mb = m.memory_mb.saturating_add(other.memory_mb);
         for (a, b) in m.slices.iter_mut().zip(&other.slices) {
@@ -35,7 +35,7 @@
     }
 
     /// Never below 0: reports of hosts may contradict what is known to run there.
-    pub fn less(&self, other: &Measure) -> Measure {
+    pub fn less(&self, other: &Resources) -> Resources {
         let mut m = *self;
         m.memory_mb = m.memory_mb.saturating_sub(other.memory_mb);
         for (a, b) in m.slices.iter_mut().zip(&other.slices) {
@@ -45,7 +45,7 @@
     }
 
     /// Of each the smaller.
-    pub fn least(&self, other: &Measure) -> Measure {
+    pub fn least(&self, other: &Resources) -> Resources {
         let mut m = *self;
         m.memory_mb = m.memory_mb.min(other.memory_mb);
         for (a, b) in m.slices.iter_mut().zip(&other.slices) {
@@ -55,11 +55,11 @@
     }
 
     pub fn is_zero(&self) -> bool {
-        *self == Measure::default()
+        *self == Resources::default()
     }
 
     /// Of the scarcest resource, the share of `whole` that this is: the size by which instances are ordered.
-    pub fn share_of(&self, whole: &Measure) -> f64 {
+    pub fn share_of(&self, whole: &Resources) -> f64 {
         let part = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
         let slices = self.slices.iter().zip(&whole.slices).map(|(a, b)| part(f64::from(*a), f64::from(*b)));
         slices.fold(part(f64::from(self.memory_mb), f64::from(whole.memory_mb)), f64::max)
@@ -73,7 +73,7 @@
 bitflags! {
     /// What the instances of a function are kept apart by.
     #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-    pub struct Apart: u8 {
+    pub struct Separation: u8 {
         /// No two on one host while there are hosts enough.
         const HOST = 1;
         /// No zone with more than its even part.
@@ -86,9 +86,9 @@
 pub struct Host {
     pub name: String,
     pub zone: String,
-    pub whole: Measure,
+    pub total: Resources,
     /// As the host reports it. Believed only where it is less than `whole` without what is known to run there.
-    pub free: Measure,
+    pub free: Resources,
     /// False while it drains: nothing goes there, and what is there should leave.
     pub up: bool,
 }
@@ -98,16 +98,16 @@
 pub struct Function {
     pub name: String,
     /// What one instance takes.
-    pub takes: Measure,
+    pub size: Resources,
     /// Its calls cannot wait: it is never under its need, and moves within the zone of its lender.
     pub urgent: bool,
     /// Instances without which it would be late, now.
-    pub need: u32,
+    pub required: u32,
     /// Instances the scaler wants to keep; those beyond are let go instead of moved.
-    pub wanted: u32,
+    pub desired: u32,
     /// Mean duration of a start, ms.
     pub boot_ms: u32,
-    pub apart: Apart,
+    pub separation: Separation,
 }
 
 /// A running instance.
@@ -121,7 +121,7 @@
     /// Since its start; the youngest are moved last, as their start was paid just now.
     pub age: Duration,
     /// Where the calls come from that it mostly serves.
-    pub lender_zone: String,
+    pub home_zone: String,
     /// It may be moved: false while it starts, ends, or is moved already.
     pub movable: bool,
 }
@@ -133,54 +133,54 @@
     pub functions: Vec<Function>,
     pub instances: Vec<Instance>,
     /// Starts to be expected soon, each of which should find a hole of its own.
-    pub expected: Vec<Measure>,
+    pub expected_starts: Vec<Resources>,
 }
 
 /// Prices and bounds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct PlanSettings {
     /// A GB of an instance for a second, in the worth of a call. Old and new are both paid during a move.
-    pub instance_gb_s: f64,
+    pub instance_cost_gb_s: f64,
     /// A GB of a host that holds anything, for a second. 0 where hosts cost nothing: then no host is emptied to save.
-    pub host_gb_s: f64,
+    pub host_cost_gb_s: f64,
     /// A start.
-    pub start: f64,
+    pub start_cost: f64,
     /// A second for which one more busy slot crosses zones.
-    pub crossing_s: f64,
+    pub crossing_cost_s: f64,
     /// Savings count for so long.
     pub horizon: Duration,
     /// The old one's time between the end of lending and its stop, for the price of a move.
-    pub ending: Duration,
+    pub stop_delay: Duration,
     /// Moves in one plan, at most.
-    pub moves: usize,
+    pub max_moves: usize,
     /// Instances younger than this stay, unless their host drains.
-    pub young: Duration,
+    pub min_age: Duration,
     /// Functions that can wait may be stopped before the new one begins where there is no room for both.
-    pub may_break: bool,
+    pub allow_break_before_make: bool,
     /// Placements that the search's restarts may look at, after one run of each of the other ways.
-    pub probes: u64,
+    pub max_probes: u64,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms {
-            instance_gb_s: 1.1,
-            host_gb_s: 0.0,
-            start: 0.19,
-            crossing_s: 0.08,
+impl Default for PlanSettings {
+    fn default() -> PlanSettings {
+        PlanSettings {
+            instance_cost_gb_s: 1.1,
+            host_cost_gb_s: 0.0,
+            start_cost: 0.19,
+            crossing_cost_s: 0.08,
             horizon: Duration::from_secs(600),
-            ending: Duration::from_secs(2),
-            moves: 24,
-            young: Duration::from_secs(20),
-            may_break: true,
-            probes: 1_000_000,
+            stop_delay: Duration::from_secs(2),
+            max_moves: 24,
+            min_age: Duration::from_secs(20),
+            allow_break_before_make: true,
+            max_probes: 1_000_000,
         }
     }
 }
 
 /// Why an instance moves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum MoveReason {
     /// Its host drains.
     Drain,
     /// Too many of an urgent function together.
@@ -197,9 +197,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// The new one serves before the old one lends no more. Urgent functions have no other.
-    MakeFirst,
+    MakeBeforeBreak,
     /// Stopped first, begun after the move with this number has ended: two that need each other's room.
-    BreakFirst { begin_after: usize },
+    BreakBeforeMake { begin_after: usize },
 }
 
 /// One instance, one way.
@@ -211,25 +211,25 @@
     /// `None`: let go, as there are more than wanted.
     pub to: Option<String>,
     /// Room that the new one takes at `to`, on top of what is there, while the old one still has its own at `from`.
-    pub meanwhile: Measure,
+    pub reserved: Resources,
     pub mode: Mode,
-    pub why: Why,
+    pub reason: MoveReason,
     pub urgent: bool,
 }
 
 /// What a fleet amounts to.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct FleetMetrics {
     /// Instances of urgent functions on draining hosts.
     pub exposed: u32,
     /// Instances of urgent functions beyond what [`Apart`] allows.
-    pub together: u32,
+    pub colocated: u32,
     /// Expected starts without a hole.
-    pub holes_lacking: u32,
+    pub unplaced_starts: u32,
     /// Memory of hosts that hold anything, MB.
     pub open_mb: u64,
     /// Memory of instances, MB.
-    pub taken_mb: u64,
+    pub used_mb: u64,
     pub open_hosts: u32,
 }
 
@@ -237,14 +237,14 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     pub moves: Vec<Move>,
-    pub before: Figures,
-    pub after: Figures,
+    pub before: FleetMetrics,
+    pub after: FleetMetrics,
     /// MB·s for which old and new both run, by the functions' mean starts.
-    pub double_mb_s: u64,
+    pub overlap_mb_s: u64,
     pub starts: u32,
     /// What is saved within the horizon, less what the moves cost, in the worth of a call. Holes, drains and apartness
     /// are not in it.
     pub saving: f64,
     /// The greatest room taken meanwhile on one host, MB.
-    pub meanwhile_mb: u32,
+    pub peak_reserved_mb: u32,
 }
--- a/crates/rebinding/tests/mover.rs
+++ b/crates/rebinding/tests/mover.rs
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug)]
 struct Mach {
     zone: String,
-    whole: Measure,
+    total: Resources,
     /// What is there in truth; more is reported where they differ.
-    real: Measure,
+    real: Resources,
     up: bool,
     gone: Option<u64>,
 }
@@ -48,7 +48,7 @@
 struct Entry {
     service: String,
     host: String,
-    standing: Standing,
+    state: InstanceState,
     replaces: Option<String>,
     listed: bool,
     missing: u32,
@@ -96,7 +96,7 @@
     stops: BTreeMap<String, u64>,
     planned: u64,
     orders: u64,
-    habits: Habits,
+    habits: MoverSettings,
     /// What each urgent function has reached, up to its need; less by each instance that a fault takes.
     floor: BTreeMap<String, u32>,
     quiet_looks: u32,
@@ -110,18 +110,18 @@
 }
 
 impl Sim {
-    fn new(seed: u64, faults: Faults, habits: Habits) -> Sim {
-        let fleet = sample(seed, 24, 0.5);
+    fn new(seed: u64, faults: Faults, habits: MoverSettings) -> Sim {
+        let fleet = sample_fleet(seed, 24, 0.5);
         let mut chance = Rand32::new(seed ^ 0xfeed);
         let mut hosts = BTreeMap::new();
         for h in &fleet.hosts {
-            let mut real = h.whole;
+            let mut real = h.total;
             if faults.overreport && chance.rand_range(0..3) == 0 {
-                real.memory_mb = real.memory_mb.min(h.whole.memory_mb - h.free.memory_mb + 300);
+                real.memory_mb = real.memory_mb.min(h.total.memory_mb - h.free.memory_mb + 300);
             }
             hosts.insert(
                 h.name.clone(),
-                Mach { zone: h.zone.clone(), whole: h.whole, real, up: true, gone: None },
+                Mach { zone: h.zone.clone(), total: h.total, real, up: true, gone: None },
             );
         }
         let mut insts = BTreeMap::new();
@@ -142,7 +142,7 @@
                 Entry {
                     service: i.function.clone(),
                     host: i.host.clone(),
-                    standing: Standing::Ready,
+                    state: InstanceState::Ready,
                     replaces: None,
                     listed: true,
                     missing: 0,
@@ -197,11 +197,11 @@
         self.chance.rand_float() < p
     }
 
-    fn free(&self, host: &str, real: bool) -> Measure {
+    fn free(&self, host: &str, real: bool) -> Resources {
         let h = &self.hosts[host];
         let all = self.insts.values().filter(|i| i.host == host);
-        let whole = if real { h.real } else { h.whole };
-        all.fold(whole, |m, i| m.less(&self.functions[&i.service].takes))
+        let total = if real { h.real } else { h.total };
+        all.fold(total, |m, i| m.less(&self.functions[&i.service].size))
     }
 
     // The platform.
@@ -210,8 +210,8 @@
         if let Some(id) = self.by_nonce.get(nonce) {
             return Ok(id.clone());
         }
-        let takes = self.functions[service].takes;
-        if !self.hosts.get(host).is_some_and(|h| h.up) || !takes.fits(&self.free(host, true)) {
+        let size = self.functions[service].size;
+        if !self.hosts.get(host).is_some_and(|h| h.up) || !size.fits(&self.free(host, true)) {
             return Err(());
         }
         self.made += 1;
@@ -318,13 +318,13 @@
                 let urgent: Vec<String> = self
                     .functions
                     .values()
-                    .filter(|f| f.urgent && f.need < 5)
+                    .filter(|f| f.urgent && f.required < 5)
                     .map(|f| f.name.clone())
                     .collect();
                 if !urgent.is_empty() {
                     let name = urgent[self.chance.rand_range(0..urgent.len() as u32) as usize].clone();
                     if let Some(f) = self.functions.get_mut(&name) {
-                        (f.need, f.wanted) = (f.need + 1, f.wanted + 1);
+                        (f.required, f.desired) = (f.required + 1, f.desired + 1);
                     }
                 }
             }
@@ -347,7 +347,7 @@
                     }
                     if answered {
                         if let Some(m) = self.mover.as_mut() {
-                            m.ended(&instance);
+                            m.instance_ended(&instance);
                         }
                         self.entries.remove(&instance);
                         self.dead.insert(instance.clone());
@@ -382,7 +382,7 @@
         got: Result<String, ()>,
     ) {
         if got.is_err() {
-            self.shy.insert(host.to_string(), (self.now + 20_000, self.functions[service].takes.memory_mb));
+            self.shy.insert(host.to_string(), (self.now + 20_000, self.functions[service].size.memory_mb));
         }
         let Some(mover) = self.mover.as_mut() else { return };
         if let Ok(id) = &got {
@@ -390,7 +390,7 @@
                 self.entries.entry(id.clone()).or_insert(Entry {
                     service: service.to_string(),
                     host: host.to_string(),
-                    standing: Standing::Starting,
+                    state: InstanceState::Starting,
                     replaces,
                     listed: false,
                     missing: 0,
@@ -399,8 +399,8 @@
             }
         }
         if nonce.starts_with("rb.") {
-            let came = got.map_or(Came::Refused, |instance| Came::Here { instance });
-            mover.began(ms(self.now), nonce, came);
+            let came = got.map_or(StartOutcome::Refused, |instance| StartOutcome::Started { instance });
+            mover.start_answered(ms(self.now), nonce, came);
         }
     }
 
@@ -414,17 +414,17 @@
             let e = self.entries.entry(id).or_insert(Entry {
                 service,
                 host,
-                standing: Standing::Ready,
+                state: InstanceState::Ready,
                 replaces: None,
                 listed: true,
                 missing: 0,
                 since: self.now,
             });
             (e.listed, e.missing) = (true, 0);
-            if drains && e.standing != Standing::Ending {
-                e.standing = Standing::Draining;
-            } else if e.standing == Standing::Starting {
-                e.standing = Standing::Ready;
+            if drains && e.state != InstanceState::Ending {
+                e.state = InstanceState::Draining;
+            } else if e.state == InstanceState::Starting {
+                e.state = InstanceState::Ready;
             }
         }
         let mut lost = Vec::new();
@@ -442,7 +442,7 @@
         }
     }
 
-    fn sight(&self) -> (Vec<Seen>, Vec<Host>, Vec<Need>) {
+    fn sight(&self) -> (Vec<InstanceView>, Vec<Host>, Vec<ServiceNeed>) {
         let seen = self.entries.iter().map(|(id, e)| {
             let i = self.insts.get(id);
             let serving = match i {
@@ -450,13 +450,13 @@
                 Some(i) if i.ready_at <= self.now => Serving::Accepts,
                 _ => Serving::No,
             };
-            Seen {
+            InstanceView {
                 instance: id.clone(),
                 service: e.service.clone(),
                 host: e.host.clone(),
-                standing: e.standing,
+                state: e.state,
                 serving,
-                held: Some(i.map_or(0, |i| i.calls.len() as u16)),
+                slots_in_use: Some(i.map_or(0, |i| i.calls.len() as u16)),
                 replaces: e.replaces.clone(),
             }
         });
@@ -465,23 +465,23 @@
             for c in self.pending.values() {
                 if let Call::Begin { service, host, .. } = c {
                     if host == n {
-                        free = free.less(&self.functions[service].takes);
+                        free = free.less(&self.functions[service].size);
                     }
                 }
             }
             if let Some((_, mb)) = self.shy.get(n).filter(|s| s.0 > self.now) {
                 free.memory_mb = free.memory_mb.min(mb - 1);
             }
-            Host { name: n.clone(), zone: h.zone.clone(), whole: h.whole, free, up: h.up }
+            Host { name: n.clone(), zone: h.zone.clone(), total: h.total, free, up: h.up }
         });
-        let needs = self.functions.values().map(|f| Need {
+        let needs = self.functions.values().map(|f| ServiceNeed {
             service: f.name.clone(),
             urgent: f.urgent,
-            need: f.need,
-            wanted: Some(f.wanted),
+            required: f.required,
+            desired: Some(f.desired),
             boot: ms(u64::from(f.boot_ms)),
-            takes: f.takes,
-            quiet: false,
+            size: f.size,
+            idle: false,
         });
         (seen.collect(), hosts.collect(), needs.collect())
     }
@@ -504,19 +504,19 @@
         let now = self.now;
         self.entries.retain(|_, e| e.listed || e.since + 9000 > now);
         let (seen, hosts, needs) = self.sight();
-        let sight = Sight { seen: &seen, hosts: &hosts, needs: &needs, whole: true };
+        let sight = FleetView { seen: &seen, hosts: &hosts, needs: &needs, complete: true };
         for z in &mut self.zombies {
-            if !z.look(ms(self.now), &sight).is_empty() {
+            if !z.update(ms(self.now), &sight).is_empty() {
                 self.broken.get_or_insert("a holder without the lease gave orders".into());
             }
         }
         let Some(mover) = self.mover.as_mut() else { return };
-        mover.lease(ms(now + 1000));
-        let orders = mover.look(ms(now), &sight);
+        mover.extend_lease(ms(now + 1000));
+        let orders = mover.update(ms(now), &sight);
         let at_once = mover.progress().len();
         // What a new holder finds does not count: it did not begin it.
         self.most_at_once = self.most_at_once.max(if self.number == 1 { at_once } else { 0 });
-        for (_, o) in mover.outcomes() {
+        for (_, o) in mover.take_outcomes() {
             *self.outcomes.entry(format!("{o:?}")).or_default() += 1;
         }
         for o in orders {
@@ -565,15 +565,15 @@
                 self.pending.insert(nonce, call.clone());
                 self.call(call);
             }
-            Order::LendNoMore { instance, .. } => {
+            Order::StopAllocating { instance, .. } => {
                 if let Some(e) = self.entries.get_mut(&instance) {
-                    e.standing = Standing::Ending;
+                    e.state = InstanceState::Ending;
                 }
                 self.let_at.entry(instance).or_insert(self.now);
             }
-            Order::LendAgain { instance, .. } => {
+            Order::ResumeAllocating { instance, .. } => {
                 if let Some(e) = self.entries.get_mut(&instance) {
-                    e.standing = Standing::Ready;
+                    e.state = InstanceState::Ready;
                 }
                 self.let_at.remove(&instance);
             }
@@ -616,7 +616,9 @@
             let up = |h: &str| self.hosts.get(h).is_some_and(|h| h.up);
             let of = || self.entries.iter().filter(|e| e.1.service == f.name);
             let counts = of()
-                .filter(|e| matches!(e.1.standing, Standing::Starting | Standing::Ready) && up(&e.1.host))
+                .filter(|e| {
+                    matches!(e.1.state, InstanceState::Starting | InstanceState::Ready) && up(&e.1.host)
+                })
                 .count();
             let waits = self.pending.values().filter(
                 |c| matches!(c, Call::Begin { service, nonce, .. } if *service == f.name && !nonce.starts_with("rb.")),
@@ -628,18 +630,18 @@
                 .filter(|p| p.service == f.name && !f.urgent && p.new.is_none())
                 .count();
             let have = counts + waits.count() + out;
-            if have < f.wanted as usize {
+            if have < f.desired as usize {
                 let best = hosts
                     .iter()
-                    .filter(|h| h.up && f.takes.fits(&h.free))
+                    .filter(|h| h.up && f.size.fits(&h.free))
                     .max_by_key(|h| (h.free.memory_mb, h.name.clone()));
                 begins.extend(best.map(|h| (f.name.clone(), h.name.clone())));
-            } else if counts > f.wanted as usize && now.is_multiple_of(1000) && now > 5000 {
-                let moves = of().any(|e| mover.holds(e.0));
-                let ready = of().filter(|e| e.1.standing == Standing::Ready && up(&e.1.host) && !moves);
+            } else if counts > f.desired as usize && now.is_multiple_of(1000) && now > 5000 {
+                let moves = of().any(|e| mover.manages(e.0));
+                let ready = of().filter(|e| e.1.state == InstanceState::Ready && up(&e.1.host) && !moves);
                 let serving =
                     ready.clone().filter(|e| self.insts.get(e.0).is_some_and(|i| i.answered)).count();
-                if serving > f.wanted as usize {
+                if serving > f.desired as usize {
                     ends.extend(ready.max_by_key(|e| e.0.clone()).map(|e| e.0.clone()));
                 }
             }
@@ -653,7 +655,7 @@
         }
         for id in ends {
             if let Some(e) = self.entries.get_mut(&id) {
-                e.standing = Standing::Ending;
+                e.state = InstanceState::Ending;
             }
             self.stops.insert(id, now + 3000);
         }
@@ -669,24 +671,25 @@
             return;
         }
         self.planned = self.now;
-        let instances = seen.iter().filter(|s| s.standing == Standing::Ready).map(|s| Instance {
+        let instances = seen.iter().filter(|s| s.state == InstanceState::Ready).map(|s| Instance {
             id: s.instance.clone(),
             function: s.service.clone(),
             host: s.host.clone(),
             load: 0.5,
             age: ms(60_000),
-            lender_zone: hosts.iter().find(|h| h.name == s.host).map(|h| h.zone.clone()).unwrap_or_default(),
+            home_zone: hosts.iter().find(|h| h.name == s.host).map(|h| h.zone.clone()).unwrap_or_default(),
             movable: true,
         });
         let fleet = Fleet {
             instances: instances.collect(),
             functions: self.functions.values().cloned().collect(),
-            expected: vec![Measure::mb(2048)],
+            expected_starts: vec![Resources::mb(2048)],
             hosts,
         };
-        let terms = Terms { host_gb_s: 1.1, moves: 10, probes: 2000, ..Terms::default() };
-        let plan = plan_by(&fleet, &terms, Way::Cheapest, self.now);
-        mover.take(&plan);
+        let terms =
+            PlanSettings { host_cost_gb_s: 1.1, max_moves: 10, max_probes: 2000, ..PlanSettings::default() };
+        let plan = plan_with(&fleet, &terms, Strategy::Cheapest, self.now);
+        mover.accept_plan(&plan);
     }
 
     fn serve(&mut self) {
@@ -694,14 +697,14 @@
         for f in self.functions.values() {
             let mut open: Vec<String> = Vec::new();
             for (id, i) in &self.insts {
-                let lends = self.entries.get(id).is_some_and(|e| e.standing == Standing::Ready);
+                let lends = self.entries.get(id).is_some_and(|e| e.state == InstanceState::Ready);
                 if i.service == f.name && lends && i.ready_at <= now && !i.stopped && !i.drains {
                     open.push(id.clone());
                 }
             }
             if f.urgent {
                 let floor = self.floor.entry(f.name.clone()).or_default();
-                *floor = (*floor).max(f.need.min(open.len() as u32));
+                *floor = (*floor).max(f.required.min(open.len() as u32));
                 if open.len() < *floor as usize {
                     let text = format!("{now} ms: {} serves with {} of {floor}", f.name, open.len());
                     self.broken.get_or_insert(text);
@@ -759,13 +762,13 @@
                 .values()
                 .filter(|i| i.service == f.name && (i.ready_at < u64::MAX || self.number == 1));
             let n = of.count() as u32;
-            let room = self.hosts.keys().any(|h| self.hosts[h].up && f.takes.fits(&self.free(h, true)));
-            if n > f.wanted || n < f.wanted && room {
+            let room = self.hosts.keys().any(|h| self.hosts[h].up && f.size.fits(&self.free(h, true)));
+            if n > f.desired || n < f.desired && room {
                 let of = self.entries.iter().filter(|e| e.1.service == f.name);
                 return Some(format!(
                     "{}: {n} run, {} wanted: {:?}",
                     f.name,
-                    f.wanted,
+                    f.desired,
                     of.collect::<Vec<_>>()
                 ));
             }
@@ -774,8 +777,8 @@
     }
 }
 
-fn play(seed: u64, faults: Faults, flaw: Option<Flaw>) -> (Option<String>, Sim) {
-    let mut sim = Sim::new(seed, faults, Habits { flaw, ..Habits::default() });
+fn play(seed: u64, faults: Faults, flaw: Option<InjectedDefect>) -> (Option<String>, Sim) {
+    let mut sim = Sim::new(seed, faults, MoverSettings { flaw, ..MoverSettings::default() });
     sim.run(56_000);
     (sim.end(), sim)
 }
@@ -841,47 +844,53 @@
 }
 
 #[rstest]
-#[case(Flaw::HandsOverEarly)]
-#[case(Flaw::CutsCalls)]
-#[case(Flaw::NonceOfHolder)]
-#[case(Flaw::ForgetsNeed)]
-#[case(Flaw::LeavesNew)]
-#[case(Flaw::LeavesOld)]
-#[case(Flaw::Outlives)]
-#[case(Flaw::Crowds)]
-#[case(Flaw::BreaksUrgent)]
-fn planted_defects_are_found(#[case] flaw: Flaw) {
+#[case(InjectedDefect::HandsOverEarly)]
+#[case(InjectedDefect::CutsCalls)]
+#[case(InjectedDefect::NonceOfHolder)]
+#[case(InjectedDefect::ForgetsNeed)]
+#[case(InjectedDefect::LeavesNew)]
+#[case(InjectedDefect::LeavesOld)]
+#[case(InjectedDefect::Outlives)]
+#[case(InjectedDefect::Crowds)]
+#[case(InjectedDefect::BreaksUrgent)]
+fn planted_defects_are_found(#[case] flaw: InjectedDefect) {
     let found = (0..200).find_map(|seed| play(seed, faults(seed), Some(flaw)).0.map(|b| (seed, b)));
     println!("{flaw:?}: {found:?}");
     assert!(found.is_some(), "{flaw:?} was not found");
 }
 
-fn need(service: &str, urgent: bool, mb: u32) -> Need {
-    Need {
+fn need(service: &str, urgent: bool, mb: u32) -> ServiceNeed {
+    ServiceNeed {
         service: service.into(),
         urgent,
-        need: u32::from(urgent),
-        wanted: None,
+        required: u32::from(urgent),
+        desired: None,
         boot: ms(900),
-        takes: Measure::mb(mb),
-        quiet: false,
+        size: Resources::mb(mb),
+        idle: false,
     }
 }
 
-fn seen(id: &str, service: &str, host: &str, standing: Standing) -> Seen {
-    Seen {
+fn seen(id: &str, service: &str, host: &str, state: InstanceState) -> InstanceView {
+    InstanceView {
         instance: id.into(),
         service: service.into(),
         host: host.into(),
-        standing,
+        state,
         serving: Serving::Answered,
-        held: Some(0),
+        slots_in_use: Some(0),
         replaces: None,
     }
 }
 
-fn host(name: &str, whole: u32, free: u32) -> Host {
-    Host { name: name.into(), zone: "a".into(), whole: Measure::mb(whole), free: Measure::mb(free), up: true }
+fn host(name: &str, total: u32, free: u32) -> Host {
+    Host {
+        name: name.into(),
+        zone: "a".into(),
+        total: Resources::mb(total),
+        free: Resources::mb(free),
+        up: true,
+    }
 }
 
 fn go(instance: &str, function: &str, from: &str, to: &str, mode: Mode, urgent: bool) -> Move {
@@ -890,9 +899,9 @@
         function: function.into(),
         from: from.into(),
         to: Some(to.into()),
-        meanwhile: Measure::mb(if urgent { 512 } else { 400 }),
+        reserved: Resources::mb(if urgent { 512 } else { 400 }),
         mode,
-        why: Why::Hole,
+        reason: MoveReason::Hole,
         urgent,
     }
 }
@@ -906,19 +915,19 @@
     let needs = [need("book", true, 512), need("batch", false, 400)];
     let plan = Plan {
         moves: vec![
-            go("j", "batch", "h2", "h1", Mode::BreakFirst { begin_after: 1 }, false),
-            go("i", "book", "h1", "h2", Mode::MakeFirst, true),
+            go("j", "batch", "h2", "h1", Mode::BreakBeforeMake { begin_after: 1 }, false),
+            go("i", "book", "h1", "h2", Mode::MakeBeforeBreak, true),
         ],
         ..Plan::default()
     };
-    let mut m = Mover::new(1, ms(1_000_000), Habits::default());
+    let mut m = Mover::new(1, ms(1_000_000), MoverSettings::default());
     let (mut i, mut j, mut ids) =
-        (Some(("i", "h1", Standing::Ready)), Some(("j", "h2", Standing::Ready)), Vec::new());
+        (Some(("i", "h1", InstanceState::Ready)), Some(("j", "h2", InstanceState::Ready)), Vec::new());
     let (mut new_i, mut new_j) = (None, None);
     let (mut out_since, mut back_at) = (None, None);
     for tick in 0..300u64 {
         let now = ms(tick * 200);
-        let mut all: Vec<Seen> = Vec::new();
+        let mut all: Vec<InstanceView> = Vec::new();
         for (at, service) in [(i, "book"), (j, "batch"), (new_i, "book"), (new_j, "batch")] {
             all.extend(at.map(|(id, h, s)| seen(id, service, h, s)));
         }
@@ -929,30 +938,30 @@
                 .sum::<u32>()
         };
         let hosts = [host("h1", 824, 824 - used("h1")), host("h2", 700, 700 - used("h2"))];
-        let sight = Sight { seen: &all, hosts: &hosts, needs: &needs, whole: true };
+        let sight = FleetView { seen: &all, hosts: &hosts, needs: &needs, complete: true };
         // `book` is never without an instance that lends.
-        assert!(all.iter().any(|s| s.service == "book" && s.standing == Standing::Ready));
-        for o in m.look(now, &sight) {
+        assert!(all.iter().any(|s| s.service == "book" && s.state == InstanceState::Ready));
+        for o in m.update(now, &sight) {
             match o {
                 Order::Begin { service, host, nonce, .. } => {
                     let id = if service == "book" { "i2" } else { "j2" };
                     ids.push(id);
                     if service == "book" && !room_comes {
-                        m.began(now, &nonce, Came::Refused);
+                        m.start_answered(now, &nonce, StartOutcome::Refused);
                         continue;
                     }
-                    m.began(now, &nonce, Came::Here { instance: id.into() });
-                    let at = Some((id, if host == "h1" { "h1" } else { "h2" }, Standing::Ready));
+                    m.start_answered(now, &nonce, StartOutcome::Started { instance: id.into() });
+                    let at = Some((id, if host == "h1" { "h1" } else { "h2" }, InstanceState::Ready));
                     if service == "book" {
                         new_i = at;
                     } else {
                         (new_j, back_at) = (at, Some(now));
                     }
                 }
-                Order::LendNoMore { instance, .. } => {
+                Order::StopAllocating { instance, .. } => {
                     let which = if instance == "i" { &mut i } else { &mut j };
                     if let Some(w) = which {
-                        w.2 = Standing::Ending;
+                        w.2 = InstanceState::Ending;
                     }
                     if instance == "j" {
                         out_since = Some(now);
@@ -960,13 +969,13 @@
                 }
                 Order::Stop { instance, .. } if instance == "i" => i = None,
                 Order::Stop { .. } => j = None,
-                Order::LendAgain { .. } => panic!("nothing was lost"),
+                Order::ResumeAllocating { .. } => panic!("nothing was lost"),
             }
         }
         if tick == 0 {
-            assert!(m.take(&plan));
+            assert!(m.accept_plan(&plan));
         } else if m.idle() {
-            let outcomes: BTreeMap<String, Outcome> = m.outcomes().into_iter().collect();
+            let outcomes: BTreeMap<String, Outcome> = m.take_outcomes().into_iter().collect();
             let out = back_at.unwrap_or(now) - out_since.unwrap_or_default();
             assert!(out < Duration::from_secs(13), "out for {out:?}");
             if room_comes {
@@ -984,28 +993,28 @@
 /// A function that needs both for a moment keeps both; asked for again, the same move is another start.
 #[test]
 fn a_move_after_one_that_was_kept_has_another_nonce() {
-    let moves = vec![go("i", "book", "h1", "h2", Mode::MakeFirst, true)];
+    let moves = vec![go("i", "book", "h1", "h2", Mode::MakeBeforeBreak, true)];
     let plan = Plan { moves, ..Plan::default() };
     let hosts = [host("h1", 2048, 1024), host("h2", 2048, 1024)];
-    let mut m = Mover::new(1, ms(1_000_000), Habits::default());
+    let mut m = Mover::new(1, ms(1_000_000), MoverSettings::default());
     let mut nonces = Vec::new();
     for tick in 0..400 {
-        let mut all = vec![seen("i", "book", "h1", Standing::Ready)];
-        all.extend((!nonces.is_empty()).then(|| seen("i2", "book", "h2", Standing::Ready)));
+        let mut all = vec![seen("i", "book", "h1", InstanceState::Ready)];
+        all.extend((!nonces.is_empty()).then(|| seen("i2", "book", "h2", InstanceState::Ready)));
         // Both, while the first is on its way.
-        let needs = [Need { need: 1 + u32::from(nonces.len() == 1), ..need("book", true, 512) }];
-        let sight = Sight { seen: &all, hosts: &hosts, needs: &needs, whole: true };
-        for o in m.look(ms(tick * 200), &sight) {
+        let needs = [ServiceNeed { required: 1 + u32::from(nonces.len() == 1), ..need("book", true, 512) }];
+        let sight = FleetView { seen: &all, hosts: &hosts, needs: &needs, complete: true };
+        for o in m.update(ms(tick * 200), &sight) {
             if let Order::Begin { nonce, .. } = o {
-                m.began(ms(tick * 200), &nonce, Came::Here { instance: "i2".into() });
+                m.start_answered(ms(tick * 200), &nonce, StartOutcome::Started { instance: "i2".into() });
                 nonces.push(nonce);
             }
         }
         if m.idle() {
-            m.take(&plan);
+            m.accept_plan(&plan);
         }
         if let [first, second, ..] = nonces.as_slice() {
-            assert_eq!(m.outcomes(), [("i".to_string(), Outcome::Kept)]);
+            assert_eq!(m.take_outcomes(), [("i".to_string(), Outcome::Kept)]);
             assert_ne!(first, second);
             return;
         }
--- a/crates/rebinding/tests/planner.rs
+++ b/crates/rebinding/tests/planner.rs
@@ -3,46 +3,46 @@
 use rstest::rstest;
 use tindock_rebinding::*;
 
-fn terms(seed: u64) -> Terms {
-    Terms {
-        host_gb_s: if seed.is_multiple_of(3) { 0.0 } else { 1.1 },
-        moves: [4, 12, 60][(seed % 3) as usize],
-        probes: 60_000,
-        ..Terms::default()
+fn terms(seed: u64) -> PlanSettings {
+    PlanSettings {
+        host_cost_gb_s: if seed.is_multiple_of(3) { 0.0 } else { 1.1 },
+        max_moves: [4, 12, 60][(seed % 3) as usize],
+        max_probes: 60_000,
+        ..PlanSettings::default()
     }
 }
 
 /// A fleet with drains, hosts that others use too or that report too much, more wanted, larger expected.
 fn fleet(seed: u64) -> Fleet {
-    let mut f = sample(seed, 20 + (seed % 30) as usize, 0.45 + 0.5 * ((seed % 11) as f64 / 11.0));
+    let mut f = sample_fleet(seed, 20 + (seed % 30) as usize, 0.45 + 0.5 * ((seed % 11) as f64 / 11.0));
     let hosts = f.hosts.len();
     match seed % 5 {
         1 => f.hosts[(seed as usize / 5) % hosts].up = false,
-        2 => f.hosts[0].free = Measure::mb(f.hosts[0].free.memory_mb / 2),
+        2 => f.hosts[0].free = Resources::mb(f.hosts[0].free.memory_mb / 2),
         3 => f.hosts[0].free.memory_mb *= 3,
-        4 => f.functions.iter_mut().filter(|f| !f.urgent).for_each(|f| (f.need, f.wanted) = (0, 1)),
+        4 => f.functions.iter_mut().filter(|f| !f.urgent).for_each(|f| (f.required, f.desired) = (0, 1)),
         _ => {}
     }
-    f.expected.push(Measure::mb(512 + 512 * (seed % 12) as u32));
+    f.expected_starts.push(Resources::mb(512 + 512 * (seed % 12) as u32));
     f
 }
 
 #[rstest]
-#[case(Way::FirstFit, 0..5000)]
-#[case(Way::FirstFit, 5000..10_000)]
-#[case(Way::Cheapest, 0..5000)]
-#[case(Way::Cheapest, 5000..10_000)]
-#[case(Way::Search, 0..750)]
-#[case(Way::Search, 750..1500)]
-fn plans_hold_what_they_promise(#[case] way: Way, #[case] seeds: std::ops::Range<u64>) {
+#[case(Strategy::FirstFit, 0..5000)]
+#[case(Strategy::FirstFit, 5000..10_000)]
+#[case(Strategy::Cheapest, 0..5000)]
+#[case(Strategy::Cheapest, 5000..10_000)]
+#[case(Strategy::Search, 0..750)]
+#[case(Strategy::Search, 750..1500)]
+fn plans_hold_what_they_promise(#[case] way: Strategy, #[case] seeds: std::ops::Range<u64>) {
     let (mut moves, mut breaks, mut holes, mut exposed) = (0, 0, 0, 0);
     for seed in seeds {
         let (fleet, terms) = (fleet(seed), terms(seed));
-        let plan = plan_by(&fleet, &terms, way, seed);
-        assert_eq!(check(&fleet, &plan, terms.moves), Ok(()), "seed {seed}: {plan:#?}");
+        let plan = plan_with(&fleet, &terms, way, seed);
+        assert_eq!(check(&fleet, &plan, terms.max_moves), Ok(()), "seed {seed}: {plan:#?}");
         moves += plan.moves.len();
-        breaks += plan.moves.iter().filter(|m| matches!(m.mode, Mode::BreakFirst { .. })).count();
-        holes += plan.before.holes_lacking.saturating_sub(plan.after.holes_lacking);
+        breaks += plan.moves.iter().filter(|m| matches!(m.mode, Mode::BreakBeforeMake { .. })).count();
+        holes += plan.before.unplaced_starts.saturating_sub(plan.after.unplaced_starts);
         exposed += plan.before.exposed - plan.after.exposed;
     }
     // The fleets give each part of the planner something to do.
@@ -60,8 +60,8 @@
 fn the_search_is_never_behind_first_fit() {
     for seed in 0..200 {
         let (f, t) = (fleet(seed), terms(seed));
-        let (a, b) = (plan_by(&f, &t, Way::FirstFit, seed), plan_by(&f, &t, Way::Search, seed));
-        let key = |p: &Plan| (p.after.exposed, p.after.together, p.after.holes_lacking);
+        let (a, b) = (plan_with(&f, &t, Strategy::FirstFit, seed), plan_with(&f, &t, Strategy::Search, seed));
+        let key = |p: &Plan| (p.after.exposed, p.after.colocated, p.after.unplaced_starts);
         assert!(key(&b) < key(&a) || key(&b) == key(&a) && b.saving >= a.saving - 1e-9, "seed {seed}");
     }
 }
@@ -74,8 +74,8 @@
             .map(|(n, mb)| Host {
                 name: n.to_string(),
                 zone: zone(n),
-                whole: Measure::mb(*mb),
-                free: Measure::mb(*mb),
+                total: Resources::mb(*mb),
+                free: Resources::mb(*mb),
                 up: true,
             })
             .collect(),
@@ -88,7 +88,7 @@
             host: h.to_string(),
             load: 1.0,
             age: std::time::Duration::from_secs(600),
-            lender_zone: zone(h),
+            home_zone: zone(h),
             movable: true,
         });
     }
@@ -96,12 +96,12 @@
         let count = at.iter().filter(|a| a.0 == *n).count() as u32;
         fleet.functions.push(Function {
             name: n.to_string(),
-            takes: Measure::mb(*mb),
+            size: Resources::mb(*mb),
             urgent: *urgent,
-            need: count,
-            wanted: count,
+            required: count,
+            desired: count,
             boot_ms: 1000,
-            apart: if *urgent { Apart::HOST } else { Apart::empty() },
+            separation: if *urgent { Separation::HOST } else { Separation::empty() },
         });
     }
     fleet
@@ -119,43 +119,47 @@
     fleet.instances[2].host = "a1".into();
     fleet.functions.push(Function {
         name: "log".into(),
-        takes: Measure::mb(200),
+        size: Resources::mb(200),
         ..fleet.functions[1].clone()
     });
     fleet.functions[2].boot_ms = 1;
     fleet.instances[2].movable = false;
-    fleet.expected = vec![Measure::mb(400)];
-    let p = plan(&fleet, &Terms::default(), 1);
+    fleet.expected_starts = vec![Resources::mb(400)];
+    let p = plan(&fleet, &PlanSettings::default(), 1);
     assert_eq!(check(&fleet, &p, 24), Ok(()));
-    assert_eq!((p.before.holes_lacking, p.after.holes_lacking), (1, 0), "312 were free, then 424: {p:#?}");
-    assert_eq!(p.moves[0].mode, Mode::BreakFirst { begin_after: 1 });
-    assert!(!p.moves[0].urgent && p.moves[1].urgent && p.moves[1].mode == Mode::MakeFirst);
-    let mut never = Terms { may_break: false, ..Terms::default() };
-    never.moves = 10;
+    assert_eq!(
+        (p.before.unplaced_starts, p.after.unplaced_starts),
+        (1, 0),
+        "312 were free, then 424: {p:#?}"
+    );
+    assert_eq!(p.moves[0].mode, Mode::BreakBeforeMake { begin_after: 1 });
+    assert!(!p.moves[0].urgent && p.moves[1].urgent && p.moves[1].mode == Mode::MakeBeforeBreak);
+    let mut never = PlanSettings { allow_break_before_make: false, ..PlanSettings::default() };
+    never.max_moves = 10;
     assert!(plan(&fleet, &never, 1).moves.is_empty());
 }
 
 #[test]
 fn a_slice_is_a_resource_like_memory() {
     let mut fleet = small(&[("a1", 4096), ("a2", 4096), ("a3", 4096)], &[("f", 512, true)], &[("f", "a1")]);
-    fleet.functions[0].takes.slices[0] = 2;
+    fleet.functions[0].size.slices[0] = 2;
     for (h, n) in [(0, 4), (1, 1), (2, 2)] {
-        fleet.hosts[h].whole.slices[0] = n;
+        fleet.hosts[h].total.slices[0] = n;
         fleet.hosts[h].free.slices[0] = n;
     }
     fleet.hosts[0].up = false;
-    let p = plan(&fleet, &Terms::default(), 1);
+    let p = plan(&fleet, &PlanSettings::default(), 1);
     assert_eq!(p.moves.len(), 1);
     assert_eq!(p.moves[0].to.as_deref(), Some("a3"), "one slice is too few on a2");
 }
 
 #[test]
 fn where_hosts_cost_nothing_nothing_moves_to_save() {
-    let fleet = sample(3, 100, 0.4);
+    let fleet = sample_fleet(3, 100, 0.4);
     let mut calm = fleet.clone();
-    calm.expected.clear();
-    calm.functions.iter_mut().for_each(|f| f.apart = Apart::empty());
-    assert!(plan(&calm, &Terms::default(), 1).moves.is_empty());
+    calm.expected_starts.clear();
+    calm.functions.iter_mut().for_each(|f| f.separation = Separation::empty());
+    assert!(plan(&calm, &PlanSettings::default(), 1).moves.is_empty());
 }
 
 /// Defects planted in good plans: each is found.
@@ -169,9 +173,16 @@
 fn planted_defects_of_plans_are_found(#[case] defect: usize) {
     let (mut found, mut planted) = (0, 0);
     for seed in 0..400 {
-        let (mut f, t) =
-            (fleet(seed), Terms { moves: 60, host_gb_s: 1.1, probes: 60_000, ..Terms::default() });
-        let mut p = plan_by(&f, &t, Way::Cheapest, seed);
+        let (mut f, t) = (
+            fleet(seed),
+            PlanSettings {
+                max_moves: 60,
+                host_cost_gb_s: 1.1,
+                max_probes: 60_000,
+                ..PlanSettings::default()
+            },
+        );
+        let mut p = plan_with(&f, &t, Strategy::Cheapest, seed);
         let chain = p.moves.windows(2).position(|w| w[1].to.as_ref() == Some(&w[0].from));
         let Some(n) = p.moves.iter().position(|m| m.urgent && m.to.is_some()) else { continue };
         match defect {
@@ -185,7 +196,7 @@
                 .iter_mut()
                 .filter(|h| Some(&h.name) == p.moves[n].to.as_ref())
                 .for_each(|h| h.up = false),
-            3 => p.moves[n].mode = Mode::BreakFirst { begin_after: n + 1 },
+            3 => p.moves[n].mode = Mode::BreakBeforeMake { begin_after: n + 1 },
             4 => p.moves[n].to = None,
             _ => {
                 let to = p.moves[n].to.clone();
@@ -195,7 +206,7 @@
                 f.hosts
                     .iter_mut()
                     .filter(|h| Some(&h.name) == to.as_ref())
-                    .for_each(|h| h.free = Measure::mb(100));
+                    .for_each(|h| h.free = Resources::mb(100));
             }
         }
         planted += 1;
--- a/crates/stacks/src/rebind.rs
+++ b/crates/stacks/src/rebind.rs
@@ -5,10 +5,13 @@
 use std::time::Duration;
 
 use tindock_rebinding as moving;
-use tindock_rebinding::{Apart, Fleet, Judge, Measure, Moment, Mover, Need, No, Outcome, Plan, Progress};
-use tindock_rebinding::{Seen, Serving, Sight};
+use tindock_rebinding::{
+    Conditions, Fleet, MovePolicy, Mover, Obstacle, Outcome, Plan, Progress, Resources, Separation,
+    ServiceNeed,
+};
+use tindock_rebinding::{FleetView, InstanceView, Serving};
 
-pub(crate) use tindock_rebinding::Came;
+pub(crate) use tindock_rebinding::StartOutcome;
 
 use crate::capacity::HostCapacity;
 use crate::registry::{InstanceRecord, Registry};
@@ -61,7 +64,7 @@
     Busy,
     /// More instances than a plan is searched for.
     TooLarge,
-    Blocked(No),
+    Blocked(Obstacle),
 }
 
 /// State of the moves, for operators.
@@ -70,7 +73,7 @@
     pub mode: Rebinding,
     pub paused: bool,
     /// Why a plan would not be run now.
-    pub blocked_by: Option<No>,
+    pub blocked_by: Option<Obstacle>,
     pub moves: Vec<Progress>,
     /// Moves of the plan that have not begun.
     pub waiting: usize,
@@ -109,7 +112,7 @@
 pub(crate) struct Rebind {
     mode: Rebinding,
     mover: Mover,
-    judge: Judge,
+    judge: MovePolicy,
     observed: bool,
     seed: u64,
     /// Functions whose starts found no free capacity, with the first and the last time.
@@ -168,8 +171,8 @@
         self.rebind = (mode != Rebinding::Off).then(|| {
             Box::new(Rebind {
                 mode,
-                mover: Mover::new(self.tag, now, moving::Habits::default()),
-                judge: Judge::new(now),
+                mover: Mover::new(self.tag, now, moving::MoverSettings::default()),
+                judge: MovePolicy::new(now),
                 observed: false,
                 seed: self.tag,
                 blocked_starts: BTreeMap::new(),
@@ -198,30 +201,32 @@
         }
     }
 
-    pub(crate) fn move_start_answered(&mut self, now: Duration, start: &Start, outcome: Came) {
+    pub(crate) fn move_start_answered(&mut self, now: Duration, start: &Start, outcome: StartOutcome) {
         if let Some(r) = self.rebind.as_mut().filter(|_| start.replaces.is_some()) {
             let again = match &outcome {
-                Came::Here { instance } => self.tombstones.contains_key(instance).then(|| instance.clone()),
-                Came::Refused => None,
+                StartOutcome::Started { instance } => {
+                    self.tombstones.contains_key(instance).then(|| instance.clone())
+                }
+                StartOutcome::Refused => None,
             };
-            r.mover.began(now, &start.nonce, outcome);
+            r.mover.start_answered(now, &start.nonce, outcome);
             // The repeated start of a previous lease holder, whose instance has ended since.
             if let Some(instance) = again {
-                r.mover.ended(&instance);
+                r.mover.instance_ended(&instance);
             }
         }
     }
 
     pub(crate) fn move_instance_ended(&mut self, instance: &str) {
         if let Some(r) = &mut self.rebind {
-            r.mover.ended(instance);
+            r.mover.instance_ended(instance);
         }
     }
 
     pub(crate) fn rebind_pass(&mut self, now: Duration) {
         let Some(mut r) = self.rebind.take() else { return };
         // The caller runs no pass after the end of the lease.
-        r.mover.lease(now + 2 * self.tuning.pass_interval);
+        r.mover.extend_lease(now + 2 * self.tuning.pass_interval);
         r.blocked_starts.retain(|name, b| b.1 + START_EXPECTED_FOR > now && self.services.contains_key(name));
         if self.registry.settled {
             r.settled_since.get_or_insert(now);
@@ -231,7 +236,7 @@
             self.step_moves(now, &mut r);
         }
         let moment = self.conditions(now, &mut r);
-        let no = r.judge.moment(now, &moment);
+        let no = r.judge.observe(now, &moment);
         let wants = match r.mode {
             Rebinding::Off | Rebinding::Plan => false,
             Rebinding::Holes => self.blocked_starts_that_fit(now, &r).next().is_some(),
@@ -250,18 +255,18 @@
         &'a self,
         now: Duration,
         r: &'a Rebind,
-    ) -> impl Iterator<Item = (&'a str, Measure)> + 'a {
+    ) -> impl Iterator<Item = (&'a str, Resources)> + 'a {
         let free: u64 = self.capacity.all(now).filter(|h| h.4).map(|h| u64::from(h.3)).sum();
         r.recently_blocked(now)
             .filter_map(|name| self.services.get(name))
             .map(|service_state| {
-                (service_state.spec.name.as_str(), Measure::mb(service_state.spec.memory_mb))
+                (service_state.spec.name.as_str(), Resources::mb(service_state.spec.memory_mb))
             })
             .filter(move |s| u64::from(s.1.memory_mb) <= free)
             .take(MAX_EXPECTED_STARTS)
     }
 
-    fn conditions(&self, now: Duration, r: &mut Rebind) -> Moment {
+    fn conditions(&self, now: Duration, r: &mut Rebind) -> Conditions {
         let (mut waiting, mut slots) = (0, 0u32);
         for (name, service_state) in &self.services {
             // Calls waiting for a blocked start do not count: they must not prevent the move that makes room
@@ -279,21 +284,21 @@
         let before = r.slot_history.front().map_or(slots, |s| s.1);
         r.slot_history.push_back((now, slots));
         let within = |at: Option<Duration>, lasts: Duration| at.is_some_and(|at| now < at + lasts);
-        Moment {
+        Conditions {
             waiting,
             growth: f64::from(slots) / f64::from(before.max(1)),
-            trouble: within(r.last_disturbance, DISTURBANCE_PAUSE),
+            disturbed: within(r.last_disturbance, DISTURBANCE_PAUSE),
             configuring: within(r.last_configuration, CONFIGURATION_PAUSE),
             settled: r.settled_since.is_some_and(|s| s + SETTLING_PAUSE <= now),
         }
     }
 
     fn host_list(&self, now: Duration) -> Vec<moving::Host> {
-        let host = |(name, zone, whole, free, up): (&str, &str, u32, u32, bool)| moving::Host {
+        let host = |(name, zone, total, free, up): (&str, &str, u32, u32, bool)| moving::Host {
             name: name.to_string(),
             zone: zone.to_string(),
-            whole: Measure::mb(whole),
-            free: Measure::mb(free),
+            total: Resources::mb(total),
+            free: Resources::mb(free),
             up,
         };
         self.capacity.all(now).map(host).collect()
@@ -307,23 +312,24 @@
             let (demands, _) = self.demands(now, service_state);
             let run = demands.iter().map(|p| p.run_ms).fold(0.0, f64::max);
             runs.insert(name, Duration::from_secs_f64(3.0 * run / 1e3));
-            needs.push(Need {
+            needs.push(ServiceNeed {
                 service: name.clone(),
                 urgent: !self.tuning.scales_to_zero(&service_state.spec),
-                need: service_state.target,
+                required: service_state.target,
                 // Surplus instances are stopped by the autoscaler itself.
-                wanted: None,
+                desired: None,
                 boot: Duration::from_millis(service_state.spec.boot_ms.into()),
-                takes: Measure::mb(service_state.spec.memory_mb),
-                quiet: demands.iter().all(|p| p.peak == 0.0 && p.rate < 0.05),
+                size: Resources::mb(service_state.spec.memory_mb),
+                idle: demands.iter().all(|p| p.peak == 0.0 && p.rate < 0.05),
             });
         }
         let replaced: BTreeSet<&str> =
             self.registry.all().filter_map(|h| h.entry.replaces.as_deref()).collect();
         let seen = |h: &InstanceRecord| {
             let e = &h.entry;
-            let moved =
-                r.mover.holds(&e.instance) || e.replaces.is_some() || replaced.contains(e.instance.as_str());
+            let moved = r.mover.manages(&e.instance)
+                || e.replaces.is_some()
+                || replaced.contains(e.instance.as_str());
             // Instances that the autoscaler stops are not the mover's.
             if e.state == InstanceState::Ending && !moved {
                 return None;
@@ -333,43 +339,43 @@
             // does.
             let ends = r.unallocated_since.get(&e.instance).copied();
             let span_end = span.max(self.tuning.stop_delay).min(self.tuning.max_stop_delay);
-            Some(Seen {
+            Some(InstanceView {
                 instance: e.instance.clone(),
                 service: e.service.clone(),
                 host: e.host.clone(),
-                standing: match e.state {
-                    InstanceState::Starting => moving::Standing::Starting,
-                    InstanceState::Ready => moving::Standing::Ready,
-                    InstanceState::Draining => moving::Standing::Draining,
-                    InstanceState::Ending => moving::Standing::Ending,
+                state: match e.state {
+                    InstanceState::Starting => moving::InstanceState::Starting,
+                    InstanceState::Ready => moving::InstanceState::Ready,
+                    InstanceState::Draining => moving::InstanceState::Draining,
+                    InstanceState::Ending => moving::InstanceState::Ending,
                 },
                 serving: match h.ready_since {
                     Some(at) if h.listed && at + span.max(ANSWERED_AFTER) <= now => Serving::Answered,
                     Some(_) => Serving::Accepts,
                     None => Serving::No,
                 },
-                held: ends.filter(|at| *at + span_end <= now).map(|_| 0),
+                slots_in_use: ends.filter(|at| *at + span_end <= now).map(|_| 0),
                 replaces: e.replaces.clone(),
             })
         };
-        let seen: Vec<Seen> = self.registry.all().filter_map(seen).collect();
-        let sight = Sight { seen: &seen, hosts: &hosts, needs: &needs, whole: true };
-        let orders = r.mover.look(now, &sight);
+        let seen: Vec<InstanceView> = self.registry.all().filter_map(seen).collect();
+        let sight = FleetView { seen: &seen, hosts: &hosts, needs: &needs, complete: true };
+        let orders = r.mover.update(now, &sight);
         for order in orders {
             self.apply_move_order(now, r, order);
         }
-        for (instance, outcome) in r.mover.outcomes() {
+        for (instance, outcome) in r.mover.take_outcomes() {
             if matches!(outcome, Outcome::Kept | Outcome::NoRoom) {
-                r.judge.unfinished(now);
+                r.judge.run_incomplete(now);
             }
             r.finished.push_back((now, instance, outcome));
             while r.finished.len() > MAX_FINISHED {
                 r.finished.pop_front();
             }
         }
-        r.unallocated_since.retain(|id, _| r.mover.holds(id));
+        r.unallocated_since.retain(|id, _| r.mover.manages(id));
         // The new instance of a finished move no longer names the old one.
-        let over = |h: &&InstanceRecord| h.entry.replaces.as_ref().is_some_and(|old| !r.mover.holds(old));
+        let over = |h: &&InstanceRecord| h.entry.replaces.as_ref().is_some_and(|old| !r.mover.manages(old));
         for id in self.registry.all().filter(over).map(|h| h.entry.instance.clone()).collect::<Vec<_>>() {
             self.registry.update(&id, |h| h.entry.replaces = None);
         }
@@ -387,12 +393,12 @@
                     r.pending_calls.push_back(PendingCall::Begin { service, host, nonce, replaces });
                 }
             }
-            moving::Order::LendNoMore { instance, .. } => {
+            moving::Order::StopAllocating { instance, .. } => {
                 r.unallocated_since.entry(instance.clone()).or_insert(now);
                 self.registry.update(&instance, |h| h.entry.state = InstanceState::Ending);
                 self.mark_dirty(&instance);
             }
-            moving::Order::LendAgain { instance, .. } => {
+            moving::Order::ResumeAllocating { instance, .. } => {
                 r.unallocated_since.remove(&instance);
                 self.registry.update(&instance, |h| {
                     if h.entry.state == InstanceState::Ending && !h.stop_sent {
@@ -452,9 +458,9 @@
         if self.registry.all().count() > MAX_PLANNED_INSTANCES {
             return None;
         }
-        let apart = if r.mode == Rebinding::Holes { Apart::empty() } else { Apart::HOST };
+        let separation = if r.mode == Rebinding::Holes { Separation::empty() } else { Separation::HOST };
         let mut fleet = Fleet { hosts: self.host_list(now), ..Fleet::default() };
-        fleet.expected = self.blocked_starts_that_fit(now, r).map(|h| h.1).collect();
+        fleet.expected_starts = self.blocked_starts_that_fit(now, r).map(|h| h.1).collect();
         let mut busy = BTreeMap::<(&str, &str), f64>::new();
         for (name, service_state) in &self.services {
             let count = self.registry.of_service(name).count() as u32;
@@ -464,12 +470,12 @@
             let urgent = !self.tuning.scales_to_zero(&service_state.spec);
             fleet.functions.push(moving::Function {
                 name: name.clone(),
-                takes: Measure::mb(service_state.spec.memory_mb),
+                size: Resources::mb(service_state.spec.memory_mb),
                 urgent,
-                need: service_state.target.min(count),
-                wanted: count,
+                required: service_state.target.min(count),
+                desired: count,
                 boot_ms: service_state.spec.boot_ms,
-                apart: if urgent { apart } else { Apart::empty() },
+                separation: if urgent { separation } else { Separation::empty() },
             });
             for p in self.demands(now, service_state).0 {
                 let here = self.registry.of_service(name).filter(|h| h.entry.zone == p.zone).count().max(1);
@@ -490,31 +496,31 @@
                 host: e.host.clone(),
                 load: busy.get(&(e.service.as_str(), e.zone.as_str())).copied().unwrap_or(0.0) as f32,
                 age: now.saturating_sub(h.known_since),
-                lender_zone: e.zone.clone(),
+                home_zone: e.zone.clone(),
                 // The autoscaler replaces draining instances at once, sooner than a plan may run.
-                movable: serving_now && !incomplete && !blocked && !r.mover.holds(&e.instance),
+                movable: serving_now && !incomplete && !blocked && !r.mover.manages(&e.instance),
             });
         }
-        let terms = moving::Terms {
-            instance_gb_s: self.tuning.memory_cost_gb_s,
-            start: self.tuning.start_cost,
-            crossing_s: self.tuning.cross_zone_cost,
+        let terms = moving::PlanSettings {
+            instance_cost_gb_s: self.tuning.memory_cost_gb_s,
+            start_cost: self.tuning.start_cost,
+            crossing_cost_s: self.tuning.cross_zone_cost,
             // Swapping two instances would leave both out of service for a while, and would need calls
             // reported by instance.
-            may_break: false,
-            probes: PROBES,
-            ..moving::Terms::default()
+            allow_break_before_make: false,
+            max_probes: PROBES,
+            ..moving::PlanSettings::default()
         };
         Some(moving::plan(&fleet, &terms, r.seed))
     }
 
     /// The plan that would be run now, and whether it may run.
-    pub fn rebinding_plan(&mut self, now: Duration) -> Result<(Plan, Result<(), No>), RunRefusal> {
+    pub fn rebinding_plan(&mut self, now: Duration) -> Result<(Plan, Result<(), Obstacle>), RunRefusal> {
         let mut r = self.rebind.take().ok_or(RunRefusal::Off)?;
         let moment = self.conditions(now, &mut r);
         let plan = self.make_plan(now, &r);
         let may =
-            plan.as_ref().map(|plan| r.judge.clone().allows(now, &moment, plan, double_memory_cost(plan)));
+            plan.as_ref().map(|plan| r.judge.clone().approve(now, &moment, plan, double_memory_cost(plan)));
         self.rebind = Some(r);
         plan.zip(may).ok_or(RunRefusal::TooLarge)
     }
@@ -533,13 +539,13 @@
         }
         let moment = self.conditions(now, r);
         // Saves the search for a plan that would not be run.
-        if let Some(no) = r.judge.moment(now, &moment).or(r.judge.ready(now).err()) {
+        if let Some(no) = r.judge.observe(now, &moment).or(r.judge.may_plan(now).err()) {
             return Err(RunRefusal::Blocked(no));
         }
         let plan = self.make_plan(now, r).ok_or(RunRefusal::TooLarge)?;
-        r.judge.allows(now, &moment, &plan, double_memory_cost(&plan)).map_err(RunRefusal::Blocked)?;
-        if !r.mover.take(&plan) {
-            return Err(RunRefusal::Blocked(No::Unsettled));
+        r.judge.approve(now, &moment, &plan, double_memory_cost(&plan)).map_err(RunRefusal::Blocked)?;
+        if !r.mover.accept_plan(&plan) {
+            return Err(RunRefusal::Blocked(Obstacle::Unsettled));
         }
         r.seed = r.seed.wrapping_add(1);
         self.step_moves(now, r);
@@ -552,7 +558,7 @@
         r.judge.paused = paused;
         r.mover.pause(paused);
         if undo {
-            r.mover.stop(now);
+            r.mover.cancel(now);
         }
         Ok(())
     }
@@ -564,9 +570,9 @@
         let status = RebindingStatus {
             mode: r.mode,
             paused: r.judge.paused,
-            blocked_by: r.judge.moment(now, &moment).or(r.judge.ready(now).err()),
+            blocked_by: r.judge.observe(now, &moment).or(r.judge.may_plan(now).err()),
             moves: r.mover.progress(),
-            waiting: r.mover.waiting(),
+            waiting: r.mover.pending_moves(),
             blocked_functions: r.recently_blocked(now).cloned().collect(),
             finished: r.finished.iter().map(ago).collect(),
         };
@@ -577,5 +583,5 @@
 
 /// Cost of the memory that a plan occupies twice, in units of the value of one call.
 fn double_memory_cost(plan: &Plan) -> f64 {
-    plan.double_mb_s as f64 / 1024.0 * moving::Terms::default().instance_gb_s
+    plan.overlap_mb_s as f64 / 1024.0 * moving::PlanSettings::default().instance_cost_gb_s
 }
--- a/crates/stacks/src/scaler/mod.rs
+++ b/crates/stacks/src/scaler/mod.rs
@@ -14,7 +14,7 @@
 use crate::capacity::{HostCapacity, HostStatus};
 use crate::desired::{desired_instances, DesiredInstances, ZoneDemand};
 use crate::rate_limiter::RateLimiter;
-use crate::rebind::{Came, Rebind};
+use crate::rebind::{Rebind, StartOutcome};
 use crate::registry::{ChangeSet, InstanceRecord, Registry};
 use crate::types::*;
 
--- a/crates/stacks/src/scaler/orders.rs
+++ b/crates/stacks/src/scaler/orders.rs
@@ -154,7 +154,7 @@
                 let Some(start) = self.starts.remove(&token) else { return };
                 self.capacity.confirm(&start.host, token, now);
                 self.drop_pending_start(&service, token);
-                self.move_start_answered(now, &start, Came::Here { instance: instance.clone() });
+                self.move_start_answered(now, &start, StartOutcome::Started { instance: instance.clone() });
                 self.add_started(now, &start, instance, address);
             }
             StartResult::NoCapacity => {
@@ -162,13 +162,13 @@
                 let until = now + self.platform.list_lag + Duration::from_millis(200);
                 self.capacity.reject(&start.host, token, until);
                 self.drop_pending_start(&service, token);
-                self.move_start_answered(now, &start, Came::Refused);
+                self.move_start_answered(now, &start, StartOutcome::Refused);
             }
             StartResult::UnknownService => {
                 let Some(start) = self.starts.remove(&token) else { return };
                 self.capacity.release(&start.host, token);
                 self.drop_pending_start(&service, token);
-                self.move_start_answered(now, &start, Came::Refused);
+                self.move_start_answered(now, &start, StartOutcome::Refused);
                 if let Some(service_state) = self.services.get_mut(&service) {
                     service_state.not_before = now + Duration::from_secs(1);
                 }
--- a/crates/stacks/tests/simulation.rs
+++ b/crates/stacks/tests/simulation.rs
@@ -972,9 +972,9 @@
     w.run(3000);
     let now = ms(w.t);
     let (plan, may) = w.scaler.rebinding_plan(now).unwrap();
-    assert_eq!((plan.before.holes_lacking, plan.after.holes_lacking, may), (1, 0, Ok(())));
+    assert_eq!((plan.before.unplaced_starts, plan.after.unplaced_starts, may), (1, 0, Ok(())));
     w.scaler.rebinding_pause(now, true, false).unwrap();
-    assert_eq!(w.scaler.rebinding_run(now), Err(RunRefusal::Blocked(rebinding::No::Paused)));
+    assert_eq!(w.scaler.rebinding_run(now), Err(RunRefusal::Blocked(rebinding::Obstacle::Paused)));
     assert!(w.scaler.rebinding_status(now).paused);
     w.scaler.rebinding_pause(now, false, false).unwrap();
     assert_eq!(w.scaler.rebinding_run(now), Ok(plan.moves.len()));
