--- a/crates/accord/src/checking.rs
+++ b/crates/accord/src/checking.rs
@@ -8,11 +8,12 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 use tindock_accord::{
-    Ballot, Chosen, Digest, Id, Kept, Member, Members, Message, Outcome, Reading, Standing, Terms,
+    Ballot, CheckedProposal, Chosen, Digest, DurableState, Id, Member, Members, Message, Outcome,
+    ServiceStatus, Timing,
 };
 
 pub const MS: Duration = Duration::from_millis(1);
-pub const TERMS: Terms = Terms { lease: Duration::from_secs(6), patience: Duration::from_secs(2) };
+pub const TERMS: Timing = Timing { lease: Duration::from_secs(6), response_timeout: Duration::from_secs(2) };
 /// Longest time in which an older number is still served under once a newer one is decided.
 const BOUND: Duration = Duration::from_millis(6_120);
 
@@ -41,7 +42,7 @@
 #[derive(Clone, Hash)]
 struct Node {
     member: Option<Member>,
-    disk: Kept,
+    disk: DurableState,
     /// Its clock beside the true one, in millionths.
     rate: u64,
 }
@@ -67,7 +68,7 @@
 #[derive(Clone)]
 pub struct World {
     nodes: BTreeMap<Id, Node>,
-    texts: BTreeMap<Digest, Reading>,
+    texts: BTreeMap<Digest, CheckedProposal>,
     unfit: BTreeSet<(Id, Digest)>,
     flying: Vec<(Id, Id, Message)>,
     now: Duration,
@@ -76,7 +77,7 @@
     starts: u64,
     /// Whether each step goes to standard error.
     trace: bool,
-    before: BTreeMap<Id, Kept>,
+    before: BTreeMap<Id, DurableState>,
     pub wrong: Option<String>,
 }
 
@@ -86,11 +87,13 @@
         let first = members(1..=all as Id, voters);
         let mut world = World::empty(host);
         let chosen = Chosen { number: 1, digest: digest(1) };
-        world.texts.insert(digest(1), Reading { number: 1, members: first.clone(), fit: Ok(()) });
+        world
+            .texts
+            .insert(digest(1), CheckedProposal { number: 1, members: first.clone(), eligibility: Ok(()) });
         world.truth.chosen.insert(1, (digest(1), Duration::ZERO));
         world.truth.voters.insert(1, first.voters);
         for id in 1..=(all + outside) as Id {
-            let mut disk = Kept::new(id);
+            let mut disk = DurableState::new(id);
             if id <= all as Id {
                 (disk.decided, disk.history) = (chosen, vec![chosen]);
             }
@@ -120,16 +123,16 @@
     pub fn unfounded(all: usize, host: Host) -> World {
         let mut world = World::empty(host);
         for id in 1..=all as Id {
-            world.nodes.insert(id, Node { member: None, disk: Kept::new(id), rate: 1_000_000 });
+            world.nodes.insert(id, Node { member: None, disk: DurableState::new(id), rate: 1_000_000 });
             world.start(id, true);
         }
         world
     }
 
-    fn reading(&self, id: Id, digest: Digest) -> Option<Reading> {
+    fn reading(&self, id: Id, digest: Digest) -> Option<CheckedProposal> {
         let mut reading = self.texts.get(&digest)?.clone();
         if self.unfit.contains(&(id, digest)) {
-            reading.fit = Err("another program".into());
+            reading.eligibility = Err("another program".into());
         }
         Some(reading)
     }
@@ -138,7 +141,8 @@
         self.tell(|| format!("{id} starts"));
         let Some(node) = self.nodes.get(&id) else { return };
         let (disk, clock) = (node.disk.clone(), node.clock(self.now));
-        let known = disk.open().into_iter().filter_map(|d| Some((d, self.reading(id, d)?))).collect();
+        let known =
+            disk.active_digests().into_iter().filter_map(|d| Some((d, self.reading(id, d)?))).collect();
         self.starts += 1;
         let member = Member::new(TERMS, disk, known, fresh, id ^ (self.starts << 32), clock);
         if let Some(node) = self.nodes.get_mut(&id) {
@@ -157,7 +161,7 @@
             }
             if self.host == Host::KeepsItsLife && node.disk.decided.number > 0 {
                 let (id, decided, history) = (node.disk.id, node.disk.decided, node.disk.history.clone());
-                node.disk = Kept { id, decided, history, ..Kept::default() };
+                node.disk = DurableState { id, decided, history, ..DurableState::default() };
             }
             node.member = None;
         }
@@ -170,22 +174,22 @@
         let Some(member) = &mut node.member else { return };
         input(member, clock);
         loop {
-            let wanted = member.wanted();
+            let wanted = member.take_text_requests();
             if wanted.is_empty() {
                 break;
             }
             for (digest, _) in wanted {
                 let mut reading = self.texts[&digest].clone();
                 if self.unfit.contains(&(id, digest)) {
-                    reading.fit = Err("another program".into());
+                    reading.eligibility = Err("another program".into());
                 }
-                member.read(clock, digest, reading);
+                member.text_available(clock, digest, reading);
             }
         }
-        if node.disk != *member.kept() {
-            self.before.insert(id, std::mem::replace(&mut node.disk, member.kept().clone()));
+        if node.disk != *member.durable_state() {
+            self.before.insert(id, std::mem::replace(&mut node.disk, member.durable_state().clone()));
         }
-        let said = member.said();
+        let said = member.take_messages();
         self.flying.extend(said.into_iter().map(|(to, message)| (id, to, message)));
         self.look_at(id);
     }
@@ -195,9 +199,9 @@
         let node = &self.nodes[&id];
         let clock = node.clock(self.now);
         // Guards the check itself: a member that counts its lease from elsewhere is asked by its own clock.
-        match node.member.as_ref()?.standing(clock) {
-            Standing::Under(number) => Some(number),
-            Standing::Out(_) => None,
+        match node.member.as_ref()?.service_status(clock) {
+            ServiceStatus::Allowed(number) => Some(number),
+            ServiceStatus::Denied(_) => None,
         }
     }
 
@@ -286,14 +290,14 @@
     fn draft(&mut self, by: Id, of: u64, members: Members) -> Digest {
         let number = self.nodes[&by].disk.decided.number + 1;
         let name = digest(of);
-        self.texts.insert(name, Reading { number, members, fit: Ok(()) });
+        self.texts.insert(name, CheckedProposal { number, members, eligibility: Ok(()) });
         name
     }
 
     fn propose(&mut self, by: Id, text: Digest) {
         let Some(reading) = self.reading(by, text) else { return };
         self.act(by, |member, now| {
-            member.read(now, text, reading);
+            member.text_available(now, text, reading);
             // Turned away where another is under way: that is an answer, too.
             let _ = member.propose(now, text);
         });
@@ -307,7 +311,7 @@
 
     fn deliver(&mut self, (from, to, message): (Id, Id, Message)) {
         self.tell(|| format!("{from} to {to}: {message:?}"));
-        self.act(to, |member, now| member.hear(now, from, message));
+        self.act(to, |member, now| member.receive(now, from, message));
     }
 
     fn fingerprint(&self, budget: &Budget) -> u64 {
@@ -400,13 +404,13 @@
             }
         }
         if budget.waits > 0 {
-            let due = world.nodes.values().filter_map(|n| n.member.as_ref()).map(Member::wake).min();
+            let due = world.nodes.values().filter_map(|n| n.member.as_ref()).map(Member::next_tick).min();
             if let Some(due) = due.filter(|due| *due < Duration::MAX) {
                 let mut next = world.clone();
                 next.now = next.now.max(due);
                 for &id in &alive {
                     next.act(id, |member, now| {
-                        if member.wake() <= now {
+                        if member.next_tick() <= now {
                             member.tick(now);
                         }
                     });
@@ -433,7 +437,7 @@
 /// Time goes on for one member, which ticks whenever that is due; of what it says, the last words alone are on their way.
 fn pass_time(world: &mut World, id: Id, span: Duration) {
     let end = world.now + span;
-    while let Some(due) = world.nodes[&id].member.as_ref().map(Member::wake).filter(|due| *due <= end) {
+    while let Some(due) = world.nodes[&id].member.as_ref().map(Member::next_tick).filter(|due| *due <= end) {
         world.now = world.now.max(due);
         world.flying.clear();
         world.act(id, |member, now| member.tick(now));
@@ -649,9 +653,9 @@
         let node = &self.world.nodes[&id];
         if let Some(member) = &node.member {
             // Its wake is of its own clock, which may be slow: a little later then.
-            let wake = member.wake();
-            let left = wake.saturating_sub(node.clock(now));
-            let due = now + if wake == Duration::MAX { WHOLE } else { left + left / 80 + MS };
+            let next_tick = member.next_tick();
+            let left = next_tick.saturating_sub(node.clock(now));
+            let due = now + if next_tick == Duration::MAX { WHOLE } else { left + left / 80 + MS };
             if self.ticks.get(&id).is_none_or(|set| due < *set || *set <= now) {
                 self.ticks.insert(id, due);
                 self.at(due, Event::Tick(id));
@@ -828,15 +832,18 @@
                 let able = !self.world.unfit.contains(&(id, digest));
                 if able && self.world.serves(id) != Some(number) {
                     let node = &self.world.nodes[&id];
-                    let standing = node.member.as_ref().map(|m| m.standing(node.clock(self.world.now)));
-                    return Err(format!("{id} does not serve under {number} after the calm: {standing:?}"));
+                    let service_status =
+                        node.member.as_ref().map(|m| m.service_status(node.clock(self.world.now)));
+                    return Err(format!(
+                        "{id} does not serve under {number} after the calm: {service_status:?}"
+                    ));
                 }
             }
         }
         for (by, text) in &self.proposed {
             let member = self.world.nodes[by].member.as_ref();
             match member.and_then(|member| member.outcome(*text)) {
-                Some((_, Outcome::Nowhere(_))) => {
+                Some((_, Outcome::NotDecided(_))) => {
                     self.figures.nowhere += 1;
                     if self.world.truth.chosen.values().any(|(chosen, _)| chosen == text) {
                         return Err(format!("{by} says nowhere of {text:?}, which was decided"));
@@ -847,7 +854,7 @@
                         return Err(format!("{by} says decided of {text:?}, which was not"));
                     }
                 }
-                Some((_, Outcome::UnderWay)) => return Err(format!("{by} has no outcome of {text:?}")),
+                Some((_, Outcome::InProgress)) => return Err(format!("{by} has no outcome of {text:?}")),
                 Some((_, Outcome::Unknown)) | None => {}
             }
         }
--- a/crates/accord/src/orders.rs
+++ b/crates/accord/src/exploration_tests.rs
@@ -1,9 +1,12 @@
 //! The crate's own plays: every order of things to a depth, runs by chance, and planted defects that are all found.
 
-use crate::planted::{Defect, PLANTED};
+use crate::defects::{Defect, PLANTED};
 use std::time::Duration;
 use tindock_accord::checking::{beginnings, digest, members, Budget, Exploration, Host, Run, MS, TERMS};
-use tindock_accord::{Ballot, Chosen, Digest, Id, Kept, Member, Message, Outcome, Reading, Reason, Standing};
+use tindock_accord::{
+    Ballot, CheckedProposal, Chosen, Digest, DurableState, Id, Member, Message, Outcome, Reason,
+    ServiceStatus,
+};
 
 const BUDGET: Budget = Budget { doubles: 1, crashes: 1, waits: 3 };
 
@@ -69,42 +72,42 @@
 fn what_was_accepted_is_gone_on_with_whoever_else_promises() {
     let all = members(1..=4, 3);
     let chosen = Chosen { number: 1, digest: digest(1) };
-    let kept = Kept { decided: chosen, history: vec![chosen], ..Kept::new(4) };
-    let reading = |number| Reading { number, members: all.clone(), fit: Ok(()) };
+    let durable = DurableState { decided: chosen, history: vec![chosen], ..DurableState::new(4) };
+    let reading = |number| CheckedProposal { number, members: all.clone(), eligibility: Ok(()) };
     let known = [(digest(1), reading(1)), (digest(9), reading(2))].into();
-    let mut member = Member::new(TERMS, kept, known, true, 7, MS);
+    let mut member = Member::new(TERMS, durable, known, true, 7, MS);
     member.propose(MS, digest(9)).expect("proposed");
     let ballot = Ballot { round: 1, by: 4 };
     let accepted = Some((Ballot { round: 0, by: 1 }, digest(5)));
-    member.hear(2 * MS, 1, Message::Promised { number: 2, ballot, accepted });
-    member.hear(3 * MS, 3, Message::Promised { number: 2, ballot, accepted: None });
-    assert_eq!(member.wanted(), [(digest(5), 1)]);
-    member.read(4 * MS, digest(5), reading(2));
+    member.receive(2 * MS, 1, Message::Promised { number: 2, ballot, accepted });
+    member.receive(3 * MS, 3, Message::Promised { number: 2, ballot, accepted: None });
+    assert_eq!(member.take_text_requests(), [(digest(5), 1)]);
+    member.text_available(4 * MS, digest(5), reading(2));
     let staged = |(_, message): &(Id, Message)| match message {
         Message::Stage { digest, .. } => Some(*digest),
         _ => None,
     };
-    let staged: Vec<Digest> = member.said().iter().filter_map(staged).collect();
+    let staged: Vec<Digest> = member.take_messages().iter().filter_map(staged).collect();
     assert!(!staged.is_empty() && staged.iter().all(|staged| *staged == digest(5)), "{staged:?}");
-    assert_eq!(member.outcome(digest(9)), Some((2, &Outcome::Nowhere(Reason::Outrun))));
+    assert_eq!(member.outcome(digest(9)), Some((2, &Outcome::NotDecided(Reason::Superseded))));
 }
 
 /// Guards against a proposal that was dropped while its text was on its way, and is staged for good when that comes.
 #[test]
 fn what_was_dropped_is_not_staged_when_its_text_comes() {
     let chosen = Chosen { number: 1, digest: digest(1) };
-    let kept = Kept { decided: chosen, history: vec![chosen], ..Kept::new(2) };
-    let reading = |number| Reading { number, members: members(1..=3, 3), fit: Ok(()) };
-    let mut member = Member::new(TERMS, kept, [(digest(1), reading(1))].into(), true, 7, MS);
+    let durable = DurableState { decided: chosen, history: vec![chosen], ..DurableState::new(2) };
+    let reading = |number| CheckedProposal { number, members: members(1..=3, 3), eligibility: Ok(()) };
+    let mut member = Member::new(TERMS, durable, [(digest(1), reading(1))].into(), true, 7, MS);
     let ballot = Ballot { round: 1, by: 1 };
     let staged = |member: &mut Member| {
-        member.said().iter().any(|(_, message)| matches!(message, Message::Staged { .. }))
+        member.take_messages().iter().any(|(_, message)| matches!(message, Message::Staged { .. }))
     };
     for (dropped, expected) in [(true, false), (false, true)] {
-        member.hear(2 * MS, 1, Message::Stage { number: 2, ballot, digest: digest(9) });
+        member.receive(2 * MS, 1, Message::Stage { number: 2, ballot, digest: digest(9) });
         if dropped {
-            member.hear(3 * MS, 1, Message::Dropped { number: 2, ballot });
-            member.read(4 * MS, digest(9), reading(2));
+            member.receive(3 * MS, 1, Message::Dropped { number: 2, ballot });
+            member.text_available(4 * MS, digest(9), reading(2));
         }
         assert_eq!(staged(&mut member), expected);
     }
@@ -116,33 +119,33 @@
 fn an_answer_to_another_life_counts_for_nothing() {
     let all = members(1..=3, 3);
     let chosen = Chosen { number: 1, digest: digest(1) };
-    let kept = Kept { decided: chosen, history: vec![chosen], ..Kept::new(3) };
-    let reading = Reading { number: 1, members: all, fit: Ok(()) };
+    let durable = DurableState { decided: chosen, history: vec![chosen], ..DurableState::new(3) };
+    let reading = CheckedProposal { number: 1, members: all, eligibility: Ok(()) };
     let life = |seed| {
         let mut member =
-            Member::new(TERMS, kept.clone(), [(digest(1), reading.clone())].into(), true, seed, MS);
+            Member::new(TERMS, durable.clone(), [(digest(1), reading.clone())].into(), true, seed, MS);
         member.tick(MS);
-        let said = member.said().into_iter().find_map(|(_, message)| match message {
+        let said = member.take_messages().into_iter().find_map(|(_, message)| match message {
             Message::Renew { nonce, .. } => Some(nonce),
             _ => None,
         });
         (member, said.expect("a call"))
     };
     let ((mut first, nonce), (mut second, _)) = (life(7), life(8));
-    first.hear(2 * MS, 1, Message::Granted { nonce, number: 1 });
-    second.hear(2 * MS, 1, Message::Granted { nonce, number: 1 });
-    assert_eq!(first.standing(3 * MS), Standing::Under(1));
-    assert!(matches!(second.standing(3 * MS), Standing::Out(_)) && second.dropped() == 1);
+    first.receive(2 * MS, 1, Message::Granted { nonce, number: 1 });
+    second.receive(2 * MS, 1, Message::Granted { nonce, number: 1 });
+    assert_eq!(first.service_status(3 * MS), ServiceStatus::Allowed(1));
+    assert!(matches!(second.service_status(3 * MS), ServiceStatus::Denied(_)) && second.dropped() == 1);
 }
 
 /// A member of three that has just proposed number 2 at `MS`.
 fn proposer() -> Member {
     let all = members(1..=3, 3);
     let chosen = Chosen { number: 1, digest: digest(1) };
-    let kept = Kept { decided: chosen, history: vec![chosen], ..Kept::new(1) };
-    let reading = |number| Reading { number, members: all.clone(), fit: Ok(()) };
+    let durable = DurableState { decided: chosen, history: vec![chosen], ..DurableState::new(1) };
+    let reading = |number| CheckedProposal { number, members: all.clone(), eligibility: Ok(()) };
     let known = [(digest(1), reading(1)), (digest(2), reading(2))].into();
-    let mut member = Member::new(TERMS, kept, known, true, 7, MS);
+    let mut member = Member::new(TERMS, durable, known, true, 7, MS);
     member.propose(MS, digest(2)).expect("proposed");
     member
 }
@@ -154,28 +157,28 @@
 fn a_proposer_that_stood_still_calls_nobody_silent() {
     let mut member = proposer();
     // What is said waits for the disk, which takes longer than the proposer's patience.
-    let synced = TERMS.patience + 100 * MS;
-    member.said();
+    let synced = TERMS.response_timeout + 100 * MS;
+    member.take_messages();
     member.tick(synced);
-    assert_eq!(member.outcome(digest(2)), Some((2, &Outcome::UnderWay)));
+    assert_eq!(member.outcome(digest(2)), Some((2, &Outcome::InProgress)));
     let ballot = Ballot { round: 1, by: 1 };
-    member.hear(synced + MS, 2, Message::Promised { number: 2, ballot, accepted: None });
+    member.receive(synced + MS, 2, Message::Promised { number: 2, ballot, accepted: None });
     let stages = |(_, message): &(Id, Message)| matches!(message, Message::Stage { .. });
-    assert!(member.said().iter().any(stages));
+    assert!(member.take_messages().iter().any(stages));
 }
 
 /// Guards against a patience without an end: members that say nothing are silent after it, also for a proposer whose every
 /// tick is late.
 #[rstest::rstest]
-#[case::in_time(Duration::ZERO, TERMS.patience + MS)]
-#[case::always_late(TERMS.patience, 22 * TERMS.patience)]
+#[case::in_time(Duration::ZERO, TERMS.response_timeout + MS)]
+#[case::always_late(TERMS.response_timeout, 22 * TERMS.response_timeout)]
 fn silent_members_end_a_proposal(#[case] late: Duration, #[case] latest: Duration) {
     let mut member = proposer();
-    while member.outcome(digest(2)) == Some((2, &Outcome::UnderWay)) {
-        let now = member.wake() + late;
+    while member.outcome(digest(2)) == Some((2, &Outcome::InProgress)) {
+        let now = member.next_tick() + late;
         member.tick(now);
         assert!(now <= latest + TERMS.lease, "still under way after {now:?}");
     }
-    let silent = Outcome::Nowhere(Reason::Silent([2, 3].into()));
+    let silent = Outcome::NotDecided(Reason::NoAnswer([2, 3].into()));
     assert_eq!(member.outcome(digest(2)), Some((2, &silent)));
 }
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -8,19 +8,20 @@
 
 #[cfg(test)]
 mod checking;
+mod defects;
+#[cfg(test)]
+mod exploration_tests;
 mod fetching;
 mod frames;
 mod member;
-#[cfg(test)]
-mod orders;
-mod planted;
 mod proposing;
-mod terms;
+mod types;
 mod voting;
 
-pub use fetching::{Fetching, Piece, LONGEST_TEXT, PIECE};
-pub use frames::{Frame, Word, LONGEST_FRAME};
+pub use fetching::{PieceRequest, TextFetcher, MAX_TEXT_BYTES, PIECE_BYTES};
+pub use frames::{Frame, Payload, MAX_FRAME_BYTES};
 pub use member::Member;
-pub use terms::{
-    Ballot, Chosen, Digest, Id, Kept, Members, Message, Outcome, Reading, Reason, Standing, Terms, REMEMBERED,
+pub use types::{
+    Ballot, CheckedProposal, Chosen, Digest, DurableState, Id, Members, Message, Outcome, Reason,
+    ServiceStatus, Timing, MAX_HISTORY,
 };
--- a/crates/accord/src/member.rs
+++ b/crates/accord/src/member.rs
@@ -1,11 +1,11 @@
 //! One member of the group: learns what is decided, stages what is proposed, holds a lease. What it does as a voter is in
 //! `voting`, what it does for a proposal made at it in `proposing`.
 
-use crate::planted::{planted, Defect};
+use crate::defects::{planted, Defect};
 use crate::proposing::{Proposal, Spreading};
-use crate::terms::{
-    Ballot, Chosen, Digest, Id, Kept, Members, Message, Outcome, Reading, Reason, Standing, Terms,
-    LONGEST_REASON, REMEMBERED,
+use crate::types::{
+    Ballot, CheckedProposal, Chosen, Digest, DurableState, Id, Members, Message, Outcome, Reason,
+    ServiceStatus, Timing, MAX_HISTORY, MAX_REASON_BYTES,
 };
 use crate::voting::Voting;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -34,12 +34,12 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    pub(crate) terms: Terms,
-    pub(crate) kept: Kept,
+    pub(crate) terms: Timing,
+    pub(crate) durable: DurableState,
     /// Under the number in force; at number 0 those of the founding that is staged here.
     pub(crate) members: Members,
-    fit: Result<(), String>,
-    pub(crate) known: BTreeMap<Digest, Reading>,
+    eligibility: Result<(), String>,
+    pub(crate) known: BTreeMap<Digest, CheckedProposal>,
     asked: BTreeSet<Digest>,
     wants: Vec<(Digest, Id)>,
     waiting: VecDeque<(Digest, Id, Message)>,
@@ -60,9 +60,9 @@
     /// A member that starts with what it kept, and the readings of the texts that this names. `fresh` where no process
     /// of it ran before, so that no lease of its can be out.
     pub fn new(
-        terms: Terms,
-        kept: Kept,
-        known: BTreeMap<Digest, Reading>,
+        terms: Timing,
+        durable: DurableState,
+        known: BTreeMap<Digest, CheckedProposal>,
         fresh: bool,
         seed: u64,
         now: Duration,
@@ -70,11 +70,11 @@
         // Guards against grants of the life before, which are forgotten: they run out before this voter says that
         // nobody has one.
         let quiet =
-            if fresh || planted(Defect::ForgetsItsGrantsAtAStart) { now } else { now + terms.at_voter() };
+            if fresh || planted(Defect::ForgetsItsGrantsAtAStart) { now } else { now + terms.voter_lease() };
         let mut member = Member {
             terms,
             members: Members::default(),
-            fit: Ok(()),
+            eligibility: Ok(()),
             known,
             asked: BTreeSet::new(),
             wants: Vec::new(),
@@ -89,7 +89,7 @@
             seed,
             draws: 0,
             dropped: 0,
-            kept,
+            durable,
         };
         member.belong();
         member.rest(now);
@@ -98,44 +98,49 @@
 
     /// Takes members and fitness from what is in force, or from a founding that was begun here.
     fn belong(&mut self) {
-        let open =
-            [self.kept.accepted, self.kept.staged].into_iter().flatten().map(|(_, digest)| digest).next();
-        let digest = if self.kept.decided.number > 0 { Some(self.kept.decided.digest) } else { open };
+        let open = [self.durable.accepted, self.durable.staged]
+            .into_iter()
+            .flatten()
+            .map(|(_, digest)| digest)
+            .next();
+        let digest = if self.durable.decided.number > 0 { Some(self.durable.decided.digest) } else { open };
         if let Some(reading) = digest.and_then(|digest| self.known.get(&digest)) {
-            (self.members, self.fit) = (reading.members.clone(), reading.fit.clone());
+            (self.members, self.eligibility) = (reading.members.clone(), reading.eligibility.clone());
         }
     }
 
     // ---- what the host pulls ----
 
     /// What is to be on the disk before any message of `said` is sent, or `standing` is acted upon.
-    pub fn kept(&self) -> &Kept {
-        &self.kept
+    pub fn durable_state(&self) -> &DurableState {
+        &self.durable
     }
 
     /// Messages to be sent, once what is kept is on the disk. Each may be lost, late or doubled.
-    pub fn said(&mut self) -> Vec<(Id, Message)> {
+    pub fn take_messages(&mut self) -> Vec<(Id, Message)> {
         std::mem::take(&mut self.out)
     }
 
     /// Texts to be fetched, each from who has it; answered by `read` or `unread`.
-    pub fn wanted(&mut self) -> Vec<(Digest, Id)> {
+    pub fn take_text_requests(&mut self) -> Vec<(Digest, Id)> {
         std::mem::take(&mut self.wants)
     }
 
-    pub fn standing(&self, now: Duration) -> Standing {
-        if self.kept.decided.number == 0 {
-            return Standing::Out("no policy has been decided in this group yet");
+    pub fn service_status(&self, now: Duration) -> ServiceStatus {
+        if self.durable.decided.number == 0 {
+            return ServiceStatus::Denied("no policy has been decided in this group yet");
         }
         if !self.is_member() {
-            return Standing::Out("this scheduler is not a member of the group");
+            return ServiceStatus::Denied("this scheduler is not a member of the group");
         }
-        if self.fit.is_err() {
-            return Standing::Out("this scheduler cannot serve under the policy in force");
+        if self.eligibility.is_err() {
+            return ServiceStatus::Denied("this scheduler cannot serve under the policy in force");
         }
         match now < self.lease.until {
-            true => Standing::Under(self.kept.decided.number),
-            false => Standing::Out("no majority of the voters says that the policy here is still in force"),
+            true => ServiceStatus::Allowed(self.durable.decided.number),
+            false => {
+                ServiceStatus::Denied("no majority of the voters says that the policy here is still in force")
+            }
         }
     }
 
@@ -145,7 +150,7 @@
     }
 
     pub fn in_force(&self) -> Chosen {
-        self.kept.decided
+        self.durable.decided
     }
 
     pub fn members(&self) -> &Members {
@@ -153,12 +158,12 @@
     }
 
     /// Why it cannot serve under what is in force.
-    pub fn fit(&self) -> &Result<(), String> {
-        &self.fit
+    pub fn eligibility(&self) -> &Result<(), String> {
+        &self.eligibility
     }
 
     /// When a member was last heard here, and the number that it said is in force there; a voter hears all.
-    pub fn seen(&self, member: Id) -> Option<(Duration, u64)> {
+    pub fn last_seen(&self, member: Id) -> Option<(Duration, u64)> {
         self.voting.seen.get(&member).copied()
     }
 
@@ -178,8 +183,8 @@
     }
 
     /// When `tick` is due.
-    pub fn wake(&self) -> Duration {
-        let renew = (self.kept.decided.number > 0).then_some(self.lease.renew_at);
+    pub fn next_tick(&self) -> Duration {
+        let renew = (self.durable.decided.number > 0).then_some(self.lease.renew_at);
         let again = [
             self.proposal.as_ref().map(|p| p.again_at),
             self.spreading.as_ref().map(|s| s.again_at),
@@ -191,7 +196,7 @@
     // ---- inputs ----
 
     pub fn tick(&mut self, now: Duration) {
-        if self.kept.decided.number > 0 && now >= self.lease.renew_at {
+        if self.durable.decided.number > 0 && now >= self.lease.renew_at {
             self.renew(now);
         }
         self.voting_tick(now);
@@ -199,16 +204,16 @@
         self.settle(now);
     }
 
-    pub fn hear(&mut self, now: Duration, from: Id, message: Message) {
+    pub fn receive(&mut self, now: Duration, from: Id, message: Message) {
         self.take(now, from, message);
         self.settle(now);
     }
 
     /// A text is on the disk here, and was checked.
-    pub fn read(&mut self, now: Duration, digest: Digest, reading: Reading) {
+    pub fn text_available(&mut self, now: Duration, digest: Digest, reading: CheckedProposal) {
         self.asked.remove(&digest);
         if self.known.len() >= TEXTS {
-            let needed = self.kept.open();
+            let needed = self.durable.active_digests();
             self.known.retain(|digest, _| needed.contains(digest));
         }
         self.known.insert(digest, reading);
@@ -222,7 +227,7 @@
     }
 
     /// A text could not be had.
-    pub fn unread(&mut self, digest: Digest) {
+    pub fn text_unavailable(&mut self, digest: Digest) {
         self.asked.remove(&digest);
         self.waiting.retain(|(of, ..)| *of != digest);
     }
@@ -232,12 +237,12 @@
     /// What is said to oneself is heard at once.
     fn settle(&mut self, now: Duration) {
         while let Some(message) = self.own.pop_front() {
-            self.take(now, self.kept.id, message);
+            self.take(now, self.durable.id, message);
         }
     }
 
     pub(crate) fn say(&mut self, to: Id, message: Message) {
-        match to == self.kept.id {
+        match to == self.durable.id {
             true => self.own.push_back(message),
             false => self.out.push((to, message)),
         }
@@ -252,13 +257,13 @@
     }
 
     pub(crate) fn is_member(&self) -> bool {
-        self.members.all.contains(&self.kept.id)
+        self.members.all.contains(&self.durable.id)
     }
 
     /// A span between none and the whole.
     pub(crate) fn some_of(&mut self, whole: Duration) -> Duration {
         self.draws += 1;
-        whole.mul_f32(oorandom::Rand32::new(self.seed ^ self.kept.id ^ (self.draws << 32)).rand_float())
+        whole.mul_f32(oorandom::Rand32::new(self.seed ^ self.durable.id ^ (self.draws << 32)).rand_float())
     }
 
     /// The reading of a text; where it is not here its holder is asked for it, and the message waits.
@@ -268,7 +273,7 @@
         holder: Id,
         from: Id,
         message: &Message,
-    ) -> Option<Reading> {
+    ) -> Option<CheckedProposal> {
         if let Some(reading) = self.known.get(&digest) {
             return Some(reading.clone());
         }
@@ -285,7 +290,7 @@
 
     /// Whether a message is about the number that is decided next; who is behind is told, who is ahead is asked.
     pub(crate) fn is_next(&mut self, from: Id, number: u64) -> bool {
-        let Chosen { number: last, digest } = self.kept.decided;
+        let Chosen { number: last, digest } = self.durable.decided;
         if number <= last {
             self.say(from, Message::Decided { number: last, digest });
         } else if number > last + 1 {
@@ -308,30 +313,30 @@
                 }
             }
             Message::Dropped { number, ballot } => {
-                if number == self.kept.decided.number + 1 {
+                if number == self.durable.decided.number + 1 {
                     self.give_up(ballot);
                     // One that waits for its text is not to be staged when the text comes.
                     self.waiting.retain(|(.., waits)| {
                         !matches!(waits, Message::Stage { number: n, ballot: b, .. } if (*n, *b) == (number, ballot))
                     });
-                    self.kept.staged.take_if(|(staged, _)| *staged == ballot);
-                    let none = self.kept.staged.is_none() && self.kept.accepted.is_none();
-                    if self.kept.decided.number == 0 && none {
+                    self.durable.staged.take_if(|(staged, _)| *staged == ballot);
+                    let none = self.durable.staged.is_none() && self.durable.accepted.is_none();
+                    if self.durable.decided.number == 0 && none {
                         self.members = Members::default();
                     }
                 }
             }
             Message::Decided { number, digest } => {
                 let message = Message::Decided { number, digest };
-                if number > self.kept.decided.number && self.text(digest, from, from, &message).is_some() {
+                if number > self.durable.decided.number && self.text(digest, from, from, &message).is_some() {
                     self.learn(now, number, digest);
                 }
-                if number <= self.kept.decided.number {
-                    self.say(from, Message::Known { number: self.kept.decided.number });
+                if number <= self.durable.decided.number {
+                    self.say(from, Message::Known { number: self.durable.decided.number });
                 }
             }
             Message::Behind { number } => {
-                let Chosen { number: last, digest } = self.kept.decided;
+                let Chosen { number: last, digest } = self.durable.decided;
                 if number < last {
                     self.say(from, Message::Decided { number: last, digest });
                 }
@@ -351,7 +356,7 @@
     fn stage(&mut self, now: Duration, from: Id, number: u64, ballot: Ballot, digest: Digest) {
         let message = Message::Stage { number, ballot, digest };
         let Some(reading) = self.text(digest, from, from, &message) else { return };
-        if let Some((by, _)) = self.kept.staged.filter(|(staged, _)| *staged > ballot) {
+        if let Some((by, _)) = self.durable.staged.filter(|(staged, _)| *staged > ballot) {
             return self.say(from, Message::Overtaken { number, ballot, by });
         }
         let other = number == 1 && !self.members.all.is_empty() && self.members != reading.members;
@@ -361,17 +366,17 @@
             // Guards against two groups made of the same schedulers.
             Some("a founding with other members was begun here".into())
         } else {
-            reading.fit.clone().err().filter(|_| !planted(Defect::StagesWhatItCannotServe))
+            reading.eligibility.clone().err().filter(|_| !planted(Defect::StagesWhatItCannotServe))
         };
         if let Some(mut why) = refusal {
-            why.truncate(why.floor_char_boundary(LONGEST_REASON));
+            why.truncate(why.floor_char_boundary(MAX_REASON_BYTES));
             return self.say(from, Message::Refused { number, ballot, why });
         }
         if number == 1 {
             self.members = reading.members;
         }
-        let new = self.kept.staged.is_none_or(|(_, staged)| staged != digest);
-        self.kept.staged = Some((ballot, digest));
+        let new = self.durable.staged.is_none_or(|(_, staged)| staged != digest);
+        self.durable.staged = Some((ballot, digest));
         self.say(from, Message::Staged { number, ballot });
         if new && number > 1 {
             // The voters learn of it at once: a fence waits for that.
@@ -388,9 +393,10 @@
             lease.calls.pop_front();
         }
         let out = member && lease.until <= now;
-        lease.renew_at = now + if out { self.terms.renew_every() / 4 } else { self.terms.renew_every() };
+        lease.renew_at =
+            now + if out { self.terms.renew_interval() / 4 } else { self.terms.renew_interval() };
         let nonce = lease.nonce;
-        let (number, staged) = (self.kept.decided.number, self.kept.staged.map(|(_, digest)| digest));
+        let (number, staged) = (self.durable.decided.number, self.durable.staged.map(|(_, digest)| digest));
         // Guards against voters that were all replaced while this member was away: any member tells it the number.
         let to = if out { self.members.all.clone() } else { self.members.voters.clone() };
         self.say_all(to, &Message::Renew { nonce, number, staged });
@@ -400,7 +406,7 @@
         let call = self.lease.calls.iter().find(|(known, _)| *known == nonce).map(|(_, at)| *at);
         let voter = self.members.voters.contains(&from);
         // Guards against an answer of long ago, or from another life: it is no answer to any call of now.
-        let Some(call) = call.filter(|_| voter && number == self.kept.decided.number) else {
+        let Some(call) = call.filter(|_| voter && number == self.durable.decided.number) else {
             return self.drop_one();
         };
         let counts = if planted(Defect::LeaseFromTheAnswer) { now } else { call };
@@ -430,32 +436,33 @@
         let Some(reading) = self.known.get(&digest).cloned() else { return };
         // A lease under the number before holds on where the same voters granted it, and nobody can have decided a
         // number in between: they go on counting it. With other voters it is asked for anew.
-        let same = number == self.kept.decided.number + 1 && reading.members.voters == self.members.voters;
+        let same = number == self.durable.decided.number + 1 && reading.members.voters == self.members.voters;
         let same = same || planted(Defect::KeepsItsLeaseWithOtherVoters);
         if !same {
             (self.lease.grants, self.lease.until) = Default::default();
         }
         let chosen = Chosen { number, digest };
-        self.kept.decided = chosen;
-        (self.kept.promised, self.kept.accepted, self.kept.staged, self.kept.fence) = Default::default();
-        self.kept.history.push(chosen);
-        let beyond = self.kept.history.len().saturating_sub(REMEMBERED);
-        self.kept.history.drain(..beyond);
-        (self.members, self.fit) = (reading.members, reading.fit);
+        self.durable.decided = chosen;
+        (self.durable.promised, self.durable.accepted, self.durable.staged, self.durable.fence) =
+            Default::default();
+        self.durable.history.push(chosen);
+        let beyond = self.durable.history.len().saturating_sub(MAX_HISTORY);
+        self.durable.history.drain(..beyond);
+        (self.members, self.eligibility) = (reading.members, reading.eligibility);
         // Guards against leases that voters of before have granted, of which these know nothing.
-        let quiet = if same { now } else { now + self.terms.at_voter() };
+        let quiet = if same { now } else { now + self.terms.voter_lease() };
         self.voting.learned(now, quiet);
         for (of, proposed, outcome) in &mut self.outcomes {
-            if *outcome == Outcome::UnderWay && *of <= number {
+            if *outcome == Outcome::InProgress && *of <= number {
                 *outcome = match (*of == number, *proposed == digest) {
                     (true, true) => Outcome::Decided { missing: self.members.all.clone() },
-                    (true, false) => Outcome::Nowhere(Reason::Outrun),
+                    (true, false) => Outcome::NotDecided(Reason::Superseded),
                     (false, _) => Outcome::Unknown,
                 };
             }
         }
         self.proposal.take_if(|proposal| proposal.number <= number);
-        let needed = self.kept.open();
+        let needed = self.durable.active_digests();
         self.known.retain(|digest, _| needed.contains(digest));
         self.lease.renew_at = now;
         if self.is_member() {
--- a/crates/accord/src/proposing.rs
+++ b/crates/accord/src/proposing.rs
@@ -1,9 +1,9 @@
 //! What a member does for a proposal that was made at it, or that it found left in the midst: prepares a ballot, has the
 //! proposal staged by all, fences off who has not, has it accepted by a majority of the voters, and tells everybody.
 
+use crate::defects::{planted, Defect};
 use crate::member::{Member, AGAIN};
-use crate::planted::{planted, Defect};
-use crate::terms::{Ballot, Digest, Id, Message, Outcome, Reason};
+use crate::types::{Ballot, Digest, Id, Message, Outcome, Reason};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -63,16 +63,16 @@
 impl Member {
     /// Proposes a text that was read here. One line says why that cannot be.
     pub fn propose(&mut self, now: Duration, digest: Digest) -> Result<(), String> {
-        let number = self.kept.decided.number + 1;
+        let number = self.durable.decided.number + 1;
         let reading = self.known.get(&digest).ok_or("its text is not here")?;
         if reading.number != number {
             return Err(format!("it was made for number {}, and the next one is {number}", reading.number));
         }
-        reading.fit.clone()?;
+        reading.eligibility.clone()?;
         if number > 1 && !self.is_member() {
             return Err("this scheduler is not a member of the group".into());
         }
-        if self.proposal.is_some() || self.kept.accepted.is_some() {
+        if self.proposal.is_some() || self.durable.accepted.is_some() {
             return Err("another proposal is under way".into());
         }
         if number == 1 {
@@ -81,7 +81,7 @@
             }
             self.members = reading.members.clone();
         }
-        self.note(number, digest, Outcome::UnderWay);
+        self.note(number, digest, Outcome::InProgress);
         self.begin(now, now, Some(digest), false, Ballot::default());
         self.tick(now);
         Ok(())
@@ -90,9 +90,10 @@
     /// A proposal was made here and nobody is at it: it may have been accepted by somebody before it was overtaken.
     /// Until its number is decided nobody can say that it never will be, so it is gone on with.
     pub(crate) fn unsettled(&self) -> Option<Digest> {
-        let next = self.kept.decided.number + 1;
-        let open =
-            |(number, _, outcome): &&(u64, Digest, Outcome)| *number == next && *outcome == Outcome::UnderWay;
+        let next = self.durable.decided.number + 1;
+        let open = |(number, _, outcome): &&(u64, Digest, Outcome)| {
+            *number == next && *outcome == Outcome::InProgress
+        };
         self.outcomes.iter().find(open).filter(|_| self.proposal.is_none()).map(|(_, digest, _)| *digest)
     }
 
@@ -105,10 +106,10 @@
 
     /// A ballot above that one; `forced` where somebody may have accepted `own` by an earlier one.
     fn begin(&mut self, now: Duration, began: Duration, own: Option<Digest>, forced: bool, above: Ballot) {
-        let round = self.kept.promised.max(above).round + 1;
+        let round = self.durable.promised.max(above).round + 1;
         self.proposal = Some(Proposal {
-            number: self.kept.decided.number + 1,
-            ballot: Ballot { round, by: self.kept.id },
+            number: self.durable.decided.number + 1,
+            ballot: Ballot { round, by: self.durable.id },
             own,
             digest: None,
             forced,
@@ -209,7 +210,7 @@
                 return;
             }
             if let Some(own) = own.filter(|own| *own != digest && !sent) {
-                self.note(number, own, Outcome::Nowhere(Reason::Outrun));
+                self.note(number, own, Outcome::NotDecided(Reason::Superseded));
             }
         }
         let Some(p) = &mut self.proposal else { return };
@@ -233,7 +234,7 @@
 
     fn all_have_staged(&mut self, now: Duration) {
         // Before the first number nobody has a lease, and nobody may be left out.
-        let first = self.kept.decided.number == 0;
+        let first = self.durable.decided.number == 0;
         self.enter(now, if first { Phase::Accepting } else { Phase::Fencing });
     }
 
@@ -260,7 +261,7 @@
         let (number, ballot) = (p.number, p.ballot);
         self.say_all(to, &Message::Dropped { number, ballot });
         if let Some(own) = p.own {
-            self.note(number, own, Outcome::Nowhere(why));
+            self.note(number, own, Outcome::NotDecided(why));
         }
     }
 
@@ -270,7 +271,7 @@
         let Some(p) = self.proposal.as_mut().filter(|p| p.number == number && p.ballot == ballot) else {
             return self.drop_one();
         };
-        if p.phase == Phase::Preparing && by == by.closed() {
+        if p.phase == Phase::Preparing && by == by.round_end() {
             // Nobody is at that one any more: once more, above it.
             let (began, own, forced) = (p.began, p.own, p.forced);
             return self.begin(now, began, own, forced, by);
@@ -288,7 +289,7 @@
             self.proposal = None;
             self.rest(now);
         } else {
-            self.withdraw(now, Reason::Outrun);
+            self.withdraw(now, Reason::Superseded);
         }
     }
 
@@ -309,7 +310,7 @@
         let all = self.all_concerned(digest);
         self.learn(now, number, digest);
         let missing = self.members.all.clone();
-        let until = now + self.terms.patience + 2 * self.terms.lease;
+        let until = now + self.terms.response_timeout + 2 * self.terms.lease;
         self.say_all(all, &Message::Decided { number, digest });
         self.spreading = Some(Spreading { number, digest, missing, until, again_at: now + TELL_AGAIN });
     }
@@ -342,23 +343,23 @@
         }
         let Some(p) = self.proposal.as_mut().filter(|p| now >= p.again_at) else { return };
         p.leave_out_stall(now);
-        let (patience, waited) = (self.terms.patience, now - p.since);
+        let (response_timeout, waited) = (self.terms.response_timeout, now - p.since);
         let silent = |of: &BTreeSet<Id>| of.difference(&p.answered).copied().collect();
         match p.phase {
-            Phase::Preparing if now - p.began >= patience => {
-                let why = Reason::Silent(silent(&self.members.voters));
+            Phase::Preparing if now - p.began >= response_timeout => {
+                let why = Reason::NoAnswer(silent(&self.members.voters));
                 self.withdraw(now, why);
             }
-            Phase::Staging if waited >= patience => {
-                if self.kept.decided.number == 0 {
-                    let why = Reason::Silent(silent(&self.members.all));
+            Phase::Staging if waited >= response_timeout => {
+                if self.durable.decided.number == 0 {
+                    let why = Reason::NoAnswer(silent(&self.members.all));
                     self.withdraw(now, why);
                 } else {
                     self.all_have_staged(now);
                 }
             }
-            Phase::Fencing if waited >= patience + 2 * self.terms.at_voter() => {
-                let why = Reason::Silent(silent(&self.members.voters));
+            Phase::Fencing if waited >= response_timeout + 2 * self.terms.voter_lease() => {
+                let why = Reason::NoAnswer(silent(&self.members.voters));
                 self.withdraw(now, why);
             }
             _ => self.speak(now),
--- a/crates/accord/src/terms.rs
+++ b/crates/accord/src/types.rs
@@ -34,7 +34,7 @@
 
 impl Ballot {
     /// Above this one and below any of a later round.
-    pub fn closed(self) -> Ballot {
+    pub fn round_end(self) -> Ballot {
         Ballot { by: Id::MAX, ..self }
     }
 }
@@ -62,32 +62,32 @@
 
 /// A proposal whose text is at hand, on the disk, and was checked here.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Reading {
+pub struct CheckedProposal {
     /// The number that it was made for.
     pub number: u64,
     pub members: Members,
     /// Whether this scheduler could serve under it; a line says why not.
-    pub fit: Result<(), String>,
+    pub eligibility: Result<(), String>,
 }
 
 /// How long things take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct Timing {
     /// How long a member may serve on the word of the voters.
     pub lease: Duration,
     /// A proposal waits so long for members that do not answer before it goes on without them.
-    pub patience: Duration,
+    pub response_timeout: Duration,
 }
 
-impl Terms {
+impl Timing {
     /// How long a voter counts a lease. Guards against a member whose clock is 1% slow beside a voter's that is 1% fast,
     /// which is a little more than 2% together.
-    pub fn at_voter(&self) -> Duration {
+    pub fn voter_lease(&self) -> Duration {
         self.lease * 103 / 100
     }
 
     /// A member asks three times in a lease, so that two lost words cost it nothing.
-    pub fn renew_every(&self) -> Duration {
+    pub fn renew_interval(&self) -> Duration {
         self.lease / 3
     }
 }
@@ -183,11 +183,11 @@
 }
 
 /// The longest reason that is passed on, in bytes.
-pub const LONGEST_REASON: usize = 300;
+pub const MAX_REASON_BYTES: usize = 300;
 
 /// What a member must not forget. It is on the disk before anything is said that it permits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Kept {
+pub struct DurableState {
     pub id: Id,
     pub decided: Chosen,
     /// For the number after it:
@@ -200,34 +200,34 @@
 }
 
 /// As many numbers are remembered.
-pub const REMEMBERED: usize = 64;
+pub const MAX_HISTORY: usize = 64;
 
-impl Kept {
+impl DurableState {
     pub fn new(id: Id) -> Self {
-        Kept { id, ..Self::default() }
+        DurableState { id, ..Self::default() }
     }
 
     /// Proposals whose text is on the disk, and whose reading is needed: what is in force, and what may come. A fence is
     /// closed without the text of what it is for.
-    pub fn open(&self) -> BTreeSet<Digest> {
+    pub fn active_digests(&self) -> BTreeSet<Digest> {
         let open = [self.accepted, self.staged].into_iter().flatten().map(|(_, digest)| digest);
         open.chain((self.decided.number > 0).then_some(self.decided.digest)).collect()
     }
 
     /// Proposals whose text is kept: those, and what was in force before.
-    pub fn digests(&self) -> BTreeSet<Digest> {
+    pub fn retained_digests(&self) -> BTreeSet<Digest> {
         let fence = self.fence.map(|(_, digest)| digest);
-        self.history.iter().map(|chosen| chosen.digest).chain(fence).chain(self.open()).collect()
+        self.history.iter().map(|chosen| chosen.digest).chain(fence).chain(self.active_digests()).collect()
     }
 }
 
 /// Whether a member may take tasks now.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub enum ServiceStatus {
     /// Under the number in force, which is no other anywhere.
-    Under(u64),
+    Allowed(u64),
     /// It may not; a line says why.
-    Out(&'static str),
+    Denied(&'static str),
 }
 
 /// Why a proposal was not decided.
@@ -236,21 +236,21 @@
     /// A member cannot serve under it, and says why.
     Refused { by: Id, why: String },
     /// The number went to another proposal, or is about to.
-    Outrun,
+    Superseded,
     /// These gave no answer, without whom nothing can be decided.
-    Silent(BTreeSet<Id>),
+    NoAnswer(BTreeSet<Id>),
 }
 
 /// What became of a proposal made here.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    UnderWay,
+    InProgress,
     /// Decided; who has not said yet that it is in force there.
     Decided {
         missing: BTreeSet<Id>,
     },
     /// It was not decided under its number, and will not be.
-    Nowhere(Reason),
+    NotDecided(Reason),
     /// Its number is decided, this member does not know for what.
     Unknown,
 }
--- a/crates/accord/src/voting.rs
+++ b/crates/accord/src/voting.rs
@@ -1,8 +1,8 @@
 //! What a voter does: grants leases, and decides the next number with the other voters.
 
+use crate::defects::{planted, Defect};
 use crate::member::Member;
-use crate::planted::{planted, Defect};
-use crate::terms::{Ballot, Digest, Id, Message};
+use crate::types::{Ballot, Digest, Id, Message};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -49,12 +49,12 @@
 
 impl Member {
     pub(crate) fn is_voter(&self) -> bool {
-        self.members.voters.contains(&self.kept.id)
+        self.members.voters.contains(&self.durable.id)
     }
 
     pub(crate) fn voting_wake(&self) -> Option<Duration> {
-        let lifts = self.kept.fence.map(|_| self.voting.heard + self.terms.lease);
-        let open = self.kept.accepted.is_some() || self.unsettled().is_some();
+        let lifts = self.durable.fence.map(|_| self.voting.heard + self.terms.lease);
+        let open = self.durable.accepted.is_some() || self.unsettled().is_some();
         open.then_some(self.voting.recover_at).or(lifts)
     }
 
@@ -90,14 +90,14 @@
             Some(digest) => drop(self.voting.told.insert(from, digest)),
             None => drop(self.voting.told.remove(&from)),
         }
-        let fenced = self.kept.fence.is_some_and(|(_, digest)| staged != Some(digest));
+        let fenced = self.durable.fence.is_some_and(|(_, digest)| staged != Some(digest));
         let fenced = fenced && !planted(Defect::GrantsUnderAFence);
         // Guards against an old policy beside a new one: the number after this one may be decided by now.
-        let decided = self.kept.accepted.is_some() && !planted(Defect::GrantsAfterItAccepted);
+        let decided = self.durable.accepted.is_some() && !planted(Defect::GrantsAfterItAccepted);
         if fenced || decided {
             self.say(from, Message::Withheld { nonce, number });
         } else {
-            self.voting.grants.insert(from, now + self.terms.at_voter());
+            self.voting.grants.insert(from, now + self.terms.voter_lease());
             self.say(from, Message::Granted { nonce, number });
         }
         self.look_at_fence(now, false);
@@ -107,18 +107,18 @@
         if !self.is_next(from, number) || number > 1 && !self.is_voter() {
             return;
         }
-        let promised = self.kept.promised;
-        let open = promised != Ballot::default() && promised != promised.closed();
+        let promised = self.durable.promised;
+        let open = promised != Ballot::default() && promised != promised.round_end();
         let at_it = open && promised.by != ballot.by && now < self.voting.heard + AT_IT;
         if ballot < promised || at_it {
-            let by = if at_it { promised } else { promised.closed() };
+            let by = if at_it { promised } else { promised.round_end() };
             return self.say(from, Message::Overtaken { number, ballot, by });
         }
         if ballot > promised {
-            (self.kept.promised, self.kept.fence) = (ballot, None);
+            (self.durable.promised, self.durable.fence) = (ballot, None);
         }
         self.proposer_heard(now);
-        let accepted = self.kept.accepted.filter(|_| !planted(Defect::PromiseForgetsWhatWasAccepted));
+        let accepted = self.durable.accepted.filter(|_| !planted(Defect::PromiseForgetsWhatWasAccepted));
         self.say(from, Message::Promised { number, ballot, accepted });
     }
 
@@ -127,19 +127,19 @@
         if !self.is_next(from, number) || !self.is_voter() {
             return false;
         }
-        let promised = self.kept.promised;
+        let promised = self.durable.promised;
         if ballot < promised {
             self.say(from, Message::Overtaken { number, ballot, by: promised });
             return false;
         }
-        self.kept.promised = ballot;
+        self.durable.promised = ballot;
         self.proposer_heard(now);
         true
     }
 
     pub(crate) fn fence(&mut self, now: Duration, from: Id, number: u64, ballot: Ballot, digest: Digest) {
         if self.goes_on(now, from, number, ballot) {
-            self.kept.fence = Some((ballot, digest));
+            self.durable.fence = Some((ballot, digest));
             self.look_at_fence(now, true);
         }
     }
@@ -150,53 +150,55 @@
         let quiet = now >= voting.quiet;
         let holds = |member| voting.grants.get(member).is_some_and(|until| now < *until) || !quiet;
         let mut all = self.members.all.iter();
-        let closed = all.all(|member| voting.told.get(member) == Some(&digest) || !holds(member));
-        closed || planted(Defect::FencedWithoutWaiting)
+        let round_end = all.all(|member| voting.told.get(member) == Some(&digest) || !holds(member));
+        round_end || planted(Defect::FencedWithoutWaiting)
     }
 
     /// Says that the fence is closed, once it is so.
     fn look_at_fence(&mut self, now: Duration, asked: bool) {
-        let Some((ballot, digest)) = self.kept.fence else { return };
+        let Some((ballot, digest)) = self.durable.fence else { return };
         if (asked || self.voting.said != Some(ballot)) && self.is_closed(now, digest) {
             self.voting.said = Some(ballot);
-            self.say(ballot.by, Message::Fenced { number: self.kept.decided.number + 1, ballot });
+            self.say(ballot.by, Message::Fenced { number: self.durable.decided.number + 1, ballot });
         }
     }
 
     pub(crate) fn accept(&mut self, now: Duration, from: Id, number: u64, ballot: Ballot, digest: Digest) {
         // The text comes first: what a majority accepted is on a majority of disks.
         let message = Message::Accept { number, ballot, digest };
-        let next = number == self.kept.decided.number + 1;
+        let next = number == self.durable.decided.number + 1;
         if next && self.text(digest, from, from, &message).is_none_or(|reading| reading.number != number) {
             return;
         }
         // Guards against a decision beside a member that serves and has not staged it: of the voters that told the proposer
         // of a closed fence, one may have lifted it since, and another that never had one may accept. Who accepts has
         // granted nothing past the fence, and grants nothing more.
-        let fenced = self.kept.fence == Some((ballot, digest)) && self.is_closed(now, digest);
+        let fenced = self.durable.fence == Some((ballot, digest)) && self.is_closed(now, digest);
         let first = number == 1 || planted(Defect::AcceptsWithoutAFence);
         if (fenced || first) && self.goes_on(now, from, number, ballot) {
-            self.kept.accepted = Some((ballot, digest));
+            self.durable.accepted = Some((ballot, digest));
             self.say(from, Message::Accepted { number, ballot });
         }
     }
 
     /// The proposer has given up, or stands still: nothing of that ballot can be accepted here any more.
     pub(crate) fn give_up(&mut self, ballot: Ballot) {
-        let open = self.kept.accepted.is_none_or(|(accepted, _)| accepted != ballot);
-        if open && self.kept.promised == ballot {
-            (self.kept.promised, self.kept.fence) = (ballot.closed(), None);
+        let open = self.durable.accepted.is_none_or(|(accepted, _)| accepted != ballot);
+        if open && self.durable.promised == ballot {
+            (self.durable.promised, self.durable.fence) = (ballot.round_end(), None);
         }
     }
 
     pub(crate) fn voting_tick(&mut self, now: Duration) {
         let stands_still = now >= self.voting.heard + self.terms.lease;
-        if let Some((ballot, _)) = self.kept.fence.filter(|_| stands_still && self.kept.accepted.is_none()) {
+        if let Some((ballot, _)) =
+            self.durable.fence.filter(|_| stands_still && self.durable.accepted.is_none())
+        {
             // Guards against members kept out of service by a proposer that is gone.
             self.give_up(ballot);
         }
         // What was accepted is brought to an end; of what was proposed here and overtaken the end is found out.
-        if (self.kept.accepted.is_some() || self.unsettled().is_some()) && now >= self.voting.recover_at {
+        if (self.durable.accepted.is_some() || self.unsettled().is_some()) && now >= self.voting.recover_at {
             self.rest(now);
             self.recover(now);
         }
--- a/crates/scheduler/src/accord/mod.rs
+++ b/crates/scheduler/src/accord/mod.rs
@@ -21,7 +21,8 @@
 
 pub use staff::Change;
 use tindock_accord::{
-    Digest, Fetching, Frame, Id, Kept, Member, Reading, Standing, Terms, Word, LONGEST_FRAME, PIECE,
+    CheckedProposal, Digest, DurableState, Frame, Id, Member, Payload, ServiceStatus, TextFetcher, Timing,
+    MAX_FRAME_BYTES, PIECE_BYTES,
 };
 use tindock_berth::Accord as Told;
 use tokio::net::UdpSocket;
@@ -47,7 +48,7 @@
 /// A folder that was opened, with the texts that its state names.
 pub struct Opened {
     store: Store,
-    kept: Kept,
+    kept: DurableState,
     fresh: bool,
     texts: BTreeMap<Digest, Rc<Text>>,
 }
@@ -65,13 +66,13 @@
         let kept = match kept {
             Some(kept) => kept,
             None => {
-                let kept = Kept::new(draw()?);
+                let kept = DurableState::new(draw()?);
                 store.keep(&kept)?;
                 kept
             }
         };
         let mut texts = BTreeMap::new();
-        for digest in kept.open() {
+        for digest in kept.active_digests() {
             let text = store.text(digest).ok_or_else(|| format!("accord: the text {digest} is not there"))?;
             texts
                 .insert(digest, Rc::new(Text::read(&text).map_err(|why| format!("accord: {digest} {why}"))?));
@@ -105,8 +106,8 @@
 struct State {
     member: Member,
     store: Store,
-    written: Kept,
-    fetching: Fetching,
+    written: DurableState,
+    fetching: TextFetcher,
     texts: BTreeMap<Digest, Rc<Text>>,
     book: BTreeMap<Id, SocketAddr>,
     /// The number whose policy is in force in this process.
@@ -184,7 +185,7 @@
     fn begin(&self, opened: Opened, applied: u64) -> Result<(), String> {
         let Opened { store, kept, fresh, texts } = opened;
         let lease = texts.get(&kept.decided.digest).map_or(self.told.lease, |text| text.lease());
-        let terms = Terms { lease, patience: self.told.patience };
+        let terms = Timing { lease, response_timeout: self.told.patience };
         let settled = kept.decided.number > 0;
         let known = texts.iter().map(|(digest, text)| (*digest, self.reading(text, kept.id, settled, lease)));
         let known = known.collect();
@@ -194,7 +195,7 @@
             member,
             store,
             written: kept,
-            fetching: Fetching::default(),
+            fetching: TextFetcher::default(),
             texts,
             book,
             applied,
@@ -205,7 +206,7 @@
     }
 
     /// Whether this scheduler could serve under a text; at the founding also whether it is the one that was meant.
-    fn reading(&self, text: &Text, id: Id, settled: bool, lease: Duration) -> Reading {
+    fn reading(&self, text: &Text, id: Id, settled: bool, lease: Duration) -> CheckedProposal {
         let told = self.told.members.iter().all(|(name, address)| {
             text.members.iter().any(|person| person.name == *name && person.address == *address)
         });
@@ -219,14 +220,14 @@
         } else {
             self.policies.check(text)
         };
-        Reading { number: text.number, members: text.ids(), fit }
+        CheckedProposal { number: text.number, members: text.ids(), eligibility: fit }
     }
 
     // ---- while it runs ----
 
     /// Takes part until the process ends.
     pub async fn keep(self: Rc<Self>) {
-        let mut bytes = [0; LONGEST_FRAME + 1];
+        let mut bytes = [0; MAX_FRAME_BYTES + 1];
         self.tick();
         loop {
             let socket = self.socket.borrow().clone();
@@ -252,7 +253,7 @@
         let state = self.state.borrow();
         let Some(state) = state.as_ref() else { return Duration::MAX };
         let disk = state.stuck.as_ref().map(|_| self.clock.now() + DISK_AGAIN);
-        let due = state.fetching.wake().into_iter().chain([state.member.wake()]).chain(disk).min();
+        let due = state.fetching.next_tick().into_iter().chain([state.member.next_tick()]).chain(disk).min();
         // Far ahead of any process's end; later ones do not fit a clock.
         due.unwrap_or(Duration::MAX).min(self.clock.now() + Duration::from_secs(3600))
     }
@@ -260,7 +261,7 @@
     fn tick(&self) {
         let now = self.clock.now();
         if let Some(state) = self.state.borrow_mut().as_mut() {
-            if now >= state.member.wake() {
+            if now >= state.member.next_tick() {
                 state.member.tick(now);
             }
         }
@@ -268,19 +269,19 @@
     }
 
     fn hear(&self, bytes: &[u8], source: SocketAddr) {
-        let Some(frame) = Frame::read(bytes) else { return self.drop_one() };
+        let Some(frame) = Frame::decode(bytes) else { return self.drop_one() };
         let now = self.clock.now();
         let mut answer = None;
         {
             let mut state = self.state.borrow_mut();
             let Some(state) = state.as_mut() else { return };
             let (id, group) = (state.written.id, state.group());
-            match frame.word {
-                Word::Who { nonce, name } if name == self.name => {
+            match frame.payload {
+                Payload::IdentityRequest { nonce, name } if name == self.name => {
                     let number = state.written.decided.number;
-                    answer = Some(Word::Here { nonce, name, group, number });
+                    answer = Some(Payload::IdentityReply { nonce, name, group, number });
                 }
-                Word::Here { nonce, name, group, number } => {
+                Payload::IdentityReply { nonce, name, group, number } => {
                     let (asked, here) = &mut *self.here.borrow_mut();
                     if nonce == *asked && nonce != 0 {
                         here.insert(name, Here { id: frame.from, group, number });
@@ -298,23 +299,25 @@
                         state.book.insert(frame.from, source);
                     }
                     match word {
-                        Word::Say(message) => state.member.hear(now, frame.from, message),
-                        Word::Want { digest, piece } => {
+                        Payload::Consensus(message) => state.member.receive(now, frame.from, message),
+                        Payload::PieceRequest { digest, piece } => {
                             answer = state.store.text(digest).and_then(|text| part(digest, piece, &text));
                         }
-                        Word::Text { digest, piece, whole, bytes } => {
+                        Payload::PieceReply { digest, piece, whole, bytes } => {
                             let from = frame.from;
-                            if let Some(text) = state.fetching.came(now, from, digest, piece, whole, bytes) {
+                            if let Some(text) =
+                                state.fetching.receive_piece(now, from, digest, piece, whole, bytes)
+                            {
                                 self.came(state, digest, &text);
                             }
                         }
-                        Word::Who { .. } | Word::Here { .. } => self.drop_one(),
+                        Payload::IdentityRequest { .. } | Payload::IdentityReply { .. } => self.drop_one(),
                     }
                 }
             }
             if let Some(word) = answer {
                 let to = state.book.get(&frame.from).copied().unwrap_or(source);
-                self.send(to, &Frame { group, from: id, to: frame.from, word });
+                self.send(to, &Frame { group, from: id, to: frame.from, payload: word });
             }
         }
         self.after();
@@ -333,7 +336,7 @@
             Ok(read) => self.take_text(state, digest, Rc::new(read)),
             Err(why) => {
                 warn!(self.log, "a proposal is not taken in: {why}");
-                state.member.unread(digest);
+                state.member.text_unavailable(digest);
             }
         }
     }
@@ -350,7 +353,7 @@
         }
         state.book.extend(text.members.iter().map(|person| (person.id, person.address)));
         state.texts.insert(digest, text);
-        state.member.read(self.clock.now(), digest, reading);
+        state.member.text_available(self.clock.now(), digest, reading);
     }
 
     /// What an input has led to: texts to be fetched, the disk, what is said, and what is in force.
@@ -359,32 +362,33 @@
         let Some(state) = state.as_mut() else { return };
         let now = self.clock.now();
         loop {
-            let wanted = state.member.wanted();
+            let wanted = state.member.take_text_requests();
             if wanted.is_empty() {
                 break;
             }
             for (digest, from) in wanted {
                 match state.store.text(digest).and_then(|text| Text::read(&text).ok()) {
                     Some(text) => self.take_text(state, digest, Rc::new(text)),
-                    None if state.fetching.want(now, digest, from) => {}
-                    None => state.member.unread(digest),
+                    None if state.fetching.request(now, digest, from) => {}
+                    None => state.member.text_unavailable(digest),
                 }
             }
         }
         // In one go: what is to be asked for, and what was given up, which may be asked for again.
         let (pieces, lost) = state.fetching.tick(now);
-        lost.into_iter().for_each(|digest| state.member.unread(digest));
-        let said = state.member.said();
+        lost.into_iter().for_each(|digest| state.member.text_unavailable(digest));
+        let said = state.member.take_messages();
         if !self.is_kept(state) {
             // What was to be said depends on what is not on the disk: it is lost, as any word may be.
             return;
         }
         let (id, group) = (state.written.id, state.group());
-        let frames = said.into_iter().map(|(to, message)| (to, Word::Say(message)));
-        let pieces = pieces.into_iter().map(|p| (p.from, Word::Want { digest: p.digest, piece: p.piece }));
+        let frames = said.into_iter().map(|(to, message)| (to, Payload::Consensus(message)));
+        let pieces =
+            pieces.into_iter().map(|p| (p.from, Payload::PieceRequest { digest: p.digest, piece: p.piece }));
         for (to, word) in frames.chain(pieces) {
             if let Some(&at) = state.book.get(&to) {
-                self.send(at, &Frame { group, from: id, to, word });
+                self.send(at, &Frame { group, from: id, to, payload: word });
             }
         }
         self.take_up(state);
@@ -392,16 +396,16 @@
 
     /// Whether all that must not be forgotten is on the disk.
     fn is_kept(&self, state: &mut State) -> bool {
-        if *state.member.kept() == state.written {
+        if *state.member.durable_state() == state.written {
             return true;
         }
-        let kept = state.member.kept().clone();
+        let kept = state.member.durable_state().clone();
         match state.store.keep(&kept) {
             Ok(()) => {
                 if kept.decided != state.written.decided {
-                    let needed = kept.open();
+                    let needed = kept.active_digests();
                     state.texts.retain(|digest, _| needed.contains(digest));
-                    state.store.tidy(&kept.digests());
+                    state.store.tidy(&kept.retained_digests());
                 }
                 if state.stuck.take().is_some() {
                     info!(self.log, "its folder can be written again");
@@ -422,7 +426,7 @@
     /// One step between two tasks: whoever comes next comes under the new policy.
     fn take_up(&self, state: &mut State) {
         let number = state.member.in_force().number;
-        if state.applied == number || state.member.fit().is_err() {
+        if state.applied == number || state.member.eligibility().is_err() {
             return;
         }
         let Some(text) = state.texts.get(&state.member.in_force().digest).cloned() else { return };
@@ -444,7 +448,7 @@
     fn send(&self, to: SocketAddr, frame: &Frame) {
         if let Some(socket) = &*self.socket.borrow() {
             // A word that finds no room is lost, as any may be.
-            let _ = socket.try_send_to(&frame.write(), to);
+            let _ = socket.try_send_to(&frame.encode(), to);
         }
     }
 
@@ -462,20 +466,20 @@
         if let Some(why) = &state.stuck {
             return Err(why.clone());
         }
-        match state.member.standing(self.clock.now()) {
-            Standing::Under(number) if number == state.applied => {
+        match state.member.service_status(self.clock.now()) {
+            ServiceStatus::Allowed(number) if number == state.applied => {
                 if self.void.replace(false) {
                     info!(self.log, "serves on the voters' word again");
                 }
                 Ok(())
             }
-            Standing::Under(_) => Err("the policy in force is not taken up yet".into()),
+            ServiceStatus::Allowed(_) => Err("the policy in force is not taken up yet".into()),
             // Back in its place, and the word of before still holds.
-            Standing::Out(_) if self.rests_under(state) => Ok(()),
-            Standing::Out(why) => {
+            ServiceStatus::Denied(_) if self.rests_under(state) => Ok(()),
+            ServiceStatus::Denied(why) => {
                 let number = state.written.decided.number;
                 let cut_off = number == 0 || state.member.members().all.contains(&state.written.id);
-                if self.told.serves_cut_off && cut_off && state.member.fit().is_ok() {
+                if self.told.serves_cut_off && cut_off && state.member.eligibility().is_ok() {
                     if !self.void.replace(true) {
                         warn!(
                             self.log,
@@ -484,7 +488,7 @@
                     }
                     return Ok(());
                 }
-                Err(match state.member.fit() {
+                Err(match state.member.eligibility() {
                     Err(fit) => format!("{why}: {fit}"),
                     Ok(()) => why.into(),
                 })
@@ -495,7 +499,7 @@
     fn rests_under(&self, state: &State) -> bool {
         let (until, number) = self.rests.get();
         let same = number == state.applied && number == state.member.in_force().number;
-        same && state.member.fit().is_ok() && self.clock.now() < until
+        same && state.member.eligibility().is_ok() && self.clock.now() < until
     }
 
     /// Waits a little for the voters' word, where there is one to be had.
@@ -547,10 +551,10 @@
     }
 }
 
-fn part(digest: Digest, piece: u16, text: &[u8]) -> Option<Word> {
-    let begins = usize::from(piece) * PIECE;
-    let bytes = text.get(begins..text.len().min(begins + PIECE))?.to_vec();
-    Some(Word::Text { digest, piece, whole: text.len() as u32, bytes })
+fn part(digest: Digest, piece: u16, text: &[u8]) -> Option<Payload> {
+    let begins = usize::from(piece) * PIECE_BYTES;
+    let bytes = text.get(begins..text.len().min(begins + PIECE_BYTES))?.to_vec();
+    Some(Payload::PieceReply { digest, piece, whole: text.len() as u32, bytes })
 }
 
 fn bind(at: SocketAddr, wait: Duration) -> Result<Rc<UdpSocket>, String> {
@@ -591,12 +595,12 @@
         };
         let opened = Opened::folder(&told, "n0").expect("a new folder");
         let open = Some((Ballot { round: 1, by: 5 }, Digest([7; 32])));
-        let kept = Kept { fence: open, ..opened.kept.clone() };
+        let kept = DurableState { fence: open, ..opened.kept.clone() };
         opened.store.keep(&kept).expect("kept");
         drop(opened);
         assert_eq!(Opened::folder(&told, "n0").expect("a folder").kept, kept);
         let opened = Opened::folder(&told, "n0").expect("a folder");
-        opened.store.keep(&Kept { staged: open, ..kept }).expect("kept");
+        opened.store.keep(&DurableState { staged: open, ..kept }).expect("kept");
         drop(opened);
         let why = Opened::folder(&told, "n0").map(|_| ()).expect_err("an error");
         assert!(why.contains("is not there"), "{why}");
--- a/crates/scheduler/src/accord/staff.rs
+++ b/crates/scheduler/src/accord/staff.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use tindock_accord::{Digest, Frame, Id, Outcome, Reason, Word, LONGEST_TEXT};
+use tindock_accord::{Digest, Frame, Id, Outcome, Payload, Reason, MAX_TEXT_BYTES};
 
 /// What staff ask for.
 pub enum Change {
@@ -70,8 +70,8 @@
             let state = state.as_mut().ok_or("another process of this name has its place")?;
             let text = self.draft(state, change, &found, drawn)?;
             let bytes = text.write();
-            if bytes.len() > LONGEST_TEXT {
-                return Err(format!("{} bytes; {LONGEST_TEXT} at the most", bytes.len()));
+            if bytes.len() > MAX_TEXT_BYTES {
+                return Err(format!("{} bytes; {MAX_TEXT_BYTES} at the most", bytes.len()));
             }
             let digest = state.store.add(&bytes)?;
             let number = text.number;
@@ -159,13 +159,13 @@
             let (id, group) =
                 self.state.borrow().as_ref().map(|s| (s.written.id, s.group())).unwrap_or_default();
             for (name, at) in missing {
-                let word = Word::Who { nonce, name: name.clone() };
+                let word = Payload::IdentityRequest { nonce, name: name.clone() };
                 if *name == self.name {
                     let number = self.state.borrow().as_ref().map_or(0, |s| s.written.decided.number);
                     self.here.borrow_mut().1.insert(name.clone(), Here { id, group, number });
                     self.heard.notify_one();
                 } else {
-                    self.send(*at, &Frame { group, from: id, to: 0, word });
+                    self.send(*at, &Frame { group, from: id, to: 0, payload: word });
                 }
             }
             let _ = tokio::time::timeout(ASK_AGAIN, self.heard.notified()).await;
@@ -190,21 +190,21 @@
         };
         let seen = |person: &Person| {
             let own = (person.id == state.written.id).then_some((now, chosen.number));
-            let seen = state.member.seen(person.id).or(own);
+            let seen = state.member.last_seen(person.id).or(own);
             let heard_ms = seen.map(|(at, _)| now.saturating_sub(at).as_millis() as u64);
             let (name, number) = (person.name.clone(), seen.map(|(_, number)| number));
             Seen { name, address: person.address, voter: person.voter, number, heard_ms }
         };
         let proposals = state.member.outcomes().map(|(number, digest, outcome)| {
             let (word, why, missing) = match outcome {
-                Outcome::UnderWay => ("under way", None, Vec::new()),
+                Outcome::InProgress => ("under way", None, Vec::new()),
                 Outcome::Unknown => ("unknown", None, Vec::new()),
                 Outcome::Decided { missing } => ("decided", None, names(missing)),
-                Outcome::Nowhere(reason) => {
+                Outcome::NotDecided(reason) => {
                     let why = match reason {
                         Reason::Refused { by, why } => format!("{}: {why}", known(*by)),
-                        Reason::Outrun => format!("number {number} goes to another proposal"),
-                        Reason::Silent(ids) => format!("no answer from {}", names(ids).join(", ")),
+                        Reason::Superseded => format!("number {number} goes to another proposal"),
+                        Reason::NoAnswer(ids) => format!("no answer from {}", names(ids).join(", ")),
                     };
                     ("nowhere", Some(why), Vec::new())
                 }
--- a/crates/scheduler/src/accord/store.rs
+++ b/crates/scheduler/src/accord/store.rs
@@ -8,7 +8,7 @@
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use tindock_accord::{Digest, Kept};
+use tindock_accord::{Digest, DurableState};
 
 const STATE: &str = "state";
 const LOCK: &str = "lock";
@@ -19,7 +19,7 @@
 #[derive(Serialize, Deserialize)]
 struct State {
     name: String,
-    kept: Kept,
+    kept: DurableState,
 }
 
 /// A folder that this process alone has.
@@ -37,7 +37,7 @@
 impl Store {
     /// Opens or makes the folder; what is kept there, none where it was just made. One line says what is wrong: a state
     /// that is not whole or another's is never taken for an empty one. Another process's folder is waited for that long.
-    pub fn open(folder: &Path, name: &str, wait: Duration) -> Result<(Store, Option<Kept>), String> {
+    pub fn open(folder: &Path, name: &str, wait: Duration) -> Result<(Store, Option<DurableState>), String> {
         let out = |path: &Path| {
             let path = path.display().to_string();
             move |e: std::io::Error| format!("accord: {path}: {e}")
@@ -67,7 +67,7 @@
     }
 
     /// On the disk when this returns.
-    pub fn keep(&self, kept: &Kept) -> Result<(), String> {
+    pub fn keep(&self, kept: &DurableState) -> Result<(), String> {
         let state = State { name: self.name.clone(), kept: kept.clone() };
         let line = serde_json::to_string(&state).map_err(|e| e.to_string())?;
         let text = format!("{MARK} {}\n{line}\n", digest(line.as_bytes()));
@@ -106,7 +106,7 @@
     }
 }
 
-fn read(text: &str, name: &str) -> Result<Kept, String> {
+fn read(text: &str, name: &str) -> Result<DurableState, String> {
     let (first, rest) = text.split_once('\n').unwrap_or((text, ""));
     let Some(sum) = first.strip_prefix(MARK).map(str::trim) else {
         return Err(match first.starts_with("tindock-accord ") {
@@ -145,7 +145,7 @@
     #[test]
     fn a_state_is_whole_or_an_error() {
         let folder = folder("whole");
-        let kept = Kept { id: u64::MAX, ..Kept::default() };
+        let kept = DurableState { id: u64::MAX, ..DurableState::default() };
         let (store, before) = Store::open(&folder, "n0", NOW).expect("a store");
         assert_eq!(before, None);
         let text = store.add(b"a policy").expect("added");
--- a/crates/scheduler/src/operators/management.rs
+++ b/crates/scheduler/src/operators/management.rs
@@ -145,7 +145,7 @@
         count: &str,
     ) -> Result<String, String> {
         self.group()?;
-        let longest = tindock_accord::LONGEST_TEXT;
+        let longest = tindock_accord::MAX_TEXT_BYTES;
         let count: usize = count
             .parse()
             .ok()
