--- a/crates/accord/src/defects.rs
+++ b/crates/accord/src/defects.rs
@@ -1,32 +1,32 @@
-//! Defects that tests plant, to show that the checker finds them. In the program there are none.
+//! Defects that tests inject to show that the checker detects them. Always absent outside of tests.
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(not(test), allow(dead_code))]
 pub enum Defect {
-    LeaseFromTheAnswer,
-    PromiseForgetsWhatWasAccepted,
-    TakesItsOwnOverAnAcceptedOne,
-    GrantsAfterItAccepted,
-    GrantsUnderAFence,
-    FencedWithoutWaiting,
-    HalfIsEnough,
-    ForgetsItsGrantsAtAStart,
-    AcceptsWithoutAFence,
-    KeepsItsLeaseWithOtherVoters,
-    StagesWhatItCannotServe,
+    LeaseCountedFromAnswer,
+    PromiseOmitsAccepted,
+    ProposesOwnOverAccepted,
+    GrantsLeaseAfterAccept,
+    GrantsLeaseBehindFence,
+    FenceReportedTooEarly,
+    HalfCountsAsMajority,
+    NoWaitAfterRestart,
+    AcceptsWithoutFence,
+    KeepsLeaseAcrossVoterChange,
+    StagesIneligibleProposal,
 }
 
 #[cfg(test)]
 thread_local! {
-    pub static PLANTED: std::cell::Cell<Option<Defect>> = const { std::cell::Cell::new(None) };
+    pub static INJECTED: std::cell::Cell<Option<Defect>> = const { std::cell::Cell::new(None) };
 }
 
 #[cfg(test)]
-pub fn planted(defect: Defect) -> bool {
-    PLANTED.get() == Some(defect)
+pub fn injected(defect: Defect) -> bool {
+    INJECTED.get() == Some(defect)
 }
 
 #[cfg(not(test))]
-pub const fn planted(_: Defect) -> bool {
+pub const fn injected(_: Defect) -> bool {
     false
 }
--- a/crates/accord/src/fetching.rs
+++ b/crates/accord/src/fetching.rs
@@ -1,22 +1,23 @@
-//! A text is had in pieces, from whoever has it; who only sees datagrams may lose any of them.
+//! Fetches a proposal text in pieces from a member that has it. Pieces travel as datagrams, any of which may
+//! be lost.
 
 use crate::types::{Digest, Id};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bytes of a piece.
+/// Length of a piece.
 pub const PIECE_BYTES: usize = 1200;
-/// A policy is some kilobytes; what is longer is none.
+/// A policy takes a few kilobytes; longer texts are rejected.
 pub const MAX_TEXT_BYTES: usize = 256 * 1024;
-/// Texts at a time: a proposal and what is in force, with some to spare.
-const TEXTS: usize = 8;
-/// Pieces asked for at a time: within what a socket holds.
-const AT_ONCE: usize = 16;
-const AGAIN: Duration = Duration::from_millis(100);
-/// Without a single new piece in this time it cannot be had from there.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Texts fetched at a time: a proposal and the one in force, with a reserve.
+const MAX_TEXTS: usize = 8;
+/// Pieces requested at a time; their replies fit into a socket's receive buffer.
+const MAX_PIECES_IN_FLIGHT: usize = 16;
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// A fetch fails if no new piece arrives within this time.
+const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A piece to be asked for.
+/// A piece to request from a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PieceRequest {
     pub from: Id,
@@ -25,58 +26,65 @@
 }
 
 #[derive(Debug)]
-struct Text {
+struct PendingText {
     from: Id,
-    /// Known with the first piece.
-    whole: Option<usize>,
+    /// Known once the first piece arrives.
+    total_bytes: Option<usize>,
     pieces: BTreeMap<u16, Vec<u8>>,
-    grew_at: Duration,
-    asked_at: Option<Duration>,
+    progress_at: Duration,
+    requested_at: Option<Duration>,
 }
 
-impl Text {
+impl PendingText {
     fn count(&self) -> u16 {
-        self.whole.map_or(1, |whole| whole.div_ceil(PIECE_BYTES).max(1) as u16)
+        self.total_bytes.map_or(1, |total| total.div_ceil(PIECE_BYTES).max(1) as u16)
     }
 
     fn missing(&self) -> impl Iterator<Item = u16> + '_ {
-        (0..self.count()).filter(|piece| !self.pieces.contains_key(piece)).take(AT_ONCE)
+        (0..self.count()).filter(|piece| !self.pieces.contains_key(piece)).take(MAX_PIECES_IN_FLIGHT)
     }
 }
 
-/// Decides what to ask for, and puts texts together. Whether a text has its digest is for the host to see.
+/// Decides which pieces to request and assembles the texts. The host verifies that a text matches its digest.
 #[derive(Debug, Default)]
 pub struct TextFetcher {
-    texts: BTreeMap<Digest, Text>,
+    texts: BTreeMap<Digest, PendingText>,
 }
 
 impl TextFetcher {
-    /// False where too many are under way.
+    /// Returns false if too many fetches are in progress.
     pub fn request(&mut self, now: Duration, digest: Digest, from: Id) -> bool {
-        if self.texts.len() >= TEXTS && !self.texts.contains_key(&digest) {
+        if self.texts.len() >= MAX_TEXTS && !self.texts.contains_key(&digest) {
             return false;
         }
-        let text = Text { from, whole: None, pieces: BTreeMap::new(), grew_at: now, asked_at: None };
+        let text = PendingText {
+            from,
+            total_bytes: None,
+            pieces: BTreeMap::new(),
+            progress_at: now,
+            requested_at: None,
+        };
         self.texts.entry(digest).or_insert(text);
         true
     }
 
-    /// Pieces to be asked for now, and texts that cannot be had.
+    /// Returns the pieces to request now, and the texts whose fetch failed.
     pub fn tick(&mut self, now: Duration) -> (Vec<PieceRequest>, Vec<Digest>) {
-        let late = |text: &Text| now >= text.grew_at + PATIENCE;
-        let lost = self.texts.iter().filter(|(_, text)| late(text)).map(|(digest, _)| *digest).collect();
-        self.texts.retain(|_, text| !late(text));
+        let stalled = |text: &PendingText| now >= text.progress_at + STALL_TIMEOUT;
+        let failed = self.texts.iter().filter(|(_, text)| stalled(text)).map(|(digest, _)| *digest).collect();
+        self.texts.retain(|_, text| !stalled(text));
         let mut pieces = Vec::new();
         for (&digest, text) in &mut self.texts {
-            if text.asked_at.is_none_or(|at| now >= at + AGAIN) {
-                text.asked_at = Some(now);
+            if text.requested_at.is_none_or(|at| now >= at + RETRY_INTERVAL) {
+                text.requested_at = Some(now);
                 pieces.extend(text.missing().map(|piece| PieceRequest { from: text.from, digest, piece }));
             }
         }
-        (pieces, lost)
+        (pieces, failed)
     }
 
-    /// A piece came; the text, once it is whole. What was not asked for, or does not fit, counts for nothing.
+    /// Stores a piece and returns the text once it is complete. Pieces that were not requested or do not fit
+    /// are ignored.
     pub fn receive_piece(
         &mut self,
         now: Duration,
@@ -88,19 +96,19 @@
     ) -> Option<Vec<u8>> {
         let text = self.texts.get_mut(&digest).filter(|text| text.from == from)?;
         let whole = whole as usize;
-        if whole > MAX_TEXT_BYTES || text.whole.is_some_and(|known| known != whole) {
+        if whole > MAX_TEXT_BYTES || text.total_bytes.is_some_and(|known| known != whole) {
             return None;
         }
-        let begins = usize::from(piece) * PIECE_BYTES;
-        if begins > whole || bytes.len() != PIECE_BYTES.min(whole - begins) || begins == whole && whole > 0 {
+        let offset = usize::from(piece) * PIECE_BYTES;
+        if offset > whole || bytes.len() != PIECE_BYTES.min(whole - offset) || offset == whole && whole > 0 {
             return None;
         }
-        text.whole = Some(whole);
+        text.total_bytes = Some(whole);
         if text.pieces.insert(piece, bytes).is_none() {
-            text.grew_at = now;
-            // What is still missing is asked for at once, as soon as what was asked for is there.
+            text.progress_at = now;
+            // Requests the next pieces at once when the last one of the previous batch has arrived.
             if text.missing().next().is_some_and(|next| next > piece) {
-                text.asked_at = None;
+                text.requested_at = None;
             }
         }
         if text.missing().next().is_some() {
@@ -109,10 +117,13 @@
         self.texts.remove(&digest).map(|text| text.pieces.into_values().flatten().collect())
     }
 
-    /// When `tick` is due.
+    /// When `tick` must be called next.
     pub fn next_tick(&self) -> Option<Duration> {
-        let due =
-            |text: &Text| text.asked_at.map_or(Duration::ZERO, |at| at + AGAIN).min(text.grew_at + PATIENCE);
+        let due = |text: &PendingText| {
+            text.requested_at
+                .map_or(Duration::ZERO, |at| at + RETRY_INTERVAL)
+                .min(text.progress_at + STALL_TIMEOUT)
+        };
         self.texts.values().map(due).min()
     }
 }
@@ -123,59 +134,63 @@
 
     const MS: Duration = Duration::from_millis(1);
 
-    /// Guards against a text that never becomes whole, or becomes another one, when pieces are lost, doubled, out of
-    /// order or not those that were asked for.
+    /// Guards against a text that is never completed, or is assembled wrongly, when pieces are lost,
+    /// duplicated, reordered or unsolicited.
     #[test]
-    fn a_text_is_had_over_a_bad_way() {
+    fn a_text_is_assembled_from_lost_duplicated_and_reordered_pieces() {
         let text: Vec<u8> = (0..40 * PIECE_BYTES + 17).map(|n| (n * 7 % 251) as u8).collect();
         let digest = Digest([1; 32]);
         for seed in 0..50 {
-            let mut chance = oorandom::Rand32::new(seed);
-            let (mut fetching, mut now, mut got) = (TextFetcher::default(), Duration::ZERO, None);
+            let mut rng = oorandom::Rand32::new(seed);
+            let (mut fetching, mut now, mut received) = (TextFetcher::default(), Duration::ZERO, None);
             assert!(fetching.request(now, digest, 5));
-            let mut flying: Vec<u16> = Vec::new();
-            while got.is_none() {
-                let (pieces, lost) = fetching.tick(now);
-                assert!(lost.is_empty() && now < 60_000 * MS, "{seed}: {now:?}");
-                flying.extend(pieces.iter().map(|piece| piece.piece));
-                flying.sort_by_cached_key(|_| chance.rand_u32());
-                for piece in std::mem::take(&mut flying) {
-                    let begins = usize::from(piece) * PIECE_BYTES;
-                    let bytes = text[begins..text.len().min(begins + PIECE_BYTES)].to_vec();
+            let mut in_flight: Vec<u16> = Vec::new();
+            while received.is_none() {
+                let (pieces, failed) = fetching.tick(now);
+                assert!(failed.is_empty() && now < 60_000 * MS, "{seed}: {now:?}");
+                in_flight.extend(pieces.iter().map(|piece| piece.piece));
+                in_flight.sort_by_cached_key(|_| rng.rand_u32());
+                for piece in std::mem::take(&mut in_flight) {
+                    let offset = usize::from(piece) * PIECE_BYTES;
+                    let bytes = text[offset..text.len().min(offset + PIECE_BYTES)].to_vec();
                     let whole = text.len() as u32;
                     assert_eq!(
                         fetching.receive_piece(now, 6, digest, piece, whole, bytes.clone()),
                         None,
-                        "a stranger"
+                        "unknown sender"
                     );
                     assert_eq!(fetching.receive_piece(now, 5, digest, piece, whole, vec![1]), None, "cut");
-                    match chance.rand_range(0..4) {
+                    match rng.rand_range(0..4) {
                         0 => {}
-                        1 => flying.push(piece),
-                        _ => got = got.or(fetching.receive_piece(now, 5, digest, piece, whole, bytes)),
+                        1 => in_flight.push(piece),
+                        _ => {
+                            received =
+                                received.or(fetching.receive_piece(now, 5, digest, piece, whole, bytes))
+                        }
                     }
                 }
                 now += 50 * MS;
             }
-            assert_eq!(got.as_ref(), Some(&text), "{seed}");
+            assert_eq!(received.as_ref(), Some(&text), "{seed}");
             assert_eq!(fetching.next_tick(), None);
         }
     }
 
-    /// Guards against a fetch that hangs on one that is gone, and against room that strangers fill.
+    /// Guards against a fetch that hangs on a member that is gone, and against unbounded memory use by
+    /// requests.
     #[test]
-    fn what_cannot_be_had_is_given_up_and_few_are_had_at_once() {
+    fn a_stalled_fetch_fails_and_concurrent_fetches_are_bounded() {
         let mut fetching = TextFetcher::default();
-        for n in 0..TEXTS as u8 {
+        for n in 0..MAX_TEXTS as u8 {
             assert!(fetching.request(Duration::ZERO, Digest([n; 32]), 5));
         }
         assert!(!fetching.request(Duration::ZERO, Digest([99; 32]), 5));
-        assert_eq!(fetching.tick(Duration::ZERO).0.len(), TEXTS);
-        assert_eq!(fetching.tick(PATIENCE).1.len(), TEXTS);
-        assert!(fetching.request(PATIENCE, Digest([99; 32]), 5));
+        assert_eq!(fetching.tick(Duration::ZERO).0.len(), MAX_TEXTS);
+        assert_eq!(fetching.tick(STALL_TIMEOUT).1.len(), MAX_TEXTS);
+        assert!(fetching.request(STALL_TIMEOUT, Digest([99; 32]), 5));
         let long = MAX_TEXT_BYTES as u32 + 1;
         assert_eq!(
-            fetching.receive_piece(PATIENCE, 5, Digest([99; 32]), 0, long, vec![0; PIECE_BYTES]),
+            fetching.receive_piece(STALL_TIMEOUT, 5, Digest([99; 32]), 0, long, vec![0; PIECE_BYTES]),
             None
         );
     }
--- a/crates/accord/src/frames.rs
+++ b/crates/accord/src/frames.rs
@@ -1,39 +1,40 @@
-//! Frames between members, one a datagram: version, group, who says it to whom, and a word. What is not exactly one is
-//! none.
+//! Wire format between members, one frame per datagram: version, group, sender, recipient and payload.
+//! Anything that is not exactly one frame is rejected.
 
 use crate::types::{Digest, Id, Message};
 use serde::{Deserialize, Serialize};
 
-/// Fits a datagram on usual networks without being cut.
+/// Fits into one datagram on common networks without fragmentation.
 pub const MAX_FRAME_BYTES: usize = 1400;
 const MAGIC: [u8; 2] = *b"tA";
-/// What reads another version drops it: a member that speaks it is as good as silent.
+/// Frames of another version are dropped, so a member that speaks one counts as not answering.
 const VERSION: u8 = 1;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
     #[serde(rename = "Say")]
     Consensus(Message),
-    /// Which piece of a text is wanted.
+    /// Asks for a piece of a text.
     #[serde(rename = "Want")]
     PieceRequest { digest: Digest, piece: u16 },
-    /// A piece, and the bytes of the whole.
+    /// A piece of a text; `whole` is the length of the whole text in bytes.
     #[serde(rename = "Text")]
     PieceReply { digest: Digest, piece: u16, whole: u32, bytes: Vec<u8> },
-    /// Who are you? Asked by name, of who is no member yet.
+    /// Asks a scheduler that is not a member yet for its identity, by name.
     #[serde(rename = "Who")]
     IdentityRequest { nonce: u64, name: String },
-    /// The name, the life, and the group and number that it knows.
+    /// Answers with the name and with the group and number that the sender knows; its id is the frame's
+    /// `from`.
     #[serde(rename = "Here")]
     IdentityReply { nonce: u64, name: String, group: u64, number: u64 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame {
-    /// 0 for words of who belongs to none yet.
+    /// 0 in frames of a sender that belongs to no group yet.
     pub group: u64,
     pub from: Id,
-    /// 0 where the other's life is not known.
+    /// 0 if the id of the recipient is not known.
     pub to: Id,
     #[serde(rename = "word")]
     pub payload: Payload,
@@ -42,11 +43,11 @@
 impl Frame {
     pub fn encode(&self) -> Vec<u8> {
         let start = [MAGIC[0], MAGIC[1], VERSION].to_vec();
-        // Only a full memory can fail here, and that ends the process in any case.
+        // Fails only if memory cannot be allocated, which ends the process in any case.
         postcard::to_extend(self, start).unwrap_or_default()
     }
 
-    /// None for what is too long, of another version, or has anything before or after it.
+    /// None if the frame is too long, has another version, or has trailing bytes.
     pub fn decode(bytes: &[u8]) -> Option<Frame> {
         let [a, b, VERSION, rest @ ..] = bytes else { return None };
         if [*a, *b] != MAGIC || bytes.len() > MAX_FRAME_BYTES {
@@ -67,9 +68,9 @@
         Frame { group: u64::MAX, from: u64::MAX, to: 7, payload }
     }
 
-    /// Guards against frames that are cut on the way, and against words that no longer mean what they meant.
+    /// Guards against frames that exceed a datagram, and against an accidental change of the encoding.
     #[test]
-    fn the_longest_words_fit_and_are_read_again() {
+    fn the_longest_payloads_fit_and_decode_unchanged() {
         let (digest, ballot) = (Digest([255; 32]), Ballot { round: u64::MAX, by: u64::MAX });
         let payloads = [
             Payload::PieceReply { digest, piece: u16::MAX, whole: u32::MAX, bytes: vec![255; PIECE_BYTES] },
@@ -96,7 +97,7 @@
     }
 
     #[test]
-    fn rubbish_is_no_frame() {
+    fn a_malformed_frame_is_rejected() {
         let whole = frame(Payload::Consensus(Message::Known { number: 3 })).encode();
         for cut in 0..whole.len() {
             assert_eq!(Frame::decode(&whole[..cut]), None);
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -1,7 +1,10 @@
-//! Decides a policy for a group of schedulers that takes hold everywhere or nowhere: each number is decided by a
-//! majority of few voters (single-decree Paxos, Lamport 1998 and 2001), once whoever may still serve under the number
-//! before has staged it; who may serve is a matter of leases (Gray and Cheriton 1989) that the voters grant. No I/O:
-//! time is an input, messages and what is to be kept are pulled. What it promises stands in `docs/design/accord.md`.
+//! Agrees on one policy for a group of schedulers, so that it takes effect on all members or on none. A
+//! majority of a few voters decides each number (single-decree Paxos, Lamport 1998 and 2001), once every
+//! member that may still serve under the previous number has staged the proposal. Leases granted by the
+//! voters (Gray and Cheriton 1989) determine which members may serve.
+//!
+//! Performs no I/O: time is an input, and the host collects the messages to send and the state to persist.
+//! The guarantees are listed in `docs/design/accord.md`.
 
 #[cfg(test)]
 extern crate self as tindock_accord;
--- a/crates/accord/src/proposing.rs
+++ b/crates/accord/src/proposing.rs
@@ -1,14 +1,15 @@
-//! What a member does for a proposal that was made at it, or that it found left in the midst: prepares a ballot, has the
-//! proposal staged by all, fences off who has not, has it accepted by a majority of the voters, and tells everybody.
+//! The role of a proposer, for a proposal made at this member or one left incomplete by another: prepares a
+//! ballot, has all members stage the proposal, fences off those that have not, has a majority of the voters
+//! accept it, and announces the decision to all members.
 
-use crate::defects::{planted, Defect};
-use crate::member::{Member, AGAIN};
+use crate::defects::{injected, Defect};
+use crate::member::{Member, RETRANSMIT_INTERVAL};
 use crate::types::{Ballot, Digest, Id, Message, Outcome, Reason};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What is decided is told again less often: who does not hear it learns it with its next lease.
-const TELL_AGAIN: Duration = Duration::from_millis(500);
+/// Decisions are retransmitted less often: a member that misses one learns it with its next lease renewal.
+const DECIDED_RETRANSMIT_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
@@ -22,53 +23,53 @@
 pub struct Proposal {
     pub number: u64,
     ballot: Ballot,
-    /// What was proposed here; none where it only brings to an end what another left.
-    own: Option<Digest>,
-    /// What this ballot is for, once that is known.
+    /// The proposal made here; none if this ballot only completes another member's proposal.
+    local: Option<Digest>,
+    /// The proposal that this ballot is for, once known.
     digest: Option<Digest>,
-    /// Somebody may have accepted it, so that it may be decided already: no refusal stops it.
+    /// A voter may have accepted it, so it may be decided already: no refusal stops it.
     forced: bool,
     phase: Phase,
-    since: Duration,
+    phase_began: Duration,
     began: Duration,
-    pub again_at: Duration,
+    pub retransmit_at: Duration,
     promised: BTreeMap<Id, Option<(Ballot, Digest)>>,
     overtaken: BTreeSet<Id>,
-    /// Answers of the present phase.
+    /// Members that have answered in the current phase.
     answered: BTreeSet<Id>,
 }
 
 impl Proposal {
-    /// A tick that is late by more than the time between two asks shows that this process stood still. That span is left
-    /// out of the time in which the others may answer: nobody was asked, or heard, in it. What lies between two ticks
-    /// counts, so that a process whose every tick is late comes to an end as well.
-    fn leave_out_stall(&mut self, now: Duration) {
-        let late = now - self.again_at;
-        if late > AGAIN {
+    /// A tick that is late by more than the retransmit interval shows that this process was stalled. That
+    /// time is excluded from the time allowed for answers, as no request was sent and no answer processed in
+    /// it. Time between two ticks still counts, so that a proposal ends even if every tick is late.
+    fn exclude_stall(&mut self, now: Duration) {
+        let late = now - self.retransmit_at;
+        if late > RETRANSMIT_INTERVAL {
             self.began += late;
-            self.since += late;
+            self.phase_began += late;
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Spreading {
+pub struct Dissemination {
     number: u64,
     digest: Digest,
     missing: BTreeSet<Id>,
     until: Duration,
-    pub again_at: Duration,
+    pub retransmit_at: Duration,
 }
 
 impl Member {
-    /// Proposes a text that was read here. One line says why that cannot be.
+    /// Proposes a text that was checked here. Fails with a one-line reason.
     pub fn propose(&mut self, now: Duration, digest: Digest) -> Result<(), String> {
         let number = self.durable.decided.number + 1;
-        let reading = self.known.get(&digest).ok_or("its text is not here")?;
-        if reading.number != number {
-            return Err(format!("it was made for number {}, and the next one is {number}", reading.number));
+        let checked = self.proposals.get(&digest).ok_or("its text is not available here")?;
+        if checked.number != number {
+            return Err(format!("it was made for number {}, and the next one is {number}", checked.number));
         }
-        reading.eligibility.clone()?;
+        checked.eligibility.clone()?;
         if number > 1 && !self.is_member() {
             return Err("this scheduler is not a member of the group".into());
         }
@@ -76,20 +77,20 @@
             return Err("another proposal is under way".into());
         }
         if number == 1 {
-            if !self.members.all.is_empty() && self.members != reading.members {
-                return Err("a founding with other members was begun here".into());
+            if !self.members.all.is_empty() && self.members != checked.members {
+                return Err("the founding of a group with other members is under way here".into());
             }
-            self.members = reading.members.clone();
+            self.members = checked.members.clone();
         }
-        self.note(number, digest, Outcome::InProgress);
-        self.begin(now, now, Some(digest), false, Ballot::default());
+        self.record_outcome(number, digest, Outcome::InProgress);
+        self.start_ballot(now, now, Some(digest), false, Ballot::default());
         self.tick(now);
         Ok(())
     }
 
-    /// A proposal was made here and nobody is at it: it may have been accepted by somebody before it was overtaken.
-    /// Until its number is decided nobody can say that it never will be, so it is gone on with.
-    pub(crate) fn unsettled(&self) -> Option<Digest> {
+    /// A proposal made here for which no ballot is running. A voter may have accepted it before it was
+    /// preempted; until its number is decided it may still be decided, so it is taken up again.
+    pub(crate) fn unresolved_proposal(&self) -> Option<Digest> {
         let next = self.durable.decided.number + 1;
         let open = |(number, _, outcome): &&(u64, Digest, Outcome)| {
             *number == next && *outcome == Outcome::InProgress
@@ -99,47 +100,54 @@
 
     pub(crate) fn recover(&mut self, now: Duration) {
         if self.proposal.is_none() {
-            let own = self.unsettled();
-            self.begin(now, now, own, own.is_some(), Ballot::default());
+            let local = self.unresolved_proposal();
+            self.start_ballot(now, now, local, local.is_some(), Ballot::default());
         }
     }
 
-    /// A ballot above that one; `forced` where somebody may have accepted `own` by an earlier one.
-    fn begin(&mut self, now: Duration, began: Duration, own: Option<Digest>, forced: bool, above: Ballot) {
+    /// Starts a ballot above `above`; `forced` if a voter may have accepted `local` under an earlier ballot.
+    fn start_ballot(
+        &mut self,
+        now: Duration,
+        began: Duration,
+        local: Option<Digest>,
+        forced: bool,
+        above: Ballot,
+    ) {
         let round = self.durable.promised.max(above).round + 1;
         self.proposal = Some(Proposal {
             number: self.durable.decided.number + 1,
             ballot: Ballot { round, by: self.durable.id },
-            own,
+            local,
             digest: None,
             forced,
             phase: Phase::Preparing,
-            since: now,
+            phase_began: now,
             began,
-            again_at: now + AGAIN,
+            retransmit_at: now + RETRANSMIT_INTERVAL,
             promised: BTreeMap::new(),
             overtaken: BTreeSet::new(),
             answered: BTreeSet::new(),
         });
-        self.speak(now);
+        self.send_phase_messages(now);
     }
 
-    /// Whom the proposal is staged at: who is a member now, and who will be.
-    fn all_concerned(&self, digest: Digest) -> BTreeSet<Id> {
-        let new = self.known.get(&digest).map(|reading| &reading.members.all);
+    /// The members that must stage the proposal: the current ones and those under the new policy.
+    fn affected_members(&self, digest: Digest) -> BTreeSet<Id> {
+        let new = self.proposals.get(&digest).map(|checked| &checked.members.all);
         self.members.all.iter().chain(new.into_iter().flatten()).copied().collect()
     }
 
-    /// Says what the present phase has to say to those who have not answered.
-    fn speak(&mut self, now: Duration) {
+    /// Sends the message of the current phase to all members that have not answered it.
+    fn send_phase_messages(&mut self, now: Duration) {
         let Some(p) = &mut self.proposal else { return };
-        p.again_at = now + AGAIN;
+        p.retransmit_at = now + RETRANSMIT_INTERVAL;
         let (number, ballot) = (p.number, p.ballot);
         let (message, to) = match (p.phase, p.digest) {
             (Phase::Preparing, _) => (Message::Prepare { number, ballot }, self.members.voters.clone()),
             (_, None) => return,
             (Phase::Staging, Some(digest)) => {
-                (Message::Stage { number, ballot, digest }, self.all_concerned(digest))
+                (Message::Stage { number, ballot, digest }, self.affected_members(digest))
             }
             (Phase::Fencing, Some(digest)) => {
                 (Message::Fence { number, ballot, digest }, self.members.voters.clone())
@@ -149,43 +157,43 @@
             }
         };
         let Some(p) = &self.proposal else { return };
-        // Guards against a second ballot that is let in over a first one at work: every voter hears of this one for as
-        // long as it lasts, also where it has answered.
+        // Guards against a second ballot that is admitted while this one is in progress: every voter keeps
+        // receiving this ballot, even after it has answered.
         let done = |id: &Id| p.answered.contains(id) && p.phase != Phase::Fencing;
-        let silent: Vec<Id> = to.into_iter().filter(|id| !done(id)).collect();
+        let unanswered: Vec<Id> = to.into_iter().filter(|id| !done(id)).collect();
         match (p.phase, p.digest) {
             (Phase::Staging, _) => {
-                self.say_all(self.members.voters.clone(), &Message::Prepare { number, ballot });
+                self.send_all(self.members.voters.clone(), &Message::Prepare { number, ballot });
             }
-            // A voter accepts behind a fence of its own only.
+            // A voter accepts only behind its own fence.
             (Phase::Accepting, Some(digest)) if number > 1 => {
-                self.say_all(silent.iter().copied(), &Message::Fence { number, ballot, digest });
+                self.send_all(unanswered.iter().copied(), &Message::Fence { number, ballot, digest });
             }
             _ => {}
         }
-        self.say_all(silent, &message);
+        self.send_all(unanswered, &message);
     }
 
-    fn enter(&mut self, now: Duration, phase: Phase) {
+    fn enter_phase(&mut self, now: Duration, phase: Phase) {
         if let Some(p) = &mut self.proposal {
-            (p.phase, p.since) = (phase, now);
+            (p.phase, p.phase_began) = (phase, now);
             p.answered.clear();
             p.overtaken.clear();
         }
-        self.speak(now);
+        self.send_phase_messages(now);
     }
 
-    /// The proposal, if an answer is one to its present phase and ballot.
-    fn answered(&mut self, number: u64, ballot: Ballot, phase: Phase) -> Option<&mut Proposal> {
-        let ours = self.proposal.as_ref().is_some_and(|p| p.number == number && p.ballot == ballot);
-        if !ours {
-            // Late, doubled, or never asked for.
-            self.drop_one();
+    /// The proposal, if an answer belongs to its ballot and current phase.
+    fn matching_proposal(&mut self, number: u64, ballot: Ballot, phase: Phase) -> Option<&mut Proposal> {
+        let matches = self.proposal.as_ref().is_some_and(|p| p.number == number && p.ballot == ballot);
+        if !matches {
+            // Late, duplicated or unsolicited.
+            self.count_dropped();
         }
-        self.proposal.as_mut().filter(|p| ours && p.phase == phase)
+        self.proposal.as_mut().filter(|p| matches && p.phase == phase)
     }
 
-    pub(crate) fn promised(
+    pub(crate) fn on_promised(
         &mut self,
         now: Duration,
         from: Id,
@@ -194,90 +202,94 @@
         accepted: Option<(Ballot, Digest)>,
     ) {
         let (voter, majority) = (self.members.voters.contains(&from), self.majority());
-        let Some(p) = self.answered(number, ballot, Phase::Preparing).filter(|_| voter) else { return };
+        let Some(p) = self.matching_proposal(number, ballot, Phase::Preparing).filter(|_| voter) else {
+            return;
+        };
         p.promised.insert(from, accepted);
         p.answered.insert(from);
         if p.promised.len() < majority {
             return;
         }
-        let last = p.promised.iter().filter_map(|(holder, accepted)| accepted.map(|a| (a, *holder))).max();
-        let last = last.filter(|_| !(planted(Defect::TakesItsOwnOverAnAcceptedOne) && p.own.is_some()));
-        let (own, sent) = (p.own, p.forced);
-        if let Some(((_, digest), holder)) = last {
-            // Its text is needed to know who will be a member. Who holds it need not be who has just promised.
+        let highest = p.promised.iter().filter_map(|(holder, accepted)| accepted.map(|a| (a, *holder))).max();
+        let highest = highest.filter(|_| !(injected(Defect::ProposesOwnOverAccepted) && p.local.is_some()));
+        let (local, was_forced) = (p.local, p.forced);
+        if let Some(((_, digest), holder)) = highest {
+            // The text is needed to know the new members. Its holder need not be the voter that has just
+            // promised.
             let message = Message::Promised { number, ballot, accepted };
-            if self.text(digest, holder, from, &message).is_none() {
+            if self.checked_proposal(digest, holder, from, &message).is_none() {
                 return;
             }
-            if let Some(own) = own.filter(|own| *own != digest && !sent) {
-                self.note(number, own, Outcome::NotDecided(Reason::Superseded));
+            if let Some(local) = local.filter(|local| *local != digest && !was_forced) {
+                self.record_outcome(number, local, Outcome::NotDecided(Reason::Superseded));
             }
         }
         let Some(p) = &mut self.proposal else { return };
-        (p.digest, p.forced) = (last.map(|((_, digest), _)| digest).or(own), last.is_some() || sent);
+        (p.digest, p.forced) =
+            (highest.map(|((_, digest), _)| digest).or(local), highest.is_some() || was_forced);
         match p.digest {
-            // Nobody of a majority accepted anything: there is nothing to bring to an end.
+            // No voter of a majority has accepted anything, so there is nothing to complete.
             None => self.proposal = None,
-            Some(_) => self.enter(now, Phase::Staging),
+            Some(_) => self.enter_phase(now, Phase::Staging),
         }
     }
 
-    pub(crate) fn staged(&mut self, now: Duration, from: Id, number: u64, ballot: Ballot) {
-        let Some(p) = self.answered(number, ballot, Phase::Staging) else { return };
+    pub(crate) fn on_staged(&mut self, now: Duration, from: Id, number: u64, ballot: Ballot) {
+        let Some(p) = self.matching_proposal(number, ballot, Phase::Staging) else { return };
         p.answered.insert(from);
         let Some(digest) = p.digest else { return };
-        let all = self.all_concerned(digest);
+        let all = self.affected_members(digest);
         if self.proposal.as_ref().is_some_and(|p| all.is_subset(&p.answered)) {
-            self.all_have_staged(now);
+            self.finish_staging(now);
         }
     }
 
-    fn all_have_staged(&mut self, now: Duration) {
-        // Before the first number nobody has a lease, and nobody may be left out.
+    fn finish_staging(&mut self, now: Duration) {
+        // Before the first number no member has a lease, and none may be left out.
         let first = self.durable.decided.number == 0;
-        self.enter(now, if first { Phase::Accepting } else { Phase::Fencing });
+        self.enter_phase(now, if first { Phase::Accepting } else { Phase::Fencing });
     }
 
-    /// One refusal is a refusal for all, unless the proposal may be decided already.
-    pub(crate) fn refused(&mut self, now: Duration, from: Id, number: u64, ballot: Ballot, why: String) {
+    /// One refusal rejects the proposal, unless it may be decided already.
+    pub(crate) fn on_refused(&mut self, now: Duration, from: Id, number: u64, ballot: Ballot, why: String) {
         let found = self.proposal.as_ref().filter(|p| p.number == number && p.ballot == ballot);
         match found.map(|p| (p.phase, p.forced)) {
             Some((Phase::Staging | Phase::Fencing, false)) => {
                 self.withdraw(now, Reason::Refused { by: from, why });
             }
-            // It will have no lease: that is as good as an answer.
-            Some((Phase::Staging, true)) => self.staged(now, from, number, ballot),
+            // The member will get no lease, which is as good as having staged it.
+            Some((Phase::Staging, true)) => self.on_staged(now, from, number, ballot),
             _ => {}
         }
     }
 
-    /// Nothing was said yet by which it could be decided: it is taken back.
+    /// Withdraws the proposal; no message that could lead to its decision was sent yet.
     fn withdraw(&mut self, now: Duration, why: Reason) {
         let Some(p) = self.proposal.take() else { return };
         if p.forced {
-            return self.rest(now);
+            return self.schedule_recovery(now);
         }
-        let to = p.digest.or(p.own).map(|digest| self.all_concerned(digest)).unwrap_or_default();
+        let to = p.digest.or(p.local).map(|digest| self.affected_members(digest)).unwrap_or_default();
         let (number, ballot) = (p.number, p.ballot);
-        self.say_all(to, &Message::Dropped { number, ballot });
-        if let Some(own) = p.own {
-            self.note(number, own, Outcome::NotDecided(why));
+        self.send_all(to, &Message::Dropped { number, ballot });
+        if let Some(local) = p.local {
+            self.record_outcome(number, local, Outcome::NotDecided(why));
         }
     }
 
-    pub(crate) fn overtaken(&mut self, now: Duration, from: Id, number: u64, ballot: Ballot, by: Ballot) {
+    pub(crate) fn on_overtaken(&mut self, now: Duration, from: Id, number: u64, ballot: Ballot, by: Ballot) {
         let (voters, majority) = (self.members.voters.len(), self.majority());
         let voter = self.members.voters.contains(&from);
         let Some(p) = self.proposal.as_mut().filter(|p| p.number == number && p.ballot == ballot) else {
-            return self.drop_one();
+            return self.count_dropped();
         };
         if p.phase == Phase::Preparing && by == by.round_end() {
-            // Nobody is at that one any more: once more, above it.
-            let (began, own, forced) = (p.began, p.own, p.forced);
-            return self.begin(now, began, own, forced, by);
+            // The preempting ballot is no longer active: retries above it.
+            let (began, local, forced) = (p.began, p.local, p.forced);
+            return self.start_ballot(now, began, local, forced, by);
         }
         if !voter {
-            // It has staged a later one, and says so when that is asked for.
+            // It has staged a later proposal and will report that when requested.
             return;
         }
         p.overtaken.insert(from);
@@ -285,40 +297,50 @@
             return;
         }
         if p.phase == Phase::Accepting {
-            // Whether it is decided is found out a little later.
+            // Recovery finds out later whether it was decided.
             self.proposal = None;
-            self.rest(now);
+            self.schedule_recovery(now);
         } else {
             self.withdraw(now, Reason::Superseded);
         }
     }
 
-    pub(crate) fn fenced(&mut self, now: Duration, from: Id, number: u64, ballot: Ballot) {
+    pub(crate) fn on_fenced(&mut self, now: Duration, from: Id, number: u64, ballot: Ballot) {
         let (voter, majority) = (self.members.voters.contains(&from), self.majority());
-        let Some(p) = self.answered(number, ballot, Phase::Fencing).filter(|_| voter) else { return };
+        let Some(p) = self.matching_proposal(number, ballot, Phase::Fencing).filter(|_| voter) else {
+            return;
+        };
         p.answered.insert(from);
         if p.answered.len() >= majority {
-            self.enter(now, Phase::Accepting);
+            self.enter_phase(now, Phase::Accepting);
         }
     }
 
-    pub(crate) fn accepted(&mut self, now: Duration, from: Id, number: u64, ballot: Ballot) {
+    pub(crate) fn on_accepted(&mut self, now: Duration, from: Id, number: u64, ballot: Ballot) {
         let (voter, majority) = (self.members.voters.contains(&from), self.majority());
-        let Some(p) = self.answered(number, ballot, Phase::Accepting).filter(|_| voter) else { return };
+        let Some(p) = self.matching_proposal(number, ballot, Phase::Accepting).filter(|_| voter) else {
+            return;
+        };
         p.answered.insert(from);
         let (Some(digest), true) = (p.digest, p.answered.len() >= majority) else { return };
-        let all = self.all_concerned(digest);
-        self.learn(now, number, digest);
+        let all = self.affected_members(digest);
+        self.apply_decision(now, number, digest);
         let missing = self.members.all.clone();
-        let until = now + self.terms.response_timeout + 2 * self.terms.lease;
-        self.say_all(all, &Message::Decided { number, digest });
-        self.spreading = Some(Spreading { number, digest, missing, until, again_at: now + TELL_AGAIN });
+        let until = now + self.timing.response_timeout + 2 * self.timing.lease;
+        self.send_all(all, &Message::Decided { number, digest });
+        self.dissemination = Some(Dissemination {
+            number,
+            digest,
+            missing,
+            until,
+            retransmit_at: now + DECIDED_RETRANSMIT_INTERVAL,
+        });
     }
 
-    pub(crate) fn is_known(&mut self, from: Id, number: u64) {
-        let Some(spreading) = self.spreading.as_mut().filter(|s| s.number <= number) else { return };
-        spreading.missing.remove(&from);
-        let (of, left) = (spreading.number, spreading.missing.clone());
+    pub(crate) fn on_known(&mut self, from: Id, number: u64) {
+        let Some(dissemination) = self.dissemination.as_mut().filter(|s| s.number <= number) else { return };
+        dissemination.missing.remove(&from);
+        let (of, left) = (dissemination.number, dissemination.missing.clone());
         for (number, _, outcome) in &mut self.outcomes {
             if let Outcome::Decided { missing } = outcome {
                 if *number == of {
@@ -327,42 +349,42 @@
             }
         }
         if left.is_empty() {
-            self.spreading = None;
+            self.dissemination = None;
         }
     }
 
     pub(crate) fn proposing_tick(&mut self, now: Duration) {
-        if let Some(s) = self.spreading.as_mut().filter(|s| now >= s.again_at) {
-            s.again_at = now + TELL_AGAIN;
+        if let Some(s) = self.dissemination.as_mut().filter(|s| now >= s.retransmit_at) {
+            s.retransmit_at = now + DECIDED_RETRANSMIT_INTERVAL;
             let (message, to) = (Message::Decided { number: s.number, digest: s.digest }, s.missing.clone());
             if now >= s.until {
-                self.spreading = None;
+                self.dissemination = None;
             } else {
-                self.say_all(to, &message);
+                self.send_all(to, &message);
             }
         }
-        let Some(p) = self.proposal.as_mut().filter(|p| now >= p.again_at) else { return };
-        p.leave_out_stall(now);
-        let (response_timeout, waited) = (self.terms.response_timeout, now - p.since);
-        let silent = |of: &BTreeSet<Id>| of.difference(&p.answered).copied().collect();
+        let Some(p) = self.proposal.as_mut().filter(|p| now >= p.retransmit_at) else { return };
+        p.exclude_stall(now);
+        let (response_timeout, waited) = (self.timing.response_timeout, now - p.phase_began);
+        let unanswered = |of: &BTreeSet<Id>| of.difference(&p.answered).copied().collect();
         match p.phase {
             Phase::Preparing if now - p.began >= response_timeout => {
-                let why = Reason::NoAnswer(silent(&self.members.voters));
+                let why = Reason::NoAnswer(unanswered(&self.members.voters));
                 self.withdraw(now, why);
             }
             Phase::Staging if waited >= response_timeout => {
                 if self.durable.decided.number == 0 {
-                    let why = Reason::NoAnswer(silent(&self.members.all));
+                    let why = Reason::NoAnswer(unanswered(&self.members.all));
                     self.withdraw(now, why);
                 } else {
-                    self.all_have_staged(now);
+                    self.finish_staging(now);
                 }
             }
-            Phase::Fencing if waited >= response_timeout + 2 * self.terms.voter_lease() => {
-                let why = Reason::NoAnswer(silent(&self.members.voters));
+            Phase::Fencing if waited >= response_timeout + 2 * self.timing.voter_lease() => {
+                let why = Reason::NoAnswer(unanswered(&self.members.voters));
                 self.withdraw(now, why);
             }
-            _ => self.speak(now),
+            _ => self.send_phase_messages(now),
         }
     }
 }
--- a/crates/accord/src/types.rs
+++ b/crates/accord/src/types.rs
@@ -1,12 +1,12 @@
-//! The words of the accord: who is a member, what is decided, what members say to one another.
+//! Data types of the protocol: members, decisions and the messages between members.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::time::Duration;
 
-/// One life of one member: drawn at random when its folder is made. A member that lost its folder has another one, and
-/// is a new member.
+/// Identifies one incarnation of a member; generated at random when its data folder is created. A member that
+/// lost its folder gets a new id and counts as a new member.
 pub type Id = u64;
 
 /// SHA-256 of a proposal's text.
@@ -25,7 +25,7 @@
     }
 }
 
-/// Orders the tries to decide one number; the larger one wins.
+/// Orders the attempts to decide one number; the larger ballot wins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     pub round: u64,
@@ -33,24 +33,24 @@
 }
 
 impl Ballot {
-    /// Above this one and below any of a later round.
+    /// The largest ballot of this round: above this ballot and below every ballot of a later round.
     pub fn round_end(self) -> Ballot {
         Ballot { by: Id::MAX, ..self }
     }
 }
 
-/// A number and the proposal that was decided under it; number 0 is none.
+/// A number and the digest of the proposal decided under it; number 0 means that nothing has been decided.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Chosen {
     pub number: u64,
     pub digest: Digest,
 }
 
-/// Who belongs to the group under a number.
+/// The members of the group under a number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Members {
     pub all: BTreeSet<Id>,
-    /// Few of them: they decide, and grant the leases.
+    /// The subset that votes on proposals and grants leases.
     pub voters: BTreeSet<Id>,
 }
 
@@ -60,42 +60,43 @@
     }
 }
 
-/// A proposal whose text is at hand, on the disk, and was checked here.
+/// A proposal whose text is on the local disk and has been validated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CheckedProposal {
-    /// The number that it was made for.
+    /// The number that it was drafted for.
     pub number: u64,
     pub members: Members,
-    /// Whether this scheduler could serve under it; a line says why not.
+    /// Whether this scheduler could serve under it, or a one-line reason why not.
     pub eligibility: Result<(), String>,
 }
 
-/// How long things take.
+/// Lease length and time-outs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timing {
-    /// How long a member may serve on the word of the voters.
+    /// How long a member may serve after asking the voters for a lease.
     pub lease: Duration,
-    /// A proposal waits so long for members that do not answer before it goes on without them.
+    /// How long a proposal waits for members that do not answer before it proceeds without them.
     pub response_timeout: Duration,
 }
 
 impl Timing {
-    /// How long a voter counts a lease. Guards against a member whose clock is 1% slow beside a voter's that is 1% fast,
-    /// which is a little more than 2% together.
+    /// How long a voter counts a lease. A member's clock may be 1% slow and the voter's 1% fast; together
+    /// that is a little more than 2%.
     pub fn voter_lease(&self) -> Duration {
         self.lease * 103 / 100
     }
 
-    /// A member asks three times in a lease, so that two lost words cost it nothing.
+    /// Three renewals per lease, so that two lost messages do not end it.
     pub fn renew_interval(&self) -> Duration {
         self.lease / 3
     }
 }
 
-/// What members say. Each names the number that it is about: the one in force for leases, the next one for a proposal.
+/// Messages between members. Each names the number that it concerns: the number in force for leases, the next
+/// one for a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// May I serve under `number`? With what is staged here for the next one.
+    /// Requests a lease under `number`, and reports what is staged for the next one.
     Renew {
         nonce: u64,
         number: u64,
@@ -105,7 +106,7 @@
         nonce: u64,
         number: u64,
     },
-    /// Not under `number` any more: a proposal is about to be decided, which is to be staged first.
+    /// Refuses a lease under `number`: a proposal is about to be decided and must be staged first.
     Withheld {
         nonce: u64,
         number: u64,
@@ -120,7 +121,7 @@
         ballot: Ballot,
         accepted: Option<(Ballot, Digest)>,
     },
-    /// Another ballot is under way there.
+    /// The recipient has already promised a higher ballot or is busy with another one.
     Overtaken {
         number: u64,
         ballot: Ballot,
@@ -142,13 +143,14 @@
         why: String,
     },
 
-    /// Grant nothing under the number in force to who has not staged this.
+    /// Asks the voter to grant no lease under the number in force to members that have not staged this
+    /// proposal.
     Fence {
         number: u64,
         ballot: Ballot,
         digest: Digest,
     },
-    /// Whoever has not staged it has no lease of mine.
+    /// No member that has not staged the proposal holds a lease granted by this voter.
     Fenced {
         number: u64,
         ballot: Ballot,
@@ -176,30 +178,30 @@
     Known {
         number: u64,
     },
-    /// I know only this one: tell me.
+    /// `number` is the latest one that the sender knows; it asks for the latest decision.
     Behind {
         number: u64,
     },
 }
 
-/// The longest reason that is passed on, in bytes.
+/// The longest refusal reason that is sent, in bytes.
 pub const MAX_REASON_BYTES: usize = 300;
 
-/// What a member must not forget. It is on the disk before anything is said that it permits.
+/// State that must survive a restart. It is on disk before any message that depends on it is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DurableState {
     pub id: Id,
     pub decided: Chosen,
-    /// For the number after it:
+    /// For the number after `decided`:
     pub promised: Ballot,
     pub accepted: Option<(Ballot, Digest)>,
     pub staged: Option<(Ballot, Digest)>,
     pub fence: Option<(Ballot, Digest)>,
-    /// What was in force, as far as this member learned of it, the latest last.
+    /// The decisions that this member has learned, latest last.
     pub history: Vec<Chosen>,
 }
 
-/// As many numbers are remembered.
+/// Number of past decisions kept in `history`.
 pub const MAX_HISTORY: usize = 64;
 
 impl DurableState {
@@ -207,50 +209,50 @@
         DurableState { id, ..Self::default() }
     }
 
-    /// Proposals whose text is on the disk, and whose reading is needed: what is in force, and what may come. A fence is
-    /// closed without the text of what it is for.
+    /// Proposals whose checked text is needed: the one in force and those that may be decided. A fence can be
+    /// closed without the text of its proposal.
     pub fn active_digests(&self) -> BTreeSet<Digest> {
         let open = [self.accepted, self.staged].into_iter().flatten().map(|(_, digest)| digest);
         open.chain((self.decided.number > 0).then_some(self.decided.digest)).collect()
     }
 
-    /// Proposals whose text is kept: those, and what was in force before.
+    /// Proposals whose text stays on disk: the active ones, the fenced one and those of past decisions.
     pub fn retained_digests(&self) -> BTreeSet<Digest> {
         let fence = self.fence.map(|(_, digest)| digest);
         self.history.iter().map(|chosen| chosen.digest).chain(fence).chain(self.active_digests()).collect()
     }
 }
 
-/// Whether a member may take tasks now.
+/// Whether a member may accept tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ServiceStatus {
-    /// Under the number in force, which is no other anywhere.
+    /// Under this number, which is the one in force; no member serves under any other.
     Allowed(u64),
-    /// It may not; a line says why.
+    /// It may not accept tasks; the text is a one-line reason.
     Denied(&'static str),
 }
 
 /// Why a proposal was not decided.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// A member cannot serve under it, and says why.
+    /// A member cannot serve under it and gives the reason.
     Refused { by: Id, why: String },
-    /// The number went to another proposal, or is about to.
+    /// The number was decided for another proposal, or is about to be.
     Superseded,
-    /// These gave no answer, without whom nothing can be decided.
+    /// These members did not answer, and nothing can be decided without them.
     NoAnswer(BTreeSet<Id>),
 }
 
-/// What became of a proposal made here.
+/// The result of a proposal made by this member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     InProgress,
-    /// Decided; who has not said yet that it is in force there.
+    /// Decided; `missing` are the members that have not yet confirmed it.
     Decided {
         missing: BTreeSet<Id>,
     },
-    /// It was not decided under its number, and will not be.
+    /// It was not decided under its number and will not be.
     NotDecided(Reason),
-    /// Its number is decided, this member does not know for what.
+    /// Its number was decided, but this member does not know for which proposal.
     Unknown,
 }
