--- a/crates/rollout/src/lease.rs
+++ b/crates/rollout/src/lease.rs
@@ -1,13 +1,14 @@
-//! Who may change a scheduler: one run at a time, by a number that grows. A scheduler keeps one of these; the run that
-//! holds it renews it, and a run that was stopped for a while and wakes finds a larger number and changes nothing.
+//! Exclusive permission to change a scheduler: one run at a time, identified by a growing number. Each
+//! scheduler stores one lease. The run that holds it renews it; a run that was paused and resumes late finds
+//! a larger number and changes nothing.
 
 use std::time::Duration;
 
-/// How long a run keeps a scheduler that it says nothing to. A run looks at each scheduler twice a second, so that thirty
-/// looks were missed.
-pub const LEASE: Duration = Duration::from_secs(15);
-/// The longest name of a run: a plan's name of 64, and when it began.
-pub const LONGEST_NAME: usize = 96;
+/// How long a run holds a scheduler without renewing. A run polls each scheduler twice a second, so thirty
+/// polls were missed.
+pub const LEASE_DURATION: Duration = Duration::from_secs(15);
+/// Longest run name: a plan name of up to 64 bytes and the start time.
+pub const MAX_RUN_NAME_BYTES: usize = 96;
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Lease {
@@ -17,39 +18,40 @@
 }
 
 impl Lease {
-    /// Nobody has it, and no number up to this one can.
+    /// A lease that no run holds, and that no number up to `number` can take.
     pub fn after(number: u64, run: &str) -> Self {
         Lease { number, run: run.into(), until: Duration::ZERO }
     }
 
-    /// The largest number seen, 0 with none, and the run that had it.
+    /// The largest number seen (0 if none) and its run.
     pub fn holder(&self) -> (u64, &str) {
         (self.number, &self.run)
     }
 
-    /// Takes or renews the lease, counted from `now`; one line says why not. Asked before each change.
+    /// Takes or renews the lease from `now`, or returns a one-line reason why not. Called before each change.
     pub fn take(&mut self, run: &str, number: u64, now: Duration) -> Result<(), String> {
-        if run.is_empty() || run.len() > LONGEST_NAME || number == 0 {
-            return Err(format!("{run:?} with number {number} is no run"));
+        if run.is_empty() || run.len() > MAX_RUN_NAME_BYTES || number == 0 {
+            return Err(format!("{run:?} with number {number} is not a valid run"));
         }
         let (held, holder) = (self.number, &self.run);
         if number < held {
             return Err(format!("lease: number {number} is older than {held} of {holder}"));
         }
         let other = run != holder;
-        // Two runs that came by the same number: whoever was first has it.
+        // Two runs with the same number: the first one holds it.
         if number == held && other {
             return Err(format!("lease: number {number} is {holder}'s"));
         }
         if other && now < self.until {
             let rest = (self.until - now).as_secs_f64();
-            return Err(format!("lease: {holder} has it for another {rest:.1} s"));
+            return Err(format!("lease: {holder} holds it for another {rest:.1} s"));
         }
-        (self.number, self.run, self.until) = (number, run.into(), now + LEASE);
+        (self.number, self.run, self.until) = (number, run.into(), now + LEASE_DURATION);
         Ok(())
     }
 
-    /// The run has ended: the next one need not wait. Its number stays the largest; of any other run it changes nothing.
+    /// Ends a run, so that the next one need not wait. Its number remains the largest. No effect for any
+    /// other run.
     pub fn release(&mut self, run: &str, number: u64) {
         if (number, run) == (self.number, self.run.as_str()) {
             self.until = Duration::ZERO;
@@ -63,19 +65,19 @@
 
     const S: Duration = Duration::from_secs(1);
 
-    /// Guards against two runs that change one scheduler, and against one that wakes late.
+    /// Guards against two runs changing one scheduler, and against a run that resumes late.
     #[test]
-    fn one_run_at_a_time_and_none_that_comes_late() {
+    fn only_one_run_holds_the_lease_and_a_late_one_is_refused() {
         let mut lease = Lease::default();
         assert_eq!(lease.take("first", 1, S), Ok(()));
         assert!(lease.take("second", 2, 2 * S).is_err());
         assert!(lease.take("second", 1, 20 * S).is_err());
         assert_eq!(lease.take("first", 1, 10 * S), Ok(()));
-        // Renewed at ten, so at twenty it is still the first one's; at twenty-five it is out.
+        // Renewed at 10 s, so still held at 20 s and expired at 25 s.
         assert!(lease.take("second", 2, 20 * S).is_err());
         assert_eq!(lease.take("second", 2, 25 * S), Ok(()));
-        assert!(lease.take("first", 1, 60 * S).expect_err("it woke late").contains("older"));
-        // The same run, resumed: a larger number at once, and the one before has none any more.
+        assert!(lease.take("first", 1, 60 * S).expect_err("resumed late").contains("older"));
+        // The same run, resumed with a larger number: granted at once, and the previous number is void.
         assert_eq!(lease.take("second", 3, 26 * S), Ok(()));
         assert!(lease.take("second", 2, 27 * S).is_err());
         assert!(lease.take("", 9, 99 * S).is_err() && lease.take("x", 0, 99 * S).is_err());
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,15 +1,16 @@
-//! A change of settings that goes round the schedulers in stages, old and new side by side, and is undone when a stage
-//! does worse. No I/O: [`Rolling`] is told what was seen of each scheduler and what became of each order, with the time
-//! as input, and gives the next order until there is none. [`keeping`] decides for one scheduler's processes. [`comparing`] holds the evidence against a change.
-//! The ways weighed stand in `docs/design/rollout.md`.
+//! Rolls a change of settings out to the schedulers in stages, with old and new settings side by side, and
+//! undoes it when a stage performs worse. Performs no I/O: [`Rollout`] receives observations of each
+//! scheduler and the outcome of each order, with the time as input, and returns the next order until there is
+//! none. [`supervisor`] manages the processes of one scheduler. [`comparison`] measures the evidence against
+//! a change. The alternatives are discussed in `docs/design/rollout.md`.
 
-pub mod comparing;
-pub mod keeping;
+pub mod comparison;
 pub mod lease;
 pub mod planning;
-pub mod rolling;
+pub mod rollout;
+pub mod supervisor;
 
-pub use comparing::{Count, Harm, Pairs};
+pub use comparison::{Count, Harm, PairedComparison};
 pub use lease::Lease;
 pub use planning::Plan;
-pub use rolling::{Order, Outcome, Reason, Rolling, Seen, Stand, State, Total};
+pub use rollout::{Observation, Order, Outcome, Reason, Rollout, SettingsVersion, State, TaskTotals};
--- a/crates/rollout/src/planning.rs
+++ b/crates/rollout/src/planning.rs
@@ -1,36 +1,39 @@
-//! The order in which schedulers are changed, and what a stage has to show.
+//! The order in which schedulers are changed, and the criteria for a stage.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Schedulers by number, a list a stage; each stands in one of them.
+    /// Schedulers by number, one list per stage; each scheduler appears in exactly one stage.
     pub stages: Vec<Vec<usize>>,
-    /// How long each stage is watched at the least, and the unchanged fleet before the first.
-    pub watch: Duration,
-    /// How long at the most, where too few tasks come to tell.
-    pub longest: Duration,
-    /// The share of tasks, 0 to 1, by which changed schedulers may not do worse.
+    /// Minimum watch time of each stage, and of the unchanged fleet before the first.
+    pub min_watch: Duration,
+    /// Maximum watch time, if too few tasks arrive for a verdict.
+    pub max_watch: Duration,
+    /// The share of tasks, 0 to 1, by which changed schedulers must not perform worse.
     pub worse_by: f64,
-    /// The share of harmless changes that may be stopped by chance.
+    /// The accepted probability that a harmless change is stopped.
     pub error: f64,
-    /// How long a scheduler may take to have the change in force and be ready.
-    pub to_change: Duration,
-    /// A change brings another process, whose counts begin at 0; else another process is a crash.
-    pub renews: bool,
-    /// How long undoing is tried before what is left is named.
-    pub undo_within: Duration,
+    /// How long a scheduler may take until the change is in force and it is ready.
+    pub change_timeout: Duration,
+    /// Whether the change replaces the process, whose counts then start at 0. If not, a new process means a
+    /// crash.
+    pub replaces_process: bool,
+    /// How long undoing is attempted before the remaining schedulers are reported.
+    pub undo_timeout: Duration,
 }
 
-/// Stages by shares of all schedulers that are changed at the end of each (growing, the last 1): a first one of one
-/// scheduler, then by turns over the zones, so that no zone is changed whole while another is untouched.
+/// Stages by the shares of all schedulers that are changed at the end of each (ascending, the last one 1).
+/// The first stage is a single scheduler; the following ones alternate between zones, so that no zone is
+/// changed completely while another is unchanged.
 pub fn by_shares(zones: &[&str], shares: &[f64]) -> Vec<Vec<usize>> {
     let mut by_zone: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
     for (who, zone) in zones.iter().enumerate() {
         by_zone.entry(zone).or_default().push(who);
     }
-    // The place of each within its zone, 0 to 1: zones of unlike size advance alike.
+    // The relative position of each scheduler within its zone, 0 to 1, so that zones of different size
+    // advance evenly.
     let mut order: Vec<(f64, usize)> = Vec::new();
     for members in by_zone.values() {
         let of = members.len() as f64;
@@ -53,16 +56,16 @@
     use super::by_shares;
 
     #[test]
-    fn one_is_first_then_zones_by_turns_and_nobody_is_left_out() {
+    fn the_first_stage_is_one_scheduler_zones_alternate_and_none_is_left_out() {
         let six = by_shares(&["a"; 6], &[0.17, 0.5, 1.0]);
         assert_eq!(six, [vec![0], vec![1, 2], vec![3, 4, 5]]);
-        // Two zones of unlike size: half of each after half of all.
+        // Zones of different size: half of each is changed once half of all are.
         let zones = ["a", "a", "a", "a", "a", "a", "b", "b"];
         let stages = by_shares(&zones, &[0.25, 0.5, 1.0]);
         assert_eq!(stages.iter().map(Vec::len).collect::<Vec<_>>(), [1, 1, 2, 4]);
         let half: Vec<usize> = stages[..3].concat();
         assert_eq!(half.iter().filter(|&&who| zones[who] == "b").count(), 1, "{stages:?}");
-        // Shares that end early, or say nothing: the rest is a stage of its own.
+        // If the shares end early or are empty, the rest forms a stage of its own.
         assert_eq!(by_shares(&["a"; 3], &[]), [vec![0], vec![1, 2]]);
         assert_eq!(by_shares(&["a"; 3], &[0.4]), [vec![0], vec![1, 2]]);
         assert_eq!(by_shares(&["a"], &[0.5, 1.0]), [vec![0]]);
--- a/crates/scheduler/src/keep/mod.rs
+++ b/crates/scheduler/src/keep/mod.rs
@@ -1,4 +1,4 @@
-//! `tindock keep`: stands over the schedulers of one machine. [`tindock_rollout::keeping`] decides for each; here are
+//! `tindock keep`: stands over the schedulers of one machine. [`tindock_rollout::supervisor`] decides for each; here are
 //! its hands: [`processes`] starts and ends them, [`standing`] keeps which program each runs, [`control`] hears calls.
 //!
 //! It can die and be started again: schedulers go on by themselves, and what is found at their operators' addresses is
@@ -18,7 +18,7 @@
 use std::sync::mpsc::{self, Receiver};
 use std::time::{Duration, Instant};
 use tindock_berth::keeper::{Keeper, Kept};
-use tindock_rollout::keeping::{Keeping, Order, Sight, State, Upgrade};
+use tindock_rollout::supervisor::{Order, ProcessStatus, State, Supervisor, Upgrade};
 use tindock_rollout::Lease;
 
 /// A process that ended is seen, and started again, within so long.
@@ -27,7 +27,7 @@
 /// One scheduler.
 struct One {
     is: Kept,
-    keeping: Keeping,
+    keeping: Supervisor,
     processes: Processes,
     lease: Lease,
     said: (State, Option<Upgrade>),
@@ -74,9 +74,9 @@
             }
             let mut processes = Processes::new(is, &keeper.folder);
             let sights = processes.look();
-            let keeping = Keeping::found(program, previous, sights, Duration::ZERO);
+            let keeping = Supervisor::adopt(program, previous, sights, Duration::ZERO);
             let log = log.new(o!("part" => is.name.clone()));
-            sights.iter().zip(&is.management).filter(|(sight, _)| **sight != Sight::Gone).for_each(
+            sights.iter().zip(&is.management).filter(|(sight, _)| **sight != ProcessStatus::Gone).for_each(
                 |(_, at)| {
                     info!(log, "found at {at}, goes on");
                 },
@@ -112,7 +112,7 @@
         let sights = each(&mut self.all, |one| one.processes.look());
         let now = self.now();
         for (one, sights) in self.all.iter_mut().zip(sights) {
-            sights.into_iter().enumerate().for_each(|(place, sight)| one.keeping.saw(place, sight, now));
+            sights.into_iter().enumerate().for_each(|(place, sight)| one.keeping.observe(place, sight, now));
         }
     }
 
@@ -120,7 +120,7 @@
     fn act(&mut self, at: usize) {
         let now = self.now();
         let log = self.log.new(o!("part" => self.all[at].is.name.clone()));
-        while let Some(order) = self.all[at].keeping.decide(now) {
+        while let Some(order) = self.all[at].keeping.next_order(now) {
             let one = &mut self.all[at];
             match order {
                 Order::Start { program, place } => {
@@ -140,7 +140,7 @@
                 }
             }
         }
-        let said = (self.all[at].keeping.state(), self.all[at].keeping.last());
+        let said = (self.all[at].keeping.state(), self.all[at].keeping.last_upgrade());
         if said == std::mem::replace(&mut self.all[at].said, said) {
             return;
         }
@@ -149,18 +149,18 @@
             (State::Down(until), _) => {
                 warn!(log, "ended; started again in {:.2} s", until.saturating_sub(now).as_secs_f64());
             }
-            (State::Upgrades, _) => info!(log, "another program begins beside it"),
-            (State::Serves, Some(Upgrade::Done)) => info!(log, "the new program serves"),
-            (State::Serves, Some(Upgrade::Ended)) => {
+            (State::Upgrading, _) => info!(log, "another program begins beside it"),
+            (State::Serving, Some(Upgrade::Done)) => info!(log, "the new program serves"),
+            (State::Serving, Some(Upgrade::ExitedEarly)) => {
                 warn!(log, "the new program ended before it served; the old one goes on")
             }
-            (State::Serves, Some(Upgrade::Late)) => {
+            (State::Serving, Some(Upgrade::TimedOut)) => {
                 warn!(log, "the new program did not serve in time; the old one goes on")
             }
-            (State::Serves, Some(Upgrade::WentBack)) => {
+            (State::Serving, Some(Upgrade::RolledBack)) => {
                 warn!(log, "the new program ended soon after it served; the old one is back")
             }
-            (State::Serves, None) => {}
+            (State::Serving, None) => {}
         }
         self.write(at);
     }
@@ -192,7 +192,7 @@
             Call::Programs => Ok(self.programs_line() + "\nend\n"),
             Call::Anew { name } => {
                 let at = find(&name, &self.all)?;
-                self.all[at].keeping.anew(self.began.elapsed());
+                self.all[at].keeping.restart(self.began.elapsed());
                 Ok("done\n".into())
             }
             Call::Bring { name, run, number, digest, path } => {
@@ -228,16 +228,16 @@
     fn programs_line(&self) -> String {
         let schedulers = self.all.iter().map(|one| {
             let state = match one.keeping.state() {
-                State::Serves => "serves",
-                State::Upgrades => "upgrades",
+                State::Serving => "serves",
+                State::Upgrading => "upgrades",
                 State::Down(_) => "down",
                 State::GivenUp => "given up",
             };
-            let last = one.keeping.last().map(|last| match last {
+            let last = one.keeping.last_upgrade().map(|last| match last {
                 Upgrade::Done => "done",
-                Upgrade::Ended => "ended",
-                Upgrade::Late => "late",
-                Upgrade::WentBack => "went back",
+                Upgrade::ExitedEarly => "ended",
+                Upgrade::TimedOut => "late",
+                Upgrade::RolledBack => "went back",
             });
             let (number, run) = one.lease.holder();
             json!({
--- a/crates/scheduler/src/keep/processes.rs
+++ b/crates/scheduler/src/keep/processes.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 use tindock_berth::keeper::Kept;
-use tindock_rollout::keeping::Sight;
+use tindock_rollout::supervisor::ProcessStatus;
 
 /// A scheduler answers in milliseconds; one that takes longer is not ready.
 const ANSWER: Duration = Duration::from_millis(300);
@@ -54,25 +54,25 @@
         Processes { is: is.clone(), runtime: file("run"), log: file("log"), places: [None, None] }
     }
 
-    pub fn look(&mut self) -> [Sight; 2] {
+    pub fn look(&mut self) -> [ProcessStatus; 2] {
         [0, 1].map(|place| {
             let at = self.is.management[place];
             let there = self.places[place].as_mut().is_some_and(Process::is_there);
             if !there {
                 self.places[place] = None;
                 // One that another of us began.
-                let Ok(standing) = looking::standing(at) else { return Sight::Gone };
+                let Ok(standing) = looking::standing(at) else { return ProcessStatus::Gone };
                 let (id, began) = (standing.pid, began(standing.pid));
                 if began.is_none() {
-                    return Sight::Gone;
+                    return ProcessStatus::Gone;
                 }
                 self.places[place] = Some(Process { id, began, child: None });
             }
             let ready = calls::ask(at, "readyz", ANSWER).is_ok_and(|answer| calls::yes(&answer).is_ok());
             if ready {
-                Sight::Ready
+                ProcessStatus::Ready
             } else {
-                Sight::Up
+                ProcessStatus::Up
             }
         })
     }
--- a/crates/scheduler/src/keep/standing.rs
+++ b/crates/scheduler/src/keep/standing.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tindock_berth::{digest, digest_of};
-use tindock_rollout::keeping::Program;
+use tindock_rollout::supervisor::Program;
 
 const VERSION: u32 = 1;
 
--- a/crates/scheduler/src/rollout/coordinator.rs
+++ b/crates/scheduler/src/rollout/coordinator.rs
@@ -14,7 +14,9 @@
 use std::time::{Duration, Instant};
 use tindock_berth::plan::{Change, Managed, Plan};
 use tindock_berth::{digest, digest_of, grafting};
-use tindock_rollout::{planning, Order, Outcome, Reason, Rolling, Seen, Stand, State, Total};
+use tindock_rollout::{
+    planning, Observation, Order, Outcome, Reason, Rollout, SettingsVersion, State, TaskTotals,
+};
 
 const LOOK: Duration = Duration::from_millis(500);
 /// Of a lease of fifteen seconds; renewed often enough that a few calls may be lost.
@@ -52,17 +54,17 @@
 
     /// Which of the two it runs with; none where it has not found out yet. What is the same before and after counts by
     /// what was ordered.
-    fn stand(&self, what: &Change, standing: &Standing, changed: bool) -> Option<Stand> {
+    fn stand(&self, what: &Change, standing: &Standing, changed: bool) -> Option<SettingsVersion> {
         let is = match what {
             Change::Settings(_) => &standing.settings,
             Change::Program(_) => standing.program.as_ref()?,
         };
         let (old, new) = &self.digests;
         Some(match (is == old, is == new) {
-            (true, true) if changed => Stand::New,
-            (true, _) => Stand::Old,
-            (_, true) => Stand::New,
-            _ => Stand::Other,
+            (true, true) if changed => SettingsVersion::New,
+            (true, _) => SettingsVersion::Old,
+            (_, true) => SettingsVersion::New,
+            _ => SettingsVersion::Other,
         })
     }
 }
@@ -181,7 +183,7 @@
     stages: Vec<Vec<usize>>,
     members: Vec<Member>,
     record: Record,
-    rolling: Rolling,
+    rolling: Rollout,
     /// By which schedulers and files know it.
     id: String,
     number: u64,
@@ -247,13 +249,13 @@
         let stages = stages(&plan);
         let machine = tindock_rollout::Plan {
             stages: stages.clone(),
-            watch: plan.watch,
-            longest: plan.longest,
+            min_watch: plan.watch,
+            max_watch: plan.longest,
             worse_by: plan.worse_by,
             error: plan.error,
-            to_change: plan.to_change,
-            undo_within: plan.undo_within,
-            renews: matches!(plan.change, Change::Program(_)),
+            change_timeout: plan.to_change,
+            undo_timeout: plan.undo_within,
+            replaces_process: matches!(plan.change, Change::Program(_)),
         };
         let zero = Duration::ZERO;
         let written = match &story {
@@ -262,14 +264,16 @@
         };
         written.map_err(one)?;
         let rolling = match story {
-            None => Rolling::new(machine, zero),
+            None => Rollout::new(machine, zero),
             Some(story) => {
                 let named = |who: &usize| story.changed.contains(&plan.schedulers[*who].name);
                 let changed: Vec<usize> = (0..members.len()).filter(named).collect();
                 match (how, story.turned.is_some(), story.stage) {
-                    (How::Undo, ..) | (_, true, _) => Rolling::undoing(machine, &changed, Reason::Told, zero),
-                    (_, false, Some(stage)) => Rolling::resumed(machine, stage, &changed, zero),
-                    (_, false, None) => Rolling::new(machine, zero),
+                    (How::Undo, ..) | (_, true, _) => {
+                        Rollout::undoing(machine, &changed, Reason::StoppedByOperator, zero)
+                    }
+                    (_, false, Some(stage)) => Rollout::resumed(machine, stage, &changed, zero),
+                    (_, false, None) => Rollout::new(machine, zero),
                 }
             }
         };
@@ -355,7 +359,7 @@
             let turn = Instant::now();
             self.look();
             if self.record.is_told_to_stop() {
-                self.rolling.stop(Reason::Told, self.now());
+                self.rolling.stop(Reason::StoppedByOperator, self.now());
             }
             // What cannot be written down is not done, and what was done stays written: exit 3, `resume` goes on.
             self.act().map_err(|why| self.left(why))?;
@@ -388,30 +392,30 @@
         let changed = self.rolling.changed();
         for (who, (look, said)) in looks.into_iter().enumerate() {
             if let Some(Said::Outrun(why)) = said {
-                self.rolling.outrun(why);
+                self.rolling.supersede(why);
                 return;
             }
             let look = look.ok();
             let seen = look.as_ref().and_then(|look| self.seen(who, look, changed.contains(&who)));
-            self.rolling.saw(who, seen, self.now());
+            self.rolling.observe(who, seen, self.now());
             // A keeper's yes is a beginning; what became of it stands beside.
             let failed = look.as_ref().and_then(|look| look.kept.as_ref()?.failed());
             if let Some(why) = failed.filter(|_| changed.contains(&who)) {
-                self.rolling.did(Order::Change(who), Outcome::Refused(why.into()), self.now());
+                self.rolling.record_outcome(Order::Change(who), Outcome::Refused(why.into()), self.now());
             }
             self.members[who].look = look;
         }
     }
 
-    fn seen(&mut self, who: usize, look: &Look, changed: bool) -> Option<Seen> {
+    fn seen(&mut self, who: usize, look: &Look, changed: bool) -> Option<Observation> {
         for name in look.totals.keys() {
             if !self.workloads.contains(name) {
                 self.workloads.push(name.clone());
             }
         }
-        let total = |name: &String| look.totals.get(name).copied().unwrap_or_else(Total::default);
-        Some(Seen {
-            stand: self.members[who].stand(&self.plan.change, &look.standing, changed)?,
+        let total = |name: &String| look.totals.get(name).copied().unwrap_or_else(TaskTotals::default);
+        Some(Observation {
+            settings: self.members[who].stand(&self.plan.change, &look.standing, changed)?,
             ready: look.standing.ready,
             process: look.standing.began_ms,
             totals: self.workloads.iter().map(total).collect(),
@@ -422,7 +426,7 @@
     fn act(&mut self) -> Result<(), String> {
         loop {
             let mut orders = Vec::new();
-            while let Some(order) = self.rolling.decide(self.now()) {
+            while let Some(order) = self.rolling.next_order(self.now()) {
                 orders.push(order);
             }
             self.tell()?;
@@ -440,7 +444,7 @@
                 let outcome = match outcome {
                     Ok(outcome) => outcome,
                     Err(outrun) => {
-                        self.rolling.outrun(outrun);
+                        self.rolling.supersede(outrun);
                         return self.tell();
                     }
                 };
@@ -453,7 +457,7 @@
                     Order::Change(who) => Step::Changed { who: self.name(who), outcome: said },
                     Order::Undo(who) => Step::Undone { who: self.name(who), outcome: said },
                 })?;
-                self.rolling.did(order, outcome, self.now());
+                self.rolling.record_outcome(order, outcome, self.now());
             }
         }
     }
@@ -589,21 +593,21 @@
             State::Planned | State::Done => (None, None),
         };
         let schedulers = self.members.iter().enumerate().map(|(who, member)| {
-            let seen = member.look.as_ref().filter(|_| self.rolling.seen(who).is_some());
+            let seen = member.look.as_ref().filter(|_| self.rolling.last_observation(who).is_some());
             let stand =
                 seen.and_then(|look| member.stand(&self.plan.change, &look.standing, changed.contains(&who)));
             let state = match stand {
                 None => "silent",
-                Some(Stand::Old) => "old",
-                Some(Stand::New) => "new",
-                Some(Stand::Other) => "by hand",
+                Some(SettingsVersion::Old) => "old",
+                Some(SettingsVersion::New) => "new",
+                Some(SettingsVersion::Other) => "by hand",
             };
             json!({
                 "name": member.is.name,
                 "settings": seen.map(|look| look.standing.settings.clone()),
                 "program": seen.and_then(|look| look.standing.program.clone()),
                 "state": state,
-                "trouble": self.rolling.trouble(who),
+                "trouble": self.rolling.last_error(who),
             })
         });
         json!({
@@ -613,7 +617,7 @@
             "stage": stage,
             "stages": self.stages.len(),
             "why": why,
-            "harm": self.rolling.harm().map(|harm| json!({"share": harm.share, "spread": harm.spread, "tasks": harm.tasks})),
+            "harm": self.rolling.harm().map(|harm| json!({"share": harm.share, "spread": harm.std_dev, "tasks": harm.tasks})),
             "schedulers": schedulers.collect::<Vec<_>>(),
         })
     }
@@ -643,7 +647,7 @@
             }
             State::Stuck(why, left) => {
                 let mut lines = vec![format!("{run}: {}; not undone: {}", self.why(why), self.names(left))];
-                let trouble = left.iter().filter_map(|&who| Some((who, self.rolling.trouble(who)?)));
+                let trouble = left.iter().filter_map(|&who| Some((who, self.rolling.last_error(who)?)));
                 lines.extend(trouble.map(|(who, why)| format!("{}: {why}", self.name(who))));
                 Err(Wrong { code: 3, lines })
             }
--- a/crates/scheduler/src/rollout/looking.rs
+++ b/crates/scheduler/src/rollout/looking.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::time::Duration;
 use tindock_berth::plan::{Managed, Way};
-use tindock_rollout::Total;
+use tindock_rollout::TaskTotals;
 
 /// An answer is owed in one second.
 const ANSWER: Duration = Duration::from_secs(1);
@@ -42,7 +42,7 @@
     pub standing: Standing,
     /// What its keeper tells, where it has one.
     pub kept: Option<Kept>,
-    pub totals: BTreeMap<String, Total>,
+    pub totals: BTreeMap<String, TaskTotals>,
 }
 
 /// What a keeper tells of one of its schedulers.
@@ -113,7 +113,7 @@
     let standing = standing(at)?;
     let text = asked(at, "telemetry", ANSWER)?;
     let figures: Figures = serde_json::from_str(&text).map_err(|e| format!("its figures: {e}"))?;
-    let mut totals: BTreeMap<String, Total> = BTreeMap::new();
+    let mut totals: BTreeMap<String, TaskTotals> = BTreeMap::new();
     for (name, count) in figures.served {
         totals.entry(name).or_default().finished = count;
     }
