--- a/crates/roster/src/guard.rs
+++ b/crates/roster/src/guard.rs
@@ -1,62 +1,63 @@
-//! Whether a new reading of the inventory's files is let through: one that would take out many workers may be a file
-//! that was cut, or a folder half copied, and is held back until it is confirmed.
+//! Decides whether a new state of the inventory files is accepted. One that would remove many workers may be
+//! a truncated file or a partly copied folder, and is held back until confirmed.
 
 use std::time::Duration;
 
-/// A reading, against the one in force.
+/// A state of the inventory files, compared with the one in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reading {
-    /// Names what the whole reading says; readings that say the same have the same.
+pub struct Snapshot {
+    /// Identifies the contents; equal contents have equal digests.
     pub digest: u64,
-    /// Workers that are given tasks by the list in force, and how many of them would not be any more.
+    /// Workers that receive tasks under the list in force, and how many of them no longer would.
     pub ready: usize,
-    pub taken_out: usize,
+    pub removed: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Put it in force.
-    Take,
-    /// Keep the one in force; the first time that this reading is held back, and what would let it through by itself.
+    Accept,
+    /// Keep the one in force. `first` is set when this snapshot is held back for the first time; it is
+    /// accepted without confirmation at `until`.
     Hold { first: bool, until: Duration },
 }
 
 pub struct Guard {
-    /// A reading that takes out more than this share is held back.
-    share: f64,
-    /// It is let through once it was the newest for so long.
+    /// A snapshot that removes more than this share is held back.
+    max_removed_share: f64,
+    /// It is accepted once it has been the newest for this long.
     confirm_after: Duration,
     held: Option<(u64, Duration)>,
 }
 
 impl Guard {
-    pub fn new(share: f64, confirm_after: Duration) -> Self {
-        Guard { share, confirm_after, held: None }
+    pub fn new(max_removed_share: f64, confirm_after: Duration) -> Self {
+        Guard { max_removed_share, confirm_after, held: None }
     }
 
-    /// A whole reading; the same may be offered again and again.
-    pub fn offered(&mut self, now: Duration, reading: Reading, accepted: Option<u64>) -> Verdict {
-        // One worker may always go: of a fleet of three it is a third.
-        let most = ((reading.ready as f64 * self.share) as usize).max(1);
-        if reading.taken_out <= most || accepted == Some(reading.digest) {
+    /// Checks a complete snapshot; the same one may be checked repeatedly.
+    pub fn check(&mut self, now: Duration, snapshot: Snapshot, accepted: Option<u64>) -> Verdict {
+        // One worker may always be removed: of a fleet of three it is a third.
+        let max_removed = ((snapshot.ready as f64 * self.max_removed_share) as usize).max(1);
+        if snapshot.removed <= max_removed || accepted == Some(snapshot.digest) {
             self.held = None;
-            return Verdict::Take;
+            return Verdict::Accept;
         }
         let (first, since) = match self.held {
-            Some((digest, since)) if digest == reading.digest => (false, since),
+            Some((digest, since)) if digest == snapshot.digest => (false, since),
             _ => (true, now),
         };
-        self.held = Some((reading.digest, since));
+        self.held = Some((snapshot.digest, since));
         let until = since + self.confirm_after;
         if !first && now >= until {
             self.held = None;
-            return Verdict::Take;
+            return Verdict::Accept;
         }
         Verdict::Hold { first, until }
     }
 
-    /// No reading can be had, or it will not do: what was held back was not the last word.
-    pub fn nothing(&mut self) {
+    /// The files cannot be read or are invalid, so the snapshot held back was not final.
+    pub fn reset(&mut self) {
         self.held = None;
     }
 }
--- a/crates/roster/src/health.rs
+++ b/crates/roster/src/health.rs
@@ -1,25 +1,27 @@
-//! Who of the files' workers is alive: each is looked at now and then, and left out after several bad looks on end.
+//! Health checks of the workers listed in files: each is checked periodically and excluded after several
+//! failed checks in a row.
 //!
-//! States: unknown (not looked at yet), up, suspect (some bad looks, still used), down. Hysteresis on both sides; looks
-//! are spread by a jitter, and their rate is bounded whatever the fleet's size. Once more than a stated share is not
-//! up, nobody more is left out: then the looking itself, or something that all share, is in doubt, and sending to a
-//! worker that may be dead costs less than sending to none.
+//! States: unknown (not checked yet), up, suspect (some checks failed, still used) and down. There is
+//! hysteresis in both directions. Checks are spread by jitter, and their rate is bounded for any fleet size.
+//! If more than a configured share is down, no worker is excluded: then the checks themselves or something
+//! shared by all workers is in doubt, and sending to a worker that may be dead costs less than sending to
+//! none.
 
 use oorandom::Rand64;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-/// Looks a second at the most, over the whole fleet: 10,000 workers are then seen every 20 s.
-pub const MOST_A_SECOND: u32 = 500;
-/// Looks under way at the most: each takes a descriptor.
-pub const MOST_UNDER_WAY: usize = 32;
-/// How far a pause may be off, so that schedulers which started together do not look together.
+/// Checks per second at most, over the whole fleet: 10,000 workers are then checked every 20 s.
+pub const MAX_CHECKS_PER_SECOND: u32 = 500;
+/// Concurrent checks at most: each takes a file descriptor.
+pub const MAX_CONCURRENT_CHECKS: usize = 32;
+/// Relative deviation of the interval, so that schedulers that started together do not check together.
 const JITTER: f64 = 0.2;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
-    pub every: Duration,
+pub struct HealthSettings {
+    pub interval: Duration,
     pub down_after: u32,
     pub up_after: u32,
     /// From 0 to 1.
@@ -35,116 +37,117 @@
 }
 
 #[derive(Debug)]
-struct Patient {
+struct Target {
     number: u64,
     state: State,
-    /// Looks on end that contradict the state.
-    against: u32,
-    under_way: bool,
-    left_out: bool,
-    /// As it was told last.
-    told_out: bool,
+    /// Checks in a row that contradict the state.
+    contradictions: u32,
+    in_flight: bool,
+    excluded: bool,
+    /// The exclusion last returned by `next_change`.
+    reported_out: bool,
 }
 
-pub struct Health {
-    terms: Terms,
-    chance: Rand64,
-    patients: BTreeMap<String, Patient>,
-    /// When each is to be looked at; entries of who was dropped are skipped by their number.
-    turns: BinaryHeap<Reverse<(Duration, u64, String)>>,
+pub struct HealthChecker {
+    settings: HealthSettings,
+    rng: Rand64,
+    targets: BTreeMap<String, Target>,
+    /// When each worker is due; entries of removed workers are skipped by their number.
+    queue: BinaryHeap<Reverse<(Duration, u64, String)>>,
     next_number: u64,
-    /// No look before then.
+    /// No check before this time.
     not_before: Duration,
-    under_way: usize,
+    in_flight: usize,
     down: usize,
-    /// More than the stated share is not up.
-    pub panics: bool,
-    /// Whose being left out changed.
+    /// More than `panic_share` of the workers are down.
+    pub panic_mode: bool,
+    /// Workers whose exclusion changed.
     changed: Vec<String>,
 }
 
-impl Health {
-    pub fn new(terms: Terms, seed: u64) -> Self {
-        Health {
-            terms,
-            chance: Rand64::new(u128::from(seed)),
-            patients: BTreeMap::new(),
-            turns: BinaryHeap::new(),
+impl HealthChecker {
+    pub fn new(settings: HealthSettings, seed: u64) -> Self {
+        HealthChecker {
+            settings,
+            rng: Rand64::new(u128::from(seed)),
+            targets: BTreeMap::new(),
+            queue: BinaryHeap::new(),
             next_number: 0,
             not_before: Duration::ZERO,
-            under_way: 0,
+            in_flight: 0,
             down: 0,
-            panics: false,
+            panic_mode: false,
             changed: Vec::new(),
         }
     }
 
-    /// A worker is to be looked at from now on, or at another place: what was known of it counts for nothing.
-    pub fn admit(&mut self, now: Duration, name: &str) {
-        self.dismiss(name);
+    /// Adds a worker, or resets one whose address changed: earlier results are discarded.
+    pub fn add(&mut self, now: Duration, name: &str) {
+        self.remove(name);
         let number = self.next_number;
         self.next_number += 1;
-        let (state, against) = (State::Unknown, 0);
-        let (under_way, left_out, told_out) = (false, false, false);
-        self.patients.insert(name.into(), Patient { number, state, against, under_way, left_out, told_out });
-        // A fleet that is read at once is looked at over one round.
-        let at = now + self.terms.every.mul_f64(self.chance.rand_float() * JITTER);
-        self.turns.push(Reverse((at, number, name.into())));
-        self.judge_all();
+        let (state, contradictions) = (State::Unknown, 0);
+        let (in_flight, excluded, reported_out) = (false, false, false);
+        self.targets
+            .insert(name.into(), Target { number, state, contradictions, in_flight, excluded, reported_out });
+        // Checks of a fleet that is loaded at once are spread out.
+        let at = now + self.settings.interval.mul_f64(self.rng.rand_float() * JITTER);
+        self.queue.push(Reverse((at, number, name.into())));
+        self.update_panic_mode();
     }
 
-    pub fn dismiss(&mut self, name: &str) {
-        if let Some(patient) = self.patients.remove(name) {
-            self.under_way -= usize::from(patient.under_way);
-            self.down -= usize::from(patient.state == State::Down);
-            self.judge_all();
+    pub fn remove(&mut self, name: &str) {
+        if let Some(target) = self.targets.remove(name) {
+            self.in_flight -= usize::from(target.in_flight);
+            self.down -= usize::from(target.state == State::Down);
+            self.update_panic_mode();
         }
     }
 
-    /// Whom to look at now.
-    pub fn look(&mut self, now: Duration) -> Option<(String, u64)> {
-        while now >= self.not_before && self.under_way < MOST_UNDER_WAY {
-            if self.turns.peek()?.0 .0 > now {
+    /// The next worker to check now.
+    pub fn next_check(&mut self, now: Duration) -> Option<(String, u64)> {
+        while now >= self.not_before && self.in_flight < MAX_CONCURRENT_CHECKS {
+            if self.queue.peek()?.0 .0 > now {
                 return None;
             }
-            let Reverse((_, number, name)) = self.turns.pop()?;
-            let Some(patient) = self.patients.get_mut(&name).filter(|p| p.number == number) else { continue };
-            patient.under_way = true;
-            self.under_way += 1;
-            self.not_before = self.not_before.max(now) + Duration::from_secs(1) / MOST_A_SECOND;
+            let Reverse((_, number, name)) = self.queue.pop()?;
+            let Some(target) = self.targets.get_mut(&name).filter(|t| t.number == number) else { continue };
+            target.in_flight = true;
+            self.in_flight += 1;
+            self.not_before = self.not_before.max(now) + Duration::from_secs(1) / MAX_CHECKS_PER_SECOND;
             return Some((name, number));
         }
         None
     }
 
-    /// When there may be somebody to look at.
-    pub fn due(&self) -> Duration {
-        match self.turns.peek() {
-            Some(Reverse((at, ..))) if self.under_way < MOST_UNDER_WAY => (*at).max(self.not_before),
+    /// When the next check may be due.
+    pub fn next_due(&self) -> Duration {
+        match self.queue.peek() {
+            Some(Reverse((at, ..))) if self.in_flight < MAX_CONCURRENT_CHECKS => (*at).max(self.not_before),
             _ => Duration::MAX,
         }
     }
 
-    /// It could not be looked at: that says nothing of it.
-    pub fn passed_over(&mut self, now: Duration, name: &str, number: u64) {
-        if let Some(patient) = self.patients.get_mut(name).filter(|p| p.number == number) {
-            self.under_way -= usize::from(std::mem::take(&mut patient.under_way));
-            self.turns.push(Reverse((now + self.terms.every, number, name.into())));
+    /// The check could not be made, which says nothing about the worker.
+    pub fn skip_check(&mut self, now: Duration, name: &str, number: u64) {
+        if let Some(target) = self.targets.get_mut(name).filter(|t| t.number == number) {
+            self.in_flight -= usize::from(std::mem::take(&mut target.in_flight));
+            self.queue.push(Reverse((now + self.settings.interval, number, name.into())));
         }
     }
 
-    /// What came of a look.
-    pub fn looked(&mut self, now: Duration, name: &str, number: u64, well: bool) {
-        let Some(patient) = self.patients.get_mut(name).filter(|p| p.number == number) else { return };
-        self.under_way -= usize::from(std::mem::take(&mut patient.under_way));
-        let was = patient.state;
-        let agrees = matches!((was, well), (State::Up, true) | (State::Down, false));
-        patient.against = if agrees { 0 } else { patient.against + 1 };
-        patient.state = match (was, well) {
+    /// Records the result of a check.
+    pub fn record_check(&mut self, now: Duration, name: &str, number: u64, healthy: bool) {
+        let Some(target) = self.targets.get_mut(name).filter(|t| t.number == number) else { return };
+        self.in_flight -= usize::from(std::mem::take(&mut target.in_flight));
+        let was = target.state;
+        let agrees = matches!((was, healthy), (State::Up, true) | (State::Down, false));
+        target.contradictions = if agrees { 0 } else { target.contradictions + 1 };
+        target.state = match (was, healthy) {
             (State::Unknown, true) | (State::Suspect, true) | (State::Up, true) => State::Up,
-            (State::Down, true) if patient.against >= self.terms.up_after => State::Up,
+            (State::Down, true) if target.contradictions >= self.settings.up_after => State::Up,
             (State::Unknown | State::Up | State::Suspect, false) => {
-                if patient.against >= self.terms.down_after {
+                if target.contradictions >= self.settings.down_after {
                     State::Down
                 } else if was == State::Unknown {
                     State::Unknown
@@ -154,70 +157,71 @@
             }
             (State::Down, _) => State::Down,
         };
-        if patient.state != was && !matches!((was, patient.state), (State::Up, State::Suspect)) {
-            patient.against = 0;
+        if target.state != was && !matches!((was, target.state), (State::Up, State::Suspect)) {
+            target.contradictions = 0;
         }
-        match (was, patient.state) {
+        match (was, target.state) {
             (State::Down, State::Up) => self.down -= 1,
             (before, State::Down) if before != State::Down => self.down += 1,
             _ => {}
         }
-        let pause = self.terms.every.mul_f64(1.0 + JITTER * (self.chance.rand_float() - 0.5));
-        // Who changes is looked at again sooner: three bad looks should not take three whole rounds.
-        let hurried = patient.against > 0;
-        let at = now + if hurried { pause / 4 } else { pause };
-        self.turns.push(Reverse((at, number, name.into())));
-        self.judge(name);
-        self.judge_all();
+        let pause = self.settings.interval.mul_f64(1.0 + JITTER * (self.rng.rand_float() - 0.5));
+        // Repeats a contradicting check sooner, so that a change of state does not take three full intervals.
+        let retry_soon = target.contradictions > 0;
+        let at = now + if retry_soon { pause / 4 } else { pause };
+        self.queue.push(Reverse((at, number, name.into())));
+        self.update_exclusion(name);
+        self.update_panic_mode();
     }
 
-    fn judge(&mut self, name: &str) {
-        let panics = self.panics;
-        if let Some(patient) = self.patients.get_mut(name) {
-            let out = match patient.state {
-                State::Down => patient.left_out || !panics,
+    fn update_exclusion(&mut self, name: &str) {
+        let panic_mode = self.panic_mode;
+        if let Some(target) = self.targets.get_mut(name) {
+            let out = match target.state {
+                State::Down => target.excluded || !panic_mode,
                 _ => false,
             };
-            if out != patient.left_out {
-                patient.left_out = out;
+            if out != target.excluded {
+                target.excluded = out;
                 self.changed.push(name.into());
             }
         }
     }
 
-    /// The share of who is down decides whether anybody more is left out; once it has fallen, all who are down are.
-    fn judge_all(&mut self) {
-        let share = self.down as f64 / self.patients.len().max(1) as f64;
-        let before = std::mem::replace(&mut self.panics, share > self.terms.panic_share);
-        if before != self.panics {
-            let down = self.patients.iter().filter(|(_, p)| p.state == State::Down);
+    /// While the share of workers that are down is too high, no worker is excluded; once it has fallen, all
+    /// that are down are.
+    fn update_panic_mode(&mut self) {
+        let share = self.down as f64 / self.targets.len().max(1) as f64;
+        let before = std::mem::replace(&mut self.panic_mode, share > self.settings.panic_share);
+        if before != self.panic_mode {
+            let down = self.targets.iter().filter(|(_, t)| t.state == State::Down);
             let names: Vec<String> = down.map(|(name, _)| name.clone()).collect();
-            if self.panics {
-                // In doubt about the looking, those left out already are let in again too.
+            if self.panic_mode {
+                // The checks are in doubt, so workers already excluded are used again, too.
                 for name in names {
-                    if let Some(patient) = self.patients.get_mut(&name).filter(|p| p.left_out) {
-                        patient.left_out = false;
+                    if let Some(target) = self.targets.get_mut(&name).filter(|t| t.excluded) {
+                        target.excluded = false;
                         self.changed.push(name);
                     }
                 }
             } else {
-                names.iter().for_each(|name| self.judge(name));
+                names.iter().for_each(|name| self.update_exclusion(name));
             }
         }
     }
 
-    /// The next worker whose being left out changed, and whether it is.
-    pub fn change(&mut self) -> Option<(String, bool)> {
+    /// The next worker whose exclusion changed, and whether it is excluded.
+    pub fn next_change(&mut self) -> Option<(String, bool)> {
         loop {
             let name = self.changed.pop()?;
-            if let Some(patient) = self.patients.get_mut(&name).filter(|p| p.left_out != p.told_out) {
-                patient.told_out = patient.left_out;
-                return Some((name, patient.left_out));
+            if let Some(target) = self.targets.get_mut(&name).filter(|t| t.excluded != t.reported_out) {
+                target.reported_out = target.excluded;
+                return Some((name, target.excluded));
             }
         }
     }
 
     pub fn state(&self, name: &str) -> Option<State> {
-        self.patients.get(name).map(|patient| patient.state)
+        self.targets.get(name).map(|target| target.state)
     }
 }
--- a/crates/scheduler/src/exchange.rs
+++ b/crates/scheduler/src/exchange.rs
@@ -21,7 +21,7 @@
 use tindock::terms::{Condition, Decision, DutySheet};
 use tindock_berth::listing::{Entry, Listing};
 use tindock_berth::Words;
-use tindock_roster::vouching::Vouching;
+use tindock_roster::suspicion::Suspicion;
 use tindock_words::{Address, Names};
 use tokio::sync::{mpsc, oneshot, Notify};
 
@@ -113,7 +113,7 @@
 struct State {
     rules: Rules,
     rows: Rows,
-    vouching: Vouching,
+    vouching: Suspicion,
     hands: Vec<Hand>,
     places: HashMap<Rc<str>, usize>,
     lives: u64,
@@ -153,7 +153,7 @@
         let state = State {
             rules,
             rows,
-            vouching: Vouching::new(now()),
+            vouching: Suspicion::new(now()),
             hands: Vec::new(),
             places: HashMap::new(),
             lives: 0,
@@ -343,10 +343,10 @@
     /// Where no list can be had, what the worker itself shows decides whether it is left out.
     fn sign(&self, state: &mut State, place: usize, number: usize, close: Close) {
         let (now, worker) = ((self.now)(), state.hands[place].outs[number].worker);
-        if !close.is_sign_of_leaving() || state.vouching.leaves_out(now, worker) {
+        if !close.is_sign_of_leaving() || state.vouching.is_suspected(now, worker) {
             return;
         }
-        if let Some(until) = state.vouching.sign(now, worker) {
+        if let Some(until) = state.vouching.report_sign(now, worker) {
             let most = (until - now).as_secs_f64();
             info!(
                 self.log,
@@ -364,13 +364,13 @@
             let worker = hand.outs[ticket.number].worker;
             let listed = &state.workers[worker];
             let ready = listed.entry.condition == Condition::Ready && !listed.banned;
-            hand.answer.is_some() && ready && !state.vouching.leaves_out((self.now)(), worker)
+            hand.answer.is_some() && ready && !state.vouching.is_suspected((self.now)(), worker)
         }
     }
 
     /// Whether a sign that a worker gives weighs more than the list by now.
     pub fn list_is_old(&self) -> bool {
-        self.state.borrow().vouching.is_old((self.now)())
+        self.state.borrow().vouching.is_stale((self.now)())
     }
 
     pub fn address(&self, worker: usize) -> SocketAddr {
@@ -405,7 +405,7 @@
     pub fn list(&self, listing: Listing) {
         let names_nobody = !listing.whole && listing.entries.is_empty();
         let now = (self.now)();
-        let let_in: Vec<usize> = self.state.borrow_mut().vouching.confirmed(now).collect();
+        let let_in: Vec<usize> = self.state.borrow_mut().vouching.list_confirmed(now).collect();
         if names_nobody && let_in.is_empty() {
             return;
         }
@@ -426,7 +426,7 @@
 
     /// There is no discovery that could be out: signs of workers are the module's alone.
     pub fn without_discovery(&self) {
-        self.state.borrow_mut().vouching.always_fresh();
+        self.state.borrow_mut().vouching.set_always_fresh();
     }
 
     pub fn address_of(&self, name: &str) -> Option<SocketAddr> {
--- a/crates/scheduler/src/list/discovery.rs
+++ b/crates/scheduler/src/list/discovery.rs
@@ -1,4 +1,4 @@
-//! Keeps the list of workers: carries out what `Asking` decides, on connections to the discovery agent.
+//! Keeps the list of workers: carries out what `ListClient` decides, on connections to the discovery agent.
 
 use crate::exchange::Exchange;
 use crate::list::muster::Muster;
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tindock_berth::listing::Listing;
-use tindock_roster::asking::{Asking, Step, Verdict};
+use tindock_roster::list_client::{ListClient, Step, Verdict};
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
@@ -31,7 +31,7 @@
     pub muster: Rc<Muster>,
     /// Where it is; another address may come at any time.
     pub address: watch::Receiver<SocketAddr>,
-    pub asking: Asking,
+    pub asking: ListClient,
     pub log: Logger,
 }
 
@@ -79,9 +79,9 @@
         let mut place = self.address.clone();
         let mut address = *place.borrow_and_update();
         loop {
-            while let Some(step) = self.asking.step(self.exchange.now()) {
+            while let Some(step) = self.asking.next_step(self.exchange.now()) {
                 match step {
-                    Step::Dial { line } => {
+                    Step::Connect { connection: line } => {
                         let (wire, tell) = (self.wire.clone(), tell.clone());
                         let (calls, asked) = mpsc::unbounded_channel();
                         let task = tokio::task::spawn_local(async move {
@@ -91,7 +91,7 @@
                         });
                         lines.insert(line, Line { calls, task });
                     }
-                    Step::Ask { line, after, wait } => {
+                    Step::Query { connection: line, after, wait } => {
                         let target = match after {
                             Some(index) => format!("/v1/servers?after={index}&wait_ms={}", wait.as_millis()),
                             None => "/v1/servers".into(),
@@ -99,14 +99,14 @@
                         // One that is gone has told so, or will.
                         lines.get(&line).into_iter().for_each(|l| drop(l.calls.send(target.clone())));
                     }
-                    Step::Close { line } => {
+                    Step::Close { connection: line } => {
                         if lines.remove(&line).is_some() && self.asking.failures() > 0 {
                             self.tell(&mut outage, "nothing in time");
                         }
                     }
                 }
             }
-            let due = self.exchange.until(self.asking.due());
+            let due = self.exchange.until(self.asking.next_due());
             tokio::select! {
                 Some((line, came)) = told.recv() => {
                     // What a closed connection had still to tell counts for nothing.
@@ -116,7 +116,7 @@
                 }
                 Ok(()) = place.changed() => {
                     address = *place.borrow_and_update();
-                    self.asking.moved();
+                    self.asking.relocated();
                 }
                 () = tokio::time::sleep(due) => {}
             }
@@ -128,7 +128,7 @@
         let now = self.exchange.now();
         let why = match came {
             Came::Up => {
-                self.asking.dialled(line);
+                self.asking.connected(line);
                 return true;
             }
             Came::Nothing(why) => why,
@@ -140,15 +140,15 @@
                 Err(why) => format!("a list that will not do: {why}"),
             },
         };
-        self.asking.failed(now, line);
+        self.asking.on_failure(now, line);
         self.tell(outage, &why);
         false
     }
 
     fn judge(&mut self, line: u64, listing: Listing, outage: &mut Option<Outage>) {
         let (index, whole) = (listing.index, listing.whole);
-        match self.asking.answered(self.exchange.now(), line, index, whole) {
-            Verdict::Take => {
+        match self.asking.on_response(self.exchange.now(), line, index, whole) {
+            Verdict::Accept => {
                 if let Some(over) = outage.take() {
                     let (out, calls) = (over.began.elapsed().as_secs_f64(), over.calls);
                     info!(self.log, "discovery is back after {out:.2} s, {calls} calls came to nothing");
--- a/crates/scheduler/src/list/muster.rs
+++ b/crates/scheduler/src/list/muster.rs
@@ -11,8 +11,8 @@
 use tindock_berth::listing::{self, Entry, Listing};
 use tindock_berth::Words;
 use tindock_inventory::State;
-use tindock_roster::health::Health;
-use tindock_roster::merging::Merging;
+use tindock_roster::health::HealthChecker;
+use tindock_roster::merge::WorkerListMerge;
 use tokio::sync::{mpsc, Notify};
 
 /// Lines handed to the exchange in one go: so few that no task waits for a long list.
@@ -22,8 +22,8 @@
 
 /// Where the list is kept in files.
 struct Files {
-    merging: RefCell<Merging<Entry>>,
-    health: Option<RefCell<Health>>,
+    merging: RefCell<WorkerListMerge<Entry>>,
+    health: Option<RefCell<HealthChecker>>,
     /// There may be somebody to look at.
     looks: Notify,
 }
@@ -42,8 +42,13 @@
         Rc::new(Muster { exchange, words: RefCell::new(words), files: None, handed_on: Cell::new(0), log })
     }
 
-    pub fn with_files(exchange: Rc<Exchange>, words: Words, health: Option<Health>, log: Logger) -> Rc<Self> {
-        let merging = RefCell::new(Merging::new(|one: &Entry, other| one.address == other.address));
+    pub fn with_files(
+        exchange: Rc<Exchange>,
+        words: Words,
+        health: Option<HealthChecker>,
+        log: Logger,
+    ) -> Rc<Self> {
+        let merging = RefCell::new(WorkerListMerge::new(|one: &Entry, other| one.address == other.address));
         let files = Some(Files { merging, health: health.map(RefCell::new), looks: Notify::new() });
         Rc::new(Muster { exchange, words: RefCell::new(words), files, handed_on: Cell::new(0), log })
     }
@@ -68,11 +73,11 @@
         let Some(files) = &self.files else { return self.exchange.list(listing) };
         let mut merging = files.merging.borrow_mut();
         if listing.whole {
-            merging.told_whole();
+            merging.begin_full_list();
         }
         for entry in listing.entries {
             let (name, condition) = (entry.name.clone(), entry.condition);
-            merging.told(&name, plain(entry), condition);
+            merging.set_discovery_entry(&name, plain(entry), condition);
         }
         drop(merging);
         self.exchange.list(Listing { index: listing.index, whole: false, entries: Vec::new() });
@@ -107,11 +112,11 @@
             });
             if let Some(health) = &files.health {
                 match &member {
-                    Some(_) => health.borrow_mut().admit(self.exchange.now(), &name),
-                    None => health.borrow_mut().dismiss(&name),
+                    Some(_) => health.borrow_mut().add(self.exchange.now(), &name),
+                    None => health.borrow_mut().remove(&name),
                 }
             }
-            files.merging.borrow_mut().filed(&name, member);
+            files.merging.borrow_mut().set_file_entry(&name, member);
             if number % SLICE == SLICE - 1 {
                 self.hand_on();
                 // Tasks go first: a list of thousands comes in beside them.
@@ -130,9 +135,9 @@
         let mut merging = files.merging.borrow_mut();
         let mut entries = Vec::new();
         while entries.len() < SLICE {
-            let Some(line) = merging.line() else { break };
+            let Some(line) = merging.next_update() else { break };
             // Guards against pushing over a worker that came back to life: it counts as one that starts now.
-            let booted_ms = if line.returns { Some(unix_ms()) } else { line.member.booted_ms };
+            let booted_ms = if line.revived { Some(unix_ms()) } else { line.member.booted_ms };
             entries.push(Entry { condition: line.condition, booted_ms, ..line.member });
         }
         drop(merging);
@@ -147,10 +152,10 @@
     /// Workers that drain are gone with their last task.
     fn tend(&self) {
         let Some(files) = &self.files else { return };
-        let ending: Vec<String> = files.merging.borrow().ending().map(String::from).collect();
+        let ending: Vec<String> = files.merging.borrow().unlisted_draining().map(String::from).collect();
         for name in ending {
             if !self.exchange.is_busy(&name) {
-                files.merging.borrow_mut().idle(&name);
+                files.merging.borrow_mut().mark_idle(&name);
             }
         }
         while self.hand_on() {}
@@ -170,16 +175,16 @@
         };
         loop {
             let now = self.exchange.now();
-            let turn = health.borrow_mut().look(now);
+            let turn = health.borrow_mut().next_check(now);
             if let Some((name, number)) = turn {
                 if let Some(address) = self.exchange.address_of(&name) {
                     return (name, number, address);
                 }
                 // Not on the list yet.
-                health.borrow_mut().passed_over(now, &name, number);
+                health.borrow_mut().skip_check(now, &name, number);
                 continue;
             }
-            let due = health.borrow().due();
+            let due = health.borrow().next_due();
             tokio::select! {
                 () = tokio::time::sleep(self.exchange.until(due)) => {}
                 () = looks.notified() => {}
@@ -190,19 +195,19 @@
     pub fn looked(&self, name: &str, number: u64, well: bool) {
         let Some(Files { health: Some(health), merging, looks }) = &self.files else { return };
         let mut health = health.borrow_mut();
-        let panicked = health.panics;
-        health.looked(self.exchange.now(), name, number, well);
-        if health.panics != panicked {
-            let what = match health.panics {
+        let panicked = health.panic_mode;
+        health.record_check(self.exchange.now(), name, number, well);
+        if health.panic_mode != panicked {
+            let what = match health.panic_mode {
                 true => "too many workers are down to be believed: none is left out",
                 false => "enough workers are up again: those that are down are left out",
             };
             warn!(self.log, "{what}");
         }
-        while let Some((name, down)) = health.change() {
+        while let Some((name, down)) = health.next_change() {
             let what = if down { "down: left out" } else { "back: takes part again" };
             info!(self.log, "worker {name} is {what}");
-            merging.borrow_mut().health(&name, down);
+            merging.borrow_mut().set_down(&name, down);
         }
         drop(health);
         while self.hand_on() {}
--- a/crates/scheduler/src/list/stocking.rs
+++ b/crates/scheduler/src/list/stocking.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 use tindock_berth::{Problem, Stock};
 use tindock_inventory::{diff, write, Change, Columns, Entry, Inventory, State, Written};
-use tindock_roster::guard::{Guard, Reading, Verdict};
+use tindock_roster::guard::{Guard, Snapshot, Verdict};
 use tokio::sync::mpsc::Sender;
 
 /// How often the files are looked at. Two looks that agree say that the writing is over: that is seen within 0.4 s.
@@ -153,22 +153,22 @@
             Change::Added(_) => false,
         };
         let reading =
-            Reading { digest: inventory.digest(), ready, taken_out: changes.iter().filter(out).count() };
-        match self.guard.offered(now, reading, self.accepted()) {
+            Snapshot { digest: inventory.digest(), ready, removed: changes.iter().filter(out).count() };
+        match self.guard.check(now, reading, self.accepted()) {
             Verdict::Hold { first, until } => {
                 self.read = Some((marks, now));
                 self.held = Some((reading.digest, until));
                 if !first {
                     return Vec::new();
                 }
-                let (gone, wait) = (reading.taken_out, (until - now).as_secs_f64());
+                let (gone, wait) = (reading.removed, (until - now).as_secs_f64());
                 vec![Told::Problem(format!(
                     "held back: it would take out {gone} of {ready} workers; in force after {wait:.0} s if it \
                      stays so, or at once by `tindock inventory accept` ({:016x})",
                     reading.digest
                 ))]
             }
-            Verdict::Take => {
+            Verdict::Accept => {
                 self.read = Some((marks, now));
                 self.held = None;
                 self.told.clear();
@@ -208,7 +208,7 @@
 
     /// A problem is told once, until another takes its place. At the start, the list that was last good is taken.
     fn problem(&mut self, problems: &[Problem]) -> Vec<Told> {
-        self.guard.nothing();
+        self.guard.reset();
         self.held = None;
         let mut lines: Vec<String> = problems.iter().take(MOST_TOLD).map(Problem::to_string).collect();
         if problems.len() > MOST_TOLD {
--- a/crates/scheduler/src/start.rs
+++ b/crates/scheduler/src/start.rs
@@ -30,8 +30,8 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use tindock::rules::Rules;
-use tindock_roster::asking::{Asking, Service, LONG_WATCH};
-use tindock_roster::health::{Health, Terms};
+use tindock_roster::health::{HealthChecker, HealthSettings};
+use tindock_roster::list_client::{ListClient, Service, LONG_WAIT};
 use tokio::net::{TcpListener, TcpSocket, UdpSocket, UnixStream};
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::{mpsc, watch, Notify};
@@ -123,7 +123,10 @@
             let terms = stock.health.clone();
             let health = terms.as_ref().map(|h| {
                 let (down_after, up_after, panic_share) = (h.down_after, h.up_after, h.panic_share);
-                Health::new(Terms { every: h.every, down_after, up_after, panic_share }, berth.seed)
+                HealthChecker::new(
+                    HealthSettings { interval: h.every, down_after, up_after, panic_share },
+                    berth.seed,
+                )
             });
             let muster = Muster::with_files(exchange.clone(), berth.words.clone(), health, part("inventory"));
             if let Some(terms) = terms {
@@ -147,7 +150,7 @@
             let (tell, address) = watch::channel(at);
             moved = Some(tell);
             // It is an agent on the own machine, whatever the settings say of the service behind it.
-            let asking = Asking::new(Service::Agent { watch: LONG_WATCH }, index, berth.seed);
+            let asking = ListClient::new(Service::Agent { max_wait: LONG_WAIT }, index, berth.seed);
             let log = part("discovery");
             let discovery = Discovery {
                 exchange: exchange.clone(),
--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tindock::rules::Rules;
 use tindock::terms::Effect;
-use tindock_roster::asking::{Asking, Service, SHORT_WATCH};
+use tindock_roster::list_client::{ListClient, Service, SHORT_WAIT};
 use tindock_scheduler::berth::Words;
 use tindock_scheduler::clock::Clock;
 use tindock_scheduler::exchange::Exchange;
@@ -152,7 +152,7 @@
         let now = Box::new(move || clock.now());
         let (exchange, _orders) = Exchange::new(rules, hard, clock, now, log.clone());
         let (address, place) = watch::channel(([127, 0, 0, 1], 1).into());
-        let asking = Asking::new(Service::Agent { watch: SHORT_WATCH }, None, 7);
+        let asking = ListClient::new(Service::Agent { max_wait: SHORT_WAIT }, None, 7);
         let wire = Rc::new(Script(agent.clone()));
         let muster = Muster::of_discovery(exchange.clone(), Words::default(), log.clone());
         let client = Discovery { exchange: exchange.clone(), wire, muster, address: place, asking, log };
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tindock::rules::Rules;
 use tindock::terms::{Condition, Decision, Ending, News, Site};
-use tindock_roster::asking::{Asking, Service, Step};
+use tindock_roster::list_client::{ListClient, Service, Step};
 use tindock_words::{self as words, Names, Telling, Word};
 
 const BATCH_HEADER: usize = 20;
@@ -22,7 +22,7 @@
 struct Instance {
     rules: Rules,
     /// Where the list must be asked for.
-    asking: Option<Asking>,
+    asking: Option<ListClient>,
     /// The call for it that was made last, and the bell asked for on its behalf.
     call: u64,
     asks_at: Option<Duration>,
@@ -71,7 +71,7 @@
         let whole = match frame.u8(at + 2)? {
             1 => {
                 if let Some(asking) = &mut self.asking {
-                    asking.failed(now, self.call);
+                    asking.on_failure(now, self.call);
                 }
                 return Ok(());
             }
@@ -84,7 +84,7 @@
         if frame.u8(at + 2)? != 0 {
             let index = frame.u64(at + 3)?;
             if let Some(asking) = &mut self.asking {
-                asking.answered(now, self.call, index, whole);
+                asking.on_response(now, self.call, index, whole);
             }
         }
         self.rules.list_begins(whole);
@@ -211,19 +211,19 @@
     /// Subscribes to the list when it is time to; there is no connection to be kept for it here.
     fn ask(&mut self, reply: &mut Reply, now: Duration) {
         let Some(asking) = &mut self.asking else { return };
-        while let Some(step) = asking.step(now) {
+        while let Some(step) = asking.next_step(now) {
             match step {
-                Step::Dial { line } => {
+                Step::Connect { connection: line } => {
                     self.call = line;
-                    asking.dialled(line);
+                    asking.connected(line);
                 }
-                Step::Ask { .. } => {
+                Step::Query { .. } => {
                     reply.record(1110).raw(&[1]);
                 }
                 Step::Close { .. } => {}
             }
         }
-        let due = asking.due();
+        let due = asking.next_due();
         if due < Duration::MAX && self.asks_at.is_none_or(|at| due < at) {
             self.asks_at = Some(due);
             reply.record(1090).f64(due.saturating_sub(now).as_secs_f64()).u64(LIST_BELL);
@@ -310,7 +310,9 @@
             let seed = frame.u64(at + 2)?;
             let asking = match sheet.news {
                 News::Pushed => None,
-                News::Asked { within } => Some(Asking::new(Service::Shared { within }, Some(0), !seed)),
+                News::Asked { within } => {
+                    Some(ListClient::new(Service::Shared { max_staleness: within }, Some(0), !seed))
+                }
             };
             let instance = Instance {
                 workloads: sheet.workloads.len(),
