--- a/crates/house/src/client.rs
+++ b/crates/house/src/client.rs
@@ -118,7 +118,7 @@
     fn from(conclusion: Conclusion) -> Final {
         match conclusion {
             Conclusion::Refused(refusal) => Final::Refused(refusal),
-            Conclusion::Unknown { late } => Final::Unknown { late },
+            Conclusion::Unknown { timed_out: late } => Final::Unknown { late },
         }
     }
 }
--- a/crates/upstream/src/attempt.rs
+++ b/crates/upstream/src/attempt.rs
@@ -1,14 +1,15 @@
-//! The state of one attempt of a client, as types: only a state in which the request has run nowhere, or may run more
-//! than once, yields a [`SendPermit`], and only the first of these yields a [`Refusal`] (429, 503).
+//! The state of one client attempt, encoded in types. Only a state in which no worker has run the request, or
+//! in which it may run more than once, yields a [`SendPermit`]; only the former yields a [`Refusal`] (429,
+//! 503).
 //!
 //! ```text
-//!  Attempt(Unsent) --permit--> SendPermit --first byte--> InFlight --whole answer--> the client's answer
+//!  Attempt(Unsent) --permit--> SendPermit --first byte--> InFlight --full answer--->  the client's answer
 //!        ^                        |                          |--- proof ----------> Attempt(NotRun)
 //!        `------- unused ---------'                          `--- anything else --> Attempt(MayHaveRun)
 //! ```
 //!
-//! None of these types can be copied or made from outside, so a state that has been left can't be used again. A second
-//! send of one permit doesn't compile:
+//! These types can be neither copied nor constructed elsewhere, so a state that has been left cannot be
+//! reused. Using one permit for two sends does not compile:
 //!
 //! ```compile_fail,E0382
 //! use tindock_upstream::{Attempt, Repeatability};
@@ -17,7 +18,7 @@
 //! let second = permit.sent();
 //! ```
 //!
-//! Neither does a promise about a request that is in flight, nor one out of thin air:
+//! Neither does refusing a request that is in flight, nor constructing a refusal directly:
 //!
 //! ```compile_fail,E0599
 //! use tindock_upstream::{Attempt, Repeatability};
@@ -29,10 +30,10 @@
 //! ```compile_fail,E0451
 //! use tindock_upstream::Refusal;
 //! use std::time::Duration;
-//! let promise = Refusal { after: Duration::ZERO };
+//! let refusal = Refusal { after: Duration::ZERO };
 //! ```
 //!
-//! And no proof that a worker has not run it:
+//! Nor constructing a proof that a worker has not run it:
 //!
 //! ```compile_fail,E0423
 //! use tindock_upstream::{Attempt, NotExecuted, Repeatability};
@@ -40,8 +41,8 @@
 //! permit.sent().not_executed(NotExecuted(()));
 //! ```
 
+use crate::defects::{injected, Defect};
 use crate::exchange::{NotExecuted, WorkerAnswer};
-use crate::planted::{planted, Defect};
 use std::time::Duration;
 
 /// Whether a route's requests may run more than once.
@@ -51,18 +52,18 @@
     NonIdempotent,
 }
 
-/// What is known of the runs of a request that is not in flight.
+/// What is known about the execution of a request that is not in flight.
 #[derive(Debug, PartialEq, Eq)]
 enum State {
-    /// No byte of it has gone to a worker.
+    /// No byte of it was sent to a worker.
     Unsent,
-    /// Each worker that it was sent to has proven that it did not run it and will not.
+    /// Each worker that received it has proven that it did not run it and will not.
     NotRun,
-    /// A worker that it was sent to has proven nothing.
+    /// Some worker that received it may have run it.
     MayHaveRun,
 }
 
-/// An attempt of a client between two sends.
+/// A client attempt between two sends.
 #[derive(Debug)]
 pub struct Attempt {
     state: State,
@@ -71,31 +72,31 @@
     max_workers: usize,
 }
 
-/// Permission for one send, used up by it.
+/// Permission for exactly one send.
 #[derive(Debug)]
 pub struct SendPermit(Attempt);
 
-/// The request is at a worker, in part or in whole, and no answer has come.
+/// The request was sent, in part or in full, and no answer has arrived.
 #[derive(Debug)]
 pub struct InFlight(Attempt);
 
-/// The promise that a request has not run and never will; worth another try after a while.
+/// States that the request has not run and never will, so that the client may retry after a while.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Refusal {
     after: Duration,
 }
 
-/// How an attempt without a worker's answer ends.
+/// How an attempt ends without an answer from a worker.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Conclusion {
-    /// 503, a promise.
+    /// 503: the request has not run.
     Refused(Refusal),
-    /// 502, or 504 where its time is up: no promise.
-    Unknown { late: bool },
+    /// 502, or 504 after the deadline: the request may have run.
+    Unknown { timed_out: bool },
 }
 
-/// Statuses that promise that a request has not run.
-fn is_promise(status: u16) -> bool {
+/// Statuses which state that a request has not run.
+fn claims_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
@@ -105,51 +106,51 @@
         Attempt { state: State::Unsent, repeatability, workers_reached: 0, max_workers: max_workers.max(1) }
     }
 
-    /// Workers that have received the request, or a part of it.
+    /// Workers that have received at least a part of the request.
     pub fn workers_reached(&self) -> usize {
         self.workers_reached
     }
 
-    /// The only way to a send. The attempt comes back where another is not allowed.
+    /// The only way to send. Returns the attempt if no further send is allowed.
     pub fn permit(self) -> Result<SendPermit, Attempt> {
         let may_run = match self.state {
             State::Unsent | State::NotRun => true,
             State::MayHaveRun => {
-                self.repeatability == Repeatability::Idempotent || planted(Defect::SecondSend)
+                self.repeatability == Repeatability::Idempotent || injected(Defect::RepeatedSend)
             }
         };
-        let within = self.workers_reached < self.max_workers || planted(Defect::WorkersUncounted);
-        if may_run && within {
+        let workers_left = self.workers_reached < self.max_workers || injected(Defect::WorkersNotCounted);
+        if may_run && workers_left {
             Ok(SendPermit(self))
         } else {
             Err(self)
         }
     }
 
-    /// The only way to a promise, for an attempt that is given up.
-    pub fn conclude(self, after: Duration, late: bool) -> Conclusion {
+    /// The only way to refuse: ends an attempt that is given up.
+    pub fn conclude(self, after: Duration, timed_out: bool) -> Conclusion {
         match self.state {
             State::Unsent | State::NotRun => Conclusion::Refused(Refusal { after }),
-            State::MayHaveRun if planted(Defect::PromiseAfterSend) => Conclusion::Refused(Refusal { after }),
-            State::MayHaveRun => Conclusion::Unknown { late },
+            State::MayHaveRun if injected(Defect::RefusalAfterSend) => Conclusion::Refused(Refusal { after }),
+            State::MayHaveRun => Conclusion::Unknown { timed_out },
         }
     }
 }
 
 impl SendPermit {
-    /// A connection that may have carried this request before must not carry it again: a copy of the first refusal,
-    /// late, could not be told from the refusal of the second send.
+    /// Whether the send needs a connection that has not carried this request before: a late copy of the first
+    /// refusal could not be distinguished from a refusal of the second send.
     pub fn needs_unused_connection(&self) -> bool {
-        let again = self.0.workers_reached > 0 && self.0.repeatability == Repeatability::NonIdempotent;
-        again && !planted(Defect::SameConnection)
+        let is_retry = self.0.workers_reached > 0 && self.0.repeatability == Repeatability::NonIdempotent;
+        is_retry && !injected(Defect::ConnectionReusedForRetry)
     }
 
-    /// Not one byte was written: the attempt stands where it stood.
+    /// Nothing was written, so the attempt is unchanged.
     pub fn unused(self) -> Attempt {
         self.0
     }
 
-    /// To be called before the first byte is written.
+    /// Must be called before the first byte is written.
     pub fn sent(self) -> InFlight {
         let mut attempt = self.0;
         attempt.workers_reached += 1;
@@ -158,7 +159,7 @@
 }
 
 impl InFlight {
-    /// The worker has proven that it did not run it. What another worker did before stays unknown.
+    /// The worker has proven that it did not run the request. Whether an earlier worker did remains unknown.
     pub fn not_executed(self, _proof: NotExecuted) -> Attempt {
         let mut attempt = self.0;
         if attempt.state == State::Unsent {
@@ -167,20 +168,20 @@
         attempt
     }
 
-    /// A reset, a close, silence, or bytes that are no answer.
+    /// The connection was reset or closed, timed out, or returned an invalid answer.
     pub fn lost(self) -> Attempt {
         let mut attempt = self.0;
         attempt.state = State::MayHaveRun;
         attempt
     }
 
-    /// A whole answer of the worker: for the client, unless a repeatable request may do better elsewhere, or its status
-    /// is a promise that the worker has not made.
+    /// A complete answer from the worker. It is for the client, unless an idempotent request may succeed
+    /// elsewhere or its status would state that the request has not run, which the worker did not prove.
     pub fn answered(self, answer: Box<WorkerAnswer>) -> Result<Box<WorkerAnswer>, Attempt> {
-        let promise = is_promise(answer.head.status);
-        let failed = promise || answer.head.status >= 500;
-        let handed_on = !failed || (self.0.repeatability == Repeatability::NonIdempotent && !promise);
-        if handed_on {
+        let claims_not_run = claims_not_run(answer.head.status);
+        let failed = claims_not_run || answer.head.status >= 500;
+        let for_client = !failed || (self.0.repeatability == Repeatability::NonIdempotent && !claims_not_run);
+        if for_client {
             Ok(answer)
         } else {
             Err(self.lost())
--- a/crates/upstream/src/exchange.rs
+++ b/crates/upstream/src/exchange.rs
@@ -1,64 +1,65 @@
-//! The answer to one request on one upstream connection: which of the bytes that come are it, and what they prove.
+//! Reads the answer to one request on one upstream connection: which received bytes belong to it, and what
+//! they prove.
 //!
-//! Bytes are the answer only if they are whole, in the protocol, and carry the request's `Attempt-Id`. An answer with
-//! another id is a surplus one and is passed over, with its connection given up afterwards.
+//! Bytes count as the answer only if they form a complete, valid message with the request's `Attempt-Id`. An
+//! answer with another id is surplus: it is skipped, and the connection is not reused afterwards.
 
-use crate::planted::{planted, Defect};
+use crate::defects::{injected, Defect};
 use crate::pool::Connection;
 use std::time::Duration;
 use tindock_folio::{answer_head, AnswerHead, Body, Framing, Read};
 
-/// The largest head and body of an answer; what is longer can't be handed on.
+/// The largest head and body of an answer; larger ones cannot be forwarded.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 const MAX_BODY_BYTES: usize = 16 << 20;
-/// Surplus answers that are passed over on one connection.
+/// Surplus answers skipped on one connection.
 const MAX_SURPLUS: usize = 3;
 const BUFFER_BYTES: usize = 4096;
 
-/// A whole answer of a worker.
+/// A complete answer from a worker.
 #[derive(Debug)]
 pub struct WorkerAnswer {
     pub head: AnswerHead,
     pub body: Vec<u8>,
 }
 
-/// Proof that a worker has not run a request and will not; made by [`Exchange`] alone.
+/// Proof that a worker has not run a request and will not; created only by [`Exchange`].
 #[derive(Debug)]
 pub struct NotExecuted(pub(crate) ());
 
-/// What the bytes that came mean for the request.
+/// What the received bytes mean for the request.
 #[derive(Debug)]
 pub enum Verdict {
-    /// A whole answer with the request's id.
+    /// A complete answer with the request's id.
     Answer(Box<WorkerAnswer>),
-    /// Turned away, worth another try after so long.
+    /// Refused without running it; may be retried after `after`.
     NotExecuted { proof: NotExecuted, after: Option<Duration> },
     /// Another instance has the address.
     Misdirected { proof: NotExecuted },
-    /// Nothing can be known from them.
+    /// Nothing is known about the request.
     Lost,
 }
 
-/// The end of an exchange.
+/// The result of an exchange.
 #[derive(Debug)]
 pub struct Reply {
     pub verdict: Verdict,
-    /// The connection may carry another request; for this long where the worker stated it.
+    /// Whether the connection may carry another request, and for how long if the worker stated it.
     pub reusable: bool,
     pub keep_alive: Option<Duration>,
 }
 
 impl Reply {
-    /// Nothing is known, and the connection is not to be used again.
+    /// Nothing is known, and the connection must not be reused.
     pub fn lost() -> Reply {
         Reply { verdict: Verdict::Lost, reusable: false, keep_alive: None }
     }
 }
 
-/// Where the reading of an answer stands.
+/// Progress of reading an answer.
 #[derive(Debug)]
 pub enum Step {
-    /// More bytes are to be read into [`Exchange::buffer`].
+    /// More bytes must be read into [`Exchange::buffer`].
     NeedsBytes,
     Done(Reply),
 }
@@ -71,46 +72,48 @@
 /// Reads the answer to one request.
 pub struct Exchange<'a> {
     attempt_id: &'a str,
-    to_head: bool,
+    is_head: bool,
     first_on_connection: bool,
-    surplus_is_clear: bool,
+    surplus_length_known: bool,
     surplus: usize,
     buffer: Vec<u8>,
     phase: Phase,
 }
 
 impl<'a> Exchange<'a> {
-    /// For the request that `connection` is about to carry, and notes there that it does.
+    /// Starts the exchange for the request that `connection` is about to carry, and records the request
+    /// there.
     pub fn new<T>(connection: &mut Connection<T>, attempt_id: &'a str, is_head: bool) -> Self {
         let first_on_connection = connection.is_unused();
-        connection.carries(is_head);
+        connection.record_request(is_head);
         Exchange {
             attempt_id,
-            to_head: is_head,
+            is_head,
             first_on_connection,
-            surplus_is_clear: !connection.has_carried_head() || planted(Defect::HeadSurplus),
+            surplus_length_known: !connection.has_carried_head()
+                || injected(Defect::SurplusAfterHeadAccepted),
             surplus: 0,
             buffer: Vec::with_capacity(BUFFER_BYTES),
             phase: Phase::Head,
         }
     }
 
-    /// Where bytes of the connection are appended before the next [`Exchange::advance`].
+    /// Received bytes are appended here before the next [`Exchange::advance`].
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.buffer
     }
 
-    /// Takes the bytes in the buffer.
+    /// Processes the bytes in the buffer.
     pub fn advance(&mut self) -> Step {
         loop {
             let phase = std::mem::replace(&mut self.phase, Phase::Head);
             let (head, mut body) = match phase {
-                Phase::Head => match answer_head(&self.buffer, MAX_HEAD_BYTES, self.to_head) {
+                Phase::Head => match answer_head(&self.buffer, MAX_HEAD_BYTES, self.is_head) {
                     Read::Partial => return Step::NeedsBytes,
                     Read::Bad(_) => return Step::Done(Reply::lost()),
                     Read::Done { value, used } => {
                         self.buffer.drain(..used);
-                        if ends_unclearly(&value) {
+                        if has_ambiguous_end(&value) {
                             return Step::Done(Reply::lost());
                         }
                         let body = Body::new(value.framing, MAX_BODY_BYTES);
@@ -128,7 +131,7 @@
                 }
                 Read::Done { used, .. } => {
                     self.buffer.drain(..used);
-                    if let Some(reply) = self.whole(head, body.bytes()) {
+                    if let Some(reply) = self.complete_message(head, body.bytes()) {
                         return Step::Done(reply);
                     }
                 }
@@ -136,8 +139,8 @@
         }
     }
 
-    /// The worker has closed its side in order. Only a refusal without a stated length still counts: its head is whole,
-    /// and nothing of its body is handed on.
+    /// The worker closed the connection in an orderly way. Only a refusal without a stated length still
+    /// counts, as its head is complete and its body is not forwarded.
     pub fn closed(&mut self) -> Reply {
         let Phase::Body(head, mut body) = std::mem::replace(&mut self.phase, Phase::Head) else {
             return Reply::lost();
@@ -145,47 +148,47 @@
         if !body.ended() {
             return Reply::lost();
         }
-        self.whole(head, body.bytes()).unwrap_or_else(Reply::lost)
+        self.complete_message(head, body.bytes()).unwrap_or_else(Reply::lost)
     }
 
-    /// A message is whole; None if it is a surplus one.
-    fn whole(&mut self, head: Box<AnswerHead>, body: Vec<u8>) -> Option<Reply> {
-        let own = match head.attempt_id.as_deref() {
-            Some(id) => id == self.attempt_id || planted(Defect::IdNotCompared),
-            // A refusal before the id was read; on a connection that has carried nothing else it can be for this
-            // request alone.
+    /// A message is complete; returns None if it is surplus.
+    fn complete_message(&mut self, head: Box<AnswerHead>, body: Vec<u8>) -> Option<Reply> {
+        let matches = match head.attempt_id.as_deref() {
+            Some(id) => id == self.attempt_id || injected(Defect::AttemptIdNotCompared),
+            // A refusal sent before the worker read the id. On a connection that has carried nothing else it
+            // can only be for this request.
             None => {
-                let for_this = self.first_on_connection && self.surplus == 0;
-                if !is_refusal(&head) || !(for_this || planted(Defect::RefusalWithoutId)) {
+                let only_request = self.first_on_connection && self.surplus == 0;
+                if !is_refusal(&head) || !(only_request || injected(Defect::RefusalWithoutIdAccepted)) {
                     return Some(Reply::lost());
                 }
                 let reply = Reply { verdict: verdict(head, body), reusable: false, keep_alive: None };
                 return Some(reply);
             }
         };
-        if !own {
+        if !matches {
             self.surplus += 1;
-            let passed_over = self.surplus <= MAX_SURPLUS && self.surplus_is_clear;
-            return (!passed_over).then(Reply::lost);
+            let skipped = self.surplus <= MAX_SURPLUS && self.surplus_length_known;
+            return (!skipped).then(Reply::lost);
         }
-        let clean = self.buffer.is_empty() && self.surplus == 0;
-        let reusable = clean && !head.close;
+        let nothing_left = self.buffer.is_empty() && self.surplus == 0;
+        let reusable = nothing_left && !head.close;
         let keep_alive = head.keep_alive_ms.map(Duration::from_millis);
         Some(Reply { verdict: verdict(head, body), reusable, keep_alive })
     }
 }
 
-/// Whether the head states that its request was not run: with the mark, or by its status.
+/// Whether the head states that the request was not run, by its header or its status.
 fn is_refusal(head: &AnswerHead) -> bool {
     head.status == 421 || (head.status >= 400 && head.not_executed)
 }
 
-/// Where the end of the connection is the end of the body, an answer that was cut short looks like a whole one.
-fn ends_unclearly(head: &AnswerHead) -> bool {
-    head.framing == Framing::UntilClose && !is_refusal(head) && !planted(Defect::CutTakenAsWhole)
+/// If the body ends with the connection, a truncated answer cannot be distinguished from a complete one.
+fn has_ambiguous_end(head: &AnswerHead) -> bool {
+    head.framing == Framing::UntilClose && !is_refusal(head) && !injected(Defect::TruncatedTakenAsComplete)
 }
 
-/// What a whole message says of the request.
+/// What a complete message says about the request.
 fn verdict(head: Box<AnswerHead>, body: Vec<u8>) -> Verdict {
     match head.status {
         421 => Verdict::Misdirected { proof: NotExecuted(()) },
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,10 +1,10 @@
-//! What a proxy may do with one attempt of a client, without I/O: which states allow another send or a promise
-//! ([`attempt`]), which bytes of an upstream connection are the answer ([`exchange`]), and which connections are used
-//! again ([`pool`]). The proxy carries bytes between these and its sockets.
+//! What a proxy may do with one attempt of a client: which states allow another send or a refusal
+//! ([`attempt`]), which bytes of an upstream connection are the answer ([`exchange`]), and which connections
+//! are reused ([`pool`]). Performs no I/O: the proxy moves bytes between these types and its sockets.
 
 pub mod attempt;
+pub mod defects;
 pub mod exchange;
-pub mod planted;
 pub mod pool;
 
 pub use attempt::{Attempt, Conclusion, InFlight, Refusal, Repeatability, SendPermit};
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -1,9 +1,9 @@
-//! Idle upstream connections by instance, and what each has carried.
+//! Idle upstream connections by instance, and which requests each has carried.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// An upstream connection of any transport, with what it has carried so far.
+/// An upstream connection of any transport, with a record of the requests it has carried.
 #[derive(Debug)]
 pub struct Connection<T> {
     pub transport: T,
@@ -12,23 +12,23 @@
 }
 
 impl<T> Connection<T> {
-    /// One that has carried nothing.
+    /// A connection that has carried nothing.
     pub fn new(transport: T) -> Self {
         Connection { transport, requests: 0, carried_head: false }
     }
 
-    /// No request has gone out on it, so nothing that comes can belong to another request.
+    /// Whether no request was sent on it, so that incoming bytes cannot belong to another request.
     pub fn is_unused(&self) -> bool {
         self.requests == 0
     }
 
-    /// A request goes out on it now.
-    pub fn carries(&mut self, is_head: bool) {
+    /// Records that a request is about to be sent on it.
+    pub fn record_request(&mut self, is_head: bool) {
         self.requests = self.requests.saturating_add(1);
         self.carried_head |= is_head;
     }
 
-    /// Whether it has carried a HEAD: the length of a surplus answer is then unclear.
+    /// Whether it has carried a HEAD request: the length of a surplus answer is then ambiguous.
     pub fn has_carried_head(&self) -> bool {
         self.carried_head
     }
@@ -39,31 +39,32 @@
     until: Duration,
 }
 
-/// Idle connections, bounded over all instances.
+/// Idle connections, limited in total over all instances.
 pub struct Pool<T> {
     idle: HashMap<String, Vec<Idle<T>>>,
     count: usize,
-    most: usize,
+    max_idle: usize,
 }
 
 impl<T> Pool<T> {
-    pub fn new(most: usize) -> Self {
-        Pool { idle: HashMap::new(), count: 0, most }
+    pub fn new(max_idle: usize) -> Self {
+        Pool { idle: HashMap::new(), count: 0, max_idle }
     }
 
-    /// Keeps a connection until then; drops it where there are too many.
+    /// Keeps a connection until the given time; drops it if the pool is full.
     pub fn keep(&mut self, instance: &str, connection: Connection<T>, until: Duration) {
-        if self.count < self.most {
+        if self.count < self.max_idle {
             self.count += 1;
             self.idle.entry(instance.to_string()).or_default().push(Idle { connection, until });
         }
     }
 
-    /// The connection used last that is in time and `is_quiet`: nothing to read, not ended. Others are dropped on the
-    /// way. With `unused_only`, those that have carried a request stay where they are.
+    /// Takes the most recently used connection that has not expired and `is_quiet`: nothing to read and not
+    /// closed. Others met on the way are dropped. With `unused_only`, connections that have carried a request
+    /// are left in the pool.
     ///
-    /// Quietness saves sends that would be lost; no rule hangs on it, since a process that was frozen may take a
-    /// connection for quiet that isn't.
+    /// The check only avoids sends that would be lost. No guarantee depends on it, since a process that was
+    /// suspended may see a connection as quiet that is not.
     pub fn take(
         &mut self,
         instance: &str,
@@ -87,12 +88,12 @@
         None
     }
 
-    /// The instance has ended, or its address is another's.
+    /// The instance has ended, or its address now belongs to another one.
     pub fn forget(&mut self, instance: &str) {
         self.count -= self.idle.remove(instance).map_or(0, |idle| idle.len());
     }
 
-    /// Drops what is too old.
+    /// Drops expired connections.
     pub fn sweep(&mut self, now: Duration) {
         self.idle.retain(|_, idle| {
             idle.retain(|idle| idle.until > now);
--- a/crates/upstream/tests/exchange.rs
+++ b/crates/upstream/tests/exchange.rs
@@ -1,4 +1,5 @@
-//! Which bytes are the answer: whole, cut at each byte, in pieces, of another request, and what they prove.
+//! Which bytes count as the answer: complete, truncated at each byte, in pieces, for another request, and
+//! what they prove.
 
 use rstest::rstest;
 use std::time::Duration;
@@ -6,11 +7,11 @@
 
 const ID: &str = "a1";
 
-/// What the bytes come to on a connection that has carried those requests before (`h` a HEAD, `g` another).
-fn reply(before: &str, to_head: bool, bytes: &[u8], piece: usize, closes: bool) -> Option<Reply> {
+/// The reply on a connection that has carried the given requests before (`h` is a HEAD, `g` another one).
+fn reply(before: &str, is_head: bool, bytes: &[u8], piece: usize, closes: bool) -> Option<Reply> {
     let mut connection = Connection::new(());
-    before.bytes().for_each(|method| connection.carries(method == b'h'));
-    let mut exchange = Exchange::new(&mut connection, ID, to_head);
+    before.bytes().for_each(|method| connection.record_request(method == b'h'));
+    let mut exchange = Exchange::new(&mut connection, ID, is_head);
     for part in bytes.chunks(piece.max(1)) {
         exchange.buffer().extend_from_slice(part);
         if let Step::Done(reply) = exchange.advance() {
@@ -20,8 +21,9 @@
     closes.then(|| exchange.closed())
 }
 
-/// `answer STATUS BODY`, `refused`, `misdirected`, `lost` or `waits`, with `kept` where the connection stays good.
-fn said(reply: Option<Reply>) -> String {
+/// `answer STATUS BODY`, `refused`, `misdirected`, `lost` or `waits`, with `kept` if the connection can be
+/// reused.
+fn describe(reply: Option<Reply>) -> String {
     let Some(reply) = reply else { return "waits".into() };
     let verdict = match reply.verdict {
         Verdict::Answer(answer) => {
@@ -53,19 +55,19 @@
 #[case(CHUNKED, "answer 200 hello, kept")]
 #[case(INTERIM, "answer 200 hello, kept")]
 #[case(SURPLUS, "answer 200 hello")]
-fn an_answer_cut_anywhere_is_none(#[case] text: &str, #[case] whole: &str) {
+fn a_truncated_answer_is_never_accepted(#[case] text: &str, #[case] complete: &str) {
     for piece in [1, 2, 7, text.len()] {
-        assert_eq!(said(reply("g", false, text.as_bytes(), piece, false)), whole);
+        assert_eq!(describe(reply("g", false, text.as_bytes(), piece, false)), complete);
     }
     for cut in 0..text.len() {
         let part = &text.as_bytes()[..cut];
-        assert_eq!(said(reply("g", false, part, 3, false)), "waits", "cut at {cut}");
-        assert_eq!(said(reply("g", false, part, 3, true)), "lost", "cut at {cut}, closed");
+        assert_eq!(describe(reply("g", false, part, 3, false)), "waits", "cut at {cut}");
+        assert_eq!(describe(reply("g", false, part, 3, true)), "lost", "cut at {cut}, closed");
     }
 }
 
 #[rstest]
-// No body, whatever its length says.
+// No body, whatever the stated length.
 #[case(
     "",
     true,
@@ -79,14 +81,14 @@
     "304 N\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: 5\r\n\r\n",
     "answer 304 , kept"
 )]
-// More than a whole answer: the rest belongs to no request.
+// More bytes than the answer: the rest belongs to no request.
 #[case(
     "",
     false,
     "200 OK\r\nAttempt-Id: a1\r\nServer-Seal: s\r\nContent-Length: 2\r\n\r\nhello",
     "answer 200 he"
 )]
-// A success that is not the worker's, or whose end nobody can see.
+// A success that is not sealed by the worker, or whose end cannot be detected.
 #[case("", false, "200 OK\r\nAttempt-Id: a1\r\nContent-Length: 0\r\n\r\n", "lost, kept")]
 #[case(
     "",
@@ -99,7 +101,7 @@
 #[case("", false, "200 OK\r\nServer-Seal: s\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", "lost")]
 #[case("", false, "200 OK\r\nAttempt-Id: z\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n", "lost")]
 #[case("", false, "101 Up\r\nAttempt-Id: a1\r\n\r\n", "lost")]
-// Failures of the worker are its answers; a promise is one only with the mark.
+// Failures of the worker are its answers; they prove that it did not run only with the header.
 #[case(
     "",
     false,
@@ -118,34 +120,46 @@
 #[case("", false, "503 No\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", "refused")]
 #[case("g", false, "503 No\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", "lost")]
 #[case("g", false, "421 No\r\nContent-Length: 0\r\n\r\n", "lost")]
-// Where a HEAD was carried, nobody knows where a surplus answer ends.
-#[case("h", false, "200 OK\r\nAttempt-Id: z\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\nHTTP/1.1 421 No\r\nAttempt-Id: a1\r\nContent-Length: 0\r\n\r\n", "lost")]
-#[case("g", true, "200 OK\r\nAttempt-Id: z\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nHTTP/1.1 421 No\r\nAttempt-Id: a1\r\nContent-Length: 0\r\n\r\n", "lost")]
-fn one_answer_and_what_it_proves(
+// After a HEAD request the end of a surplus answer is unknown.
+#[case(
+    "h",
+    false,
+    "200 OK\r\nAttempt-Id: z\r\nServer-Seal: s\r\nContent-Length: 0\r\n\r\n\
+    HTTP/1.1 421 No\r\nAttempt-Id: a1\r\nContent-Length: 0\r\n\r\n",
+    "lost"
+)]
+#[case(
+    "g",
+    true,
+    "200 OK\r\nAttempt-Id: z\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\n\
+    HTTP/1.1 421 No\r\nAttempt-Id: a1\r\nContent-Length: 0\r\n\r\n",
+    "lost"
+)]
+fn a_reply_proves_only_what_its_bytes_state(
     #[case] before: &str,
-    #[case] to_head: bool,
+    #[case] is_head: bool,
     #[case] text: &str,
     #[case] expected: &str,
 ) {
     let text = format!("HTTP/1.1 {text}");
-    assert_eq!(said(reply(before, to_head, text.as_bytes(), text.len(), true)), expected);
+    assert_eq!(describe(reply(before, is_head, text.as_bytes(), text.len(), true)), expected);
 }
 
 #[test]
-fn no_more_than_three_surplus_answers_are_passed_over() {
+fn at_most_three_surplus_answers_are_skipped() {
     let old = "HTTP/1.1 200 OK\r\nAttempt-Id: z\r\nContent-Length: 0\r\n\r\n";
-    for (times, expected) in [(3, "answer 200 hello"), (4, "lost")] {
-        let text = format!("{}{OK}", old.repeat(times));
-        assert_eq!(said(reply("g", false, text.as_bytes(), 9, false)), expected);
+    for (count, expected) in [(3, "answer 200 hello"), (4, "lost")] {
+        let text = format!("{}{OK}", old.repeat(count));
+        assert_eq!(describe(reply("g", false, text.as_bytes(), 9, false)), expected);
     }
 }
 
 #[test]
-fn a_pool_hands_out_what_is_quiet_in_time_and_unused_where_asked() {
+fn the_pool_returns_only_quiet_unexpired_and_if_requested_unused_connections() {
     let (second, mut pool) = (Duration::from_secs(1), Pool::new(3));
     let connection = |n: u32, requests: u32| {
         let mut connection = Connection::new(n);
-        (0..requests).for_each(|_| connection.carries(false));
+        (0..requests).for_each(|_| connection.record_request(false));
         connection
     };
     pool.keep("i", connection(1, 0), 2 * second);
--- a/crates/upstream/tests/model/worker.rs
+++ b/crates/upstream/tests/model/worker.rs
@@ -1,59 +1,62 @@
-//! What workers do with a request: the answers that the rules know, and the ones that workers in trouble give.
+//! Behaviour of workers: valid answers, and those that faulty workers give.
 
 use super::*;
 
-/// What comes of one request: bytes in pieces with pauses before them, and perhaps the end of the connection.
+/// The response to one request: pieces of bytes with a delay before each, and possibly the end of the
+/// connection.
 #[derive(Default)]
-struct Act {
+struct Response {
     pieces: Vec<(Duration, Vec<u8>)>,
-    /// By a reset, or in order.
-    ends: Option<bool>,
+    /// By a reset (true) or in an orderly way.
+    ending: Option<bool>,
     runs: bool,
 }
 
 impl World {
-    /// Bytes of the proxy arrive.
-    pub(super) fn arrives_at_worker(&mut self, line: usize, bytes: &[u8]) {
-        self.lines[line].received.extend_from_slice(bytes);
+    /// Processes bytes from the proxy.
+    pub(super) fn on_bytes_at_worker(&mut self, conn: usize, bytes: &[u8]) {
+        self.connections[conn].received.extend_from_slice(bytes);
         loop {
-            let received = &self.lines[line].received;
+            let received = &self.connections[conn].received;
             let Read::Done { value: head, used } = request_head(received, 1 << 16) else { return };
             let mut body = Body::new(head.framing, 1 << 16);
             let Read::Done { used: more, .. } = body.push(&received[used..]) else { return };
-            self.lines[line].received.drain(..used + more);
-            // Most drop what they had when the connection has closed.
-            if self.lines[line].worker_ended || (self.lines[line].proxy_closed && self.below(4) > 0) {
+            self.connections[conn].received.drain(..used + more);
+            // Most workers drop unprocessed requests of a closed connection.
+            if self.connections[conn].worker_ended
+                || (self.connections[conn].proxy_closed && self.below(4) > 0)
+            {
                 continue;
             }
-            self.serve(line, &head, &body.bytes());
+            self.serve(conn, &head, &body.bytes());
         }
     }
 
-    fn serve(&mut self, line: usize, head: &RequestHead, body: &[u8]) {
+    fn serve(&mut self, conn: usize, head: &RequestHead, body: &[u8]) {
         let id = head.attempt_id.clone().unwrap_or_default();
         let expected = if head.method == "POST" { request_body(&id) } else { Vec::new() };
         if head.target != target(&id) || body != expected {
-            self.find(Rule::Unasked, format!("{id} was changed on its way"));
+            self.report(Rule::UnknownRequest, format!("{id} was changed on its way"));
         }
-        let act = self.act(line, &id, head.method == "HEAD");
-        if act.runs {
+        let response = self.response(conn, &id, head.method == "HEAD");
+        if response.runs {
             *self.runs.entry(id.clone()).or_default() += 1;
         }
-        self.lines[line].carried.push(id);
-        for (pause, piece) in act.pieces {
-            let comes = self.lines[line].last_to_proxy.max(self.now) + pause;
-            self.lines[line].last_to_proxy = comes;
-            self.at(comes, Event::ToProxy { connection: line, bytes: piece });
+        self.connections[conn].carried.push(id);
+        for (pause, piece) in response.pieces {
+            let arrival = self.connections[conn].last_to_proxy.max(self.now) + pause;
+            self.connections[conn].last_to_proxy = arrival;
+            self.at(arrival, Event::ToProxy { connection: conn, bytes: piece });
         }
-        if let Some(reset) = act.ends {
-            self.lines[line].worker_ended = true;
-            let comes = self.lines[line].last_to_proxy.max(self.now);
-            self.at(comes, Event::Ended { connection: line, reset });
+        if let Some(reset) = response.ending {
+            self.connections[conn].worker_ended = true;
+            let arrival = self.connections[conn].last_to_proxy.max(self.now);
+            self.at(arrival, Event::Ended { connection: conn, reset });
         }
     }
 
-    /// An answer, written down as made for this id.
-    fn make(&mut self, id: &str, status: u16, sealed: bool, to_head: bool) -> Vec<u8> {
+    /// Makes an answer and records it for this id.
+    fn make(&mut self, id: &str, status: u16, sealed: bool, is_head: bool) -> Vec<u8> {
         let number = self.made.get(id).map_or(0, Vec::len);
         let seal = sealed.then(|| format!("seal.{id}.{number}"));
         let body = format!("made for {id}, {number}, {}", "x".repeat(self.below(40))).into_bytes();
@@ -61,7 +64,7 @@
         if let Some(seal) = &seal {
             text.extend(format!("Server-Seal: {seal}\r\n").into_bytes());
         }
-        if !to_head && self.below(3) == 0 {
+        if !is_head && self.below(3) == 0 {
             text.extend(b"Transfer-Encoding: chunked\r\n\r\n");
             for chunk in body.chunks(7) {
                 text.extend(format!("{:x}\r\n", chunk.len()).into_bytes());
@@ -71,11 +74,11 @@
             text.extend(b"0\r\n\r\n");
         } else {
             text.extend(format!("Content-Length: {}\r\n\r\n", body.len()).into_bytes());
-            if !to_head {
+            if !is_head {
                 text.extend(&body);
             }
         }
-        self.made.entry(id.to_string()).or_default().push(Made { status, seal, body });
+        self.made.entry(id.to_string()).or_default().push(MadeAnswer { status, seal, body });
         text
     }
 
@@ -84,72 +87,75 @@
         format!("HTTP/1.1 503 Full\r\n{id}Not-Executed: 1\r\nContent-Length: 0\r\n\r\n").into_bytes()
     }
 
-    /// Another answer to a request before this one; its body may look like an answer to this one.
-    fn surplus(&mut self, line: usize, id: &str) -> Vec<u8> {
-        // What bears this request's own id is an answer to it, whichever of its sends it is for.
-        let carried = self.lines[line].carried.last().filter(|before| *before != id);
-        let before = carried.cloned().unwrap_or_else(|| "stranger".into());
+    /// Another answer to an earlier request; its body may look like an answer to this one.
+    fn surplus(&mut self, conn: usize, id: &str) -> Vec<u8> {
+        // A message with this request's own id is an answer to it, whichever send it belongs to.
+        let carried = self.connections[conn].carried.last().filter(|earlier| *earlier != id);
+        let earlier = carried.cloned().unwrap_or_else(|| "stranger".into());
         let forged = format!(
             "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nServer-Seal: forged\r\nContent-Length: 0\r\n\r\n"
         );
         let (length, body) = match self.below(3) {
-            // As if to a HEAD.
+            // As if to a HEAD request.
             0 => (forged.len(), ""),
             _ => (forged.len(), forged.as_str()),
         };
-        self.out.surplus += 1;
-        format!("HTTP/1.1 200 OK\r\nAttempt-Id: {before}\r\nServer-Seal: old\r\nContent-Length: {length}\r\n\r\n{body}")
-            .into_bytes()
+        self.outcome.surplus += 1;
+        format!(
+            "HTTP/1.1 200 OK\r\nAttempt-Id: {earlier}\r\nServer-Seal: old\r\n\
+             Content-Length: {length}\r\n\r\n{body}"
+        )
+        .into_bytes()
     }
 
-    fn act(&mut self, line: usize, id: &str, to_head: bool) -> Act {
-        let quick = self.span(0, 60);
-        let runs = |pieces: Vec<(Duration, Vec<u8>)>| Act { pieces, ends: None, runs: true };
-        let draw = if self.below(2) == 0 { 0 } else { self.below(20) };
-        match draw {
-            1 => Act { pieces: vec![(quick, Self::refusal(Some(id)))], ends: None, runs: false },
-            2 => Act { pieces: vec![(quick, Self::refusal(None))], ends: None, runs: false },
+    fn response(&mut self, conn: usize, id: &str, is_head: bool) -> Response {
+        let short_delay = self.span(0, 60);
+        let runs = |pieces: Vec<(Duration, Vec<u8>)>| Response { pieces, ending: None, runs: true };
+        let choice = if self.below(2) == 0 { 0 } else { self.below(20) };
+        match choice {
+            1 => Response { pieces: vec![(short_delay, Self::refusal(Some(id)))], ending: None, runs: false },
+            2 => Response { pieces: vec![(short_delay, Self::refusal(None))], ending: None, runs: false },
             3 => {
                 let text = format!("HTTP/1.1 421 Other\r\nAttempt-Id: {id}\r\nContent-Length: 0\r\n\r\n");
-                Act { pieces: vec![(quick, text.into_bytes())], ends: None, runs: false }
+                Response { pieces: vec![(short_delay, text.into_bytes())], ending: None, runs: false }
             }
-            // The answer breaks off, anywhere.
+            // The answer is truncated anywhere.
             4 | 5 => {
-                let mut text = self.make(id, 200, true, to_head);
+                let mut text = self.make(id, 200, true, is_head);
                 text.truncate(self.below(text.len()));
-                Act { pieces: vec![(quick, text)], ends: Some(draw == 4), runs: true }
+                Response { pieces: vec![(short_delay, text)], ending: Some(choice == 4), runs: true }
             }
             6 => runs(Vec::new()),
             7 => {
                 let late = self.span(200, 2500);
-                runs(vec![(late, self.make(id, 200, true, to_head))])
+                runs(vec![(late, self.make(id, 200, true, is_head))])
             }
-            // A second answer after a whole one: at once, or once the connection is idle or used again.
+            // A second answer after a complete one: at once, or when the connection is idle or reused.
             8 => {
-                let (first, second) = (self.make(id, 200, true, to_head), self.make(id, 200, true, to_head));
+                let (first, second) = (self.make(id, 200, true, is_head), self.make(id, 200, true, is_head));
                 let later = self.span(0, 80);
-                runs(vec![(quick, first), (later, second)])
+                runs(vec![(short_delay, first), (later, second)])
             }
             9 => {
-                let surplus = self.surplus(line, id);
-                runs(vec![(quick, surplus), (Duration::ZERO, self.make(id, 200, true, to_head))])
+                let surplus = self.surplus(conn, id);
+                runs(vec![(short_delay, surplus), (Duration::ZERO, self.make(id, 200, true, is_head))])
             }
             10 => {
-                let garbage = (0..self.below(60)).map(|_| self.chance.rand_u64() as u8).collect();
-                let ends = [None, Some(true), Some(false)][self.below(3)];
-                Act { pieces: vec![(quick, garbage)], ends, runs: true }
+                let garbage = (0..self.below(60)).map(|_| self.rng.rand_u64() as u8).collect();
+                let ending = [None, Some(true), Some(false)][self.below(3)];
+                Response { pieces: vec![(short_delay, garbage)], ending, runs: true }
             }
-            11 => runs(vec![(quick, self.make(id, 200, false, to_head))]),
+            11 => runs(vec![(short_delay, self.make(id, 200, false, is_head))]),
             12 => {
                 let status = [404, 500, 504][self.below(3)];
-                runs(vec![(quick, self.make(id, status, true, to_head))])
+                runs(vec![(short_delay, self.make(id, status, true, is_head))])
             }
-            // A promise that was not made.
+            // A status for "not run" without the proof.
             13 => {
                 let status = [408, 429, 503][self.below(3)];
-                runs(vec![(quick, self.make(id, status, true, to_head))])
+                runs(vec![(short_delay, self.make(id, status, true, is_head))])
             }
-            // No length: cut where nobody can see it.
+            // No length: a truncation cannot be detected.
             14 => {
                 let status = [200, 404, 500][self.below(3)];
                 let seal = format!("seal.{id}.open");
@@ -159,33 +165,41 @@
                     format!("HTTP/1.1 {status} S\r\nAttempt-Id: {id}\r\nServer-Seal: {seal}\r\n\r\n")
                         .into_bytes();
                 text.extend(&body[..cut]);
-                self.made.entry(id.to_string()).or_default().push(Made { status, seal: Some(seal), body });
-                Act { pieces: vec![(quick, text)], ends: Some(false), runs: true }
+                self.made.entry(id.to_string()).or_default().push(MadeAnswer {
+                    status,
+                    seal: Some(seal),
+                    body,
+                });
+                Response { pieces: vec![(short_delay, text)], ending: Some(false), runs: true }
             }
             15 => {
                 let interim = b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n".to_vec();
-                runs(vec![(quick, interim), (MS, self.make(id, 200, true, to_head))])
+                runs(vec![(short_delay, interim), (MS, self.make(id, 200, true, is_head))])
             }
-            // A refusal that comes twice.
+            // A refusal sent twice.
             16 => {
-                let copy = (self.span(0, 80), Self::refusal(Some(id)));
-                Act { pieces: vec![(quick, Self::refusal(Some(id))), copy], ends: None, runs: false }
-            }
-            // A refusal that belongs to nobody, and then the answer.
-            17 if !self.lines[line].carried.is_empty() => {
-                let stray = (quick, Self::refusal(None));
-                runs(vec![stray, (self.span(0, 40), self.make(id, 200, true, to_head))])
+                let second_copy = (self.span(0, 80), Self::refusal(Some(id)));
+                Response {
+                    pieces: vec![(short_delay, Self::refusal(Some(id))), second_copy],
+                    ending: None,
+                    runs: false,
+                }
+            }
+            // A refusal that belongs to no request, and then the answer.
+            17 if !self.connections[conn].carried.is_empty() => {
+                let stray = (short_delay, Self::refusal(None));
+                runs(vec![stray, (self.span(0, 40), self.make(id, 200, true, is_head))])
             }
             18 => {
-                let text = self.make(id, 200, true, to_head);
-                Act { pieces: vec![(quick, text)], ends: Some(self.below(2) == 0), runs: true }
+                let text = self.make(id, 200, true, is_head);
+                Response { pieces: vec![(short_delay, text)], ending: Some(self.below(2) == 0), runs: true }
             }
-            // Only an answer to somebody else.
+            // Only an answer to another request.
             19 => {
-                let surplus = self.surplus(line, id);
-                runs(vec![(quick, surplus)])
+                let surplus = self.surplus(conn, id);
+                runs(vec![(short_delay, surplus)])
             }
-            _ => runs(vec![(quick, self.make(id, 200, true, to_head))]),
+            _ => runs(vec![(short_delay, self.make(id, 200, true, is_head))]),
         }
     }
 }
