--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tindock::policy::Policy;
 use tindock::types::{Condition, Decision, Discovery, Ending, Site};
-use tindock_roster::asking::{Asking, Service, Step};
+use tindock_roster::list_client::{ListClient, Service, Step};
 use tindock_words::{self as words, Announcements, PeerMessage, WorkerNames};
 
 const BATCH_HEADER_BYTES: usize = 20;
@@ -24,7 +24,7 @@
 struct Instance {
     policy: Policy,
     /// Present where the list must be requested.
-    list_client: Option<Asking>,
+    list_client: Option<ListClient>,
     /// Its last call, and the time of the timer requested for it.
     list_call: u64,
     list_timer_at: Option<Duration>,
@@ -75,7 +75,7 @@
         let whole = match frame.u8(at + 2)? {
             1 => {
                 if let Some(client) = &mut self.list_client {
-                    client.failed(now, self.list_call);
+                    client.on_failure(now, self.list_call);
                 }
                 return Ok(());
             }
@@ -88,7 +88,7 @@
         if frame.u8(at + 2)? != 0 {
             let index = frame.u64(at + 3)?;
             if let Some(client) = &mut self.list_client {
-                client.answered(now, self.list_call, index, whole);
+                client.on_response(now, self.list_call, index, whole);
             }
         }
         self.policy.begin_list(whole);
@@ -215,19 +215,19 @@
     /// Subscribes to the list when due; there is no connection to maintain.
     fn request_list(&mut self, reply: &mut Reply, now: Duration) {
         let Some(client) = &mut self.list_client else { return };
-        while let Some(step) = client.step(now) {
+        while let Some(step) = client.next_step(now) {
             match step {
-                Step::Dial { line } => {
+                Step::Connect { connection: line } => {
                     self.list_call = line;
-                    client.dialled(line);
+                    client.connected(line);
                 }
-                Step::Ask { .. } => {
+                Step::Query { .. } => {
                     reply.record(reply_code::SUBSCRIBE).raw(&[1]);
                 }
                 Step::Close { .. } => {}
             }
         }
-        let due = client.due();
+        let due = client.next_due();
         if due < Duration::MAX && self.list_timer_at.is_none_or(|at| due < at) {
             self.list_timer_at = Some(due);
             reply.record(reply_code::TIMER).f64(due.saturating_sub(now).as_secs_f64()).u64(LIST_TIMER);
@@ -318,7 +318,9 @@
             let seed = frame.u64(at + 2)?;
             let list_client = match settings.discovery {
                 Discovery::Pushed => None,
-                Discovery::Polled { within } => Some(Asking::new(Service::Shared { within }, Some(0), !seed)),
+                Discovery::Polled { within } => {
+                    Some(ListClient::new(Service::Shared { max_staleness: within }, Some(0), !seed))
+                }
             };
             let instance = Instance {
                 workloads: settings.workloads.len(),
