--- a/crates/control-store/src/files.rs
+++ b/crates/control-store/src/files.rs
@@ -99,7 +99,7 @@
             let had = match kind {
                 Kind::Configuration => kept.configuration.is_some(),
                 Kind::VoterTable => kept.voters.is_some(),
-                Kind::Lease => kept.number > 0,
+                Kind::Lease => kept.lease_number > 0,
                 Kind::Promise => kept.promised > Ballot::NONE,
             };
             if had {
@@ -116,7 +116,7 @@
                 Kind::VoterTable => {
                     kept.voters = postcard::from_bytes(&body).ok().filter(VoterTables::is_well_formed)
                 }
-                Kind::Lease => kept.number = first,
+                Kind::Lease => kept.lease_number = first,
                 Kind::Promise => kept.promised = ballot,
             }
         }
--- a/crates/control-store/src/lease.rs
+++ b/crates/control-store/src/lease.rs
@@ -12,7 +12,7 @@
 use crate::voters::{VoterTable, VoterTables, DISK_RETRY_AFTER};
 use crate::{ControlStore, Message, Stored};
 
-pub const TERM: Duration = Duration::from_millis(900);
+pub const LEASE_TERM: Duration = Duration::from_millis(900);
 const RENEW_INTERVAL: Duration = Duration::from_millis(350);
 /// A round that has no majority by then has failed.
 const ROUND_TIMEOUT: Duration = Duration::from_millis(300);
@@ -25,17 +25,17 @@
 /// A voter holds itself bound for a tenth longer than the term, as its clock may be the faster one.
 fn voter_term() -> Duration {
     if planted(Defect::LeaseIgnoresDrift) {
-        return TERM;
+        return LEASE_TERM;
     }
-    TERM.mul_f64(1.1)
+    LEASE_TERM.mul_f64(1.1)
 }
 
 /// The holder counts a tenth less than the term, as its clock may be the slower one.
 fn holder_term() -> Duration {
     if planted(Defect::LeaseIgnoresDrift) {
-        return TERM;
+        return LEASE_TERM;
     }
-    TERM.mul_f64(0.9)
+    LEASE_TERM.mul_f64(0.9)
 }
 
 pub(crate) struct Granted {
@@ -435,7 +435,7 @@
             return self.release_lease();
         }
         let until = if planted(Defect::LeaseFromTheAnswer) {
-            now + TERM.mul_f64(1.2)
+            now + LEASE_TERM.mul_f64(1.2)
         } else {
             round.asked_at + holder_term()
         };
--- a/crates/control-store/src/lib.rs
+++ b/crates/control-store/src/lib.rs
@@ -34,7 +34,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use lease::TERM;
+pub use lease::LEASE_TERM;
 pub use register::{digest, Ballot, Configuration, Version};
 pub use status::{MemberStatus, Role, Status};
 pub use transfer::{Piece, PieceReceived};
@@ -75,7 +75,7 @@
     pub configuration: Option<Configuration>,
     /// The highest ballot promised, but for that of `configuration`.
     pub promised: Ballot,
-    pub number: u64,
+    pub lease_number: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -332,7 +332,11 @@
             tables.as_ref().filter(|tables| tables.base.epoch == 0 || tables.base.voter(setup.me).is_some());
         let on_disk = seated.map(|tables| tables.base.epoch);
         let accepted = tables.as_ref().and_then(|tables| tables.next.as_ref()).map_or(0, |next| next.number);
-        let lease = lease::Lease::new(kept.number.max(accepted), kept.number, now + TERM.mul_f64(1.1));
+        let lease = lease::Lease::new(
+            kept.lease_number.max(accepted),
+            kept.lease_number,
+            now + LEASE_TERM.mul_f64(1.1),
+        );
         let seed = u128::from(setup.seed) << 64 | u128::from(setup.incarnation);
         let mut store = ControlStore {
             started: now,
@@ -416,7 +420,7 @@
     }
 
     pub(crate) fn member_state(&self, ask: u64) -> MemberState {
-        let fresh = |(_, _, at): &(SocketAddr, u64, Duration)| self.now <= *at + TERM.mul_f64(1.1);
+        let fresh = |(_, _, at): &(SocketAddr, u64, Duration)| self.now <= *at + LEASE_TERM.mul_f64(1.1);
         MemberState {
             mark: self.mark(),
             counts: self.is_voting(),
@@ -778,11 +782,11 @@
     }
 
     /// How many messages of other versions were dropped.
-    pub fn foreign_messages(&self) -> u64 {
+    pub fn version_mismatches(&self) -> u64 {
         self.foreign
     }
 
-    /// SIGTERM: gives the lease up, and doesn't take it again. The process ends once `may_end` allows it.
+    /// SIGTERM: gives the lease up, and doesn't take it again. The process ends once `may_exit` allows it.
     pub fn leave(&mut self, now: Duration) {
         self.advance(now);
         self.leaving = true;
--- a/crates/control-store/src/status.rs
+++ b/crates/control-store/src/status.rs
@@ -35,7 +35,7 @@
     pub at: SocketAddr,
     pub role: Role,
     /// How long ago it was heard; none for the member itself, and for one never heard.
-    pub heard: Option<Duration>,
+    pub silent_for: Option<Duration>,
     /// The configuration on its disk, as last heard.
     pub saved: Version,
     /// Whether that is older than the one in force.
@@ -82,10 +82,10 @@
     fn member_status(&self, now: Duration, at: SocketAddr, voter: bool) -> MemberStatus {
         let me = at == self.setup.me;
         let peer = self.peers.get(&at);
-        let heard = peer.and_then(|peer| peer.heard).map(|heard| now.saturating_sub(heard));
+        let silent_for = peer.and_then(|peer| peer.heard).map(|heard| now.saturating_sub(heard));
         let counts = if me { self.is_voting() } else { peer.is_some_and(|peer| peer.state.counts) };
-        let lately = me || heard.is_some_and(|heard| heard <= CONTACT_WINDOW);
-        let role = match (voter, lately, counts) {
+        let recent = me || silent_for.is_some_and(|silent| silent <= CONTACT_WINDOW);
+        let role = match (voter, recent, counts) {
             (false, _, _) => Role::Observer,
             (true, false, _) => Role::Silent,
             (true, true, true) => Role::Voting,
@@ -98,12 +98,12 @@
         };
         let committed = self.register.committed_version();
         let behind = saved.revision < committed.revision;
-        MemberStatus { at, role, heard, saved, behind }
+        MemberStatus { at, role, silent_for, saved, behind }
     }
 
     /// Other voters, the likeliest to answer an operator first: of a member that is in touch with a majority those that it
     /// hears; of one that is not all others, first those that it does not hear, as a majority may be on their side.
-    pub fn others_to_ask(&self, now: Duration) -> Vec<SocketAddr> {
+    pub fn redirect_candidates(&self, now: Duration) -> Vec<SocketAddr> {
         let heard = |at: &SocketAddr| {
             let heard = self.peers.get(at).and_then(|peer| peer.heard);
             heard.is_some_and(|heard| now <= heard + CONTACT_WINDOW)
--- a/crates/control-store/src/tests/disk.rs
+++ b/crates/control-store/src/tests/disk.rs
@@ -102,7 +102,7 @@
     let temp = Temp::new("highest");
     let folder = Folder::open(&temp.0).expect("a folder");
     let empty = folder.read().expect("nothing");
-    assert!(empty.configuration.is_none() && empty.voters.is_none() && empty.number == 0);
+    assert!(empty.configuration.is_none() && empty.voters.is_none() && empty.lease_number == 0);
     for number in [9, 10, 4097] {
         let configuration = Configuration::new(number, vec![b'x'; number as usize]);
         folder.save(&Stored::Configuration(configuration)).expect("saved");
@@ -118,7 +118,7 @@
         Some((4097, 4097))
     );
     assert_eq!(kept.voters, Some(tables(2, None)));
-    assert_eq!(kept.number, 4097);
+    assert_eq!(kept.lease_number, 4097);
     assert_eq!(temp.names().len(), 3, "{:?}", temp.names());
 }
 
@@ -144,7 +144,7 @@
         fs::write(temp.0.join(&newer), &whole[..end]).expect("written");
         let kept = folder.read().expect("kept");
         assert_eq!(kept.configuration.as_ref(), Some(&old), "cut at {end}");
-        assert_eq!(kept.number, 0);
+        assert_eq!(kept.lease_number, 0);
         let mut turned = whole.clone();
         turned[end] ^= 1;
         fs::write(temp.0.join(&newer), &turned).expect("written");
@@ -274,8 +274,10 @@
         let kept = folder.read().expect("read");
         let configuration = kept.configuration.as_ref().map_or(0, |configuration| configuration.ballot.round);
         let voters = kept.voters.as_ref().map_or(0, |tables| tables.base.epoch);
-        for (index, (kept, most)) in
-            [configuration, voters, kept.number, kept.promised.round].into_iter().zip(&mut most).enumerate()
+        for (index, (kept, most)) in [configuration, voters, kept.lease_number, kept.promised.round]
+            .into_iter()
+            .zip(&mut most)
+            .enumerate()
         {
             let begun = if index == kind { number } else { *most };
             if kept < *most || kept > *most && kept != begun {
--- a/crates/control-store/src/tests/register.rs
+++ b/crates/control-store/src/tests/register.rs
@@ -181,7 +181,7 @@
     let prepare = Message::Prepare { ballot: ballot(5, 1), table: TABLE };
     alone.hears_version(1, prepare.clone(), WIRE_VERSION + 1);
     assert!(!alone.promised(ballot(5, 1)));
-    assert_eq!(alone.store.foreign_messages(), 1);
+    assert_eq!(alone.store.version_mismatches(), 1);
     alone.hears(1, prepare);
     assert!(alone.promised(ballot(5, 1)));
 }
--- a/crates/control-store/src/tests/sim.rs
+++ b/crates/control-store/src/tests/sim.rs
@@ -287,7 +287,7 @@
                 }
             }
             Stored::Promise(ballot) => node.disk.promised = node.disk.promised.max(ballot),
-            Stored::LeaseNumber(number) => node.disk.number = node.disk.number.max(number),
+            Stored::LeaseNumber(number) => node.disk.lease_number = node.disk.lease_number.max(number),
         }
     }
 
--- a/crates/control-store/src/tests/sim/voters.rs
+++ b/crates/control-store/src/tests/sim/voters.rs
@@ -142,7 +142,7 @@
             let Some(since) = replacement.leaving else { continue };
             let old = replacement.old;
             let may =
-                self.store_at(old).is_none_or(|store| store.may_end(self.nodes[&old].clock.read(self.now)));
+                self.store_at(old).is_none_or(|store| store.may_exit(self.nodes[&old].clock.read(self.now)));
             if (may && self.now >= since + STAYS) || self.now >= since + STAYS_MOST {
                 self.stop(old);
                 self.nodes.remove(&old);
--- a/crates/control-store/src/voters.rs
+++ b/crates/control-store/src/voters.rs
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::lease::TERM;
+use crate::lease::LEASE_TERM;
 use crate::planted::{planted, Defect};
 use crate::register::STATE_FRESH;
 use crate::{ControlStore, Message, Stored, JOIN_INTERVAL};
@@ -316,7 +316,7 @@
         if new {
             // What it granted in an earlier incarnation, or what others granted that it has read, is over by then.
             let first_start = epoch <= 1 && self.setup.initial;
-            self.lease.from = if first_start { now } else { now + TERM.mul_f64(1.1) };
+            self.lease.from = if first_start { now } else { now + LEASE_TERM.mul_f64(1.1) };
             self.lease.try_at = now + self.chance(250);
         }
         if epoch > self.mark().epoch {
@@ -469,7 +469,7 @@
 
     /// After `leave`: whether the others hold all that this member held, and its voter is given away if it can be.
     /// Not known for ever if others are down: the caller ends after a time in any case.
-    pub fn may_end(&self, now: Duration) -> bool {
+    pub fn may_exit(&self, now: Duration) -> bool {
         let Some(tables) = self.tables.as_ref().filter(|tables| tables.base.epoch > 0) else { return true };
         if !self.leaving || planted(Defect::LeavesWithoutHandover) {
             return self.leaving;
--- a/crates/control-store/tests/status.rs
+++ b/crates/control-store/tests/status.rs
@@ -88,7 +88,7 @@
         for member in &status.members {
             assert!(member.role == Role::Voting && !member.behind, "{member:?}");
             assert_eq!(member.saved.revision, 7);
-            assert_eq!(member.heard.is_none(), member.at == me);
+            assert_eq!(member.silent_for.is_none(), member.at == me);
         }
     }
 }
@@ -108,12 +108,12 @@
     let [one, two, three] = &status.members[..] else { panic!("{status:?}") };
     assert_eq!((one.role, two.role, three.role), (Role::Voting, Role::Voting, Role::Silent));
     assert!(!one.behind && !two.behind && three.behind);
-    assert!(three.heard.is_some_and(|heard| heard >= Duration::from_secs(2)), "{three:?}");
-    assert_eq!(world.store(0).others_to_ask(now), [at(2)]);
+    assert!(three.silent_for.is_some_and(|silent| silent >= Duration::from_secs(2)), "{three:?}");
+    assert_eq!(world.store(0).redirect_candidates(now), [at(2)]);
     // The one that is cut off says so, and names first whom it does not hear.
     let cut_off = world.store(2).status(now);
     assert!(cut_off.ready && !cut_off.in_touch && cut_off.committed.revision == 0, "{cut_off:?}");
-    assert_eq!(world.store(2).others_to_ask(now), [at(1), at(2)]);
+    assert_eq!(world.store(2).redirect_candidates(now), [at(1), at(2)]);
     world.silent.clear();
     world.run(Duration::from_secs(2));
     let now = world.now;
--- a/crates/house/src/controller/calls.rs
+++ b/crates/house/src/controller/calls.rs
@@ -147,7 +147,7 @@
             (true, false) => NO_MAJORITY,
             (true, true) => "no majority has it on disk yet",
         };
-        let others = self.control_store.others_to_ask(now);
+        let others = self.control_store.redirect_candidates(now);
         Unavailable { why, retry_after, ask: others.iter().map(SocketAddr::ip).collect() }
     }
 
--- a/crates/house/src/controller/mod.rs
+++ b/crates/house/src/controller/mod.rs
@@ -288,7 +288,7 @@
         // Operators who ask again and again are refused at once, and hold up the end no longer than this.
         let is_quiet = now >= self.calls.answered + ANSWER_GOES_OUT || now >= terminated + CALLS_TIMEOUT * 2;
         let answered = self.calls.len() == 0 && is_quiet;
-        let handed_over = self.control_store.may_end(now) || now >= terminated + HANDOVER_TIMEOUT;
+        let handed_over = self.control_store.may_exit(now) || now >= terminated + HANDOVER_TIMEOUT;
         handed_over && answered && now >= terminated + STAYS_LEAST
     }
 
--- a/crates/house/src/status.rs
+++ b/crates/house/src/status.rs
@@ -59,7 +59,7 @@
         Member {
             address: member.at.to_string(),
             role: role_name(member.role).to_string(),
-            heard_ms: member.heard.map(|heard| heard.as_millis() as u64),
+            heard_ms: member.silent_for.map(|silent| silent.as_millis() as u64),
             saved: member.saved.into(),
             behind: member.behind,
         }
--- a/crates/rehearsal/src/controller.rs
+++ b/crates/rehearsal/src/controller.rs
@@ -327,7 +327,7 @@
     /// Whether a process that was told to end at `began` may do so now.
     pub fn may_end(&self, now: Duration, began: Duration) -> bool {
         let answered = self.calls.is_empty() && now >= self.replied + GOES_OUT;
-        let handed_over = self.control_store.may_end(now) || now >= began + HANDOVER_TIMEOUT;
+        let handed_over = self.control_store.may_exit(now) || now >= began + HANDOVER_TIMEOUT;
         handed_over && now >= began + if answered { STAYS } else { STAYS_MOST }
     }
 
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -1233,7 +1233,7 @@
                 disk.voters = Some(tables.clone());
             }
         }
-        Stored::LeaseNumber(number) => disk.number = disk.number.max(*number),
+        Stored::LeaseNumber(number) => disk.lease_number = disk.lease_number.max(*number),
         Stored::Promise(ballot) => disk.promised = disk.promised.max(*ballot),
     }
 }
