--- a/crates/control-store/src/bootstrap.rs
+++ b/crates/control-store/src/bootstrap.rs
@@ -1,33 +1,36 @@
-//! How a system begins: table 0 is the seeds, and the first table that counts is agreed on among them.
+//! Bootstrapping a system: table 0 contains the seeds, and the first real table is agreed on among them.
 //!
-//! All processes of a first start are given the same seeds, so table 0 needs no agreement: whoever has an
-//! empty disk and is told `initial_boot` writes it down, seed or not: so it shows later that it lost nothing. What follows is the change of a table as in
-//! `voters`, with epoch 0 as its base: a lease by a majority of the seeds is the promise, its holder proposes,
-//! what a majority accepted is founded, and a later holder goes on with what may have been accepted. Under
-//! table 0 nothing else happens: no configurations, no lease that anybody is told of.
+//! All processes of a first start are configured with the same seeds, so table 0 needs no agreement: every
+//! process with an empty disk and `initial_boot` set writes it down, seed or not, which later proves that it
+//! lost no state. What follows is a table change as in `voters`, with epoch 0 as its base: a lease granted by
+//! a majority of the seeds is the promise, its holder proposes, the table accepted by a majority is settled,
+//! and a later holder completes what may have been accepted. Under table 0 nothing else happens: no
+//! configurations are accepted, and no lease is announced.
 //!
-//! Two tables 1 would need two majorities of one set of seeds, and whoever lost its disk is in none.
+//! Two different tables 1 would need two majorities of one set of seeds, and a member that lost its disk is
+//! in neither.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::planted::{planted, Defect};
+use crate::defects::{injected, Defect};
 use crate::voters::{Voter, VoterTable, VoterTables, MAX_VOTERS};
 use crate::{digest, ControlStore, Version};
 
-/// The founding waits at least so long from its proposer's start, and so long after the last new member. (What
-/// it takes to agree is taken off: all is done 1.2 s after the start.)
+/// Bootstrapping waits at least this long from the proposer's start, and this long after the last new member.
+/// Agreement itself takes another 70 ms, so that all is done 1.2 s after the start.
 const BOOTSTRAP_AFTER: Duration = Duration::from_millis(1130);
 const BOOTSTRAP_QUIET: Duration = Duration::from_millis(630);
-/// Seeds ask for the founding in the order of their addresses, one after the other.
-const SEED_TURN: Duration = Duration::from_millis(250);
+/// Seeds request the bootstrap lease in the order of their addresses, at this interval.
+const SEED_INTERVAL: Duration = Duration::from_millis(250);
 
 impl VoterTable {
-    /// Half of the seeds is enough if the lowest is among them: of two, one can be down. Two such sets meet.
+    /// Half of the seeds is enough if the lowest seed is among them, so that of two seeds one may be down.
+    /// Any two such sets intersect.
     pub(crate) fn bootstrap_quorum(&self, has: impl Fn(SocketAddr) -> bool) -> bool {
         let count = self.voters.iter().filter(|voter| has(voter.at)).count();
-        if planted(Defect::FoundsWithoutAMajority) && self.epoch == 0 {
+        if injected(Defect::BootstrapsWithoutMajority) && self.epoch == 0 {
             return true;
         }
         self.epoch == 0
@@ -35,23 +38,23 @@
             && self.voters.first().is_some_and(|voter| has(voter.at))
     }
 
-    /// Tells apart the numbers of members that were given different seeds.
+    /// Separates the lease numbers of members that were configured with different seeds.
     pub(crate) fn seeds_digest(&self) -> u64 {
-        let all: Vec<String> = self.voters.iter().map(|voter| voter.at.to_string()).collect();
-        digest(all.join(" ").as_bytes())
+        let members: Vec<String> = self.voters.iter().map(|voter| voter.at.to_string()).collect();
+        digest(members.join(" ").as_bytes())
     }
 }
 
 impl ControlStore {
-    /// Whether the tables of this member are not a system's yet.
+    /// Whether this member is still in table 0, before a system exists.
     pub(crate) fn is_bootstrapping(&self) -> bool {
         self.tables.as_ref().is_some_and(|tables| tables.base.epoch == 0)
     }
 
-    /// Table 0, if this member may write it down: never after a loss.
+    /// Table 0, if this member may write it: never after a loss of its disk.
     pub(crate) fn seeds_table(&self) -> Option<VoterTables> {
-        let me = self.setup.me;
-        let mut seeds: BTreeSet<SocketAddr> = self.setup.seeds.iter().copied().collect();
+        let me = self.settings.me;
+        let mut seeds: BTreeSet<SocketAddr> = self.settings.seeds.iter().copied().collect();
         if seeds.is_empty() {
             seeds.insert(me);
         }
@@ -59,55 +62,59 @@
         let base = VoterTable { epoch: 0, number: 0, voters };
         let untouched = self.register.saved == Version::NONE && self.lease.on_disk == 0;
         let fresh = self.tables.is_none() && self.incoming.is_none() && untouched;
-        let may = fresh && (self.setup.initial || planted(Defect::FoundsAfterALoss));
-        may.then_some(VoterTables { base, next: None })
+        let allowed = fresh && (self.settings.initial || injected(Defect::BootstrapsAfterDiskLoss));
+        allowed.then_some(VoterTables { base, next: None })
     }
 
-    /// When this member asks for the right to found, counted from when it is ready.
-    pub(crate) fn bootstrap_turn(&self) -> Duration {
+    /// The delay after becoming ready before this member requests the bootstrap lease.
+    pub(crate) fn bootstrap_delay(&self) -> Duration {
         let Some(tables) = self.tables.as_ref().filter(|tables| tables.base.epoch == 0) else {
             return Duration::ZERO;
         };
-        let index = tables.base.voters.iter().position(|voter| voter.at == self.setup.me);
-        SEED_TURN * index.unwrap_or_default() as u32
+        let index = tables.base.voters.iter().position(|voter| voter.at == self.settings.me);
+        SEED_INTERVAL * index.unwrap_or_default() as u32
     }
 
-    /// The number under which this member may propose.
+    /// The lease number under which this member may propose table 1.
     pub(crate) fn may_bootstrap(&self, now: Duration) -> Option<u64> {
-        let bare = self.tables.as_ref().is_some_and(|tables| tables.base.epoch == 0 && tables.next.is_none());
-        let number = self.lease_held(now).filter(|_| bare && self.incoming.is_none())?;
+        let unproposed =
+            self.tables.as_ref().is_some_and(|tables| tables.base.epoch == 0 && tables.next.is_none());
+        let number = self.lease_held(now).filter(|_| unproposed && self.incoming.is_none())?;
         (number >= self.lease.number).then_some(number)
     }
 
     pub(crate) fn bootstrap_due(&self) -> Duration {
-        (self.started + BOOTSTRAP_AFTER).max(self.newest_at + BOOTSTRAP_QUIET)
+        (self.started + BOOTSTRAP_AFTER).max(self.newest_member_at + BOOTSTRAP_QUIET)
     }
 
-    /// Who holds the seeds' lease proposes those it has heard from, seeds first.
+    /// The holder of the bootstrap lease proposes the members that have contacted it, seeds first.
     pub(crate) fn bootstrap(&mut self, now: Duration) {
         if let Some(table) = self.seeds_table() {
-            self.began = true;
+            self.wrote_seed_table = true;
             return self.install_tables(table);
         }
         let Some(number) = self.may_bootstrap(now).filter(|_| now >= self.bootstrap_due()) else { return };
         let Some(tables) = &self.tables else { return };
         let base = tables.base.clone();
         let seed = |at: &SocketAddr| base.voter(*at).is_some();
-        // Only who counts at once: of those who have lost something, too many would have nobody to read from.
-        let mut all = vec![self.setup.me];
-        let here = |at: &SocketAddr, peer: &crate::Peer| peer.first || seed(at) && peer.state.counts;
-        all.extend(self.peers.iter().filter(|(at, peer)| here(at, peer)).map(|(at, _)| *at));
-        all.sort_by_key(|at| (!seed(at), *at));
-        all.truncate(MAX_VOTERS);
-        let voters = all.into_iter().map(|at| Voter { at, since: 1 }).collect();
+        // Only members whose vote is active at once: with too many that lost state, none could read the state
+        // back.
+        let mut members = vec![self.settings.me];
+        let eligible =
+            |at: &SocketAddr, peer: &crate::Peer| peer.first_start || seed(at) && peer.state.counts;
+        members.extend(self.peers.iter().filter(|(at, peer)| eligible(at, peer)).map(|(at, _)| *at));
+        members.sort_by_key(|at| (!seed(at), *at));
+        members.truncate(MAX_VOTERS);
+        let voters = members.into_iter().map(|at| Voter { at, since: 1 }).collect();
         self.install_tables(VoterTables { base, next: Some(VoterTable { epoch: 1, number, voters }) });
     }
 
-    /// From table 0 to one that counts: nothing that was granted or heard before holds. Who proposed goes first.
+    /// Leaves table 0 for the first real table: earlier grants and lease messages become invalid. The
+    /// proposer requests the lease first.
     pub(crate) fn bootstrapped(&mut self, now: Duration) {
-        let later = if self.lease.busy() { Duration::ZERO } else { SEED_TURN + self.chance(250) };
+        let delay = if self.lease.busy() { Duration::ZERO } else { SEED_INTERVAL + self.random_delay(250) };
         self.lease.forget();
-        self.lease.try_at = now + later;
+        self.lease.try_at = now + delay;
         self.ready = false;
         self.ready_goal = None;
         self.broadcast = true;
--- a/crates/control-store/src/files.rs
+++ b/crates/control-store/src/files.rs
@@ -1,10 +1,12 @@
-//! The disk: plain files in a folder, the only I/O of this crate.
+//! Persistence: plain files in a folder, the only I/O of this crate.
 //!
-//! `configuration-<ballot>-<revision>-<digest>`, `promise-<ballot>`, `seats-<epoch>-<number>`, `lease-<number>`
-//! (`<digest>` in 16 hex digits, `<ballot>` as `<round>-<incarnation>-<proposer's address>`). Earlier releases wrote
-//! `word-<revision>-<digest>`: read as under no ballot, below all that have one. Each is written whole under a new name, with a header line that has the body's length and checksum; the file
-//! and the folder are synced; then the older ones of the kind are removed, without a sync. A start takes the
-//! highest whole one of each kind. Nothing is ever written into a file that may be the only good one.
+//! File names are `configuration-<ballot>-<revision>-<digest>`, `promise-<ballot>`, `seats-<epoch>-<number>`
+//! (voter tables) and `lease-<number>`, with `<digest>` in 16 hex digits and `<ballot>` as
+//! `<round>-<incarnation>-<proposer's address>`. Earlier releases wrote configurations as
+//! `word-<revision>-<digest>`: these are read without a ballot and rank below all that have one. Each file is
+//! written completely under a new name, with a header line that contains the body's length and checksum; file
+//! and folder are synced; then older files of the kind are removed, without a sync. A start uses the highest
+//! intact file of each kind. A file that may be the only good one is never overwritten.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -14,17 +16,18 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use crate::planted::{planted, Defect};
+use crate::defects::{injected, Defect};
 use crate::{digest, Ballot, Configuration, DiskState, Stored, Version, VoterTables};
 
 const MAGIC: &str = "tindock-vault-1";
-/// Longer files aren't read.
-const LONGEST: u64 = 256 << 20;
+/// Longer files are not read.
+const MAX_FILE_BYTES: u64 = 256 << 20;
 
 pub struct Folder {
     path: PathBuf,
-    /// A save of these failed in this incarnation: what is read under the name may never have reached the disk.
-    doubted: RefCell<BTreeSet<String>>,
+    /// Names whose save failed in this incarnation: a file read under such a name may never have reached the
+    /// disk.
+    unconfirmed: RefCell<BTreeSet<String>>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,11 +38,11 @@
     Promise,
 }
 
-/// Kind and order among its kind.
-type Place = (Kind, Ballot, u64, u64);
+/// The kind of a file and its sort order within the kind.
+type FileKey = (Kind, Ballot, u64, u64);
 
-/// From a file's name.
-fn place(name: &str) -> Option<Place> {
+/// Parses a file name.
+fn file_key(name: &str) -> Option<FileKey> {
     let (kind, rest) = name.split_once('-')?;
     let parts: Vec<&str> = rest.split('-').collect();
     match (kind, parts.as_slice()) {
@@ -83,94 +86,94 @@
 }
 
 impl Folder {
-    /// Makes the folder if it isn't there.
+    /// Creates the folder if it does not exist.
     pub fn open(path: impl Into<PathBuf>) -> io::Result<Folder> {
         let path = path.into();
         fs::create_dir_all(&path)?;
-        Ok(Folder { path, doubted: RefCell::default() })
+        Ok(Folder { path, unconfirmed: RefCell::default() })
     }
 
-    /// What the folder holds. Torn files, and others, are passed over.
+    /// Reads the state in the folder. Torn and unknown files are ignored.
     pub fn read(&self) -> io::Result<DiskState> {
-        let mut kept = DiskState::default();
+        let mut state = DiskState::default();
         let mut all = self.list()?;
         all.sort();
         for ((kind, ballot, first, second), name) in all.into_iter().rev() {
-            let had = match kind {
-                Kind::Configuration => kept.configuration.is_some(),
-                Kind::VoterTable => kept.voters.is_some(),
-                Kind::Lease => kept.lease_number > 0,
-                Kind::Promise => kept.promised > Ballot::NONE,
+            let found = match kind {
+                Kind::Configuration => state.configuration.is_some(),
+                Kind::VoterTable => state.voters.is_some(),
+                Kind::Lease => state.lease_number > 0,
+                Kind::Promise => state.promised > Ballot::NONE,
             };
-            if had {
+            if found {
                 continue;
             }
-            let Some(body) = whole(&self.path.join(&name), &name) else { continue };
+            let Some(body) = read_intact(&self.path.join(&name), &name) else { continue };
             match kind {
                 Kind::Configuration if digest(&body) == second => {
                     let text = Arc::from(body);
-                    kept.configuration =
+                    state.configuration =
                         Some(Configuration { ballot, revision: first, digest: second, text });
                 }
                 Kind::Configuration => {}
                 Kind::VoterTable => {
-                    kept.voters = postcard::from_bytes(&body).ok().filter(VoterTables::is_well_formed)
+                    state.voters = postcard::from_bytes(&body).ok().filter(VoterTables::is_well_formed)
                 }
-                Kind::Lease => kept.lease_number = first,
-                Kind::Promise => kept.promised = ballot,
+                Kind::Lease => state.lease_number = first,
+                Kind::Promise => state.promised = ballot,
             }
         }
-        Ok(kept)
+        Ok(state)
     }
 
-    fn list(&self) -> io::Result<Vec<(Place, String)>> {
+    fn list(&self) -> io::Result<Vec<(FileKey, String)>> {
         let mut all = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let Ok(name) = entry?.file_name().into_string() else { continue };
-            if let Some(place) = place(&name) {
-                all.push((place, name));
+            if let Some(file_key) = file_key(&name) {
+                all.push((file_key, name));
             }
         }
         Ok(all)
     }
 
-    /// Returns when it is on the disk for good.
+    /// Returns once the data is durable.
     pub fn save(&self, what: &Stored) -> io::Result<()> {
         let (name, body) = match what {
             Stored::Configuration(configuration) => {
                 (configuration_name(&configuration.version()), configuration.text.to_vec())
             }
             Stored::Voters(tables) => {
-                let mark = tables.mark();
+                let table_version = tables.table_version();
                 let body = postcard::to_allocvec(tables).map_err(io::Error::other)?;
-                (format!("seats-{}-{}", mark.epoch, mark.number), body)
+                (format!("seats-{}-{}", table_version.epoch, table_version.number), body)
             }
             Stored::LeaseNumber(number) => (format!("lease-{number}"), Vec::new()),
             Stored::Promise(ballot) => (format!("promise-{}", ballot_name(ballot)), Vec::new()),
         };
-        if planted(Defect::RemovesTheOldFirst) {
-            self.remove_before(&name);
+        if injected(Defect::RemovesOldFileFirst) {
+            self.remove_older(&name);
         }
-        // In doubt until all is done.
-        let doubted = !self.doubted.borrow_mut().insert(name.clone());
+        // Unconfirmed until all steps have succeeded.
+        let unconfirmed = !self.unconfirmed.borrow_mut().insert(name.clone());
         let path = self.path.join(&name);
-        if !doubted && whole(&path, &name).is_some_and(|there| there == body) {
+        if !unconfirmed && read_intact(&path, &name).is_some_and(|stored| stored == body) {
             File::open(&path)?.sync_all()?;
         } else if let Err(error) = write(&path, &name, &body) {
             let _ = fs::remove_file(&path);
             return Err(error);
         }
         File::open(&self.path)?.sync_all()?;
-        let kind = place(&name).map(|mine| mine.0);
-        self.doubted.borrow_mut().retain(|name| place(name).map(|other| other.0) != kind);
-        self.remove_before(&name);
+        let kind = file_key(&name).map(|key| key.0);
+        self.unconfirmed.borrow_mut().retain(|name| file_key(name).map(|other| other.0) != kind);
+        self.remove_older(&name);
         Ok(())
     }
 
-    fn remove_before(&self, name: &str) {
-        let Some(mine) = place(name) else { return };
+    fn remove_older(&self, name: &str) {
+        let Some(key) = file_key(name) else { return };
         for (other, name) in self.list().unwrap_or_default() {
-            if other.0 == mine.0 && other < mine {
+            if other.0 == key.0 && other < key {
                 let _ = fs::remove_file(self.path.join(name));
             }
         }
@@ -185,11 +188,11 @@
     file.sync_all()
 }
 
-/// The body, if the file is whole.
-fn whole(path: &Path, name: &str) -> Option<Vec<u8>> {
+/// The body, if the file is intact.
+fn read_intact(path: &Path, name: &str) -> Option<Vec<u8>> {
     let file = File::open(path).ok()?;
     let mut bytes = Vec::new();
-    file.take(LONGEST).read_to_end(&mut bytes).ok()?;
+    file.take(MAX_FILE_BYTES).read_to_end(&mut bytes).ok()?;
     let end = bytes.iter().position(|byte| *byte == b'\n')?;
     let body = bytes.split_off(end + 1);
     let header = format!("{MAGIC} {name} {} {:016x}\n", body.len(), digest(&body));
--- a/crates/control-store/src/lease.rs
+++ b/crates/control-store/src/lease.rs
@@ -1,30 +1,31 @@
-//! The lease: one holder at a time, by grants of a majority that end by themselves.
+//! The leadership lease: at most one holder at a time, by grants of a majority that expire on their own.
 //!
-//! The holder counts its term from before it asked and takes a tenth off; a voter holds itself bound for a
-//! tenth longer than the term, from when it granted. So clocks may drift by a tenth against each other.
-//! Source: Gray and Cheriton, "Leases" (1989).
+//! The holder counts its term from before it sent the request, minus a tenth; a voter considers itself bound
+//! for a tenth longer than the term, from when it granted. Clocks may therefore drift by a tenth against each
+//! other. Source: Gray and Cheriton, "Leases" (1989).
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::planted::{planted, Defect};
+use crate::defects::{injected, Defect};
 use crate::voters::{VoterTable, VoterTables, DISK_RETRY_AFTER};
 use crate::{ControlStore, Message, Stored};
 
 pub const LEASE_TERM: Duration = Duration::from_millis(900);
 const RENEW_INTERVAL: Duration = Duration::from_millis(350);
-/// A round that has no majority by then has failed.
+/// A round without a majority by then has failed.
 const ROUND_TIMEOUT: Duration = Duration::from_millis(300);
-/// Until then, who hasn't granted is asked again so often: it may have been bound to one that gave up.
+/// Until then, missing grants are requested again at this interval: a voter may have been bound to a round
+/// that has ended since.
 const REQUEST_RESEND_AFTER: Duration = Duration::from_millis(80);
-/// Numbers stay far from the end, and exact in a double.
+/// Far below the integer limit, and exact in a double.
 const MAX_LEASE_NUMBER: u64 = 1 << 52;
 const NUMBER_STEP: u64 = 4096;
 
-/// A voter holds itself bound for a tenth longer than the term, as its clock may be the faster one.
+/// A voter considers itself bound for a tenth longer than the term, as its clock may be the faster one.
 fn voter_term() -> Duration {
-    if planted(Defect::LeaseIgnoresDrift) {
+    if injected(Defect::LeaseIgnoresDrift) {
         return LEASE_TERM;
     }
     LEASE_TERM.mul_f64(1.1)
@@ -32,7 +33,7 @@
 
 /// The holder counts a tenth less than the term, as its clock may be the slower one.
 fn holder_term() -> Duration {
-    if planted(Defect::LeaseIgnoresDrift) {
+    if injected(Defect::LeaseIgnoresDrift) {
         return LEASE_TERM;
     }
     LEASE_TERM.mul_f64(0.9)
@@ -51,17 +52,17 @@
     stamp: u64,
 }
 
-/// This member's own try for the lease, or its hold on it.
+/// This member's own attempt to get the lease, or the lease it holds.
 struct Round {
     number: u64,
     stamp: u64,
-    asked_at: Duration,
+    requested_at: Duration,
     renew_at: Duration,
-    /// If not held by then, it is given up.
+    /// The round fails if the lease is not held by then.
     fail_at: Duration,
     granted: BTreeSet<SocketAddr>,
-    /// Accepted at a voter for the next epoch, with the highest number.
-    seen: Option<VoterTable>,
+    /// The table for the next epoch that some voter accepted, with the highest number.
+    highest_accepted: Option<VoterTable>,
     until: Option<Duration>,
 }
 
@@ -70,41 +71,41 @@
     /// The highest number promised.
     pub number: u64,
     pub on_disk: u64,
-    /// The highest number this member promised itself: `number` may have been read from others.
-    own: u64,
-    /// Grants to nobody new before.
-    pub from: Duration,
+    /// The highest number this member itself promised: `number` may have been read from others.
+    own_promised: u64,
+    /// No new grants before this time.
+    pub grants_from: Duration,
     pub try_at: Duration,
     granted: Option<Granted>,
     pending: Option<Pending>,
     storing: Option<(u64, u64)>,
-    /// The disk refused a number: not asked by `catch_up` before.
-    pub disk_again: Duration,
+    /// When to retry after a failed write of a number; checked by `catch_up`.
+    pub disk_retry_at: Duration,
     round: Option<Round>,
     stamp: u64,
-    /// The last round that said LeaseRelease here: what it asked may come late.
-    over: u64,
-    /// The highest number heard of.
-    heard: u64,
-    /// Who was last heard to hold the lease, when.
+    /// The number of the last released round: its requests may still arrive late.
+    released: u64,
+    /// The highest number seen in any message.
+    highest_seen: u64,
+    /// The last known holder, its number, and when it was last confirmed.
     pub holder: Option<(SocketAddr, u64, Duration)>,
 }
 
 impl Lease {
-    pub fn new(number: u64, on_disk: u64, from: Duration) -> Lease {
-        Lease { number, on_disk, own: on_disk, from, ..Lease::default() }
+    pub fn new(number: u64, on_disk: u64, grants_from: Duration) -> Lease {
+        Lease { number, on_disk, own_promised: on_disk, grants_from, ..Lease::default() }
     }
 
     pub fn mine(&self, number: u64) -> bool {
         self.round.as_ref().is_some_and(|round| round.number == number)
     }
 
-    /// The numbers stay: they are on the disk.
+    /// Forgets grants and rounds, but not the numbers: they are on disk.
     pub fn forget(&mut self) {
         (self.granted, self.pending, self.round, self.holder) = (None, None, None, None);
     }
 
-    /// Whether this member has a round or the lease.
+    /// Whether this member has a round in progress or holds the lease.
     pub fn busy(&self) -> bool {
         self.round.is_some()
     }
@@ -123,10 +124,10 @@
         self.lease_held(now).filter(|_| !self.is_bootstrapping())
     }
 
-    /// Also of the lease under which the seeds found.
+    /// Like `lease_number`, but includes the lease for bootstrapping.
     pub(crate) fn lease_held(&self, now: Duration) -> Option<u64> {
         let round = self.lease.round.as_ref()?;
-        round.until.filter(|until| now < *until || planted(Defect::HoldsOn)).map(|_| round.number)
+        round.until.filter(|until| now < *until || injected(Defect::IgnoresLeaseExpiry)).map(|_| round.number)
     }
 
     /// By this member's steady clock.
@@ -134,7 +135,7 @@
         self.lease.round.as_ref()?.until
     }
 
-    /// Who was last heard to hold the lease, and under which number. It may be over.
+    /// The last known lease holder and its number. That lease may have expired.
     pub fn holder(&self) -> Option<(SocketAddr, u64)> {
         self.lease.holder.map(|(at, number, _)| (at, number)).filter(|_| !self.is_bootstrapping())
     }
@@ -147,32 +148,33 @@
 
     pub(crate) fn note_number(&mut self, number: u64) {
         if number < MAX_LEASE_NUMBER {
-            self.lease.heard = self.lease.heard.max(number);
+            self.lease.highest_seen = self.lease.highest_seen.max(number);
         }
     }
 
-    /// Until when this member would refuse itself.
+    /// How long this member is bound by its grants, and so may not request the lease itself.
     fn bound_until(&self, now: Duration) -> Option<Duration> {
-        let granted = self.lease.granted.as_ref().filter(|granted| granted.to != self.setup.me);
-        let from = if planted(Defect::ForgetsItsGrantsAtAStart) { Duration::ZERO } else { self.lease.from };
+        let granted = self.lease.granted.as_ref().filter(|granted| granted.to != self.settings.me);
+        let from =
+            if injected(Defect::ForgetsGrantsOnRestart) { Duration::ZERO } else { self.lease.grants_from };
         let until = granted.map_or(from, |granted| granted.until.max(from));
         (now < until).then_some(until)
     }
 
     pub(crate) fn step_lease(&mut self, now: Duration) {
         if let Some(round) = &self.lease.round {
-            let over = match round.until {
+            let ended = match round.until {
                 Some(until) => now >= until,
                 None => now >= round.fail_at,
             };
-            if over {
+            if ended {
                 self.release_lease();
                 let after = self.bound_until(now).unwrap_or(now + Duration::from_millis(50));
-                self.lease.try_at = after + self.chance(250);
+                self.lease.try_at = after + self.random_delay(250);
             } else if now >= round.renew_at && round.until.is_some() {
-                self.request_again(now);
+                self.send_lease_requests(now);
             } else if now >= round.renew_at {
-                self.request_from_the_rest(now);
+                self.request_missing_grants(now);
             }
             return;
         }
@@ -180,15 +182,16 @@
         if !may || now < self.lease.try_at {
             return;
         }
-        // Two that ask in turn while each is bound to the other's last round would go on so for seconds.
+        // Two members that request in turn, each while bound to the other's last round, would repeat this for
+        // seconds.
         if let Some(until) = self.bound_until(now) {
-            self.lease.try_at = until + self.chance(250);
+            self.lease.try_at = until + self.random_delay(250);
             return;
         }
         let Some(base) = self.tables.as_ref().map(|tables| &tables.base) else { return };
-        let Some(index) = base.voters.iter().position(|voter| voter.at == self.setup.me) else { return };
+        let Some(index) = base.voters.iter().position(|voter| voter.at == self.settings.me) else { return };
         let since = if base.epoch == 0 { base.seeds_digest() } else { base.voters[index].since };
-        let highest = self.lease.heard.max(self.lease.number);
+        let highest = self.lease.highest_seen.max(self.lease.number);
         let number = (highest / NUMBER_STEP + 1) * NUMBER_STEP + since % 64 * 64 + index as u64;
         if number >= MAX_LEASE_NUMBER {
             return;
@@ -197,41 +200,41 @@
         self.lease.round = Some(Round {
             number,
             stamp: 0,
-            asked_at: now,
+            requested_at: now,
             renew_at: now + REQUEST_RESEND_AFTER,
             fail_at: now + ROUND_TIMEOUT,
             granted: BTreeSet::new(),
-            seen: None,
+            highest_accepted: None,
             until: None,
         });
-        self.request_again(now);
+        self.send_lease_requests(now);
     }
 
-    pub(crate) fn request_again(&mut self, now: Duration) {
+    pub(crate) fn send_lease_requests(&mut self, now: Duration) {
         let Some(base) = self.tables.as_ref().map(|tables| tables.base.epoch) else { return };
         self.lease.stamp += 1;
         let stamp = self.lease.stamp;
         let Some(round) = &mut self.lease.round else { return };
         round.stamp = stamp;
-        round.asked_at = now;
+        round.requested_at = now;
         round.renew_at = now + if round.until.is_some() { RENEW_INTERVAL } else { REQUEST_RESEND_AFTER };
         round.granted.clear();
         let (number, held) = (round.number, round.until.is_some());
         if held {
-            self.note_holder(now, self.setup.me, number);
+            self.note_holder(now, self.settings.me, number);
         }
         let mut to = self.others();
-        to.push(self.setup.me);
+        to.push(self.settings.me);
         for at in to {
             self.send(at, Message::LeaseRequest { number, stamp, base, held });
         }
     }
 
-    /// Under the same stamp, so that the term goes on voting from before the first question.
-    fn request_from_the_rest(&mut self, now: Duration) {
+    /// Uses the same stamp, so that the term still counts from before the first request.
+    fn request_missing_grants(&mut self, now: Duration) {
         let Some(base) = self.tables.as_ref().map(|tables| tables.base.epoch) else { return };
         let mut to = self.others();
-        to.push(self.setup.me);
+        to.push(self.settings.me);
         let Some(round) = &mut self.lease.round else { return };
         round.renew_at = now + REQUEST_RESEND_AFTER;
         let (number, stamp) = (round.number, round.stamp);
@@ -241,11 +244,11 @@
         }
     }
 
-    /// Ends this member's round and frees those who granted.
+    /// Ends this member's round and releases the voters that granted it.
     pub(crate) fn release_lease(&mut self) {
         if let Some(round) = self.lease.round.take() {
             let mut to = self.others();
-            to.push(self.setup.me);
+            to.push(self.settings.me);
             for at in to {
                 self.send(at, Message::LeaseRelease { number: round.number });
             }
@@ -253,20 +256,20 @@
     }
 
     pub(crate) fn receive_lease_release(&mut self, now: Duration, from: SocketAddr, number: u64) {
-        self.lease.over = number;
+        self.lease.released = number;
         if self.lease.granted.as_ref().is_some_and(|held| held.to == from && held.number == number) {
             self.lease.granted = None;
-            if from != self.setup.me && self.lease.round.is_none() {
-                self.lease.try_at = self.lease.try_at.min(now + self.chance(250));
+            if from != self.settings.me && self.lease.round.is_none() {
+                self.lease.try_at = self.lease.try_at.min(now + self.random_delay(250));
             }
         }
         if self.lease.pending.as_ref().is_some_and(|held| held.from == from && held.number == number) {
             self.lease.pending = None;
         }
-        if from != self.setup.me
+        if from != self.settings.me
             && self.lease.holder.is_some_and(|(at, held, _)| at == from && held == number)
         {
-            self.lease.try_at = self.lease.try_at.min(now + self.chance(100));
+            self.lease.try_at = self.lease.try_at.min(now + self.random_delay(100));
         }
     }
 
@@ -279,14 +282,14 @@
         base: u64,
         held: bool,
     ) {
-        if number >= MAX_LEASE_NUMBER || number == self.lease.over {
+        if number >= MAX_LEASE_NUMBER || number == self.lease.released {
             return;
         }
-        let epoch = self.mark().epoch;
+        let epoch = self.table_version().epoch;
         if held {
             self.note_holder(now, from, number);
-            if from != self.setup.me {
-                self.lease.try_at = self.lease.try_at.max(now + voter_term() + self.chance(250));
+            if from != self.settings.me {
+                self.lease.try_at = self.lease.try_at.max(now + voter_term() + self.random_delay(250));
             }
         }
         if base < epoch {
@@ -305,25 +308,28 @@
         }
         let live = self.lease.granted.as_ref().filter(|granted| now < granted.until);
         // A holder is bound to itself even if its disk was too slow for its own grant.
-        let own = self.lease_until().filter(|until| now < *until && from != self.setup.me);
-        let bound = live.filter(|granted| granted.to != from).map(|granted| granted.until).max(own);
+        let own_lease = self.lease_until().filter(|until| now < *until && from != self.settings.me);
+        let bound = live.filter(|granted| granted.to != from).map(|granted| granted.until).max(own_lease);
         let bound = bound.map(|until| until.saturating_sub(now));
-        // Under the number that it promised before its start it grants again at once. A number that it only read may
-        // have been promised by the one that asks alone, while what the voter before it granted still lasts.
-        let granted_before = number == self.lease.own || held || planted(Defect::GrantsByANumberItRead);
-        let again = number == self.lease.number && granted_before;
-        let booting = (now < self.lease.from && !again && !planted(Defect::ForgetsItsGrantsAtAStart))
-            .then(|| self.lease.from.saturating_sub(now));
+        // Under a number that it promised before a restart, it grants again at once. A number that it only
+        // read may have been promised by the requesting member alone, while a grant by the voter it replaced
+        // is still valid.
+        let granted_before =
+            number == self.lease.own_promised || held || injected(Defect::GrantsUnderReadNumber);
+        let repeated = number == self.lease.number && granted_before;
+        let restart_wait =
+            (now < self.lease.grants_from && !repeated && !injected(Defect::ForgetsGrantsOnRestart))
+                .then(|| self.lease.grants_from.saturating_sub(now));
         let lower = (number < self.lease.number).then(|| bound.unwrap_or_default());
         let busy = (self.lease.storing.is_some()).then_some(Duration::from_millis(20));
         let same = live.is_some_and(|granted| granted.to == from && granted.number == number);
         let busy = busy.filter(|_| !same);
-        if let Some(left) = lower.or(bound).or(booting).or(busy) {
+        if let Some(left) = lower.or(bound).or(restart_wait).or(busy) {
             let left_ms = left.as_millis().min(10_000) as u32;
             return self.send(from, Message::LeaseRefusal { number, highest: self.lease.number, left_ms });
         }
         if number > self.lease.on_disk {
-            (self.lease.number, self.lease.own) = (number, number);
+            (self.lease.number, self.lease.own_promised) = (number, number);
             let token = self.store_number();
             self.lease.pending = Some(Pending { token, from, number, stamp });
         } else {
@@ -333,8 +339,8 @@
 
     fn grant(&mut self, now: Duration, to: SocketAddr, number: u64, stamp: u64) {
         self.lease.granted = Some(Granted { to, number, until: now + voter_term() });
-        if to != self.setup.me {
-            self.lease.try_at = self.lease.try_at.max(now + voter_term() + self.chance(250));
+        if to != self.settings.me {
+            self.lease.try_at = self.lease.try_at.max(now + voter_term() + self.random_delay(250));
         }
         let Some(tables) = &self.tables else { return };
         let (base, next) = (tables.base.epoch, tables.next.clone());
@@ -357,7 +363,7 @@
         let Some((_, number)) = self.lease.storing.filter(|(mine, _)| *mine == token) else { return false };
         self.lease.storing = None;
         if !ok {
-            self.lease.disk_again = now + DISK_RETRY_AFTER;
+            self.lease.disk_retry_at = now + DISK_RETRY_AFTER;
         }
         let pending = self.lease.pending.take_if(|pending| pending.token == token);
         if ok {
@@ -378,11 +384,12 @@
             return;
         }
         if highest > number && left_ms > 0 {
-            // Another asks as well, under a higher number, and would wait for the grant this one gave itself.
+            // Another member requests a higher number at the same time, and would wait for the grant this
+            // member gave itself.
             self.release_lease();
-            self.lease.try_at = now + ROUND_TIMEOUT + self.chance(250);
+            self.lease.try_at = now + ROUND_TIMEOUT + self.random_delay(250);
         } else {
-            let least = now + Duration::from_millis(u64::from(left_ms)) + self.chance(100);
+            let least = now + Duration::from_millis(u64::from(left_ms)) + self.random_delay(100);
             self.lease.try_at = self.lease.try_at.max(least);
         }
     }
@@ -403,20 +410,23 @@
         }
         round.granted.insert(from);
         if let Some(next) = next.filter(|next| next.epoch == base + 1 && next.number < number) {
-            if round.seen.as_ref().is_none_or(|seen| seen.number < next.number) {
-                round.seen = Some(next);
+            if round.highest_accepted.as_ref().is_none_or(|accepted| accepted.number < next.number) {
+                round.highest_accepted = Some(next);
             }
         }
         let granted = &round.granted;
         if !tables.base.has_quorum(|at| granted.contains(&at)) {
             return;
         }
-        // Paxos: what may have been accepted goes on under this number, before anything else.
+        // Paxos: a table that may have been accepted is proposed again under this number before anything
+        // else.
         let mine = tables.next.as_ref().is_some_and(|next| next.number == number);
-        if let Some(seen) = round.seen.clone().filter(|seen| seen.epoch == base + 1 && !mine) {
+        if let Some(highest_accepted) =
+            round.highest_accepted.clone().filter(|accepted| accepted.epoch == base + 1 && !mine)
+        {
             round.fail_at = round.fail_at.max(now + ROUND_TIMEOUT);
             if self.incoming.is_none() && number >= self.lease.number {
-                let next = VoterTable { number, ..seen };
+                let next = VoterTable { number, ..highest_accepted };
                 let tables = VoterTables { base: tables.base, next: Some(next) };
                 if tables.is_well_formed() {
                     self.install_tables(tables);
@@ -424,25 +434,26 @@
             }
             return;
         }
-        // (Those without a seed have no say before they are founded.)
+        // Members that are not seeds have no vote before the first table exists.
         let joint = tables.next.as_ref().filter(|_| base > 0);
         if joint.is_some_and(|next| !next.has_quorum(|at| granted.contains(&at))) {
             return;
         }
-        // It has promised a higher number itself: it would hold, but could never change the voters.
+        // This member has promised a higher number itself: it would hold the lease but could never change the
+        // voters.
         if round.until.is_none() && number < self.lease.number {
             self.lease.try_at = now + Duration::from_millis(50);
             return self.release_lease();
         }
-        let until = if planted(Defect::LeaseFromTheAnswer) {
+        let until = if injected(Defect::LeaseTermFromGrantArrival) {
             now + LEASE_TERM.mul_f64(1.2)
         } else {
-            round.asked_at + holder_term()
+            round.requested_at + holder_term()
         };
         let first = round.until.is_none();
         round.until = Some(round.until.map_or(until, |before| before.max(until)));
         if first {
-            self.note_holder(now, self.setup.me, number);
+            self.note_holder(now, self.settings.me, number);
             self.broadcast = true;
         }
     }
--- a/crates/control-store/src/lib.rs
+++ b/crates/control-store/src/lib.rs
@@ -1,25 +1,27 @@
-//! The control state of the system's core machines (its archives, three to nine of them), decided without
-//! I/O: inputs carry the time, orders are pulled until there are none, chance is seeded.
+//! The replicated control state of the core machines (three to nine controllers), implemented without I/O:
+//! inputs carry the time, actions are pulled until none is left, and randomness comes from a seed.
 //!
-//! - `voters`: which members count (a table of at most nine), how it is changed;
+//! - `voters`: the table of voting members (at most nine) and how it changes;
 //! - `bootstrap`: how the seeds agree on the first table;
-//! - `register`: the operator's configuration, at a majority of the voters, synced there, read back from a majority;
-//! - `transfer`: long texts in pieces;
-//! - `lease`: the lease, held by one member at a time under a number that grows;
-//! - `files`: the disk, the only I/O here.
+//! - `register`: the operator's configuration, synced to disk at a majority of the voters and read back from
+//!   a majority;
+//! - `transfer`: long texts sent in pieces;
+//! - `lease`: the leadership lease, held by one member at a time under an increasing number;
+//! - `files`: the disk, the only I/O of this crate.
 //!
-//! There is no log and no leader for configurations: any member takes one and proposes it under a ballot of its own, a majority
-//! chooses, and what was chosen under a revision never changes. All times are `Duration`s on one steady clock of the caller, from any start.
+//! There is no log and no leader for configurations: any member accepts one and proposes it under its own
+//! ballot, a majority chooses, and what was chosen under a revision never changes. All times are `Duration`s
+//! on one steady clock of the caller, with an arbitrary start.
 //!
-//! After any input (`receive`, `stored`, `replace`, `show`, `tick`, `leave`), `next` is called until it gives
-//! nothing; `tick` is due at `next_due`. `Action::Store` is to be done in order, file and folder synced, and
-//! reported by `stored`. `committed` changes only within these calls.
+//! After any input (`receive`, `stored`, `replace`, `show`, `tick`, `leave`), `next` must be called until it
+//! returns `None`; `tick` is due at `next_due`. `Action::Store` must be executed in order, with file and
+//! folder synced, and confirmed by `stored`. `committed` changes only within these calls.
 
 mod bootstrap;
+mod defects;
 pub mod files;
 mod lease;
 mod lost_disk;
-mod planted;
 mod register;
 mod status;
 #[cfg(test)]
@@ -40,40 +42,41 @@
 pub use transfer::{Piece, PieceReceived};
 pub use voters::{TableVersion, Voter, VoterTable, VoterTables, MAX_VOTERS};
 
-/// Members without a seat that counts say Join so often.
+/// How often a member without an active vote sends Join.
 pub(crate) const JOIN_INTERVAL: Duration = Duration::from_millis(200);
-/// Each member tells half of the others its state so often, in turn: so two members hear each other every
-/// 0.8 s, and `in_touch` lasts over a lost message or none.
+/// Each member sends its state to half of the others at this interval, in turn. Two members therefore
+/// exchange a message every 0.8 s, and `in_touch` survives one lost message.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 const CONTACT_WINDOW: Duration = Duration::from_millis(1600);
-/// Contact older than this may end before the next heartbeat: answers are asked for.
+/// Contact older than this may expire before the next heartbeat: heartbeats then ask for an immediate reply.
 const CONTACT_RENEWED_AFTER: Duration = Duration::from_millis(1100);
-/// An incarnation that was replaced isn't believed again before: its last messages may still be on their way.
+/// How long messages of a replaced incarnation are ignored: its last messages may still be in transit.
 const STALE_INCARNATION_WINDOW: Duration = Duration::from_millis(1500);
 const MAX_PEERS: usize = 64;
 const PEER_EXPIRY: Duration = Duration::from_secs(10);
 const MAX_ACTIONS: usize = 4096;
-/// Of `Envelope`: another one isn't understood. 1 was without this number, and without ballots; 2 without `votes_from`.
+/// Version of `Envelope`; envelopes of other versions are dropped. Version 1 had neither this number nor
+/// ballots, version 2 had no `votes_from`.
 pub const WIRE_VERSION: u16 = 3;
 
 #[derive(Clone, Debug)]
 pub struct MemberSettings {
-    /// The address others know this member by (as `seed_peers` has it).
+    /// The address other members use for this one (as listed in `seed_peers`).
     pub me: SocketAddr,
     pub seeds: Vec<SocketAddr>,
-    /// `initial_boot`.
+    /// The `initial_boot` setting: this is the first start of the whole system.
     pub initial: bool,
     pub seed: u64,
-    /// Another number for each start of the process; not 0.
+    /// A different number for each start of the process; never 0.
     pub incarnation: u64,
 }
 
-/// What the disk held at the start: see `files`.
+/// The state found on disk at the start: see `files`.
 #[derive(Clone, Debug, Default)]
 pub struct DiskState {
     pub voters: Option<VoterTables>,
     pub configuration: Option<Configuration>,
-    /// The highest ballot promised, but for that of `configuration`.
+    /// The highest ballot promised, apart from the ballot of `configuration`.
     pub promised: Ballot,
     pub lease_number: u64,
 }
@@ -86,34 +89,38 @@
     Promise(Ballot),
 }
 
-/// What members say to each other; postcard on the wire.
+/// The message format between members; encoded with postcard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// `WIRE_VERSION` of the sender.
     pub version: u16,
-    /// Of the sender.
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// The incarnation the sender last heard from the one it speaks to, or 0: shows that it heard of this start.
+    /// The last incarnation of the receiver that the sender knows, or 0. It shows whether the sender knows of
+    /// the receiver's current start.
     pub echo: u64,
     pub what: Message,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// From a member whose voter doesn't count yet, or that has none. Answered with `MemberState`, and `Table`.
+    /// From a member that is no voter or whose vote is not active yet. Answered with `MemberState`, and with
+    /// `Table` if its table is older.
     Join {
-        mark: TableVersion,
+        #[serde(rename = "mark")]
+        table_version: TableVersion,
     },
     MemberState(Box<MemberState>),
-    /// Answered with `MemberState` bearing the same number.
+    /// Answered with a `MemberState` with the same number.
     ReadRequest {
-        ask: u64,
+        #[serde(rename = "ask")]
+        read_number: u64,
     },
     /// A proposal. Acknowledged by a `MemberState` that has it as `saved`, or answered with `Reject`.
     Replicate(Configuration),
-    /// Answered with `Learn`, `Replicate`, or both.
+    /// Requests the receiver's configuration. Answered with `Learn`, `Replicate`, or both.
     Fetch,
-    /// Acknowledged by a `MemberState` with its mark.
+    /// Acknowledged by a `MemberState` with its table version.
     Table(VoterTables),
     LeaseRequest {
         number: u64,
@@ -132,19 +139,19 @@
         highest: u64,
         left_ms: u32,
     },
-    /// The round or lease of this number is over.
+    /// The round or lease of this number has ended.
     LeaseRelease {
         number: u64,
     },
-    /// Join from a member that has lost nothing and was there at the first start.
+    /// Join from a member that has lost no state and took part in the first start.
     JoinFirstStart,
-    /// A round begins, under the settled table of this version. Answered with `Promise` or `Reject`.
+    /// Starts a round under the settled table of this version. Answered with `Promise` or `Reject`.
     Prepare {
         ballot: Ballot,
         table: TableVersion,
     },
-    /// On the sender's disk: it accepts nothing below the ballot. With what it has accepted, and what it knows
-    /// to be chosen.
+    /// Synced to the sender's disk: it accepts nothing below the ballot. Carries the version it has accepted
+    /// and the version it knows to be chosen.
     Promise {
         ballot: Ballot,
         accepted: Version,
@@ -155,39 +162,41 @@
         ballot: Ballot,
         promised: Ballot,
     },
-    /// Known to be chosen.
+    /// A configuration known to be chosen.
     Learn(Configuration),
-    /// From a member whose voter was given away, or is to be.
+    /// From a member that was replaced as a voter, or is about to be.
     Departure {
         state: Box<MemberState>,
-        /// The last epoch in which the sender counted as a voter, if it is none any more, or 0.
+        /// The last epoch in which the sender's vote was active, if it is no longer a voter, or 0.
         counted: u64,
-        /// It has received SIGTERM. Answered with `MemberState`.
+        /// The sender has received SIGTERM. Answered with `MemberState`.
         leaving: bool,
     },
-    /// `Table` with a new voter in its `next`, and what `Seated` says of it: accepted together.
+    /// `Table` with a new voter in its `next`, together with the content of `Seated` for that voter: both are
+    /// accepted at once.
     Proposal {
         tables: VoterTables,
         at: SocketAddr,
         incarnation: u64,
     },
-    /// Of a new voter, and handed on to it: in which of its incarnations it was heard before its table was settled.
+    /// Identifies the incarnation of a new voter that the proposer knew before the table was settled.
+    /// Forwarded to the new voter.
     Seated {
         epoch: u64,
         at: SocketAddr,
         incarnation: u64,
     },
-    /// Of a configuration too long for one message. Acknowledged by `PieceReceived`.
+    /// A piece of a configuration too long for one message. Acknowledged by `PieceReceived`.
     Piece(Piece),
     PieceReceived(PieceReceived),
-    /// What the sender has, and the proof that the two hear each other.
+    /// The sender's state, with stamps that prove contact in both directions.
     Heartbeat {
         state: Box<MemberState>,
         /// The sender's steady clock, in microseconds.
         stamp: u64,
-        /// The last stamp of the receiver that the sender has, or 0.
+        /// The receiver's last stamp known to the sender, or 0.
         echo_stamp: u64,
-        /// Whether it is to be answered at once.
+        /// Whether an immediate answer is requested.
         reply: bool,
     },
 }
@@ -195,29 +204,30 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "wire::WireState", into = "wire::WireState")]
 pub struct MemberState {
-    pub mark: TableVersion,
-    /// Whether the sender has a seat and what it lost, if anything, is back.
+    pub table_version: TableVersion,
+    /// Whether the sender is a voter and has recovered any lost state: its vote is active.
     pub counts: bool,
-    /// On its disk.
+    /// The version on its disk.
     pub saved: Version,
-    /// In its memory.
+    /// The version in its memory.
     pub held: Version,
-    /// Known to be at a majority.
+    /// The version it knows to be stored at a majority.
     pub committed: Version,
-    /// The highest ballot it promised: on its disk, or about to be.
+    /// The highest ballot it promised: on its disk, or being stored.
     pub promised: Ballot,
-    /// What it saved under a lower ballot is a copy that it read, not its vote.
+    /// A saved version under a lower ballot is a copy read from others, not a vote.
     pub votes_from: Ballot,
     /// The highest lease number it promised.
     pub number: u64,
-    /// The lease's holder, heard by the sender itself within a voter's term.
+    /// The lease holder with its lease number, if the sender received a message from it within a voter's
+    /// lease term.
     pub holder: Option<(SocketAddr, u64)>,
-    /// The question this answers, or 0.
-    pub ask: u64,
+    /// The number of the read that this answers, or 0.
+    pub read_number: u64,
 }
 
 impl MemberState {
-    /// Whether the sender accepted this version, and has it on its disk.
+    /// Whether the sender accepted this version and has it on its disk.
     fn votes_for(&self, version: Version) -> bool {
         self.saved == version && version.ballot >= self.votes_from
     }
@@ -232,129 +242,132 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// At a majority of disks, or overtaken by a higher revision that is.
+    /// Stored at a majority of disks, or superseded by a higher revision that is.
     Acknowledged,
     /// Nothing changed: this version, of a higher revision, was chosen by a majority.
     Superseded(Version),
     /// Nothing changed: this version, another text under the same revision, was chosen by a majority.
     Conflict(Version),
-    /// Unclear: it may or may not be in force. To be sent again.
+    /// Unknown result: the configuration may or may not be in force. The operator should send it again.
     Unavailable { retry_after_ms: u32 },
-    /// `show`: no configuration was ever taken.
+    /// `show`: no configuration was ever accepted.
     Empty,
-    /// `show`: the newest.
+    /// `show`: the newest configuration.
     Found(Configuration),
-    /// This member doesn't count; that one does, as far as is known.
+    /// This member's vote is not active; the named member's is, as far as known.
     Redirect(SocketAddr),
 }
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Peer {
     pub incarnation: u64,
-    before: Option<(u64, Duration)>,
-    pub heard: Option<Duration>,
+    replaced_incarnation: Option<(u64, Duration)>,
+    pub received_at: Option<Duration>,
     pub join_at: Option<Duration>,
-    /// Said so in this incarnation.
-    pub first: bool,
+    /// It reported its first start in this incarnation.
+    pub first_start: bool,
     pub join_since: Duration,
-    /// The most it has said in this incarnation.
+    /// The newest values it reported in this incarnation.
     pub state: MemberState,
     pub state_at: Option<Duration>,
     /// Its last stamp.
     pub stamp: u64,
-    /// When this member sent what that one has answered since: both ways work, or did then.
+    /// Send time of the last message that this peer has answered: at that time, messages passed in both
+    /// directions.
     pub contact_at: Option<Duration>,
-    /// When it last said its state knowing of this member's present incarnation.
+    /// When it last reported its state knowing this member's current incarnation.
     pub echoed_at: Option<Duration>,
-    pub put_at: Option<Duration>,
+    pub copy_sent_at: Option<Duration>,
     pub fetch_at: Option<Duration>,
-    pub told: Option<(Duration, TableVersion)>,
-    /// It said in this incarnation that it leaves.
+    pub table_sent: Option<(Duration, TableVersion)>,
+    /// It announced in this incarnation that it leaves.
     pub leaving: bool,
-    /// The last epoch in which it counted, if its voter was given away in this incarnation.
+    /// The last epoch in which its vote was active, if it was replaced as a voter in this incarnation.
     pub counted: u64,
 }
 
 pub struct ControlStore {
-    pub(crate) setup: MemberSettings,
+    pub(crate) settings: MemberSettings,
     pub(crate) started: Duration,
     now: Duration,
-    rand: oorandom::Rand64,
-    orders: VecDeque<Action>,
-    /// What this member says to itself.
-    inner: VecDeque<Message>,
-    tokens: u64,
+    rng: oorandom::Rand64,
+    actions: VecDeque<Action>,
+    /// Messages of this member to itself.
+    self_messages: VecDeque<Message>,
+    last_token: u64,
     pub(crate) peers: BTreeMap<SocketAddr, Peer>,
     pub(crate) tables: Option<VoterTables>,
-    /// On their way to the disk, under this token (0: the disk failed).
+    /// Tables being written to disk, with the store token (0: the write failed and will be retried).
     pub(crate) incoming: Option<(u64, VoterTables)>,
-    /// The epoch of the tables on the disk, if this member has a seat in them, or is to get one.
+    /// The epoch of the tables on disk, if this member is a voter in them or is about to become one.
     pub(crate) on_disk: Option<u64>,
-    /// Wrote table 0 down in this incarnation.
-    pub(crate) began: bool,
+    /// Whether table 0 was written in this incarnation.
+    pub(crate) wrote_seed_table: bool,
     pub(crate) voting: bool,
-    pub(crate) lost_until: Option<Duration>,
+    pub(crate) lost_disk_wait_until: Option<Duration>,
     pub(crate) lost_disk_read: Option<lost_disk::LostDiskRead>,
-    pub(crate) disk_again: Option<Duration>,
-    pub(crate) newest_at: Duration,
+    pub(crate) disk_retry_at: Option<Duration>,
+    pub(crate) newest_member_at: Duration,
     pub(crate) join_due: Duration,
     heartbeat_due: Duration,
     heartbeat_next: usize,
     pub(crate) ready: bool,
-    /// The highest revision that a majority had stored when it was first heard.
+    /// The highest revision stored at the first majority that replied after the start.
     pub(crate) ready_goal: Option<u64>,
     pub(crate) leaving: bool,
     pub(crate) leave_due: Duration,
     pub(crate) in_touch_since: Duration,
     pub(crate) behind_since: Option<Duration>,
-    /// Since when this member has had the table that counts.
+    /// When this member received the current table.
     pub(crate) epoch_since: Duration,
-    /// The last proposal known: the epoch, the new voter and its incarnation at that time.
+    /// The last known proposal: the epoch, the new voter and its incarnation at that time.
     pub(crate) proposed: Option<(u64, SocketAddr, u64)>,
-    /// The epoch with which this member became a voter, if that was in this incarnation: it never counted under it.
-    pub(crate) seated: Option<u64>,
-    /// The last epoch in which this member counted before its voter was given away.
+    /// The epoch in which this member became a voter, if that was in this incarnation: its vote was never
+    /// active under that epoch in an earlier one.
+    pub(crate) joined_epoch: Option<u64>,
+    /// The last epoch in which this member's vote was active before it was replaced as a voter.
     pub(crate) counted: u64,
     pub(crate) broadcast: bool,
-    told: (TableVersion, bool, Version, Version),
+    announced: (TableVersion, bool, Version, Version),
     pub(crate) register: register::Register,
     pub(crate) lease: lease::Lease,
-    /// Messages of other versions that were dropped.
-    foreign: u64,
+    /// Messages dropped because of another wire version.
+    version_mismatches: u64,
     pub(crate) transfers: transfer::Transfers,
 }
 
 impl ControlStore {
-    pub fn new(setup: MemberSettings, kept: DiskState, now: Duration) -> ControlStore {
-        let register = register::Register::restore(&kept, now);
-        let tables = kept.voters.filter(VoterTables::is_well_formed);
-        let seated =
-            tables.as_ref().filter(|tables| tables.base.epoch == 0 || tables.base.voter(setup.me).is_some());
-        let on_disk = seated.map(|tables| tables.base.epoch);
+    pub fn new(settings: MemberSettings, restored: DiskState, now: Duration) -> ControlStore {
+        let register = register::Register::restore(&restored, now);
+        let tables = restored.voters.filter(VoterTables::is_well_formed);
+        let own_tables = tables
+            .as_ref()
+            .filter(|tables| tables.base.epoch == 0 || tables.base.voter(settings.me).is_some());
+        let on_disk = own_tables.map(|tables| tables.base.epoch);
         let accepted = tables.as_ref().and_then(|tables| tables.next.as_ref()).map_or(0, |next| next.number);
         let lease = lease::Lease::new(
-            kept.lease_number.max(accepted),
-            kept.lease_number,
+            restored.lease_number.max(accepted),
+            restored.lease_number,
             now + LEASE_TERM.mul_f64(1.1),
         );
-        let seed = u128::from(setup.seed) << 64 | u128::from(setup.incarnation);
+        let seed = u128::from(settings.seed) << 64 | u128::from(settings.incarnation);
         let mut store = ControlStore {
             started: now,
             now,
-            rand: oorandom::Rand64::new(seed),
-            orders: VecDeque::new(),
-            inner: VecDeque::new(),
-            tokens: 0,
+            rng: oorandom::Rand64::new(seed),
+            actions: VecDeque::new(),
+            self_messages: VecDeque::new(),
+            last_token: 0,
             peers: BTreeMap::new(),
             voting: on_disk.is_some(),
             on_disk,
             tables,
             incoming: None,
-            began: false,
-            lost_until: None,
+            wrote_seed_table: false,
+            lost_disk_wait_until: None,
             lost_disk_read: None,
-            disk_again: None,
-            newest_at: now,
+            disk_retry_at: None,
+            newest_member_at: now,
             join_due: now,
             heartbeat_due: now,
             heartbeat_next: 0,
@@ -367,22 +380,22 @@
             epoch_since: now,
             counted: 0,
             proposed: None,
-            seated: None,
+            joined_epoch: None,
             broadcast: true,
-            told: Default::default(),
+            announced: Default::default(),
             register,
             lease,
-            foreign: 0,
+            version_mismatches: 0,
             transfers: Default::default(),
-            setup,
+            settings,
         };
-        store.lease.try_at = now + store.chance(250);
+        store.lease.try_at = now + store.random_delay(250);
         store
     }
 
-    /// From 0 to so many milliseconds.
-    pub(crate) fn chance(&mut self, ms: u64) -> Duration {
-        Duration::from_millis(self.rand.rand_range(0..ms + 1))
+    /// A random delay of 0 to `ms` milliseconds.
+    pub(crate) fn random_delay(&mut self, ms: u64) -> Duration {
+        Duration::from_millis(self.rng.rand_range(0..ms + 1))
     }
 
     pub(crate) fn advance(&mut self, now: Duration) {
@@ -390,39 +403,39 @@
     }
 
     pub(crate) fn send(&mut self, to: SocketAddr, what: Message) {
-        if to == self.setup.me {
-            self.inner.push_back(what);
+        if to == self.settings.me {
+            self.self_messages.push_back(what);
             return;
         }
-        if self.orders.len() >= MAX_ACTIONS {
+        if self.actions.len() >= MAX_ACTIONS {
             return;
         }
         let echo = self.peers.get(&to).map_or(0, |peer| peer.incarnation);
-        self.orders.push_back(Action::Send {
+        self.actions.push_back(Action::Send {
             to,
-            envelope: Envelope { version: WIRE_VERSION, incarnation: self.setup.incarnation, echo, what },
+            envelope: Envelope { version: WIRE_VERSION, incarnation: self.settings.incarnation, echo, what },
         });
     }
 
     pub(crate) fn store(&mut self, what: Stored) -> u64 {
-        self.tokens += 1;
-        self.orders.push_back(Action::Store { token: self.tokens, what });
-        self.tokens
+        self.last_token += 1;
+        self.actions.push_back(Action::Store { token: self.last_token, what });
+        self.last_token
     }
 
     pub(crate) fn answer(&mut self, call: u64, outcome: Outcome) {
-        self.orders.push_back(Action::Answer { call, outcome });
+        self.actions.push_back(Action::Answer { call, outcome });
     }
 
-    pub(crate) fn send_state(&mut self, to: SocketAddr, ask: u64) {
-        let state = self.member_state(ask);
+    pub(crate) fn send_state(&mut self, to: SocketAddr, read_number: u64) {
+        let state = self.member_state(read_number);
         self.send(to, Message::MemberState(Box::new(state)));
     }
 
-    pub(crate) fn member_state(&self, ask: u64) -> MemberState {
-        let fresh = |(_, _, at): &(SocketAddr, u64, Duration)| self.now <= *at + LEASE_TERM.mul_f64(1.1);
+    pub(crate) fn member_state(&self, read_number: u64) -> MemberState {
+        let recent = |(_, _, at): &(SocketAddr, u64, Duration)| self.now <= *at + LEASE_TERM.mul_f64(1.1);
         MemberState {
-            mark: self.mark(),
+            table_version: self.table_version(),
             counts: self.is_voting(),
             saved: self.register.saved,
             held: self.register.held_version(),
@@ -433,26 +446,27 @@
             holder: self
                 .lease
                 .holder
-                .filter(fresh)
+                .filter(recent)
                 .map(|(at, number, _)| (at, number))
                 .filter(|_| !self.is_bootstrapping()),
-            ask,
+            read_number,
         }
     }
 
     pub fn receive(&mut self, now: Duration, from: SocketAddr, envelope: Envelope) {
         self.advance(now);
         if envelope.version != WIRE_VERSION {
-            self.foreign += 1;
+            self.version_mismatches += 1;
             return;
         }
-        if from == self.setup.me || envelope.incarnation == 0 {
+        if from == self.settings.me || envelope.incarnation == 0 {
             return;
         }
         if !self.peers.contains_key(&from) && self.peers.len() >= MAX_PEERS {
             let members = self.members();
             self.peers.retain(|at, peer| {
-                members.contains(at) || peer.heard.is_some_and(|heard| now <= heard + PEER_EXPIRY)
+                members.contains(at)
+                    || peer.received_at.is_some_and(|received_at| now <= received_at + PEER_EXPIRY)
             });
             if self.peers.len() >= MAX_PEERS {
                 return;
@@ -461,26 +475,27 @@
         let peer = self.peers.entry(from).or_default();
         if peer.incarnation != envelope.incarnation {
             if peer
-                .before
+                .replaced_incarnation
                 .is_some_and(|(incarnation, until)| incarnation == envelope.incarnation && now < until)
             {
                 return;
             }
-            // To an earlier start of this member: most likely from an earlier one of the sender, and late.
-            if peer.incarnation != 0 && envelope.echo != 0 && envelope.echo != self.setup.incarnation {
+            // Addressed to an earlier incarnation of this member, so most likely a late message from an
+            // earlier incarnation of the sender.
+            if peer.incarnation != 0 && envelope.echo != 0 && envelope.echo != self.settings.incarnation {
                 return;
             }
             let (join_at, join_since) = (peer.join_at, peer.join_since);
             *peer = Peer {
                 incarnation: envelope.incarnation,
-                before: Some((peer.incarnation, now + STALE_INCARNATION_WINDOW)),
+                replaced_incarnation: Some((peer.incarnation, now + STALE_INCARNATION_WINDOW)),
                 ..Peer::default()
             };
             (peer.join_at, peer.join_since) = (join_at, join_since);
             self.transfers.forget(from);
         }
-        peer.heard = Some(now);
-        let echoed = envelope.echo == self.setup.incarnation;
+        peer.received_at = Some(now);
+        let echoed = envelope.echo == self.settings.incarnation;
         match envelope.what {
             Message::MemberState(state) => self.receive_state(now, from, echoed, *state),
             Message::Heartbeat { state, stamp, echo_stamp, reply } => {
@@ -501,14 +516,14 @@
 
     fn receive_message(&mut self, now: Duration, from: SocketAddr, what: Message) {
         match what {
-            Message::Join { mark } => self.receive_join(now, from, mark, false),
+            Message::Join { table_version } => self.receive_join(now, from, table_version, false),
             Message::JoinFirstStart => self.receive_join(now, from, TableVersion::default(), true),
             Message::MemberState(_) | Message::Heartbeat { .. } | Message::Departure { .. } => {}
-            Message::ReadRequest { ask } => self.send_state(from, ask),
+            Message::ReadRequest { read_number } => self.send_state(from, read_number),
             Message::Replicate(configuration) => self.receive_replicate(now, from, configuration),
-            Message::Fetch => self.put(now, from, true),
+            Message::Fetch => self.send_copy(now, from, true),
             Message::Piece(piece) => self.receive_piece(now, from, piece),
-            Message::PieceReceived(said) => self.receive_piece_received(now, from, said),
+            Message::PieceReceived(received) => self.receive_piece_received(now, from, received),
             Message::Table(tables) => {
                 self.receive_table(now, from, tables);
                 self.send_state(from, 0);
@@ -547,27 +562,27 @@
                 self.note_holder(now, at, number);
             }
         }
-        let mark = self.mark();
+        let table_version = self.table_version();
         if let Some(peer) = self.peers.get_mut(&from) {
             let old = peer.state;
-            // Messages overtake each other, and all of this only grows within an incarnation.
-            if state.mark >= old.mark {
+            // Messages may be reordered, and all these values only grow within an incarnation.
+            if state.table_version >= old.table_version {
                 peer.state = state;
                 peer.state.saved = state.saved.max(old.saved);
                 peer.state.held = state.held.max(old.held);
                 peer.state.committed = state.committed.max(old.committed);
                 peer.state.promised = state.promised.max(old.promised);
                 peer.state.votes_from = state.votes_from.max(old.votes_from);
-                peer.state.counts = state.counts || (old.counts && state.mark == old.mark);
+                peer.state.counts = state.counts || (old.counts && state.table_version == old.table_version);
             }
             peer.state_at = Some(now);
             if echoed {
                 peer.echoed_at = Some(now);
             }
         }
-        if state.mark < mark {
+        if state.table_version < table_version {
             self.send_table(now, from);
-        } else if state.mark > mark {
+        } else if state.table_version > table_version {
             self.send_state(from, 0);
         }
         if echoed {
@@ -575,14 +590,14 @@
         }
         self.receive_lost_disk_answer(from, echoed, &state);
         self.receive_vote(from, &state);
-        if self.in_a_hurry() {
+        if self.is_catching_up() {
             self.repair(now, from);
         }
     }
 
     pub fn stored(&mut self, now: Duration, token: u64, ok: bool) {
         self.advance(now);
-        let ok = ok || planted::planted(planted::Defect::TakesARefusalForDone);
+        let ok = ok || defects::injected(defects::Defect::TreatsFailedWriteAsDone);
         let _ = self.configuration_stored(now, token, ok)
             || self.table_stored(now, token, ok)
             || self.number_stored(now, token, ok);
@@ -595,11 +610,11 @@
             self.send_join(now);
         }
         self.bootstrap(now);
-        if self.register.disk_again.take_if(|at| now >= *at).is_some() {
+        if self.register.disk_retry_at.take_if(|at| now >= *at).is_some() {
             self.store_configuration();
         }
-        if self.disk_again.take_if(|at| now >= *at).is_some() {
-            self.table_again();
+        if self.disk_retry_at.take_if(|at| now >= *at).is_some() {
+            self.retry_table_store();
         }
         if !self.contact_within(now, CONTACT_WINDOW.mul_f64(1.5)) {
             self.in_touch_since = now;
@@ -615,13 +630,15 @@
     }
 
     fn heartbeat(&mut self, now: Duration) {
-        self.heartbeat_due =
-            now + HEARTBEAT_INTERVAL.mul_f64(0.9) + self.chance(HEARTBEAT_INTERVAL.as_millis() as u64 / 10);
+        self.heartbeat_due = now
+            + HEARTBEAT_INTERVAL.mul_f64(0.9)
+            + self.random_delay(HEARTBEAT_INTERVAL.as_millis() as u64 / 10);
         let others = self.others();
         if others.is_empty() {
             return;
         }
-        // Who is no voter isn't told anything unasked; and contact may be about to end, or be gone.
+        // A member that is no voter receives no unsolicited state; otherwise contact may be about to expire
+        // or already have expired.
         let reply = !self.is_voter() || !self.contact_within(now, CONTACT_RENEWED_AFTER);
         let count = if reply { others.len() } else { others.len().div_ceil(2) };
         for _ in 0..count {
@@ -648,33 +665,34 @@
         }
     }
 
-    /// Whether a majority of the voters has answered what this member sent within so long, by its steady clock.
+    /// Whether a majority of the voters has answered a message this member sent within the window, by its
+    /// steady clock.
     fn contact_within(&self, now: Duration, window: Duration) -> bool {
         let Some(tables) = self.tables.as_ref().filter(|tables| tables.base.epoch > 0) else { return false };
         tables.base.has_quorum(|at| {
-            if at == self.setup.me {
+            if at == self.settings.me {
                 return self.is_voting();
             }
             self.peers.get(&at).is_some_and(|peer| {
-                let one_way = planted::planted(planted::Defect::TouchesOneWay);
-                let at = if one_way { peer.heard } else { peer.contact_at };
+                let one_way = defects::injected(defects::Defect::ContactFromOneWay);
+                let at = if one_way { peer.received_at } else { peer.contact_at };
                 at.is_some_and(|at| now <= at + window)
             })
         })
     }
 
-    /// Since when it has known of a chosen configuration that it does not have.
+    /// Tracks since when a chosen configuration is known that this member does not have.
     fn note_behind(&mut self, now: Duration) {
         let mine = self.register.committed_version().revision;
         let behind = self.peers.values().any(|peer| peer.state.committed.revision > mine);
         self.behind_since = if behind { self.behind_since.or(Some(now)) } else { None };
     }
 
-    /// Draws all conclusions.
+    /// Runs all steps that may be due after an input, until there are no messages to itself left.
     pub(crate) fn settle(&mut self, now: Duration) {
         for _ in 0..64 {
-            while let Some(what) = self.inner.pop_front() {
-                self.receive_message(now, self.setup.me, what);
+            while let Some(what) = self.self_messages.pop_front() {
+                self.receive_message(now, self.settings.me, what);
             }
             self.commit_table(now);
             self.step_lost_disk_read(now);
@@ -682,10 +700,14 @@
             self.check_ready(now);
             self.step_register(now);
             self.note_behind(now);
-            let news =
-                (self.mark(), self.is_voting(), self.register.saved, self.register.committed_version());
-            if std::mem::take(&mut self.broadcast) || news != self.told {
-                self.told = news;
+            let current = (
+                self.table_version(),
+                self.is_voting(),
+                self.register.saved,
+                self.register.committed_version(),
+            );
+            if std::mem::take(&mut self.broadcast) || current != self.announced {
+                self.announced = current;
                 let mut to = self.others();
                 if !self.is_voter() {
                     to.clear();
@@ -694,7 +716,7 @@
                     self.send_state(at, 0);
                 }
             }
-            if self.inner.is_empty() {
+            if self.self_messages.is_empty() {
                 return;
             }
         }
@@ -705,94 +727,98 @@
             return;
         }
         let Some(tables) = &self.tables else { return };
-        let (me, mark) = (self.setup.me, tables.mark());
-        let mut most = Version::NONE;
-        let heard = |at: SocketAddr| {
+        let (me, table_version) = (self.settings.me, tables.table_version());
+        let mut newest = Version::NONE;
+        let replied = |at: SocketAddr| {
             at == me && self.is_voting()
                 || self.peers.get(&at).is_some_and(|peer| {
-                    peer.echoed_at.is_some() && peer.state.counts && peer.state.mark.epoch == mark.epoch
+                    peer.echoed_at.is_some()
+                        && peer.state.counts
+                        && peer.state.table_version.epoch == table_version.epoch
                 })
         };
-        if !tables.base.has_quorum(heard) {
+        if !tables.base.has_quorum(replied) {
             return;
         }
         for peer in tables.base.voters.iter().filter_map(|voter| self.peers.get(&voter.at)) {
             if peer.echoed_at.is_some() {
-                most = most.max(peer.state.saved);
+                newest = newest.max(peer.state.saved);
             }
         }
-        // What it knows to be chosen may be older than that: it would hand it out, and lead by it.
-        let goal = self.ready_goal.get_or_insert(most.revision);
-        let goal = most.revision.min(*goal);
+        // The version known to be chosen may be older than the newest: serving it would hand out and lead
+        // with outdated configuration.
+        let goal = self.ready_goal.get_or_insert(newest.revision);
+        let goal = newest.revision.min(*goal);
         let caught_up = self.register.committed_version().revision >= goal;
-        let has_newest = self.register.known_version() >= most && caught_up;
-        if has_newest || planted::planted(planted::Defect::ReadyWithAnOldOne) {
+        let has_newest = self.register.known_version() >= newest && caught_up;
+        if has_newest || defects::injected(defects::Defect::ReadyWithStaleConfiguration) {
             self.ready = true;
-            self.lease.try_at = self.lease.try_at.max(now) + self.bootstrap_turn();
+            self.lease.try_at = self.lease.try_at.max(now) + self.bootstrap_delay();
             self.broadcast = true;
         }
     }
 
-    /// When `tick` is to be called at the latest.
+    /// The latest time at which `tick` must be called.
     pub fn next_due(&self) -> Duration {
         let mut due = self.heartbeat_due;
-        let mut also = |at: Duration| due = due.min(at);
+        let mut include = |at: Duration| due = due.min(at);
         if self.leaving {
-            also(self.leave_due);
+            include(self.leave_due);
         }
         if !self.voting || self.is_bootstrapping() {
-            also(self.join_due);
+            include(self.join_due);
         }
         if self.may_bootstrap(self.now).is_some() {
-            also(self.bootstrap_due());
+            include(self.bootstrap_due());
         }
-        self.register.disk_again.into_iter().chain(self.disk_again).for_each(&mut also);
-        self.transfers.due().into_iter().for_each(&mut also);
-        if let Some(until) = self.lost_until.filter(|until| self.joining() && self.now < *until) {
-            also(until);
+        self.register.disk_retry_at.into_iter().chain(self.disk_retry_at).for_each(&mut include);
+        self.transfers.due().into_iter().for_each(&mut include);
+        if let Some(until) = self.lost_disk_wait_until.filter(|until| self.joining() && self.now < *until) {
+            include(until);
         }
         if self.lease.busy() || (self.ready && self.is_voting() && !self.leaving && self.incoming.is_none()) {
-            also(self.lease.due());
+            include(self.lease.due());
         }
-        self.next_call_due().into_iter().chain(self.next_round_due()).for_each(&mut also);
+        self.next_call_due().into_iter().chain(self.next_round_due()).for_each(&mut include);
         due.max(self.now + Duration::from_millis(1))
     }
 
-    /// The next thing to be done by the caller.
+    /// The next action for the caller.
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Option<Action> {
-        self.orders.pop_front()
+        self.actions.pop_front()
     }
 
-    /// The newest configuration known to be at a majority: only this is handed to others.
+    /// The newest configuration known to be stored at a majority: the only one that is served to others.
     pub fn committed(&self) -> Option<&Configuration> {
         self.register.committed.as_ref().filter(|_| self.ready())
     }
 
-    /// Has heard a majority since its start, and holds the newest it heard of.
+    /// Whether a majority has replied since the start and this member has the newest version they reported.
     pub fn ready(&self) -> bool {
         self.ready && !self.is_bootstrapping()
     }
 
-    /// Whether a majority of the voters has answered what this member sent less than 1.6 s ago, and it does not know
-    /// of anything newer than what it hands out for longer than that.
+    /// Whether a majority of the voters has answered a message that this member sent less than 1.6 s ago, and
+    /// this member has not known of a newer configuration than the one it serves for longer than that.
     pub fn in_touch(&self, now: Duration) -> bool {
         let behind = self.behind_since.is_some_and(|since| now > since + CONTACT_WINDOW);
         !behind && self.contact_within(now, CONTACT_WINDOW)
     }
 
-    /// How many messages of other versions were dropped.
+    /// Number of messages dropped because of another wire version.
     pub fn version_mismatches(&self) -> u64 {
-        self.foreign
+        self.version_mismatches
     }
 
-    /// SIGTERM: gives the lease up, and doesn't take it again. The process ends once `may_exit` allows it.
+    /// Called on SIGTERM: releases the lease and does not request it again. The process exits once `may_exit`
+    /// allows it.
     pub fn leave(&mut self, now: Duration) {
         self.advance(now);
         self.leaving = true;
         self.leave_due = now;
-        // A holder proposes its own successor as a voter first: it may be the only one that can.
-        if !planted::planted(planted::Defect::LeavesWithoutHandover) {
+        // A holder proposes its own successor as a voter first: it may be the only member that can.
+        if !defects::injected(defects::Defect::LeavesWithoutHandover) {
             self.consider_voters(now);
         }
         self.step_leave(now);
@@ -801,11 +827,11 @@
 }
 
 impl ControlStore {
-    /// The state in a line, for logs and tests.
+    /// The state in one line, for logs and tests.
     pub fn describe(&self) -> String {
         format!(
             "{:?} counts {} ready {} saved {} held {} committed {} number {} holder {:?} voters {:?}",
-            self.mark(),
+            self.table_version(),
             self.is_voting(),
             self.ready,
             self.register.saved.revision,
--- a/crates/control-store/src/register/acceptor.rs
+++ b/crates/control-store/src/register/acceptor.rs
@@ -1,11 +1,11 @@
-//! The acceptor's part of the register: what a member promised and accepted. No time, no I/O; the caller
-//! syncs a promise, and what was accepted, before it tells anybody.
+//! The acceptor of the register: what a member promised and accepted. No time, no I/O; the caller syncs
+//! promises and accepted versions to disk before it reports them.
 //!
 //! Source: Lamport, "Paxos Made Simple" (2001); Rystsov, "CASPaxos: Replicated State Machines without Logs"
 //! (2018).
 
 use super::configuration::{Ballot, Version};
-use crate::planted::{planted, Defect};
+use crate::defects::{injected, Defect};
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Acceptor {
@@ -16,18 +16,18 @@
 /// The answer to a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Accepted {
-    /// To be synced, then told.
+    /// Accepted now: to be synced, then reported.
     New,
-    /// It, or something that replaced it, was accepted before.
+    /// This version, or a newer one, was already accepted.
     Before,
     /// A higher ballot was promised.
     Refused,
 }
 
 impl Acceptor {
-    /// From the disk.
+    /// Restores the state from disk.
     pub fn restore(promised: Ballot, accepted: Version) -> Acceptor {
-        let promised = if planted(Defect::ForgetsItsPromises) { Ballot::NONE } else { promised };
+        let promised = if injected(Defect::ForgetsPromises) { Ballot::NONE } else { promised };
         Acceptor { promised: promised.max(accepted.ballot), accepted }
     }
 
@@ -39,7 +39,7 @@
         self.accepted
     }
 
-    /// Promises to accept nothing below this ballot. The error is the higher one that was promised before.
+    /// Promises to accept nothing below this ballot. The error is the higher ballot that was promised before.
     pub fn prepare(&mut self, ballot: Ballot) -> Result<Version, Ballot> {
         if ballot < self.promised {
             return Err(self.promised);
@@ -49,25 +49,25 @@
     }
 
     pub fn accept(&mut self, proposal: Version) -> Accepted {
-        if proposal.ballot < self.promised && !planted(Defect::AcceptsBelowItsPromise) {
+        if proposal.ballot < self.promised && !injected(Defect::AcceptsBelowPromise) {
             return Accepted::Refused;
         }
-        self.take(proposal)
+        self.record(proposal)
     }
 
-    /// Takes what is known to be chosen, whatever was promised: one copy more of it changes nothing.
+    /// Accepts a version known to be chosen, whatever was promised: one more copy of it changes nothing.
     pub fn learn(&mut self, chosen: Version) -> Accepted {
-        self.take(chosen)
+        self.record(chosen)
     }
 
-    /// A promise read from another member, in the place of one that may have been lost.
+    /// Adopts a promise read from another member, in place of one that may have been lost.
     pub fn learn_promise(&mut self, ballot: Ballot) {
-        if !planted(Defect::ReadsNoPromises) {
+        if !injected(Defect::SkipsReadingPromises) {
             self.promised = self.promised.max(ballot);
         }
     }
 
-    fn take(&mut self, version: Version) -> Accepted {
+    fn record(&mut self, version: Version) -> Accepted {
         if version <= self.accepted {
             return Accepted::Before;
         }
--- a/crates/control-store/src/register/calls.rs
+++ b/crates/control-store/src/register/calls.rs
@@ -1,7 +1,7 @@
-//! Operators' calls: an order to put a configuration in force, and the question for the one in force.
+//! Operators' calls: requests to replace the configuration, and to show the one in force.
 //!
-//! Each is answered only after a majority of the voters was heard for it, so a member that is cut off, or wakes
-//! after a freeze, states nothing.
+//! Each is answered only after a majority of the voters has replied for it, so a member that is cut off, or
+//! resumes after a freeze, makes no statement.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,59 +9,60 @@
 use std::time::Duration;
 
 use super::configuration::{Configuration, Version};
-use super::proposer::{verdict, Order, Verdict};
-use crate::planted::{planted, Defect};
+use super::proposer::{verdict, ReplaceRequest, Verdict};
+use crate::defects::{injected, Defect};
 use crate::{ControlStore, Message, Outcome, TableVersion};
 
-/// A silent majority fails a call after this: `ack_timeout_ms` is 6 s, and operators wait a second or more.
+/// Timeout of a call without replies from a majority: `ack_timeout_ms` is 6 s, and operators wait at least a
+/// second.
 const REPLACE_TIMEOUT: Duration = Duration::from_millis(2500);
 const READ_TIMEOUT: Duration = Duration::from_millis(2000);
-/// So long a call waits for the rest of the members after a majority has acknowledged.
+/// How long a call waits for the remaining members after a majority has acknowledged.
 const STRAGGLER_WAIT: Duration = Duration::from_millis(250);
-/// A member unheard for longer isn't waited for. (Two members hear each other every 0.8 s at rest.)
-const STRAGGLER_HEARD: Duration = Duration::from_millis(1000);
-const STRAGGLER_LOOK_INTERVAL: Duration = Duration::from_millis(50);
-/// Who hasn't answered a read is asked again so often.
+/// A member silent for longer is not waited for. (Idle members exchange a message every 0.8 s.)
+const STRAGGLER_SILENT_AFTER: Duration = Duration::from_millis(1000);
+const STRAGGLER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How often a read is sent again to members that have not replied.
 const READ_RESEND_AFTER: Duration = Duration::from_millis(300);
-/// A read that found something not known to be chosen lets its proposer finish, so long.
+/// A read that found a version not known to be chosen gives its proposer this long to finish.
 const UNSETTLED_WAIT: Duration = Duration::from_millis(150);
 const MAX_CALLS: usize = 256;
-/// Texts of orders that wait; one alone may be longer.
+/// Limit for the texts of waiting requests; a single one may be longer.
 const MAX_WAITING_BYTES: usize = 32 << 20;
 const RETRY_AFTER_MS: u32 = 300;
 
 pub(crate) enum Kind {
     Replace {
         configuration: Configuration,
-        /// Since when, and under which version, it is known to be chosen.
+        /// When it became known to be chosen, and under which version.
         chosen: Option<(Duration, Version)>,
     },
     Show {
-        /// The highest that a member has on disk.
-        most: Version,
-        /// A majority was heard, and it isn't known whether `most` is chosen.
+        /// The highest version that a member has on disk.
+        highest_saved: Version,
+        /// Since when a majority has replied while it is unknown whether `highest_saved` is chosen.
         unsettled_since: Option<Duration>,
     },
 }
 
 pub(crate) struct Call {
     id: u64,
-    came: Duration,
-    until: Duration,
+    received_at: Duration,
+    deadline: Duration,
     /// The number of its read.
-    ask: u64,
-    asked_at: Option<Duration>,
-    /// The voters among whom a majority is to be heard, and who was.
+    read_number: u64,
+    requested_at: Option<Duration>,
+    /// The table whose majority must reply, and the members that have replied.
     table: TableVersion,
-    heard: BTreeSet<SocketAddr>,
+    replied: BTreeSet<SocketAddr>,
     pub kind: Kind,
 }
 
 impl Call {
-    fn order(&self) -> Option<Order> {
+    fn request(&self) -> Option<ReplaceRequest> {
         match &self.kind {
             Kind::Replace { configuration, .. } => {
-                Some(Order { revision: configuration.revision, digest: configuration.digest })
+                Some(ReplaceRequest { revision: configuration.revision, digest: configuration.digest })
             }
             Kind::Show { .. } => None,
         }
@@ -69,51 +70,57 @@
 }
 
 impl ControlStore {
-    /// The operator's order: `text` is valid. Answered once, with `Acknowledged`, `Superseded`, `Conflict`, `Unavailable`
-    /// or `Redirect`.
+    /// Handles an operator's request to replace the configuration; `text` is valid. Answered once, with
+    /// `Acknowledged`, `Superseded`, `Conflict`, `Unavailable` or `Redirect`.
     pub fn replace(&mut self, now: Duration, call: u64, revision: u64, text: impl Into<Arc<[u8]>>) {
         self.advance(now);
-        if !self.can_take(call) {
+        if !self.can_accept_call(call) {
             return;
         }
         let configuration = Configuration::new(revision, text);
-        if !self.has_room_for(&configuration) {
+        if !self.fits_waiting_limit(&configuration) {
             return self.answer(call, Outcome::Unavailable { retry_after_ms: RETRY_AFTER_MS });
         }
         self.open_call(now, call, REPLACE_TIMEOUT, Kind::Replace { configuration, chosen: None });
         self.settle(now);
     }
 
-    /// The newest configuration, read at a majority. Answered once, with `Found`, `Empty`, `Unavailable` or `Redirect`.
+    /// Reads the newest configuration from a majority. Answered once, with `Found`, `Empty`, `Unavailable` or
+    /// `Redirect`.
     pub fn show(&mut self, now: Duration, call: u64) {
         self.advance(now);
-        if !self.can_take(call) {
+        if !self.can_accept_call(call) {
             return;
         }
-        if planted(Defect::ShowsItsOwn) {
+        if injected(Defect::ShowsLocalCopy) {
             let outcome = self.register.committed.clone().map_or(Outcome::Empty, Outcome::Found);
             return self.answer(call, outcome);
         }
-        self.open_call(now, call, READ_TIMEOUT, Kind::Show { most: Version::NONE, unsettled_since: None });
+        self.open_call(
+            now,
+            call,
+            READ_TIMEOUT,
+            Kind::Show { highest_saved: Version::NONE, unsettled_since: None },
+        );
         self.settle(now);
     }
 
     fn open_call(&mut self, now: Duration, id: u64, timeout: Duration, kind: Kind) {
-        let (ask, table) = (self.next_ask(), self.mark());
+        let (read_number, table) = (self.next_read_number(), self.table_version());
         let call = Call {
             id,
-            came: now,
-            until: now + timeout,
-            ask,
-            asked_at: None,
+            received_at: now,
+            deadline: now + timeout,
+            read_number,
+            requested_at: None,
             table,
-            heard: BTreeSet::new(),
+            replied: BTreeSet::new(),
             kind,
         };
         self.register.calls.push(call);
     }
 
-    fn has_room_for(&self, configuration: &Configuration) -> bool {
+    fn fits_waiting_limit(&self, configuration: &Configuration) -> bool {
         let waiting = self.register.calls.iter().map(|call| match &call.kind {
             Kind::Replace { configuration, .. } => configuration.text.len(),
             Kind::Show { .. } => 0,
@@ -122,7 +129,7 @@
         waiting == 0 || waiting + configuration.text.len() <= MAX_WAITING_BYTES
     }
 
-    fn can_take(&mut self, call: u64) -> bool {
+    fn can_accept_call(&mut self, call: u64) -> bool {
         if !self.is_voting() {
             let counts = |at: &SocketAddr| self.peers.get(at).is_some_and(|peer| peer.state.counts);
             let to = self.others().into_iter().find(|at| !self.is_bootstrapping() && counts(at));
@@ -151,29 +158,29 @@
     }
 
     fn step_call(&mut self, now: Duration, call: &mut Call) -> Option<Outcome> {
-        // First: a process that stood still answers nothing of what it knew before.
-        if now >= call.until {
+        // Checked first: a process that was suspended must not answer from what it knew before.
+        if now >= call.deadline {
             return Some(Outcome::Unavailable { retry_after_ms: RETRY_AFTER_MS });
         }
-        match call.order() {
-            Some(order) => self.step_replace(now, call, order),
+        match call.request() {
+            Some(request) => self.step_replace(now, call, request),
             None => self.step_show(now, call),
         }
     }
 
-    fn step_replace(&mut self, now: Duration, call: &mut Call, order: Order) -> Option<Outcome> {
+    fn step_replace(&mut self, now: Duration, call: &mut Call, request: ReplaceRequest) -> Option<Outcome> {
         let committed = self.register.committed_version();
         let Kind::Replace { chosen, .. } = &mut call.kind else { return None };
-        let found = verdict(committed, order);
-        if found == Some(Verdict::Acknowledged) && chosen.is_none() {
+        let result = verdict(committed, request);
+        if result == Some(Verdict::Acknowledged) && chosen.is_none() {
             *chosen = Some((now, committed));
         }
-        let (chosen, found) = (*chosen, found?);
-        if !self.has_heard_majority(call) && !planted(Defect::ConfirmsAlone) {
+        let (chosen, result) = (*chosen, result?);
+        if !self.has_majority_replies(call) && !injected(Defect::ConfirmsWithoutMajority) {
             self.read_again(now, call);
             return None;
         }
-        match (chosen, found) {
+        match (chosen, result) {
             (Some((since, version)), _) => {
                 let done = now >= since + STRAGGLER_WAIT || self.all_have(now, version);
                 done.then_some(Outcome::Acknowledged)
@@ -183,106 +190,109 @@
         }
     }
 
-    /// Whether all members that were heard a moment ago have this, or what came after it, on disk.
+    /// Whether all members that sent a message recently have this version, or a later one, on disk.
     fn all_have(&self, now: Duration, version: Version) -> bool {
         self.others().into_iter().all(|at| {
             self.peers.get(&at).is_none_or(|peer| {
-                let silent = peer.heard.is_none_or(|heard| now > heard + STRAGGLER_HEARD);
-                silent || peer.state.saved >= version
+                let unreachable =
+                    peer.received_at.is_none_or(|received_at| now > received_at + STRAGGLER_SILENT_AFTER);
+                unreachable || peer.state.saved >= version
             })
         })
     }
 
     fn step_show(&mut self, now: Duration, call: &mut Call) -> Option<Outcome> {
-        if !self.has_heard_majority(call) {
+        if !self.has_majority_replies(call) {
             self.read_again(now, call);
             return None;
         }
         let (saved, committed) = (self.register.saved, self.register.committed_version());
-        let Kind::Show { most, unsettled_since } = &mut call.kind else { return None };
-        let most = (*most).max(saved);
-        if most == Version::NONE {
+        let Kind::Show { highest_saved, unsettled_since } = &mut call.kind else { return None };
+        let highest_saved = (*highest_saved).max(saved);
+        if highest_saved == Version::NONE {
             return Some(Outcome::Empty);
         }
-        if committed >= most {
+        if committed >= highest_saved {
             return self.register.committed.clone().map(Outcome::Found);
         }
         unsettled_since.get_or_insert(now);
         None
     }
 
-    fn has_heard_majority(&self, call: &Call) -> bool {
-        let heard = |at: SocketAddr| {
-            if at == self.setup.me {
+    fn has_majority_replies(&self, call: &Call) -> bool {
+        let replied = |at: SocketAddr| {
+            if at == self.settings.me {
                 self.is_voting()
             } else {
-                call.heard.contains(&at)
+                call.replied.contains(&at)
             }
         };
-        call.table == self.mark()
+        call.table == self.table_version()
             && self
                 .tables
                 .as_ref()
-                .is_some_and(|tables| tables.next.is_none() && tables.base.has_quorum(heard))
+                .is_some_and(|tables| tables.next.is_none() && tables.base.has_quorum(replied))
     }
 
-    /// Numbers a question: never used twice within an incarnation.
-    pub(crate) fn next_ask(&mut self) -> u64 {
-        self.register.asks += 1;
-        self.register.asks
+    /// Allocates a read number: never used twice within an incarnation.
+    pub(crate) fn next_read_number(&mut self) -> u64 {
+        self.register.last_read_number += 1;
+        self.register.last_read_number
     }
 
-    /// Asks those who haven't answered, now and then.
+    /// Sends the read again to members that have not replied.
     fn read_again(&mut self, now: Duration, call: &mut Call) {
-        let table = self.mark();
+        let table = self.table_version();
         if call.table != table {
             call.table = table;
-            call.heard.clear();
-            call.asked_at = None;
+            call.replied.clear();
+            call.requested_at = None;
         }
-        if call.asked_at.is_some_and(|at| now < at + READ_RESEND_AFTER) {
+        if call.requested_at.is_some_and(|at| now < at + READ_RESEND_AFTER) {
             return;
         }
-        call.asked_at = Some(now);
-        for to in self.others().into_iter().filter(|at| !call.heard.contains(at)) {
-            self.send(to, Message::ReadRequest { ask: call.ask });
+        call.requested_at = Some(now);
+        for to in self.others().into_iter().filter(|at| !call.replied.contains(at)) {
+            self.send(to, Message::ReadRequest { read_number: call.read_number });
         }
     }
 
-    /// A member's answer to the read of a call of this incarnation: numbers begin anew in each.
+    /// Handles a reply to the read of a call of this incarnation: numbers start over in each.
     pub(crate) fn receive_read_reply(&mut self, from: SocketAddr, state: &crate::MemberState) {
-        if state.ask == 0 || !state.counts || state.mark != self.mark() {
+        if state.read_number == 0 || !state.counts || state.table_version != self.table_version() {
             return;
         }
-        let mine = |call: &&mut Call| call.ask == state.ask && call.table == state.mark;
+        let mine =
+            |call: &&mut Call| call.read_number == state.read_number && call.table == state.table_version;
         if let Some(call) = self.register.calls.iter_mut().find(mine) {
-            call.heard.insert(from);
-            if let Kind::Show { most, .. } = &mut call.kind {
-                *most = (*most).max(state.saved);
+            call.replied.insert(from);
+            if let Kind::Show { highest_saved, .. } = &mut call.kind {
+                *highest_saved = (*highest_saved).max(state.saved);
             }
         }
     }
 
-    /// A member has stored what this one proposed: it was heard for all orders that came before the proposal.
+    /// A member has stored this one's proposal: that is a reply for all requests received before the
+    /// proposal.
     pub(crate) fn receive_vote(&mut self, from: SocketAddr, state: &crate::MemberState) {
         let Some((proposed, at)) = self.register.rounds.proposed() else { return };
-        if state.counts && state.mark == self.mark() && state.votes_for(proposed) {
-            self.heard_for_calls(from, at);
+        if state.counts && state.table_version == self.table_version() && state.votes_for(proposed) {
+            self.count_reply_for_calls(from, at);
         }
     }
 
-    /// A member answered something that was sent at this time.
-    pub(super) fn heard_for_calls(&mut self, from: SocketAddr, sent: Duration) {
-        let table = self.mark();
+    /// Counts a member's reply to a message sent at this time.
+    pub(super) fn count_reply_for_calls(&mut self, from: SocketAddr, sent: Duration) {
+        let table = self.table_version();
         for call in &mut self.register.calls {
-            let order = matches!(call.kind, Kind::Replace { .. });
-            if order && call.came <= sent && call.table == table {
-                call.heard.insert(from);
+            let request = matches!(call.kind, Kind::Replace { .. });
+            if request && call.received_at <= sent && call.table == table {
+                call.replied.insert(from);
             }
         }
     }
 
-    /// Whether the round of a call, of any, is to begin now.
+    /// Whether any call requires a round to start now.
     pub(super) fn wants_round_for_calls(&self, now: Duration) -> bool {
         self.next_round_due_for_calls().is_some_and(|due| now >= due)
     }
@@ -291,7 +301,7 @@
         let committed = self.register.committed_version();
         let due = |call: &Call| match &call.kind {
             Kind::Replace { configuration, .. } => {
-                (configuration.revision > committed.revision).then_some(call.came)
+                (configuration.revision > committed.revision).then_some(call.received_at)
             }
             Kind::Show { unsettled_since, .. } => unsettled_since.map(|since| since + UNSETTLED_WAIT),
         };
@@ -302,14 +312,14 @@
         self.register.calls.iter().any(|call| matches!(call.kind, Kind::Show { .. }))
     }
 
-    /// When the calls are to be looked at again.
+    /// When the calls must be checked again.
     pub(crate) fn next_call_due(&self) -> Option<Duration> {
         let due = |call: &Call| {
-            let waits = matches!(call.kind, Kind::Replace { chosen: Some(_), .. });
-            let look = waits.then(|| self.now + STRAGGLER_LOOK_INTERVAL);
-            let read = call.asked_at.filter(|_| !self.has_heard_majority(call));
+            let chosen_already = matches!(call.kind, Kind::Replace { chosen: Some(_), .. });
+            let check_at = chosen_already.then(|| self.now + STRAGGLER_CHECK_INTERVAL);
+            let read = call.requested_at.filter(|_| !self.has_majority_replies(call));
             let read = read.map(|at| at + READ_RESEND_AFTER);
-            look.into_iter().chain(read).fold(call.until, Duration::min)
+            check_at.into_iter().chain(read).fold(call.deadline, Duration::min)
         };
         self.register.calls.iter().map(due).min()
     }
--- a/crates/control-store/src/register/configuration.rs
+++ b/crates/control-store/src/register/configuration.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The number of one attempt to choose a configuration. Unique for ever: no two starts of a member share an
+/// The number of one attempt to choose a configuration. Globally unique: no two starts of a member share an
 /// incarnation, and a member uses each round once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
@@ -15,7 +15,7 @@
 }
 
 impl Ballot {
-    /// Below all others: of copies that were stored before there were ballots.
+    /// Below all others: for copies stored by releases without ballots.
     pub const NONE: Ballot = Ballot {
         round: 0,
         incarnation: 0,
@@ -29,7 +29,8 @@
     }
 }
 
-/// Which proposal a copy is of. Ordered by ballot; copies without one by revision, then digest.
+/// Identifies the proposal that a copy belongs to. Ordered by ballot; copies without one by revision, then
+/// digest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     pub ballot: Ballot,
@@ -41,7 +42,7 @@
     /// No configuration.
     pub const NONE: Version = Version { ballot: Ballot::NONE, revision: 0, digest: 0 };
 
-    /// Whether both are of one text, under whatever ballots.
+    /// Whether both have the same text, under whatever ballots.
     pub fn same_text(&self, other: &Version) -> bool {
         (self.revision, self.digest) == (other.revision, other.digest)
     }
@@ -52,10 +53,10 @@
     }
 }
 
-/// An opaque text with its number.
+/// An opaque text with its revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Under which it was proposed.
+    /// The ballot under which it was proposed.
     pub ballot: Ballot,
     pub revision: u64,
     /// FNV-1a, 64 bits, of the text.
@@ -65,7 +66,7 @@
 }
 
 impl Configuration {
-    /// Not proposed yet.
+    /// A configuration that has not been proposed yet.
     pub fn new(revision: u64, text: impl Into<Arc<[u8]>>) -> Configuration {
         let text = text.into();
         Configuration { ballot: Ballot::NONE, revision, digest: digest(&text), text }
@@ -80,7 +81,7 @@
         Version { ballot: self.ballot, revision: self.revision, digest: self.digest }
     }
 
-    /// What the wire says may be anything.
+    /// Checked because a value received from the network may be arbitrary.
     pub(crate) fn is_well_formed(&self) -> bool {
         self.revision > 0 && self.digest == digest(&self.text)
     }
@@ -93,7 +94,7 @@
         .fold(0xcbf2_9ce4_8422_2325, |sum, byte| (sum ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3))
 }
 
-/// Bytes as one piece, not element by element.
+/// Serializes the text as one byte string, not element by element.
 pub(crate) mod text {
     use std::fmt;
     use std::sync::Arc;
--- a/crates/control-store/src/register/mod.rs
+++ b/crates/control-store/src/register/mod.rs
@@ -1,13 +1,14 @@
-//! The operator's configuration: one register of which a majority of the voters chooses the values.
+//! The operator's configuration: a single register whose values are chosen by a majority of the voters.
 //!
-//! - `configuration`: texts, their versions, the ballots under which they are proposed;
+//! - `configuration`: texts, their versions, and the ballots under which they are proposed;
 //! - `acceptor`, `proposer`: the agreement, without time and I/O;
-//! - `replica`: what this member has accepted, its disk, copies given and taken, what is known to be chosen;
-//! - `rounds`: when this member proposes, and its messages with the others;
-//! - `calls`: operators' orders and questions.
+//! - `replica`: what this member has accepted, its disk, copies sent and received, what is known to be
+//!   chosen;
+//! - `rounds`: when this member proposes, and the messages of a round;
+//! - `calls`: operators' requests to replace and to show the configuration.
 //!
-//! Any member proposes, under a ballot of its own. There is no log and no leader: the newest value is all there
-//! is, and a proposer that hears a majority hears of it. See docs/design/control-safety.md.
+//! Any member proposes, under its own ballot. There is no log and no leader: only the newest value is kept,
+//! and a proposer with replies from a majority knows of it. See docs/design/control-safety.md.
 
 mod acceptor;
 mod calls;
@@ -18,7 +19,7 @@
 
 use std::time::Duration;
 
-use crate::planted::{planted, Defect};
+use crate::defects::{injected, Defect};
 use crate::DiskState;
 
 pub(crate) use acceptor::Acceptor;
@@ -27,46 +28,50 @@
 pub use configuration::{digest, Ballot, Configuration, Version};
 pub(crate) use proposer::Promise;
 #[cfg(test)]
-pub(crate) use proposer::{Decision, Order, Round};
-pub(crate) use replica::STATE_FRESH;
+pub(crate) use proposer::{Decision, ReplaceRequest, Round};
+pub(crate) use replica::STATE_VALID_FOR;
 
 #[derive(Default)]
 pub(crate) struct Register {
     acceptor: Acceptor,
-    /// The text of what the acceptor accepted last.
+    /// The text that the acceptor accepted last.
     held: Option<Configuration>,
     held_at: Duration,
-    /// Other proposals of which the text was seen, not known to be chosen.
+    /// Texts of other proposals, not known to be chosen.
     seen: Vec<Configuration>,
-    /// What was accepted, as far as it is on the disk.
+    /// The accepted version that is on disk.
     pub saved: Version,
-    /// What was saved below this ballot is a copy that was read from others, and no vote.
+    /// A saved version below this ballot is a copy read from others, not a vote.
     votes_from: Ballot,
     saving: Option<(u64, Version)>,
     promise_saved: Ballot,
     promise_saving: Option<(u64, Ballot)>,
-    /// The disk refused: it is asked again then.
-    pub disk_again: Option<Duration>,
-    /// Known to be chosen.
+    /// When to retry after a failed write.
+    pub disk_retry_at: Option<Duration>,
+    /// The newest configuration known to be chosen.
     pub committed: Option<Configuration>,
     rounds: rounds::Rounds,
     pub calls: Vec<Call>,
-    asks: u64,
+    last_read_number: u64,
 }
 
 impl Register {
-    /// With what the disk held at the start.
-    pub fn restore(kept: &DiskState, now: Duration) -> Register {
-        let saved = kept.configuration.as_ref().map_or(Version::NONE, Configuration::version);
+    /// Restores the state that was on disk at the start.
+    pub fn restore(restored: &DiskState, now: Duration) -> Register {
+        let saved = restored.configuration.as_ref().map_or(Version::NONE, Configuration::version);
         Register {
-            acceptor: Acceptor::restore(kept.promised, saved),
-            held: kept.configuration.clone(),
+            acceptor: Acceptor::restore(restored.promised, saved),
+            held: restored.configuration.clone(),
             held_at: now,
             saved,
-            // The disk doesn't say whether a text below the promise was accepted or read: it is taken for read.
-            votes_from: if kept.promised > saved.ballot { kept.promised } else { Ballot::NONE },
-            committed: kept.configuration.clone().filter(|_| planted(Defect::ReadyWithAnOldOne)),
-            promise_saved: kept.promised,
+            // The disk does not record whether a text below the promise was accepted or read: it is treated
+            // as read.
+            votes_from: if restored.promised > saved.ballot { restored.promised } else { Ballot::NONE },
+            committed: restored
+                .configuration
+                .clone()
+                .filter(|_| injected(Defect::ReadyWithStaleConfiguration)),
+            promise_saved: restored.promised,
             rounds: rounds::Rounds::at_start(now),
             ..Register::default()
         }
@@ -76,7 +81,7 @@
         self.held.as_ref().map_or(Version::NONE, Configuration::version)
     }
 
-    /// The highest of which the text is at hand, accepted or not.
+    /// The highest version whose text is in memory, accepted or not.
     pub fn known_version(&self) -> Version {
         let seen = self.seen.iter().chain(&self.committed).map(Configuration::version);
         seen.fold(self.held_version(), Version::max)
@@ -86,12 +91,12 @@
         self.committed.as_ref().map_or(Version::NONE, Configuration::version)
     }
 
-    /// The lowest ballot under which what is on the disk is this member's vote.
+    /// The lowest ballot under which the version on disk is this member's vote.
     pub fn votes_from(&self) -> Ballot {
         self.votes_from
     }
 
-    /// Whether this member accepted the version, and has it on its disk.
+    /// Whether this member accepted the version and has it on its disk.
     fn votes_for(&self, version: Version) -> bool {
         self.saved == version && version.ballot >= self.votes_from
     }
@@ -100,14 +105,14 @@
         self.acceptor.promised()
     }
 
-    /// The highest promise that a restart keeps: what was accepted is a promise as well.
+    /// The highest promise that survives a restart: an accepted version is a promise as well.
     fn promise_on_disk(&self) -> Ballot {
         self.promise_saved.max(self.saved.ballot)
     }
 
-    /// Of a text, under whatever ballot it came.
+    /// Finds a text, under whatever ballot it was received.
     pub fn find_text(&self, version: &Version) -> Option<&Configuration> {
-        let all = self.held.iter().chain(&self.committed).chain(&self.seen);
-        all.into_iter().find(|configuration| configuration.version().same_text(version))
+        let known = self.held.iter().chain(&self.committed).chain(&self.seen);
+        known.into_iter().find(|configuration| configuration.version().same_text(version))
     }
 }
--- a/crates/control-store/src/register/proposer.rs
+++ b/crates/control-store/src/register/proposer.rs
@@ -1,33 +1,34 @@
-//! The proposer's part of the register: one round of one ballot. No time, no I/O.
+//! The proposer of the register: one round of one ballot. No time, no I/O.
 //!
-//! A round collects promises from a majority, decides on what they have accepted, and proposes: an order of
-//! a higher revision, or again what may have been chosen. The text of a chosen revision stays as it is.
+//! A round collects promises from a majority, decides based on the versions they have accepted, and proposes:
+//! a request with a higher revision, or again the version that may have been chosen. The text of a chosen
+//! revision never changes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use super::configuration::{Ballot, Version};
-use crate::planted::{planted, Defect};
+use crate::defects::{injected, Defect};
 
-/// What a member said with its promise.
+/// What a member reported with its promise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Promise {
     pub accepted: Version,
-    /// Known to it as chosen.
+    /// The version it knows to be chosen.
     pub chosen: Version,
 }
 
-/// An operator's order.
+/// An operator's request to replace the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Order {
+pub(crate) struct ReplaceRequest {
     pub revision: u64,
     pub digest: u64,
 }
 
-impl Order {
-    /// A text under the same number isn't.
+impl ReplaceRequest {
+    /// Whether the revision is higher; another text under the same revision does not qualify.
     fn is_above(&self, accepted: &Version) -> bool {
-        if planted(Defect::ComparesDigests) {
+        if injected(Defect::OrdersByDigest) {
             return (self.revision, self.digest) > (accepted.revision, accepted.digest);
         }
         self.revision > accepted.revision
@@ -36,15 +37,15 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Decision {
-    /// This order, by its place, is to be proposed.
+    /// Propose the request at this index.
     Propose(usize),
-    /// This may have been chosen: it is to be proposed again.
+    /// This version may have been chosen: propose it again.
     Complete(Version),
-    /// This is chosen already, and no order is above it.
+    /// This version is already chosen, and no request is above it.
     Settled(Version),
 }
 
-/// What became of an order.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Verdict {
     Acknowledged,
@@ -56,7 +57,7 @@
 pub(crate) struct Round {
     pub ballot: Ballot,
     promises: BTreeMap<SocketAddr, Promise>,
-    /// Once decided.
+    /// Set once decided.
     pub proposed: Option<Version>,
 }
 
@@ -65,7 +66,7 @@
         Round { ballot, promises: BTreeMap::new(), proposed: None }
     }
 
-    /// The first promise of a member counts: it was what it had accepted when it promised.
+    /// Only the first promise of a member counts: it has the version accepted at the time of the promise.
     pub fn promise(&mut self, from: SocketAddr, promise: Promise) {
         self.promises.entry(from).or_insert(promise);
     }
@@ -74,17 +75,17 @@
         self.promises.contains_key(&at)
     }
 
-    /// Who promised and had accepted this, or had heard that it was chosen.
-    pub fn holder_of(&self, version: Version, but: SocketAddr) -> Option<SocketAddr> {
+    /// A member that promised and had accepted this version, or knew it to be chosen.
+    pub fn holder_of(&self, version: Version, excluded: SocketAddr) -> Option<SocketAddr> {
         let has = |promise: &Promise| promise.accepted == version || promise.chosen == version;
-        self.promises.iter().find(|(at, promise)| **at != but && has(promise)).map(|(at, _)| *at)
+        self.promises.iter().find(|(at, promise)| **at != excluded && has(promise)).map(|(at, _)| *at)
     }
 
-    /// To be called when a majority has promised.
-    pub fn decide(&self, orders: &[Order]) -> Decision {
+    /// To be called once a majority has promised.
+    pub fn decide(&self, requests: &[ReplaceRequest]) -> Decision {
         let highest = self.highest();
-        let above = |(_, order): &(usize, &Order)| order.is_above(&highest);
-        let newest = orders.iter().enumerate().filter(above).max_by(|(left, one), (right, other)| {
+        let above = |(_, request): &(usize, &ReplaceRequest)| request.is_above(&highest);
+        let newest = requests.iter().enumerate().filter(above).max_by(|(left, one), (right, other)| {
             one.revision.cmp(&other.revision).then(right.cmp(left)) // Of equals the first.
         });
         match newest {
@@ -95,11 +96,11 @@
     }
 
     fn highest(&self) -> Version {
-        if planted(Defect::IgnoresTheAccepted) {
+        if injected(Defect::IgnoresAcceptedVersions) {
             return Version::NONE;
         }
-        let said = self.promises.values().flat_map(|promise| [promise.accepted, promise.chosen]);
-        said.max().unwrap_or_default()
+        let reported = self.promises.values().flat_map(|promise| [promise.accepted, promise.chosen]);
+        reported.max().unwrap_or_default()
     }
 
     fn is_chosen(&self, version: Version) -> bool {
@@ -107,13 +108,13 @@
     }
 }
 
-/// What becomes of an order when this is chosen; none if the order may still be chosen.
-pub(crate) fn verdict(chosen: Version, order: Order) -> Option<Verdict> {
-    if chosen.revision < order.revision {
+/// The outcome of a request once this version is chosen; none if the request may still be chosen.
+pub(crate) fn verdict(chosen: Version, request: ReplaceRequest) -> Option<Verdict> {
+    if chosen.revision < request.revision {
         None
-    } else if chosen.revision > order.revision {
+    } else if chosen.revision > request.revision {
         Some(Verdict::Superseded)
-    } else if chosen.digest == order.digest {
+    } else if chosen.digest == request.digest {
         Some(Verdict::Acknowledged)
     } else {
         Some(Verdict::Conflict)
--- a/crates/control-store/src/register/replica.rs
+++ b/crates/control-store/src/register/replica.rs
@@ -1,4 +1,4 @@
-//! This member's copy: accepted, stored, given to others and taken from them; what is known to be chosen.
+//! This member's copy: accepting, storing, sending and receiving versions, and tracking which one is chosen.
 //!
 //! A version is chosen when a majority of the voters of one settled table has it on disk.
 
@@ -7,24 +7,24 @@
 
 use super::acceptor::Accepted;
 use super::configuration::{Ballot, Configuration, Version};
-use crate::planted::{planted, Defect};
+use crate::defects::{injected, Defect};
 use crate::voters::DISK_RETRY_AFTER;
 use crate::{ControlStore, Message, Stored};
 
-/// What a member said counts so long. A member whose disk was lost waits longer before it asks
-/// (`voters::LOST_DISK_WAIT`), so nobody counts what it had stored before.
-pub(crate) const STATE_FRESH: Duration = Duration::from_millis(1500);
-/// The same text goes to the same member again after this, and a millisecond for each 10 kB.
+/// How long a member's reported state is valid. A member whose disk was lost waits longer before it reads
+/// (`voters::LOST_DISK_WAIT`), so its earlier reports are no longer counted by then.
+pub(crate) const STATE_VALID_FOR: Duration = Duration::from_millis(1500);
+/// The same text is sent to the same member again after this time, plus a millisecond for each 10 kB.
 const RESEND_AFTER: Duration = Duration::from_millis(500);
-/// A proposer spreads its own proposal: others help only when it takes longer.
+/// A proposer distributes its own proposal: others help only when it takes longer than this.
 const SPREAD_AFTER: Duration = Duration::from_millis(300);
 const MAX_SEEN: usize = 4;
 
 impl ControlStore {
-    /// A proposal, from this member or another. False if a higher ballot was promised.
+    /// Handles a proposal from this member or another. Returns false if a higher ballot was promised.
     pub(super) fn accept(&mut self, now: Duration, proposal: Configuration) -> bool {
         match self.register.acceptor.accept(proposal.version()) {
-            Accepted::New => self.hold(now, proposal),
+            Accepted::New => self.replace_held(now, proposal),
             Accepted::Before => {}
             Accepted::Refused => {
                 self.remember(proposal);
@@ -34,23 +34,23 @@
         true
     }
 
-    fn hold(&mut self, now: Duration, configuration: Configuration) {
+    fn replace_held(&mut self, now: Duration, configuration: Configuration) {
         if let Some(old) = self.register.held.replace(configuration) {
             self.remember(old);
         }
         self.register.held_at = now;
         for peer in self.peers.values_mut() {
-            peer.put_at = None;
+            peer.copy_sent_at = None;
         }
-        self.complete_later(now);
+        self.schedule_completion(now);
         self.store_configuration();
     }
 
-    /// A text that may be chosen, or asked for, though it isn't accepted here.
+    /// Keeps a text that may be chosen or requested, although it is not accepted here.
     fn remember(&mut self, configuration: Configuration) {
         let version = configuration.version();
-        let has = |seen: &Configuration| seen.version() == version;
-        if version <= self.register.committed_version() || self.register.seen.iter().any(has) {
+        let matches = |seen: &Configuration| seen.version() == version;
+        if version <= self.register.committed_version() || self.register.seen.iter().any(matches) {
             return;
         }
         self.register.seen.push(configuration);
@@ -59,9 +59,9 @@
         }
     }
 
-    /// Stores what was accepted and promised, one of each at a time.
+    /// Stores the accepted version and the promise, one write of each at a time.
     pub(crate) fn store_configuration(&mut self) {
-        if self.register.disk_again.is_some() {
+        if self.register.disk_retry_at.is_some() {
             return;
         }
         self.store_accepted();
@@ -79,7 +79,7 @@
         }
         let token = self.store(Stored::Configuration(configuration));
         self.register.saving = Some((token, version));
-        if planted(Defect::AcksBeforeTheDisk) {
+        if injected(Defect::AcknowledgesBeforeSync) {
             self.register.saved = version;
         }
     }
@@ -89,7 +89,7 @@
         if self.register.promise_saving.is_some() || self.register.promise_on_disk() >= promised {
             return;
         }
-        // What is being stored with this ballot, or a higher one, keeps the promise too.
+        // A configuration being stored under this ballot, or a higher one, persists the promise too.
         if self.register.saving.is_some_and(|(_, version)| version.ballot >= promised) {
             return;
         }
@@ -110,36 +110,36 @@
             return false;
         }
         if !ok {
-            self.register.disk_again = Some(now + DISK_RETRY_AFTER);
+            self.register.disk_retry_at = Some(now + DISK_RETRY_AFTER);
         }
         self.store_configuration();
-        self.tell_promise();
+        self.send_promise();
         true
     }
 
-    /// To a member that asks, or one that lacks something.
-    pub(crate) fn put(&mut self, now: Duration, to: SocketAddr, asked: bool) {
+    /// Sends the configuration to a member that requested it or lacks it.
+    pub(crate) fn send_copy(&mut self, now: Duration, to: SocketAddr, requested: bool) {
         let Some(held) = self.register.held.clone() else { return };
         let pause = RESEND_AFTER + Duration::from_millis(held.text.len() as u64 / 10_000);
         let Some(peer) = self.peers.get_mut(&to) else { return };
-        if !asked && peer.put_at.is_some_and(|at| now < at + pause) {
+        if !requested && peer.copy_sent_at.is_some_and(|at| now < at + pause) {
             return;
         }
         let state = peer.state;
         let (proposal, chosen) = (held.version(), self.register.committed_version());
         let is_proposal = proposal != chosen;
-        let lacks_chosen = state.committed < chosen && (asked || state.held != chosen);
+        let lacks_chosen = state.committed < chosen && (requested || state.held != chosen);
         let lacks_proposal = is_proposal && state.held < proposal && state.promised <= proposal.ballot;
-        let give_chosen = lacks_chosen || asked && !is_proposal;
-        let give_proposal = lacks_proposal || asked && is_proposal;
-        if !give_chosen && !give_proposal {
+        let send_chosen = lacks_chosen || requested && !is_proposal;
+        let send_proposal = lacks_proposal || requested && is_proposal;
+        if !send_chosen && !send_proposal {
             return;
         }
-        peer.put_at = Some(now);
-        if let Some(chosen) = self.register.committed.clone().filter(|_| give_chosen) {
+        peer.copy_sent_at = Some(now);
+        if let Some(chosen) = self.register.committed.clone().filter(|_| send_chosen) {
             self.send_configuration(now, to, chosen, true);
         }
-        if give_proposal {
+        if send_proposal {
             self.send_configuration(now, to, held, false);
         }
     }
@@ -156,7 +156,7 @@
         if self.register.saved >= self.register.held_version() {
             self.send_state(from, 0);
         }
-        // Else it is told when the disk is done: what a member has stored is news to all.
+        // Otherwise the state is reported once the disk is done: a newly saved version is broadcast.
     }
 
     /// From a member that knows it to be chosen.
@@ -165,7 +165,7 @@
             return;
         }
         if self.register.acceptor.learn(chosen.version()) == Accepted::New {
-            self.hold(now, chosen.clone());
+            self.replace_held(now, chosen.clone());
         }
         self.commit(chosen);
     }
@@ -176,34 +176,37 @@
         }
     }
 
-    /// Whether a majority of the voters has this on disk.
+    /// Whether a majority of the voters has this version on disk.
     fn is_replicated(&self, now: Duration, version: Version) -> bool {
         let settled = |tables: &&crate::VoterTables| tables.next.is_none() && tables.base.epoch > 0;
         let Some(tables) = self.tables.as_ref().filter(settled) else { return false };
-        let mark = tables.mark();
+        let table_version = tables.table_version();
         let count = (tables.base.voters.iter())
             .filter(|voter| {
-                if voter.at == self.setup.me {
+                if voter.at == self.settings.me {
                     return self.is_voting() && self.register.votes_for(version);
                 }
                 self.peers.get(&voter.at).is_some_and(|peer| {
-                    let fresh = peer.state_at.is_some_and(|at| now <= at + STATE_FRESH);
-                    fresh && peer.state.counts && peer.state.mark == mark && peer.state.votes_for(version)
+                    let fresh = peer.state_at.is_some_and(|at| now <= at + STATE_VALID_FOR);
+                    fresh
+                        && peer.state.counts
+                        && peer.state.table_version == table_version
+                        && peer.state.votes_for(version)
                 })
             })
             .count();
         count >= tables.base.majority()
     }
 
-    /// Finds out what is chosen, proposes what is to be proposed, answers the calls that can be answered.
+    /// Determines what is chosen, runs the round, and answers the calls that can be answered.
     pub(crate) fn step_register(&mut self, now: Duration) {
         let known = self.register.seen.iter().chain(&self.register.held);
         let chosen = known.filter(|configuration| {
             let version = configuration.version();
-            let told = |peer: &crate::Peer| peer.state.committed == version;
+            let reported = |peer: &crate::Peer| peer.state.committed == version;
             version.has_ballot()
                 && version > self.register.committed_version()
-                && (self.is_replicated(now, version) || self.peers.values().any(told))
+                && (self.is_replicated(now, version) || self.peers.values().any(reported))
         });
         if let Some(chosen) = chosen.max_by_key(|configuration| configuration.version()).cloned() {
             self.commit(chosen);
@@ -214,36 +217,37 @@
         self.step_calls(now);
     }
 
-    /// A member without its state has read this from the others: the highest saved, the highest promised. True when it
-    /// is here as well, and on this disk.
+    /// Called by a member without its state after reading the highest saved version and the highest promise
+    /// from the others. Returns true once both are on this member's disk as well.
     ///
-    /// What was saved by others below a promise that may have been this member's is reported in promises, as what
-    /// was accepted is, so that a round completes it. It is no vote of this member's: a round under that promise may
-    /// have gone by without it, and one vote more would make it chosen beside what that round proposed.
+    /// A version that others saved below a promise that may have been this member's is reported in promises
+    /// like an accepted one, so that a round completes it. It is not a vote of this member: a round under
+    /// that promise may have finished without it, and one more vote would make the version chosen beside what
+    /// that round proposed.
     pub(crate) fn has_caught_up(&mut self, saved: Version, promised: Ballot) -> bool {
         if self.register.saved < saved {
-            return false; // It is being fetched, or stored.
+            return false; // It is still being fetched or stored.
         }
         self.register.acceptor.learn_promise(promised);
         self.store_configuration();
         let (mine, promised) = (self.register.saved, self.register.promised());
-        if mine.has_ballot() && mine.ballot < promised && !planted(Defect::VotesForWhatItRead) {
+        if mine.has_ballot() && mine.ballot < promised && !injected(Defect::VotesForReadCopy) {
             self.register.votes_from = self.register.votes_from.max(promised);
         }
         self.register.promise_on_disk() >= promised
     }
 
-    /// In a hurry, texts are fetched at once; else only if they don't come by themselves.
-    pub(crate) fn in_a_hurry(&self) -> bool {
+    /// While catching up, texts are fetched at once; otherwise only if they do not arrive unsolicited.
+    pub(crate) fn is_catching_up(&self) -> bool {
         !self.ready || self.joining() || self.has_open_read()
     }
 
-    /// Gets what others have more of and gives what they lack.
+    /// Fetches what the other member has newer, and sends what it lacks.
     pub(crate) fn repair(&mut self, now: Duration, at: SocketAddr) {
         let (held, committed) = (self.register.held_version(), self.register.committed_version());
         let known = self.register.known_version();
         let Some(peer) = self.peers.get_mut(&at) else { return };
-        if peer.state_at.is_none_or(|at| now > at + STATE_FRESH) {
+        if peer.state_at.is_none_or(|at| now > at + STATE_VALID_FOR) {
             return;
         }
         let state = peer.state;
@@ -253,7 +257,7 @@
                 self.send(at, Message::Fetch);
             }
         } else if now >= self.register.held_at + SPREAD_AFTER {
-            self.put(now, at, false);
+            self.send_copy(now, at, false);
         }
     }
 }
--- a/crates/control-store/src/status.rs
+++ b/crates/control-store/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a member, and whom else they may ask.
+//! The status of a member as reported to operators, and the other members an operator may query.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,21 +9,21 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
     pub me: SocketAddr,
-    /// Of the table of voters; 0 before the first.
+    /// Epoch of the voter table; 0 before the first.
     pub epoch: u64,
-    /// The table of the next epoch was accepted here, and is not known to count yet.
+    /// The table of the next epoch was accepted here, and is not known to be settled yet.
     pub changing: bool,
-    /// A majority was heard since the start.
+    /// A majority has replied since the start.
     pub ready: bool,
-    /// This member's own vote counts.
+    /// This member's own vote is active.
     pub voting: bool,
-    /// A majority was heard lately.
+    /// A majority has replied recently.
     pub in_touch: bool,
     /// The highest lease number that this member promised.
     pub lease_number: u64,
-    /// The lease's holder with its number, as last heard.
+    /// The last known lease holder with its lease number.
     pub holder: Option<(SocketAddr, u64)>,
-    /// Known to be at a majority.
+    /// The version known to be stored at a majority.
     pub committed: Version,
     /// Voters in the order of the table, then observers.
     pub members: Vec<MemberStatus>,
@@ -34,9 +34,9 @@
 pub struct MemberStatus {
     pub at: SocketAddr,
     pub role: Role,
-    /// How long ago it was heard; none for the member itself, and for one never heard.
+    /// Time since its last message; none for the member itself, and for one that never sent any.
     pub silent_for: Option<Duration>,
-    /// The configuration on its disk, as last heard.
+    /// The configuration on its disk, as last reported.
     pub saved: Version,
     /// Whether that is older than the one in force.
     pub behind: bool,
@@ -44,13 +44,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Its vote counts.
+    /// Its vote is active.
     Voting,
-    /// A voter that has to read what it lacks before its vote counts.
+    /// A voter that has to read its missing state before its vote is active.
     Joining,
-    /// A voter that was not heard lately.
+    /// A voter that has sent nothing recently.
     Silent,
-    /// No voter; it wants to become one.
+    /// Not a voter, but requests to become one.
     Observer,
 }
 
@@ -59,14 +59,14 @@
     pub fn status(&self, now: Duration) -> Status {
         let voters = self.members();
         let observers = self.peers.iter().filter(|(at, peer)| {
-            let asks = peer.join_at.is_some_and(|at| now <= at + CONTACT_WINDOW);
-            asks && !voters.contains(at)
+            let joins = peer.join_at.is_some_and(|at| now <= at + CONTACT_WINDOW);
+            joins && !voters.contains(at)
         });
         let observers: Vec<SocketAddr> = observers.map(|(at, _)| *at).collect();
         let voters_status = voters.iter().map(|at| self.member_status(now, *at, true));
         let observers_status = observers.iter().map(|at| self.member_status(now, *at, false));
         Status {
-            me: self.setup.me,
+            me: self.settings.me,
             epoch: self.tables.as_ref().map_or(0, |tables| tables.base.epoch),
             changing: self.tables.as_ref().is_some_and(|tables| tables.next.is_some()),
             ready: self.ready(),
@@ -80,9 +80,10 @@
     }
 
     fn member_status(&self, now: Duration, at: SocketAddr, voter: bool) -> MemberStatus {
-        let me = at == self.setup.me;
+        let me = at == self.settings.me;
         let peer = self.peers.get(&at);
-        let silent_for = peer.and_then(|peer| peer.heard).map(|heard| now.saturating_sub(heard));
+        let silent_for =
+            peer.and_then(|peer| peer.received_at).map(|received_at| now.saturating_sub(received_at));
         let counts = if me { self.is_voting() } else { peer.is_some_and(|peer| peer.state.counts) };
         let recent = me || silent_for.is_some_and(|silent| silent <= CONTACT_WINDOW);
         let role = match (voter, recent, counts) {
@@ -101,18 +102,19 @@
         MemberStatus { at, role, silent_for, saved, behind }
     }
 
-    /// Other voters, the likeliest to answer an operator first: of a member that is in touch with a majority those that it
-    /// hears; of one that is not all others, first those that it does not hear, as a majority may be on their side.
+    /// Other voters, most likely to answer an operator first. If this member is in touch with a majority,
+    /// these are the members it receives messages from; otherwise all others, starting with those it does not
+    /// receive from, as a majority may be on their side of a partition.
     pub fn redirect_candidates(&self, now: Duration) -> Vec<SocketAddr> {
-        let heard = |at: &SocketAddr| {
-            let heard = self.peers.get(at).and_then(|peer| peer.heard);
-            heard.is_some_and(|heard| now <= heard + CONTACT_WINDOW)
+        let is_recent = |at: &SocketAddr| {
+            let received_at = self.peers.get(at).and_then(|peer| peer.received_at);
+            received_at.is_some_and(|received_at| now <= received_at + CONTACT_WINDOW)
         };
-        let others = self.members().into_iter().filter(|at| *at != self.setup.me);
-        let (near, far): (Vec<SocketAddr>, Vec<SocketAddr>) = others.partition(heard);
+        let others = self.members().into_iter().filter(|at| *at != self.settings.me);
+        let (reachable, unreachable): (Vec<SocketAddr>, Vec<SocketAddr>) = others.partition(is_recent);
         if self.in_touch(now) {
-            return near;
+            return reachable;
         }
-        far.into_iter().chain(near).collect()
+        unreachable.into_iter().chain(reachable).collect()
     }
 }
--- a/crates/control-store/src/tests/disk.rs
+++ b/crates/control-store/src/tests/disk.rs
@@ -1,19 +1,19 @@
 use std::fs;
 use std::path::PathBuf;
 
+use crate::defects::{Defect, INJECTED};
 use crate::files::Folder;
-use crate::planted::{Defect, PLANTED};
 use crate::tests::sim::addr;
 use crate::voters::{Voter, VoterTable, VoterTables};
 use crate::{Ballot, Configuration, Stored};
 
-struct Temp(PathBuf);
+struct TempFolder(PathBuf);
 
-impl Temp {
-    fn new(name: &str) -> Temp {
+impl TempFolder {
+    fn new(name: &str) -> TempFolder {
         let path = std::env::temp_dir().join(format!("tindock-vault-{}-{name}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
-        Temp(path)
+        TempFolder(path)
     }
 
     fn names(&self) -> Vec<String> {
@@ -25,7 +25,7 @@
     }
 }
 
-impl Drop for Temp {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -41,35 +41,38 @@
 }
 
 #[test]
-fn the_highest_ballot_beats_the_highest_revision() {
-    let temp = Temp::new("ballots");
+fn the_highest_ballot_wins_over_the_highest_revision() {
+    let temp = TempFolder::new("ballots");
     let folder = Folder::open(&temp.0).expect("a folder");
     let configuration = |revision| Configuration::new(revision, format!("text {revision}").into_bytes());
-    // As an earlier release wrote it.
+    // The format of an earlier release.
     let old = configuration(9);
     folder.save(&Stored::Configuration(old.clone())).expect("saved");
     assert_eq!(temp.names(), [format!("word-9-{:016x}", old.digest)]);
-    assert_eq!(folder.read().expect("kept").configuration, Some(old.clone()));
+    assert_eq!(folder.read().expect("readable state").configuration, Some(old.clone()));
     for round in [9, 10] {
         folder.save(&Stored::Promise(ballot(round))).expect("saved");
     }
     for (round, revision) in [(9, 8), (10, 7)] {
         let new = configuration(revision).under(ballot(round));
         folder.save(&Stored::Configuration(new.clone())).expect("saved");
-        let kept = folder.read().expect("kept");
-        assert_eq!(kept.configuration, Some(new));
-        assert_eq!(kept.promised, ballot(10));
+        let restored = folder.read().expect("readable state");
+        assert_eq!(restored.configuration, Some(new));
+        assert_eq!(restored.promised, ballot(10));
     }
     assert_eq!(temp.names().len(), 2, "{:?}", temp.names());
-    // An old release's copy comes back, say from a backup: it is below all that have a ballot.
+    // A copy from an old release reappears, for example from a backup: it ranks below all that have a ballot.
     folder.save(&Stored::Configuration(old)).expect("saved");
-    assert_eq!(folder.read().expect("kept").configuration, Some(configuration(7).under(ballot(10))));
+    assert_eq!(
+        folder.read().expect("readable state").configuration,
+        Some(configuration(7).under(ballot(10)))
+    );
 }
 
-/// A file under a ballot that was cut at any byte is passed over for the older one.
+/// A configuration file cut at any byte is ignored in favour of the older one.
 #[test]
-fn passes_over_a_torn_ballot() {
-    let temp = Temp::new("torn-ballot");
+fn torn_ballot_file_is_ignored() {
+    let temp = TempFolder::new("torn-ballot");
     let folder = Folder::open(&temp.0).expect("a folder");
     let [old, new] = [1, 2].map(|round| Configuration::new(5, vec![b'a'; 20]).under(ballot(round)));
     let steps = [
@@ -87,19 +90,23 @@
         }
         for end in 0..whole.len() {
             fs::write(temp.0.join(&name), &whole[..end]).expect("written");
-            let kept = folder.read().expect("kept");
-            assert_eq!(kept.configuration.map(|kept| kept.ballot), Some(ballot(1)), "cut at {end}");
-            assert!(kept.promised <= ballot(1), "cut at {end}");
+            let restored = folder.read().expect("readable state");
+            assert_eq!(
+                restored.configuration.map(|restored| restored.ballot),
+                Some(ballot(1)),
+                "cut at {end}"
+            );
+            assert!(restored.promised <= ballot(1), "cut at {end}");
         }
         fs::remove_file(temp.0.join(&name)).expect("removed");
     }
-    let kept = folder.read().expect("kept");
-    assert_eq!((kept.configuration, kept.promised), (Some(old), ballot(1)));
+    let restored = folder.read().expect("readable state");
+    assert_eq!((restored.configuration, restored.promised), (Some(old), ballot(1)));
 }
 
 #[test]
 fn keeps_the_highest_of_each_kind() {
-    let temp = Temp::new("highest");
+    let temp = TempFolder::new("highest");
     let folder = Folder::open(&temp.0).expect("a folder");
     let empty = folder.read().expect("nothing");
     assert!(empty.configuration.is_none() && empty.voters.is_none() && empty.lease_number == 0);
@@ -112,19 +119,19 @@
         folder.save(&Stored::Voters(tables)).expect("saved");
     }
     folder.save(&Stored::Voters(tables(2, None))).expect("saved again");
-    let kept = folder.read().expect("kept");
+    let restored = folder.read().expect("readable state");
     assert_eq!(
-        kept.configuration.map(|configuration| (configuration.revision, configuration.text.len())),
+        restored.configuration.map(|configuration| (configuration.revision, configuration.text.len())),
         Some((4097, 4097))
     );
-    assert_eq!(kept.voters, Some(tables(2, None)));
-    assert_eq!(kept.lease_number, 4097);
+    assert_eq!(restored.voters, Some(tables(2, None)));
+    assert_eq!(restored.lease_number, 4097);
     assert_eq!(temp.names().len(), 3, "{:?}", temp.names());
 }
 
 #[test]
-fn passes_over_what_is_torn() {
-    let temp = Temp::new("torn");
+fn torn_files_are_ignored() {
+    let temp = TempFolder::new("torn");
     let folder = Folder::open(&temp.0).expect("a folder");
     let old = Configuration::new(3, b"the old one\nwith a line".to_vec());
     let new = Configuration::new(4, b"the new one".to_vec());
@@ -142,41 +149,45 @@
     }
     for end in 0..whole.len() {
         fs::write(temp.0.join(&newer), &whole[..end]).expect("written");
-        let kept = folder.read().expect("kept");
-        assert_eq!(kept.configuration.as_ref(), Some(&old), "cut at {end}");
-        assert_eq!(kept.lease_number, 0);
+        let restored = folder.read().expect("readable state");
+        assert_eq!(restored.configuration.as_ref(), Some(&old), "cut at {end}");
+        assert_eq!(restored.lease_number, 0);
         let mut turned = whole.clone();
         turned[end] ^= 1;
         fs::write(temp.0.join(&newer), &turned).expect("written");
-        assert_eq!(folder.read().expect("kept").configuration.as_ref(), Some(&old), "turned at {end}");
+        assert_eq!(
+            folder.read().expect("readable state").configuration.as_ref(),
+            Some(&old),
+            "turned at {end}"
+        );
     }
-    // Over the torn one, the same again.
+    // Saving the same configuration again replaces the torn file.
     folder.save(&Stored::Configuration(new.clone())).expect("saved");
-    assert_eq!(folder.read().expect("kept").configuration, Some(new));
+    assert_eq!(folder.read().expect("readable state").configuration, Some(new));
 }
 
 #[test]
-fn a_failed_write_leaves_the_old_one() {
-    let temp = Temp::new("failed");
+fn failed_write_keeps_the_previous_file() {
+    let temp = TempFolder::new("failed");
     let folder = Folder::open(&temp.0).expect("a folder");
     let old = Configuration::new(3, b"old".to_vec());
     folder.save(&Stored::Configuration(old.clone())).expect("saved");
     let new = Configuration::new(4, b"new".to_vec());
-    // A folder in its place: it cannot be opened for writing.
+    // A folder with the same name prevents opening the file for writing.
     fs::create_dir(temp.0.join(format!("word-4-{:016x}", new.digest))).expect("a folder");
     folder.save(&Stored::Configuration(new)).expect_err("not saved");
-    assert_eq!(folder.read().expect("kept").configuration, Some(old));
+    assert_eq!(folder.read().expect("readable state").configuration, Some(old));
 }
 
 #[test]
-fn what_failed_is_written_again() {
-    let temp = Temp::new("again");
+fn a_failed_save_is_rewritten() {
+    let temp = TempFolder::new("again");
     let folder = Folder::open(&temp.0).expect("a folder");
     let path = temp.0.join("lease-7");
     fs::create_dir(&path).expect("a folder in its place");
     folder.save(&Stored::LeaseNumber(7)).expect_err("not saved");
     fs::remove_dir(&path).expect("removed");
-    // As after a failed sync: it reads well, but the disk may not have it.
+    // As after a failed sync: the file is readable but may not have reached the disk.
     Folder::open(&temp.0).and_then(|other| other.save(&Stored::LeaseNumber(7))).expect("saved");
     let old = std::time::SystemTime::UNIX_EPOCH;
     fs::File::options().write(true).open(&path).and_then(|file| file.set_modified(old)).expect("dated back");
@@ -184,24 +195,24 @@
     assert_ne!(fs::metadata(&path).and_then(|meta| meta.modified()).expect("a date"), old);
 }
 
-/// What the folder may be after a loss of power: the file that was being written is there, missing or torn;
-/// what was removed is there or not.
-fn lose_power(temp: &Temp, rand: &mut oorandom::Rand64, before: &Files, name: &str, done: bool) {
+/// Simulates a loss of power: the file being written exists, is missing or is torn; removed files may
+/// reappear.
+fn lose_power(temp: &TempFolder, rng: &mut oorandom::Rand64, before: &Files, name: &str, done: bool) {
     let mut files = read_all(temp);
     for (old, bytes) in before {
-        if !files.contains_key(old) && rand.rand_float() < 0.5 {
+        if !files.contains_key(old) && rng.rand_float() < 0.5 {
             files.insert(old.clone(), bytes.clone());
         }
     }
     if let Some(bytes) = files.get_mut(name).filter(|_| !done) {
-        let cut = rand.rand_range(0..bytes.len() as u64 + 1) as usize;
-        match rand.rand_range(0..4) {
+        let cut = rng.rand_range(0..bytes.len() as u64 + 1) as usize;
+        match rng.rand_range(0..4) {
             0 => bytes.truncate(cut),
             1 => bytes[cut..].fill(0),
             2 => bytes[..cut].fill(0xff),
             _ => {}
         }
-        if rand.rand_float() < 0.3 {
+        if rng.rand_float() < 0.3 {
             files.remove(name);
         }
     }
@@ -215,20 +226,20 @@
 
 type Files = std::collections::BTreeMap<String, Vec<u8>>;
 
-fn read_all(temp: &Temp) -> Files {
+fn read_all(temp: &TempFolder) -> Files {
     let all = temp.names().into_iter();
     all.filter_map(|name| Some((name.clone(), fs::read(temp.0.join(name)).ok()?))).collect()
 }
 
-/// Saves, refusals and losses of power. Returns what is wrong.
-fn play(seed: u64) -> Option<String> {
-    let temp = Temp::new(&format!("power-{seed}-{:?}", std::thread::current().id()));
-    let mut rand = oorandom::Rand64::new(u128::from(seed));
+/// Simulates saves, failed writes and losses of power. Returns a description of the first violation.
+fn simulate(seed: u64) -> Option<String> {
+    let temp = TempFolder::new(&format!("power-{seed}-{:?}", std::thread::current().id()));
+    let mut rng = oorandom::Rand64::new(u128::from(seed));
     let mut folder = Folder::open(&temp.0).expect("a folder");
-    let mut most = [0u64; 4];
+    let mut highest = [0u64; 4];
     for step in 1..25u64 {
-        let kind = rand.rand_range(0..4) as usize;
-        let number = most[kind] + 1 + rand.rand_range(0..2);
+        let kind = rng.rand_range(0..4) as usize;
+        let number = highest[kind] + 1 + rng.rand_range(0..2);
         let (what, name) = match kind {
             0 => {
                 let text = vec![step as u8; 1 + number as usize * 300];
@@ -251,56 +262,58 @@
         };
         let before = read_all(&temp);
         let path = temp.0.join(&name);
-        let refused = rand.rand_float() < 0.2 && fs::create_dir(&path).is_ok();
+        let refused = rng.rand_float() < 0.2 && fs::create_dir(&path).is_ok();
         let saved = folder.save(&what).is_ok();
         if refused {
             let _ = fs::remove_dir(&path);
         }
-        // The save may be cut short: then nobody was told, and it is there or not.
-        let done = saved && rand.rand_float() < 0.7;
+        // The save may be interrupted: then it was not confirmed, and the file may or may not exist.
+        let done = saved && rng.rand_float() < 0.7;
         if done {
-            most[kind] = number;
+            highest[kind] = number;
         }
-        if rand.rand_float() < 0.5 || saved && !done {
+        if rng.rand_float() < 0.5 || saved && !done {
             if !done {
                 // Nothing was removed yet.
                 for (name, bytes) in before.iter().filter(|_| saved) {
                     fs::write(temp.0.join(name), bytes).expect("written");
                 }
             }
-            lose_power(&temp, &mut rand, &before, &name, done);
+            lose_power(&temp, &mut rng, &before, &name, done);
             folder = Folder::open(&temp.0).expect("a folder");
         }
-        let kept = folder.read().expect("read");
-        let configuration = kept.configuration.as_ref().map_or(0, |configuration| configuration.ballot.round);
-        let voters = kept.voters.as_ref().map_or(0, |tables| tables.base.epoch);
-        for (index, (kept, most)) in [configuration, voters, kept.lease_number, kept.promised.round]
-            .into_iter()
-            .zip(&mut most)
-            .enumerate()
+        let restored = folder.read().expect("read");
+        let configuration =
+            restored.configuration.as_ref().map_or(0, |configuration| configuration.ballot.round);
+        let voters = restored.voters.as_ref().map_or(0, |tables| tables.base.epoch);
+        for (index, (restored, highest)) in
+            [configuration, voters, restored.lease_number, restored.promised.round]
+                .into_iter()
+                .zip(&mut highest)
+                .enumerate()
         {
-            let begun = if index == kind { number } else { *most };
-            if kept < *most || kept > *most && kept != begun {
-                return Some(format!("seed {seed}, step {step}: {kept} for {most} of kind {index}"));
+            let in_progress = if index == kind { number } else { *highest };
+            if restored < *highest || restored > *highest && restored != in_progress {
+                return Some(format!("seed {seed}, step {step}: {restored} for {highest} of kind {index}"));
             }
-            *most = kept;
+            *highest = restored;
         }
     }
     None
 }
 
 #[test]
-fn a_loss_of_power_takes_nothing_back() {
+fn power_loss_never_reverts_a_saved_state() {
     for seed in 0..200 {
-        assert_eq!(play(seed), None);
+        assert_eq!(simulate(seed), None);
     }
 }
 
 #[test]
-fn the_checker_finds_what_is_removed_too_early() {
-    PLANTED.set(Some(Defect::RemovesTheOldFirst));
-    let found = (0..200).find_map(play);
-    PLANTED.set(None);
+fn removing_the_old_file_too_early_is_detected() {
+    INJECTED.set(Some(Defect::RemovesOldFileFirst));
+    let found = (0..200).find_map(simulate);
+    INJECTED.set(None);
     println!("{found:?}");
     assert!(found.is_some());
 }
--- a/crates/control-store/src/tests/exhaustive.rs
+++ b/crates/control-store/src/tests/exhaustive.rs
@@ -1,17 +1,19 @@
-//! All orders of events in a small world: three members, an order at each (two texts under one revision, and a
-//! higher revision), one loss; by the acceptor and the proposer that the register is made of.
+//! Enumerates all orders of events in a small system: three members, one replace request at each (two texts
+//! under one revision, and a higher revision), and one loss; with the acceptor and the proposer of the
+//! register.
 //!
-//! What was said stays said: a message may come late, twice, or never, so a lost one needs no event of its own.
-//! A sync is an event of its own where `separate_syncs`, else done at once. Time is in one rule: when a member that lost
-//! its disk reads from the others, nobody counts any more what it said before (`voters::LOST_DISK_WAIT`).
+//! Sent messages stay available: a message may arrive late, twice, or never, so a lost message needs no event
+//! of its own. A sync is a separate event with `separate_syncs`, otherwise it is immediate. Time appears in
+//! one rule only: when a member that lost its disk reads from the others, no member counts its earlier
+//! messages any more (`voters::LOST_DISK_WAIT`).
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use crate::planted::{Defect, PLANTED};
-use crate::register::{Acceptor, Ballot, Decision, Order, Promise, Round, Version};
+use crate::defects::{Defect, INJECTED};
+use crate::register::{Acceptor, Ballot, Decision, Promise, ReplaceRequest, Round, Version};
 use crate::tests::sim::addr;
 
 const MEMBERS: usize = 3;
@@ -26,7 +28,7 @@
 
 #[derive(Clone, Copy)]
 struct Bounds {
-    /// Ballots in all.
+    /// Maximum number of ballots.
     rounds: u8,
     loss: Loss,
     separate_syncs: bool,
@@ -34,19 +36,19 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Said {
+enum SentMessage {
     Prepare(Ballot),
     Promise { from: usize, ballot: Ballot, accepted: Version, chosen: Version },
     Propose(Version),
     Accepted { from: usize, version: Version },
 }
 
-impl Said {
-    /// Whether it counts as this member's.
-    fn binds(&self, member: usize) -> bool {
+impl SentMessage {
+    /// Whether it is a promise or vote of this member.
+    fn counts_for(&self, member: usize) -> bool {
         match self {
-            Said::Promise { from, .. } | Said::Accepted { from, .. } => *from == member,
-            Said::Prepare(_) | Said::Propose(_) => false,
+            SentMessage::Promise { from, .. } | SentMessage::Accepted { from, .. } => *from == member,
+            SentMessage::Prepare(_) | SentMessage::Propose(_) => false,
         }
     }
 }
@@ -64,12 +66,12 @@
     saved: Version,
     promise_saved: Ballot,
     incarnation: u64,
-    /// Of the round it has begun and not decided.
+    /// The ballot of the round it has started and not decided.
     preparing: Option<Ballot>,
     committed: Version,
-    /// Reads what it lost; none while it counts.
+    /// What it has read since its disk was lost; none while its vote is active.
     reads: Option<[Option<Read>; MEMBERS]>,
-    order: Order,
+    order: ReplaceRequest,
 }
 
 impl Member {
@@ -85,15 +87,15 @@
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct World {
     members: [Member; MEMBERS],
-    said: BTreeSet<Said>,
-    /// All that was ever chosen.
+    sent: BTreeSet<SentMessage>,
+    /// All versions that were ever chosen.
     chosen: BTreeSet<Version>,
     rounds: u8,
     lost: bool,
 }
 
-fn order(revision: u64, digest: u64) -> Order {
-    Order { revision, digest }
+fn order(revision: u64, digest: u64) -> ReplaceRequest {
+    ReplaceRequest { revision, digest }
 }
 
 impl World {
@@ -111,20 +113,20 @@
         };
         World {
             members: orders.map(member),
-            said: BTreeSet::new(),
+            sent: BTreeSet::new(),
             chosen: BTreeSet::new(),
             rounds: 0,
             lost: false,
         }
     }
 
-    /// All worlds after one event more.
-    fn after(&self, bounds: &Bounds) -> Vec<World> {
+    /// All states reachable by one more event.
+    fn successors(&self, bounds: &Bounds) -> Vec<World> {
         let mut all = Vec::new();
         for index in 0..MEMBERS {
             all.extend(self.begin(index, bounds));
             all.extend(self.decide(index));
-            all.extend(self.hear(index));
+            all.extend(self.receive(index));
             all.extend(self.learn(index));
             if bounds.separate_syncs {
                 all.extend(self.sync_promise(index));
@@ -166,19 +168,19 @@
         member.acceptor.prepare(ballot).ok()?;
         member.preparing = Some(ballot);
         world.rounds += 1;
-        world.said.insert(Said::Prepare(ballot));
+        world.sent.insert(SentMessage::Prepare(ballot));
         Some(world)
     }
 
-    /// With the promises of each majority that made them.
+    /// One state for each majority of promises.
     fn decide(&self, index: usize) -> Vec<World> {
         let Some(ballot) = self.members[index].preparing else { return Vec::new() };
         if self.members[index].acceptor.promised() != ballot {
             return Vec::new();
         }
         let mut promises = BTreeMap::<usize, Vec<Promise>>::new();
-        for said in &self.said {
-            if let Said::Promise { from, ballot: promised, accepted, chosen } = said {
+        for sent in &self.sent {
+            if let SentMessage::Promise { from, ballot: promised, accepted, chosen } = sent {
                 if *promised == ballot {
                     let promise = Promise { accepted: *accepted, chosen: *chosen };
                     promises.entry(*from).or_default().push(promise);
@@ -188,11 +190,11 @@
         let mut all = Vec::new();
         for absent in 0..MEMBERS {
             let mut choices = vec![Vec::new()];
-            for (from, said) in promises.iter().filter(|(from, _)| **from != absent) {
+            for (from, sent) in promises.iter().filter(|(from, _)| **from != absent) {
                 choices = choices
                     .iter()
                     .flat_map(|choice: &Vec<(SocketAddr, Promise)>| {
-                        said.iter().map(|promise| {
+                        sent.iter().map(|promise| {
                             let mut choice = choice.clone();
                             choice.push((addr(*from), *promise));
                             choice
@@ -217,33 +219,33 @@
             Decision::Complete(version) => Version { ballot, ..version },
             Decision::Settled(version) => {
                 member.preparing = None;
-                world.hear_chosen(index, version);
+                world.learn_chosen(index, version);
                 return world;
             }
         };
         member.preparing = None;
         member.acceptor.accept(version);
-        world.said.insert(Said::Propose(version));
+        world.sent.insert(SentMessage::Propose(version));
         world
     }
 
-    /// Anything that was ever said to all, or nothing new.
-    fn hear(&self, index: usize) -> Vec<World> {
-        let heard = self.said.iter().filter_map(|said| {
+    /// Receives any message ever sent to all, if it changes the state.
+    fn receive(&self, index: usize) -> Vec<World> {
+        let received = self.sent.iter().filter_map(|sent| {
             let mut world = self.clone();
             let member = &mut world.members[index];
-            match said {
-                Said::Prepare(ballot) if member.counts() => {
+            match sent {
+                SentMessage::Prepare(ballot) if member.counts() => {
                     member.acceptor.prepare(*ballot).ok().map(|_| ())?
                 }
-                Said::Propose(version) => {
+                SentMessage::Propose(version) => {
                     member.acceptor.accept(*version);
                 }
                 _ => return None,
             }
             Some(world)
         });
-        heard.filter(|world| world != self).collect()
+        received.filter(|world| world != self).collect()
     }
 
     fn learn(&self, index: usize) -> Vec<World> {
@@ -251,13 +253,13 @@
         newer
             .map(|version| {
                 let mut world = self.clone();
-                world.hear_chosen(index, *version);
+                world.learn_chosen(index, *version);
                 world
             })
             .collect()
     }
 
-    fn hear_chosen(&mut self, index: usize, version: Version) {
+    fn learn_chosen(&mut self, index: usize, version: Version) {
         let member = &mut self.members[index];
         member.acceptor.learn(version);
         member.committed = member.committed.max(version);
@@ -266,22 +268,22 @@
     fn sync_promise(&self, index: usize) -> Option<World> {
         let member = &self.members[index];
         let ballot = member.acceptor.promised();
-        let said = Said::Promise {
+        let sent = SentMessage::Promise {
             from: index,
             ballot,
             accepted: member.acceptor.accepted(),
             chosen: member.committed,
         };
-        // What was accepted under it is no promise any more.
-        let told = member.acceptor.accepted().ballot >= ballot || !member.counts();
-        if member.promise_on_disk() >= ballot && (told || self.said.contains(&said)) {
+        // A promise under which it has accepted a version is not sent any more.
+        let nothing_to_send = member.acceptor.accepted().ballot >= ballot || !member.counts();
+        if member.promise_on_disk() >= ballot && (nothing_to_send || self.sent.contains(&sent)) {
             return None;
         }
         let mut world = self.clone();
         let member = &mut world.members[index];
         member.promise_saved = member.promise_saved.max(ballot);
-        if !told {
-            world.said.insert(said);
+        if !nothing_to_send {
+            world.sent.insert(sent);
         }
         Some(world)
     }
@@ -294,12 +296,12 @@
         let mut world = self.clone();
         world.members[index].saved = version;
         if world.members[index].counts() {
-            world.said.insert(Said::Accepted { from: index, version });
+            world.sent.insert(SentMessage::Accepted { from: index, version });
         }
         Some(world)
     }
 
-    /// The one loss there is.
+    /// Applies the single loss of a run.
     fn lose(&self, index: usize, loss: Loss) -> Option<World> {
         if self.lost || loss == Loss::None {
             return None;
@@ -319,21 +321,22 @@
         Some(world)
     }
 
-    /// One of the others, and when both were read (N - majority + 1), it counts again if it may.
+    /// Reads from one of the others; once both were read (N - majority + 1), the vote becomes active again if
+    /// permitted.
     fn read(&self, index: usize) -> Vec<World> {
         let Some(reads) = self.members[index].reads else { return Vec::new() };
         let mut all = Vec::new();
         for other in (0..MEMBERS).filter(|other| *other != index) {
-            let told = &self.members[other];
-            let read = Read { saved: told.saved, promised: told.acceptor.promised() };
+            let source = &self.members[other];
+            let read = Read { saved: source.saved, promised: source.acceptor.promised() };
             let mut world = self.clone();
             if reads.iter().all(Option::is_none) {
-                world.said.retain(|said| !said.binds(index));
+                world.sent.retain(|sent| !sent.counts_for(index));
             }
             let mut reads = reads;
             reads[other] = Some(read);
             world.members[index].reads = Some(reads);
-            world.caught_up(index, &reads);
+            world.finish_reading(index, &reads);
             if world != *self {
                 all.push(world);
             }
@@ -341,15 +344,15 @@
         all
     }
 
-    /// As `ControlStore::has_caught_up`.
-    fn caught_up(&mut self, index: usize, reads: &[Option<Read>; MEMBERS]) {
+    /// Corresponds to `ControlStore::has_caught_up`.
+    fn finish_reading(&mut self, index: usize, reads: &[Option<Read>; MEMBERS]) {
         if reads.iter().flatten().count() < MEMBERS - MAJORITY + 1 {
             return;
         }
         let saved = reads.iter().flatten().map(|read| read.saved).max().unwrap_or_default();
         let promised = reads.iter().flatten().map(|read| read.promised).max().unwrap_or_default();
         let member = &mut self.members[index];
-        // Its text is fetched: not accepted below a promise, but stored as a copy.
+        // The text is fetched: below a promise it is not accepted, but stored as a copy.
         let mine = member.acceptor.accepted().max(saved);
         let mut acceptor = Acceptor::restore(member.acceptor.promised(), mine);
         acceptor.learn_promise(promised);
@@ -362,14 +365,14 @@
         member.acceptor = acceptor;
         member.reads = None;
         if mine.has_ballot() {
-            self.said.insert(Said::Accepted { from: index, version: mine });
+            self.sent.insert(SentMessage::Accepted { from: index, version: mine });
         }
     }
 
     fn note_chosen(&mut self) {
         let mut voters = BTreeMap::<Version, usize>::new();
-        for said in &self.said {
-            if let Said::Accepted { version, .. } = said {
+        for sent in &self.sent {
+            if let SentMessage::Accepted { version, .. } = sent {
                 *voters.entry(*version).or_default() += 1;
             }
         }
@@ -377,8 +380,8 @@
         self.chosen.extend(chosen.map(|(version, _)| version));
     }
 
-    /// In the order of ballots revisions never fall, and each has one text.
-    fn wrong(&self) -> Option<String> {
+    /// In the order of ballots, revisions must never decrease, and each must have one text.
+    fn violation(&self) -> Option<String> {
         let chosen: Vec<&Version> = self.chosen.iter().collect();
         let falls = chosen.windows(2).find(|pair| {
             let same = pair[0].revision == pair[1].revision && pair[0].digest != pair[1].digest;
@@ -400,27 +403,27 @@
 
 struct Found {
     states: usize,
-    /// Of the deepest level with a new state.
+    /// The deepest level with a new state.
     depth: usize,
-    /// Whether there was nothing more to find.
+    /// Whether all reachable states were visited.
     complete: bool,
-    wrong: Option<String>,
+    violation: Option<String>,
 }
 
-/// Level by level, until all is seen, the bound is met or something is wrong.
+/// Searches breadth-first until all states are visited, the depth is reached, or a violation is found.
 fn search(bounds: Bounds) -> Found {
     let mut seen = HashSet::new();
     let mut level = vec![World::new()];
-    let mut found = Found { states: 1, depth: 0, complete: false, wrong: None };
+    let mut found = Found { states: 1, depth: 0, complete: false, violation: None };
     while found.depth < bounds.depth {
         let mut next = Vec::new();
-        for world in level.iter().flat_map(|world| world.after(&bounds)) {
+        for world in level.iter().flat_map(|world| world.successors(&bounds)) {
             if !seen.insert(world.fingerprint()) {
                 continue;
             }
             found.states += 1;
-            if let Some(wrong) = world.wrong() {
-                found.wrong = Some(wrong);
+            if let Some(violation) = world.violation() {
+                found.violation = Some(violation);
                 return found;
             }
             next.push(world);
@@ -435,9 +438,9 @@
     found
 }
 
-/// So deep, or deeper: CONTROL_STORE_DEPTH=20.
-fn depth(usual: usize) -> usize {
-    std::env::var("CONTROL_STORE_DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+/// The environment variable CONTROL_STORE_DEPTH sets another depth, such as 20.
+fn depth(default_depth: usize) -> usize {
+    std::env::var("CONTROL_STORE_DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(default_depth)
 }
 
 #[rstest::rstest]
@@ -447,34 +450,34 @@
 #[case(Loss::None, true, 2, 9)]
 #[case(Loss::Restart, true, 2, 9)]
 #[case(Loss::Disk, true, 2, 9)]
-fn nothing_chosen_changes(
+fn a_chosen_version_never_changes(
     #[case] loss: Loss,
     #[case] separate_syncs: bool,
     #[case] rounds: u8,
-    #[case] usual: usize,
+    #[case] default_depth: usize,
 ) {
-    let began = Instant::now();
-    let found = search(Bounds { rounds, loss, separate_syncs, depth: depth(usual) });
+    let started = Instant::now();
+    let found = search(Bounds { rounds, loss, separate_syncs, depth: depth(default_depth) });
     println!(
-        "{rounds} ballots, {loss:?}, syncs apart {separate_syncs}: {} states, {} events deep{}, {:?}",
+        "{rounds} ballots, {loss:?}, separate syncs {separate_syncs}: {} states, {} events deep{}, {:?}",
         found.states,
         found.depth,
-        if found.complete { " (all there are)" } else { "" },
-        began.elapsed()
+        if found.complete { " (all reachable)" } else { "" },
+        started.elapsed()
     );
-    assert_eq!(found.wrong, None);
+    assert_eq!(found.violation, None);
 }
 
 #[rstest::rstest]
-#[case(Defect::IgnoresTheAccepted, Loss::None)]
-#[case(Defect::AcceptsBelowItsPromise, Loss::None)]
-#[case(Defect::ComparesDigests, Loss::None)]
-#[case(Defect::ForgetsItsPromises, Loss::Restart)]
-#[case(Defect::ReadsNoPromises, Loss::Disk)]
-fn the_search_finds(#[case] defect: Defect, #[case] loss: Loss) {
-    PLANTED.set(Some(defect));
+#[case(Defect::IgnoresAcceptedVersions, Loss::None)]
+#[case(Defect::AcceptsBelowPromise, Loss::None)]
+#[case(Defect::OrdersByDigest, Loss::None)]
+#[case(Defect::ForgetsPromises, Loss::Restart)]
+#[case(Defect::SkipsReadingPromises, Loss::Disk)]
+fn search_detects_injected_defect(#[case] defect: Defect, #[case] loss: Loss) {
+    INJECTED.set(Some(defect));
     let found = search(Bounds { rounds: 2, loss, separate_syncs: false, depth: depth(12) });
-    PLANTED.set(None);
-    println!("{defect:?}: {} states, {} events deep: {:?}", found.states, found.depth, found.wrong);
-    assert!(found.wrong.is_some());
+    INJECTED.set(None);
+    println!("{defect:?}: {} states, {} events deep: {:?}", found.states, found.depth, found.violation);
+    assert!(found.violation.is_some());
 }
--- a/crates/control-store/src/tests/sim/cost.rs
+++ b/crates/control-store/src/tests/sim/cost.rs
@@ -1,4 +1,5 @@
-//! What an order costs: messages, syncs and time, and how several operators at once get on.
+//! The cost of a replace request in messages, syncs and time, and the throughput of several concurrent
+//! operators.
 
 use super::*;
 
@@ -7,14 +8,14 @@
 
 struct Cost {
     messages: f64,
-    /// Without frames and texts of any size.
+    /// Without frames, and independent of the length of the texts.
     bytes: f64,
     syncs: f64,
     median: Duration,
     worst: Duration,
 }
 
-/// A quiet system, given one order each half second; what is said at rest is taken off.
+/// An idle system that receives one request each half second; idle traffic is subtracted.
 fn cost(members: usize, seed: u64) -> Cost {
     let mut sim = Sim::new(members, seed);
     sim.run(sim.now + MS * 8000);
@@ -24,18 +25,18 @@
     let (messages, bytes, syncs) = (sim.messages, sim.bytes, sim.stores);
     let mut times = Vec::new();
     for _ in 0..ORDERS {
-        let (asked, end, taken) = (sim.now, sim.now + WINDOW, sim.taken);
-        let at = sim.some_node().expect("a member");
+        let (asked, end, acknowledged) = (sim.now, sim.now + WINDOW, sim.acknowledged);
+        let at = sim.random_node().expect("a member");
         sim.revision += 1;
         sim.replace_at(at, sim.revision, 0, false);
-        while sim.taken == taken && sim.now < end && sim.wrong.is_none() {
+        while sim.acknowledged == acknowledged && sim.now < end && sim.violation.is_none() {
             sim.run(sim.now + MS);
         }
         times.push(sim.now - asked);
         sim.run(end);
     }
-    assert_eq!(sim.wrong, None);
-    assert_eq!(sim.taken, ORDERS, "all are acknowledged within {WINDOW:?}");
+    assert_eq!(sim.violation, None);
+    assert_eq!(sim.acknowledged, ORDERS, "all requests are acknowledged within {WINDOW:?}");
     times.sort();
     Cost {
         messages: (sim.messages - messages).saturating_sub(at_rest.0) as f64 / ORDERS as f64,
@@ -50,7 +51,7 @@
 #[case(3)]
 #[case(5)]
 #[case(9)]
-fn of_an_order(#[case] members: usize) {
+fn replace_cost_is_bounded(#[case] members: usize) {
     let cost = cost(members, 1);
     println!(
         "{members} members: {:.1} messages, {:.0} bytes, {:.1} syncs, {:?} (median), {:?} (worst)",
@@ -59,14 +60,14 @@
     assert!(cost.worst < WINDOW);
 }
 
-/// So many operators, each sending its next order when the last one is answered, to members of their choice.
+/// Concurrent operators, each sending its next request to a random member once the last one is answered.
 fn race(members: usize, operators: u64, seed: u64) -> (usize, Vec<Duration>) {
     let mut sim = Sim::new(members, seed);
     sim.run(sim.now + MS * 4000);
     let end = sim.now + MS * 10_000;
     let mut times = Vec::new();
     let mut working: BTreeMap<u64, Duration> = BTreeMap::new();
-    while sim.now < end && sim.wrong.is_none() {
+    while sim.now < end && sim.violation.is_none() {
         working.retain(|call, asked| {
             let open = sim.open.contains_key(call);
             if !open {
@@ -75,18 +76,21 @@
             open
         });
         while (working.len() as u64) < operators {
-            let at = sim.some_node().expect("a member");
+            let at = sim.random_node().expect("a member");
             sim.revision += 1;
-            let (call, author) = (sim.calls + 1, sim.below(AUTHORS));
+            let (call, author) = (sim.calls + 1, sim.random_below(AUTHORS));
             working.insert(call, sim.now);
             sim.replace_at(at, sim.revision, author, false);
         }
         sim.run(sim.now + MS);
     }
-    assert_eq!(sim.wrong, None, "{members} members, {operators} operators, seed {seed}");
-    assert_eq!(sim.later, 0, "{members} members, {operators} operators, seed {seed}: nobody is put off");
+    assert_eq!(sim.violation, None, "{members} members, {operators} operators, seed {seed}");
+    assert_eq!(
+        sim.unavailable, 0,
+        "{members} members, {operators} operators, seed {seed}: no call is unavailable"
+    );
     times.sort();
-    (sim.taken, times)
+    (sim.acknowledged, times)
 }
 
 #[rstest::rstest]
@@ -94,21 +98,21 @@
 #[case(3, 3)]
 #[case(5, 3)]
 #[case(9, 3)]
-fn operators_at_once_get_on(#[case] members: usize, #[case] operators: u64) {
-    let (mut acknowledged, mut times) = (0, Vec::new());
+fn concurrent_operators_are_all_answered_in_time(#[case] members: usize, #[case] operators: u64) {
+    let (mut total_acknowledged, mut times) = (0, Vec::new());
     for seed in 0..10 {
-        let (taken, more) = race(members, operators, seed);
-        acknowledged += taken;
+        let (acknowledged, more) = race(members, operators, seed);
+        total_acknowledged += acknowledged;
         times.extend(more);
     }
     times.sort();
     println!(
-        "{members} members, {operators} operators: {:.1} orders a second answered, {:.1} acknowledged, {:?} \
+        "{members} members, {operators} operators: {:.1} requests/s answered, {:.1} acknowledged, {:?} \
          (median), {:?} (worst)",
         times.len() as f64 / 100.0,
-        acknowledged as f64 / 100.0,
+        total_acknowledged as f64 / 100.0,
         times[times.len() / 2],
         times[times.len() - 1]
     );
-    assert!(times[times.len() - 1] < ANSWERED);
+    assert!(times[times.len() - 1] < ANSWER_TIMEOUT);
 }
--- a/crates/control-store/src/tests/sim/first_start.rs
+++ b/crates/control-store/src/tests/sim/first_start.rs
@@ -1,90 +1,92 @@
-//! The first start with trouble in it: one system or none, and one as soon as a majority of the seeds is there.
+//! The first start with faults: at most one system forms, and it forms once a majority of the seeds is up.
 
 use super::*;
 
-fn play(members: usize, seed: u64) -> Sim {
+fn simulate(members: usize, seed: u64) -> Sim {
     let mut sim = Sim::empty(members, seed);
     let seeds = sim.seeds.clone();
-    let odd = seeds[sim.below(seeds.len() as u64) as usize];
-    let which = sim.below(7);
+    let faulty_seed = seeds[sim.random_below(seeds.len() as u64) as usize];
+    let fault = sim.random_below(7);
     for index in 0..members {
         let at = addr(index);
-        let late = which == 0 && at == odd;
-        let after = if late { 2500 + sim.below(3500) } else { sim.below(300) };
-        sim.after(MS * after as u32, Event::Back { at, initial: true });
+        let late = fault == 0 && at == faulty_seed;
+        let delay = if late { 2500 + sim.random_below(3500) } else { sim.random_below(300) };
+        sim.schedule(MS * delay as u32, Event::Start { at, initial: true });
     }
-    sim.log.push(format!("trouble {which} at {odd}, seeds {seeds:?}"));
-    // (Who loses power before table 0 is written down and comes back with `initial_boot` false can't found.)
-    let when = if which == 6 { 350 + sim.below(1250) } else { sim.below(1600) };
+    sim.log.push(format!("fault {fault} at {faulty_seed}, seeds {seeds:?}"));
+    // A seed that loses power before table 0 is written and restarts with `initial_boot` false cannot take
+    // part.
+    let when = if fault == 6 { 350 + sim.random_below(1250) } else { sim.random_below(1600) };
     sim.run(sim.now + MS * when as u32);
-    let span = 50 + sim.below(3000);
-    match which {
+    let span = 50 + sim.random_below(3000);
+    match fault {
         1 | 2 => {
-            // Killed, and with 2 its disk is lost.
-            sim.stop(odd);
-            if let Some(node) = sim.nodes.get_mut(&odd).filter(|_| which == 2) {
+            // Killed; with fault 2 its disk is lost as well.
+            sim.stop(faulty_seed);
+            if let Some(node) = sim.nodes.get_mut(&faulty_seed).filter(|_| fault == 2) {
                 node.disk = DiskState::default();
             }
-            let initial = which == 1 && sim.chance(0.5);
-            sim.after(MS * span as u32, Event::Back { at: odd, initial });
+            let initial = fault == 1 && sim.random_bool(0.5);
+            sim.schedule(MS * span as u32, Event::Start { at: faulty_seed, initial });
         }
         3 => {
-            sim.side = (0..members).map(addr).filter(|_| sim.rand.rand_float() < 0.5).collect();
+            sim.cut_side = (0..members).map(addr).filter(|_| sim.rng.rand_float() < 0.5).collect();
             sim.cut = true;
-            sim.after(MS * span as u32, Event::Heal);
+            sim.schedule(MS * span as u32, Event::Heal);
         }
         4 => {
             sim.loss = 0.45;
-            sim.after(MS * span as u32, Event::Heal);
+            sim.schedule(MS * span as u32, Event::Heal);
         }
-        5 => sim.freeze(odd, span),
+        5 => sim.freeze(faulty_seed, span),
         6 => {
-            // All lose power, and one disk is full or hangs after that.
-            sim.happen(Event::Power { wiped: None });
-            sim.full_disk.insert(odd);
+            // All lose power, and then one disk is full or hangs.
+            sim.handle(Event::PowerLoss { wiped: None });
+            sim.full_disk.insert(faulty_seed);
             sim.hung_disk.insert(seeds[0], sim.now + MS * span as u32);
-            sim.after(MS * span as u32, Event::DiskWell);
+            sim.schedule(MS * span as u32, Event::DiskRecovered);
         }
         _ => {}
     }
-    let wait = if which == 0 { 2600 } else { 7000 };
+    let wait = if fault == 0 { 2600 } else { 7000 };
     sim.run(sim.now + MS * wait);
-    sim.must_live();
-    sim.work(4000);
-    sim.must_live();
+    sim.check_progress();
+    sim.run_operators(4000);
+    sim.check_progress();
     sim
 }
 
-/// Founded without the third; then a loss, and the third comes while it and who lost its disk see nobody else.
-fn play_without_the_third(seed: u64) -> Sim {
+/// Bootstraps without the third seed; then one disk is lost, and the third seed starts while it and the wiped
+/// member are cut off from the rest.
+fn simulate_without_third_seed(seed: u64) -> Sim {
     let mut sim = Sim::empty(3, seed);
     let order = [[0, 1, 2], [1, 2, 0], [2, 0, 1]][seed as usize % 3].map(addr);
     let [keeps, loses, third] = order;
     sim.boot(keeps, true);
     sim.boot(loses, true);
-    sim.pull(keeps);
-    sim.pull(loses);
+    sim.drain_actions(keeps);
+    sim.drain_actions(loses);
     sim.run(sim.now + MS * 2500);
-    sim.must_live();
+    sim.check_progress();
     sim.stop(loses);
-    sim.side = [keeps].into();
+    sim.cut_side = [keeps].into();
     sim.cut = true;
     if let Some(node) = sim.nodes.get_mut(&loses) {
         node.disk = DiskState::default();
     }
     sim.boot(loses, false);
     if let Some(store) = sim.nodes.get_mut(&loses).and_then(|node| node.store.as_mut()) {
-        store.setup.seeds = sim.seeds.clone();
+        store.settings.seeds = sim.seeds.clone();
     }
     sim.boot(third, true);
     sim.run(sim.now + MS * 6000);
     let ready = |at: SocketAddr| sim.nodes[&at].store.as_ref().is_some_and(ControlStore::ready);
     if ready(loses) || ready(third) {
-        sim.fail("a second system".to_string());
+        sim.record_violation("a second system".to_string());
     }
     sim.cut = false;
     sim.run(sim.now + MS * 3000);
-    sim.must_live();
+    sim.check_progress();
     sim
 }
 
@@ -92,46 +94,47 @@
 #[case(3)]
 #[case(5)]
 #[case(9)]
-fn one_system_or_none(#[case] members: usize) {
+fn first_start_with_faults_forms_at_most_one_system(#[case] members: usize) {
     for seed in 0..seeds(200) {
-        let sim = play(members, seed);
-        assert_eq!(sim.wrong, None, "{members} members, seed {seed}: {:#?}", sim.log);
+        let sim = simulate(members, seed);
+        assert_eq!(sim.violation, None, "{members} members, seed {seed}: {:#?}", sim.log);
     }
 }
 
 #[test]
-fn a_loss_before_the_third_comes_founds_nothing_more() {
+fn disk_loss_before_the_third_seed_starts_forms_no_second_system() {
     for seed in 0..seeds(200) {
-        assert_eq!(play_without_the_third(seed).wrong, None, "seed {seed}");
+        assert_eq!(simulate_without_third_seed(seed).violation, None, "seed {seed}");
     }
 }
 
 #[rstest::rstest]
-#[case(Defect::FoundsWithoutAMajority, |seed| play(3, seed))]
-#[case(Defect::FoundsAfterALoss, play_without_the_third)]
-fn the_checker_finds(#[case] defect: Defect, #[case] play: fn(u64) -> Sim) {
-    crate::planted::PLANTED.set(Some(defect));
-    let two = |wrong: &String| wrong.contains("two tables") || wrong.contains("second system");
-    let found = (0..400).find_map(|seed| play(seed).wrong.filter(two).map(|wrong| (seed, wrong)));
-    crate::planted::PLANTED.set(None);
+#[case(Defect::BootstrapsWithoutMajority, |seed| simulate(3, seed))]
+#[case(Defect::BootstrapsAfterDiskLoss, simulate_without_third_seed)]
+fn injected_defect_is_detected(#[case] defect: Defect, #[case] simulate: fn(u64) -> Sim) {
+    crate::defects::INJECTED.set(Some(defect));
+    let two = |violation: &String| violation.contains("two tables") || violation.contains("second system");
+    let found =
+        (0..400).find_map(|seed| simulate(seed).violation.filter(two).map(|violation| (seed, violation)));
+    crate::defects::INJECTED.set(None);
     println!("{defect:?}: {found:?}");
     assert!(found.is_some());
 }
 
-/// Of two seeds the lowest can found alone, the other can't.
+/// Of two seeds the lowest can bootstrap alone, the other cannot.
 #[rstest::rstest]
 #[case(0, true)]
 #[case(1, false)]
-fn one_of_two(#[case] up: usize, #[case] founds: bool) {
+fn of_two_seeds_only_the_lowest_bootstraps_alone(#[case] up: usize, #[case] bootstraps: bool) {
     for seed in 0..20 {
         let mut sim = Sim::empty(2, seed);
         sim.boot(addr(up), true);
         sim.run(sim.now + MS * 3000);
-        assert_eq!(!sim.voters().is_empty(), founds);
+        assert_eq!(!sim.voters().is_empty(), bootstraps);
         sim.boot(addr(1 - up), true);
         sim.run(sim.now + MS * 3000);
-        sim.must_live();
-        assert_eq!(sim.wrong, None, "seed {seed}");
+        sim.check_progress();
+        assert_eq!(sim.violation, None, "seed {seed}");
     }
 }
 
@@ -141,7 +144,7 @@
 #[case(3)]
 #[case(5)]
 #[case(9)]
-fn is_quick(#[case] members: usize) {
+fn bootstrap_finishes_in_time(#[case] members: usize) {
     let mut all = [const { Vec::new() }; 4];
     for seed in 0..200 {
         let mut sim = Sim::new(members, seed);
@@ -165,35 +168,36 @@
         assert!(!at.contains(&0), "{members} members, seed {seed}: {at:?}");
         all.iter_mut().zip(at).for_each(|(all, at)| all.push(at));
     }
-    for (times, what) in all.iter_mut().zip(["first counts", "all count", "all ready", "holder"]) {
+    for (times, what) in all.iter_mut().zip(["first active", "all active", "all ready", "holder"]) {
         times.sort();
         println!("{members} members: {what} after {} ms (median), {} (longest)", times[100], times[199]);
     }
-    // Before seeds agreed (the lowest founded alone), 3 members: 1374 and 1518, a holder 1430 and 1706.
+    // When the lowest seed bootstrapped alone, without agreement, 3 members took 1374 and 1518 ms, and 1430
+    // and 1706 ms until there was a holder.
     assert!(all[1][100] <= 1400 && all[1][199] <= 1560 && all[3][100] <= 1480);
 }
 
-/// A machine that lost its disk and is told wrongly that this is the first start reads from the others as well.
+/// A machine that lost its disk and is started with `initial_boot` by mistake reads from the others as well.
 #[test]
-fn wrong_settings_lose_no_word() {
+fn wrong_initial_boot_loses_no_configuration() {
     for seed in 0..seeds(100) {
         let mut sim = Sim::new(3, seed);
         sim.run(sim.now + MS * 3000);
-        sim.must_live();
+        sim.check_progress();
         let all = [0, 1, 2].map(addr);
         let (wiped, cut) = (all[seed as usize % 3], all[(seed as usize + 1) % 3]);
-        // Acknowledged without the third, which meets the wiped one.
-        sim.side = [cut].into();
+        // Acknowledged without the third member, which then sees only the wiped one.
+        sim.cut_side = [cut].into();
         sim.cut = true;
-        sim.work(2000);
+        sim.run_operators(2000);
         sim.stop(wiped);
         sim.nodes.get_mut(&wiped).expect("a member").disk = DiskState::default();
-        sim.after(MS * 50, Event::Back { at: wiped, initial: true });
-        sim.side = all.into_iter().filter(|at| *at != wiped && *at != cut).collect();
-        sim.work(4000);
+        sim.schedule(MS * 50, Event::Start { at: wiped, initial: true });
+        sim.cut_side = all.into_iter().filter(|at| *at != wiped && *at != cut).collect();
+        sim.run_operators(4000);
         sim.cut = false;
         sim.run(sim.now + MS * 3000);
-        sim.must_live();
-        assert_eq!(sim.wrong, None, "seed {seed}");
+        sim.check_progress();
+        assert_eq!(sim.violation, None, "seed {seed}");
     }
 }
