--- a/crates/control-store/src/transfer.rs
+++ b/crates/control-store/src/transfer.rs
@@ -1,9 +1,11 @@
-//! Long texts go in pieces: so heartbeats and lease messages never wait behind a whole one on a thin link.
+//! Long texts are sent in pieces, so that heartbeats and lease messages never queue behind a whole text on a
+//! slow link.
 //!
-//! A sender has a few pieces on their way, more where they are acknowledged quickly. The receiver puts one text
-//! together at a time, from one sender, and says how far it has got: a transfer that broke off goes on from there,
-//! also from another sender. The whole is taken only if its digest is right. What a member needs to catch up is
-//! the newest configuration alone, so a transfer that runs is finished, and then the newest of all is sent.
+//! A sender has a few pieces in flight, and more where they are acknowledged quickly. The receiver assembles
+//! one text at a time, from one sender, and reports its progress: an interrupted transfer continues from
+//! there, also from another sender. The assembled text is accepted only if its digest is right. To catch up,
+//! a member needs only the newest configuration, so a running transfer is finished first, and then the newest
+//! is sent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,30 +14,31 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::planted::{planted, Defect};
+use crate::defects::{injected, Defect};
 use crate::{digest, Configuration, ControlStore, Message};
 
-/// Shorter texts go whole.
-pub(crate) const WHOLE_UP_TO: usize = 32 << 10;
-pub(crate) const PIECE: usize = 16 << 10;
-/// Longer texts aren't put together: what the wire says may be anything.
-const LONGEST: u32 = 64 << 20;
-const LEAST_ON_THE_WAY: usize = 2;
-const MOST_ON_THE_WAY: usize = 16;
-/// More are sent at a time where an acknowledgement takes less than this, fewer where it takes more than that.
-const QUICK: Duration = Duration::from_millis(60);
-const SLOW: Duration = Duration::from_millis(150);
-/// Unacknowledged for so long: sent again.
+/// Shorter texts are sent in one message.
+pub(crate) const MAX_UNSPLIT_BYTES: usize = 32 << 10;
+pub(crate) const PIECE_BYTES: usize = 16 << 10;
+/// Longer texts are not assembled: a length received from the network may be arbitrary.
+const MAX_TEXT_BYTES: u32 = 64 << 20;
+const MIN_IN_FLIGHT: usize = 2;
+const MAX_IN_FLIGHT: usize = 16;
+/// The window grows when an acknowledgement takes less than `FAST_ACK`, and shrinks when it takes more than
+/// `SLOW_ACK`.
+const FAST_ACK: Duration = Duration::from_millis(60);
+const SLOW_ACK: Duration = Duration::from_millis(150);
+/// Pieces that stay unacknowledged for this long are sent again.
 const RESEND_AFTER: Duration = Duration::from_millis(600);
-const GIVE_UP_AFTER: Duration = Duration::from_secs(4);
-/// A receiver turns to another sender when its own has been silent for so long.
-const SENDER_SILENT: Duration = Duration::from_millis(1500);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(4);
+/// A receiver switches to another sender when its own has been silent for this long.
+const SENDER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
     /// The configuration without its text.
     pub head: Configuration,
-    /// The sender knows it to be chosen.
+    /// Whether the sender knows it to be chosen.
     pub chosen: bool,
     pub length: u32,
     pub offset: u32,
@@ -47,9 +50,9 @@
 pub struct PieceReceived {
     pub revision: u64,
     pub digest: u64,
-    /// All before this is there.
+    /// All bytes before this offset have been received.
     pub offset: u32,
-    /// Another member sends it already.
+    /// Another member is already sending it.
     pub busy: bool,
 }
 
@@ -57,7 +60,7 @@
     configuration: Configuration,
     chosen: bool,
     acknowledged: usize,
-    /// What was sent, with when, from `acknowledged` on.
+    /// Offset and send time of each piece sent, from `acknowledged` on.
     sent: BTreeMap<usize, Duration>,
     window: usize,
     progress_at: Duration,
@@ -69,10 +72,10 @@
     chosen: bool,
     length: usize,
     bytes: Vec<u8>,
-    /// Came before what goes before it.
-    early: BTreeMap<usize, Arc<[u8]>>,
+    /// Pieces received before the ones preceding them.
+    out_of_order: BTreeMap<usize, Arc<[u8]>>,
     from: SocketAddr,
-    heard: Duration,
+    received_at: Duration,
 }
 
 #[derive(Default)]
@@ -81,12 +84,13 @@
     assembling: Option<Assembling>,
 }
 
-fn same_text(one: &Configuration, other: &Configuration) -> bool {
-    one.revision == other.revision && (one.digest == other.digest || planted(Defect::MixesTwoTexts))
+fn same_text(one: &Configuration, another_transfer: &Configuration) -> bool {
+    one.revision == another_transfer.revision
+        && (one.digest == another_transfer.digest || injected(Defect::MixesTwoTexts))
 }
 
 impl Transfers {
-    /// The receiver started anew.
+    /// Called when the receiver has restarted.
     pub fn forget(&mut self, to: SocketAddr) {
         self.outgoing.remove(&to);
     }
@@ -97,7 +101,8 @@
 }
 
 impl ControlStore {
-    /// Whole if it is short, else in pieces; a transfer to this member that still runs is finished first.
+    /// Sends short texts in one message, others in pieces; a transfer to this member that is still running is
+    /// finished first.
     pub(crate) fn send_configuration(
         &mut self,
         now: Duration,
@@ -105,12 +110,12 @@
         configuration: Configuration,
         chosen: bool,
     ) {
-        if configuration.text.len() <= WHOLE_UP_TO || planted(Defect::SendsTextsWhole) {
+        if configuration.text.len() <= MAX_UNSPLIT_BYTES || injected(Defect::SendsTextsUnsplit) {
             let message =
                 if chosen { Message::Learn(configuration) } else { Message::Replicate(configuration) };
             return self.send(to, message);
         }
-        // One that nobody has answered makes room for a newer one.
+        // A transfer without any answer is replaced by a newer one.
         let runs = |running: &Outgoing| running.acknowledged > 0 || now < running.progress_at + RESEND_AFTER;
         if self.transfers.outgoing.get(&to).is_some_and(runs) {
             return;
@@ -120,7 +125,7 @@
             chosen,
             acknowledged: 0,
             sent: BTreeMap::new(),
-            window: LEAST_ON_THE_WAY,
+            window: MIN_IN_FLIGHT,
             progress_at: now,
             resend_at: now + RESEND_AFTER,
         };
@@ -136,7 +141,7 @@
         let mut pieces = Vec::new();
         let mut offset = outgoing.acknowledged;
         while offset < text.len() && outgoing.sent.len() < outgoing.window {
-            let end = (offset + PIECE).min(text.len());
+            let end = (offset + PIECE_BYTES).min(text.len());
             if let std::collections::btree_map::Entry::Vacant(entry) = outgoing.sent.entry(offset) {
                 entry.insert(now);
                 pieces.push(Piece {
@@ -158,23 +163,23 @@
         let Piece { head, chosen, length, offset, bytes } = piece;
         let (start, whole) = (offset as usize, length as usize);
         let fits = start.checked_add(bytes.len()).is_some_and(|end| end <= whole && !bytes.is_empty());
-        if length > LONGEST || !fits {
+        if length > MAX_TEXT_BYTES || !fits {
             return;
         }
         let received = |offset: usize, busy: bool| {
             let (revision, digest) = (head.revision, head.digest);
             Message::PieceReceived(PieceReceived { revision, digest, offset: offset as u32, busy })
         };
-        // The same text may be here under another ballot.
+        // The same text may already be known under another ballot.
         if let Some(known) = self.register.find_text(&head.version()) {
             let configuration = Configuration { text: known.text.clone(), ..head.clone() };
             self.send(from, received(whole, false));
-            return self.take_configuration(now, from, configuration, chosen);
+            return self.deliver_configuration(now, from, configuration, chosen);
         }
         if let Some(current) = &self.transfers.assembling {
             let same = same_text(&current.head, &head);
-            let other = current.from != from || !same;
-            if other && now < current.heard + SENDER_SILENT {
+            let another_transfer = current.from != from || !same;
+            if another_transfer && now < current.received_at + SENDER_TIMEOUT {
                 let offset = if same { current.bytes.len() } else { 0 };
                 return self.send(from, received(offset, true));
             }
@@ -186,20 +191,20 @@
                 chosen,
                 length: whole,
                 bytes: Vec::new(),
-                early: BTreeMap::new(),
+                out_of_order: BTreeMap::new(),
                 from,
-                heard: now,
+                received_at: now,
             });
         }
         let Some(current) = &mut self.transfers.assembling else { return };
-        (current.from, current.heard) = (from, now);
+        (current.from, current.received_at) = (from, now);
         if head.version() > current.head.version() {
             (current.head, current.chosen) = (head.clone(), chosen);
         }
-        if start >= current.bytes.len() && current.early.len() < 2 * MOST_ON_THE_WAY {
-            current.early.insert(start, bytes);
+        if start >= current.bytes.len() && current.out_of_order.len() < 2 * MAX_IN_FLIGHT {
+            current.out_of_order.insert(start, bytes);
         }
-        while let Some(entry) = current.early.first_entry() {
+        while let Some(entry) = current.out_of_order.first_entry() {
             if *entry.key() > current.bytes.len() {
                 break;
             }
@@ -210,21 +215,21 @@
         let offset = current.bytes.len();
         self.send(from, received(offset, false));
         if offset >= whole {
-            self.take_assembled(now, from);
+            self.deliver_assembled(now, from);
         }
     }
 
-    fn take_assembled(&mut self, now: Duration, from: SocketAddr) {
+    fn deliver_assembled(&mut self, now: Duration, from: SocketAddr) {
         let Some(whole) = self.transfers.assembling.take() else { return };
         let mut configuration = Configuration { text: Arc::from(whole.bytes), ..whole.head };
-        if planted(Defect::TakesPiecesUnchecked) {
+        if injected(Defect::SkipsAssembledDigestCheck) {
             configuration.digest = digest(&configuration.text);
         }
-        self.take_configuration(now, from, configuration, whole.chosen);
+        self.deliver_configuration(now, from, configuration, whole.chosen);
     }
 
-    /// The digest is checked there.
-    fn take_configuration(
+    /// The digest is checked by the receiving function.
+    fn deliver_configuration(
         &mut self,
         now: Duration,
         from: SocketAddr,
@@ -238,33 +243,33 @@
         }
     }
 
-    pub(crate) fn receive_piece_received(&mut self, now: Duration, from: SocketAddr, said: PieceReceived) {
+    pub(crate) fn receive_piece_received(&mut self, now: Duration, from: SocketAddr, reply: PieceReceived) {
         let held = self.register.held_version();
         let Some(outgoing) = self.transfers.outgoing.get_mut(&from) else { return };
         let sent = &outgoing.configuration;
-        if sent.revision != said.revision || sent.digest != said.digest {
+        if sent.revision != reply.revision || sent.digest != reply.digest {
             return;
         }
-        if said.busy {
-            // Another sends it.
+        if reply.busy {
+            // Another member is sending it.
             self.transfers.outgoing.remove(&from);
             return;
         }
-        let (offset, length) = (said.offset as usize, sent.text.len());
+        let (offset, length) = (reply.offset as usize, sent.text.len());
         if offset >= length {
             let newer = sent.version() < held;
             self.transfers.outgoing.remove(&from);
             if newer {
-                self.put(now, from, true);
+                self.send_copy(now, from, true);
             }
             return;
         }
         if offset > outgoing.acknowledged {
-            if let Some(took) = outgoing.sent.first_key_value().map(|(_, at)| now.saturating_sub(*at)) {
-                if took < QUICK {
-                    outgoing.window = (outgoing.window + 1).min(MOST_ON_THE_WAY);
-                } else if took > SLOW {
-                    outgoing.window = (outgoing.window - 1).max(LEAST_ON_THE_WAY);
+            if let Some(ack_delay) = outgoing.sent.first_key_value().map(|(_, at)| now.saturating_sub(*at)) {
+                if ack_delay < FAST_ACK {
+                    outgoing.window = (outgoing.window + 1).min(MAX_IN_FLIGHT);
+                } else if ack_delay > SLOW_ACK {
+                    outgoing.window = (outgoing.window - 1).max(MIN_IN_FLIGHT);
                 }
             }
             outgoing.acknowledged = offset;
@@ -276,17 +281,17 @@
     }
 
     pub(crate) fn step_transfers(&mut self, now: Duration) {
-        self.transfers.outgoing.retain(|_, outgoing| now < outgoing.progress_at + GIVE_UP_AFTER);
-        let mut again = Vec::new();
+        self.transfers.outgoing.retain(|_, outgoing| now < outgoing.progress_at + TRANSFER_TIMEOUT);
+        let mut timed_out = Vec::new();
         for (to, outgoing) in &mut self.transfers.outgoing {
             if now >= outgoing.resend_at {
                 outgoing.resend_at = now + RESEND_AFTER;
-                outgoing.window = LEAST_ON_THE_WAY;
+                outgoing.window = MIN_IN_FLIGHT;
                 outgoing.sent.clear();
-                again.push(*to);
+                timed_out.push(*to);
             }
         }
-        for to in again {
+        for to in timed_out {
             self.send_pieces(now, to);
         }
     }
--- a/crates/control-store/src/wire.rs
+++ b/crates/control-store/src/wire.rs
@@ -1,4 +1,4 @@
-//! How a member's state is written on the wire: what is the same as another part of it is left out.
+//! The wire format of a member's state: values equal to another part of it are omitted.
 
 use std::net::SocketAddr;
 
@@ -8,20 +8,22 @@
 
 #[derive(Serialize, Deserialize)]
 pub(crate) struct WireState {
-    mark: TableVersion,
+    #[serde(rename = "mark")]
+    table_version: TableVersion,
     counts: bool,
     saved: Version,
-    /// If another than `saved`.
+    /// Present if it differs from `saved`.
     held: Option<Version>,
-    /// If another than `saved`.
+    /// Present if it differs from `saved`.
     committed: Option<Version>,
-    /// If another than that of `saved`.
+    /// Present if it differs from the ballot of `saved`.
     promised: Option<Ballot>,
-    /// If any.
+    /// Present if not `Ballot::NONE`.
     votes_from: Option<Ballot>,
     number: u64,
     holder: Option<(SocketAddr, u64)>,
-    ask: u64,
+    #[serde(rename = "ask")]
+    read_number: u64,
 }
 
 fn other_than<T: PartialEq>(value: T, usual: T) -> Option<T> {
@@ -30,10 +32,20 @@
 
 impl From<MemberState> for WireState {
     fn from(state: MemberState) -> WireState {
-        let MemberState { mark, counts, saved, held, committed, promised, votes_from, number, holder, ask } =
-            state;
+        let MemberState {
+            table_version,
+            counts,
+            saved,
+            held,
+            committed,
+            promised,
+            votes_from,
+            number,
+            holder,
+            read_number,
+        } = state;
         WireState {
-            mark,
+            table_version,
             counts,
             saved,
             held: other_than(held, saved),
@@ -42,17 +54,27 @@
             votes_from: other_than(votes_from, Ballot::NONE),
             number,
             holder,
-            ask,
+            read_number,
         }
     }
 }
 
 impl From<WireState> for MemberState {
     fn from(wire: WireState) -> MemberState {
-        let WireState { mark, counts, saved, held, committed, promised, votes_from, number, holder, ask } =
-            wire;
+        let WireState {
+            table_version,
+            counts,
+            saved,
+            held,
+            committed,
+            promised,
+            votes_from,
+            number,
+            holder,
+            read_number,
+        } = wire;
         MemberState {
-            mark,
+            table_version,
             counts,
             saved,
             held: held.unwrap_or(saved),
@@ -61,7 +83,7 @@
             votes_from: votes_from.unwrap_or(Ballot::NONE),
             number,
             holder,
-            ask,
+            read_number,
         }
     }
 }
--- a/crates/control-store/tests/status.rs
+++ b/crates/control-store/tests/status.rs
@@ -1,4 +1,4 @@
-//! What a member tells of itself and the others, on virtual time.
+//! The status a member reports of itself and the others, on virtual time.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
     SocketAddr::from(([10, 0, 0, n], 7300))
 }
 
-/// Members that hear each other at once, but for those that are silent; disks take no time.
+/// Members with immediate message delivery, except for silent ones, and with instant disks.
 struct World {
     now: Duration,
     members: Vec<(SocketAddr, ControlStore)>,
@@ -38,20 +38,21 @@
             for n in 0..self.members.len() {
                 self.members[n].1.tick(self.now);
             }
-            while (0..self.members.len()).any(|n| self.carry(n)) {}
+            while (0..self.members.len()).any(|n| self.perform_next_action(n)) {}
         }
     }
 
-    /// Whether there was anything to be done.
-    fn carry(&mut self, n: usize) -> bool {
+    /// Returns whether there was an action to perform.
+    fn perform_next_action(&mut self, n: usize) -> bool {
         let (me, member) = &mut self.members[n];
         let (me, Some(action)) = (*me, member.next()) else { return false };
         match action {
             Action::Store { token, .. } => member.stored(self.now, token, true),
             Action::Answer { outcome, .. } => self.outcomes.push(outcome),
             Action::Send { to, envelope } => {
-                let heard = !self.silent.contains(&me) && !self.silent.contains(&to);
-                if let Some((_, other)) = self.members.iter_mut().find(|(other, _)| heard && *other == to) {
+                let connected = !self.silent.contains(&me) && !self.silent.contains(&to);
+                if let Some((_, other)) = self.members.iter_mut().find(|(other, _)| connected && *other == to)
+                {
                     other.receive(self.now, me, envelope);
                 }
             }
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_settled_member_tells_voters_holder_and_configuration() {
+fn status_reports_voters_holder_and_configuration() {
     let mut world = World::new(3);
     let before = world.store(0).status(Duration::ZERO);
     assert!(!before.ready && !before.in_touch && before.members.is_empty() && before.epoch == 0);
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn a_silent_member_is_told_with_what_it_last_had() {
+fn status_reports_a_silent_member_with_its_last_known_state() {
     let mut world = World::new(3);
     world.run(Duration::from_secs(5));
     world.silent.insert(at(3));
@@ -110,7 +111,7 @@
     assert!(!one.behind && !two.behind && three.behind);
     assert!(three.silent_for.is_some_and(|silent| silent >= Duration::from_secs(2)), "{three:?}");
     assert_eq!(world.store(0).redirect_candidates(now), [at(2)]);
-    // The one that is cut off says so, and names first whom it does not hear.
+    // The member that is cut off reports it, and first names those it receives nothing from.
     let cut_off = world.store(2).status(now);
     assert!(cut_off.ready && !cut_off.in_touch && cut_off.committed.revision == 0, "{cut_off:?}");
     assert_eq!(world.store(2).redirect_candidates(now), [at(1), at(2)]);
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -1229,7 +1229,7 @@
             }
         }
         Stored::Voters(tables) => {
-            if disk.voters.as_ref().is_none_or(|kept| kept.mark() <= tables.mark()) {
+            if disk.voters.as_ref().is_none_or(|kept| kept.table_version() <= tables.table_version()) {
                 disk.voters = Some(tables.clone());
             }
         }
