--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -51,7 +51,7 @@
     }
 
     /// An agent asks for what it lacks: it has `revision`. What is on its way to it counts as had.
-    pub fn pulled(&mut self, now: Duration, ip: IpAddr, revision: u64, wants: bool) {
+    pub fn record_pull(&mut self, now: Duration, ip: IpAddr, revision: u64, wants: bool) {
         let Some(agent) = self.heard(now, ip) else { return };
         let on_its_way = agent.sent_revision > 0 && now < agent.whole_sent + RESEND_INTERVAL;
         let has = if on_its_way { revision.max(agent.sent_revision) } else { revision };
@@ -59,7 +59,7 @@
     }
 
     /// An agent follows the list of instances, and asks for no configuration here.
-    pub fn followed(&mut self, now: Duration, ip: IpAddr) {
+    pub fn record_follow(&mut self, now: Duration, ip: IpAddr) {
         self.heard(now, ip);
     }
 
@@ -76,13 +76,13 @@
     }
 
     /// An agent has ended.
-    pub fn left(&mut self, ip: IpAddr) {
+    pub fn remove(&mut self, ip: IpAddr) {
         self.states.remove(&ip);
     }
 
     /// A frame with `revision` was sent to an agent: the `whole` configuration, or what changed. Changes do not put off the
     /// next whole one: a change that does not fit is answered by it, and several changes a second may come.
-    pub fn sent(&mut self, now: Duration, ip: IpAddr, revision: u64, whole: bool) {
+    pub fn record_sent(&mut self, now: Duration, ip: IpAddr, revision: u64, whole: bool) {
         let Some(agent) = self.states.get_mut(&ip) else { return };
         agent.revision = Some(revision);
         agent.sent_revision = revision;
--- a/crates/controller/src/lease_duties.rs
+++ b/crates/controller/src/lease_holder.rs
@@ -12,7 +12,7 @@
 /// Instances younger than this (ms) a new holder may not find on the platform's list.
 pub const UNLISTED_MS: u32 = 8000;
 /// A new holder listens to agents for so long before it starts or stops anything.
-const INHERITANCE_WINDOW: Duration = Duration::from_millis(450);
+const HANDOVER_WINDOW: Duration = Duration::from_millis(450);
 /// The list of instances is read this often (s); the worker machines half as often.
 const LIST_INTERVAL_S: f64 = 0.5;
 /// The reading of the list takes a quarter of the calls that the platform allows, at the most.
@@ -34,7 +34,7 @@
 }
 
 /// The autoscaler under one lease number. It acts when both lists were read and the earlier holder's starts are known.
-pub struct LeaseDuties {
+pub struct LeaseHolder {
     pub number: u64,
     pub since: Duration,
     pub scaler: Scaler,
@@ -53,15 +53,15 @@
     reading_hosts: bool,
 }
 
-impl LeaseDuties {
+impl LeaseHolder {
     /// Begins under the lease `number`, with what this controller itself knows of the instances.
-    pub fn take_up(
+    pub fn start(
         now: Duration,
         number: u64,
         settings: LeaseSettings,
         configuration: Option<&Catalogue>,
         replica: &Replica,
-    ) -> LeaseDuties {
+    ) -> LeaseHolder {
         let mut scaler = Scaler::new(settings.terms, number, settings.seed, now);
         scaler.set_rebinding(now, settings.rebinding);
         if let Some(configuration) = configuration {
@@ -74,7 +74,7 @@
             let entries: Vec<Entry> = young.map(|listed| entry_from_wire(now, listed)).collect();
             scaler.inherit(now, &entries, &replica.numbers(), replica.tag());
         }
-        LeaseDuties {
+        LeaseHolder {
             number,
             since: now,
             scaler,
@@ -138,7 +138,13 @@
     }
 
     /// What an agent knows of an earlier holder's instances and starts. One that knows of no holder knows nothing.
-    pub fn inherit(&mut self, now: Duration, listed: Vec<Listed>, numbers: &[(String, u32)], tag: u64) {
+    pub fn receive_handover(
+        &mut self,
+        now: Duration,
+        listed: Vec<Listed>,
+        numbers: &[(String, u32)],
+        tag: u64,
+    ) {
         if tag == 0 {
             return;
         }
@@ -148,8 +154,8 @@
     }
 
     /// After a while nobody is waited for: where no agent knows of an earlier holder's starts, this numbering is the first.
-    pub fn end_inheritance(&mut self, now: Duration) {
-        if self.inherited || now < self.since + INHERITANCE_WINDOW {
+    pub fn end_handover(&mut self, now: Duration) {
+        if self.inherited || now < self.since + HANDOVER_WINDOW {
             return;
         }
         self.inherited = true;
@@ -159,26 +165,26 @@
     }
 
     /// An agent follows, and says which process serves beside it.
-    pub fn proxy_follows(&mut self, now: Duration, proxy: Proxy) {
-        self.proxies.follows(now, proxy);
+    pub fn record_proxy(&mut self, now: Duration, proxy: Proxy) {
+        self.proxies.record(now, proxy);
     }
 
     /// A change of the proxies is told as one of the instances is, under a version of its own.
-    pub fn look_at_proxies(&mut self, now: Duration) {
+    pub fn update_proxies(&mut self, now: Duration) {
         if self.proxies.has_changed(now) {
             let version = self.scaler.next_version();
-            self.proxies.tell(Mark { number: self.number, version });
+            self.proxies.publish(Mark { number: self.number, version });
         }
     }
 
     /// Whether it knows what there is. Before that its silence would read as an end of everything.
-    pub fn is_informed(&self) -> bool {
+    pub fn has_complete_view(&self) -> bool {
         self.instances_known && self.hosts_known && self.inherited
     }
 
     /// The next start or stop that the platform is to be asked for.
     pub fn next_order(&mut self, now: Duration) -> Option<Order> {
-        if !self.is_informed() {
+        if !self.has_complete_view() {
             return None;
         }
         self.scaler.next(now)
@@ -192,9 +198,9 @@
             let changed: HashSet<&str> = news.entries.iter().map(|entry| entry.service.as_str()).collect();
             numbers.retain(|(service, _)| changed.contains(service.as_str()));
         }
-        let told = self.proxies.told();
+        let published = self.proxies.published();
         let newer = |mark: Mark| mark > Mark { number: self.number, version };
-        let owners = told.filter(|owners| news.whole || newer(owners.mark)).cloned();
+        let owners = published.filter(|owners| news.whole || newer(owners.mark)).cloned();
         Stacks {
             number: self.number,
             from: version,
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -8,13 +8,13 @@
 //! - `convert`: between the configuration, the autoscaler's entries and the instances on the wire.
 
 mod agents;
-mod contact;
 mod convert;
-mod lease_duties;
+mod lease_holder;
+mod pause_detector;
 mod proxies;
 
 pub use agents::{Agents, AGENT_TIMEOUT, MAX_AGENTS, RESEND_INTERVAL};
-pub use contact::{Contact, DISTRUST, STOOD_STILL};
 pub use convert::{entry_from_wire, entry_to_wire, platform_instances, services};
-pub use lease_duties::{list_interval, LeaseDuties, LeaseSettings, UNLISTED_MS};
+pub use lease_holder::{list_interval, LeaseHolder, LeaseSettings, UNLISTED_MS};
+pub use pause_detector::{PauseDetector, DISTRUST_AFTER_PAUSE, PAUSE_THRESHOLD};
 pub use proxies::Proxies;
--- a/crates/controller/src/proxies.rs
+++ b/crates/controller/src/proxies.rs
@@ -15,7 +15,7 @@
 /// An agent follows once a second; one that was not heard for so long is gone, or cut off.
 const SILENT_AFTER: Duration = Duration::from_millis(2200);
 /// A longer pause between two looks is one in which this process stood still, and heard nobody.
-const STOOD_STILL: Duration = Duration::from_millis(1000);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(1000);
 const MAX_PROXIES: usize = 4096;
 
 #[derive(Debug)]
@@ -29,7 +29,7 @@
 pub struct Proxies {
     known: BTreeMap<IpAddr, Known>,
     /// As they were last told.
-    told: Option<Owners>,
+    published: Option<Owners>,
     first_due: Duration,
     /// When an agent last came that was not known.
     newcomer: Duration,
@@ -42,7 +42,7 @@
         let heard = |proxy: &Proxy| (proxy.ip, Known { proxy: *proxy, heard: now });
         Proxies {
             known: before.iter().flat_map(|owners| &owners.proxies).map(heard).collect(),
-            told: before.cloned(),
+            published: before.cloned(),
             first_due: now + FIRST_LIST_AFTER,
             newcomer: now,
             looked: now,
@@ -50,7 +50,7 @@
     }
 
     /// An agent says which process serves beside it: none (life 0) where it leaves or has not begun.
-    pub fn follows(&mut self, now: Duration, proxy: Proxy) {
+    pub fn record(&mut self, now: Duration, proxy: Proxy) {
         if proxy.life == 0 {
             self.known.remove(&proxy.ip);
             return;
@@ -75,14 +75,14 @@
     pub fn has_changed(&mut self, now: Duration) -> bool {
         let pause = now.saturating_sub(self.looked);
         self.looked = now;
-        if pause > STOOD_STILL {
+        if pause > PAUSE_THRESHOLD {
             self.known.values_mut().for_each(|known| known.heard += pause);
         }
-        if self.told.is_none() && now < self.first_list_due() {
+        if self.published.is_none() && now < self.first_list_due() {
             return false;
         }
         self.known.retain(|_, known| now < known.heard + SILENT_AFTER);
-        self.told.as_ref().is_none_or(|told| !told.proxies.iter().eq(self.list()))
+        self.published.as_ref().is_none_or(|published| !published.proxies.iter().eq(self.list()))
     }
 
     fn list(&self) -> impl Iterator<Item = &Proxy> {
@@ -90,19 +90,19 @@
     }
 
     /// The list as it is now is told under this mark.
-    pub fn tell(&mut self, mark: Mark) {
-        self.told = Some(Owners { mark, proxies: self.list().copied().collect() });
+    pub fn publish(&mut self, mark: Mark) {
+        self.published = Some(Owners { mark, proxies: self.list().copied().collect() });
     }
 
     /// The list that was told last.
-    pub fn told(&self) -> Option<&Owners> {
-        self.told.as_ref()
+    pub fn published(&self) -> Option<&Owners> {
+        self.published.as_ref()
     }
 
     /// When a look may find a change without any further input.
     pub fn next_due(&self) -> Duration {
         let silent = self.known.values().map(|known| known.heard + SILENT_AFTER).min();
-        let first = self.told.is_none().then(|| self.first_list_due());
+        let first = self.published.is_none().then(|| self.first_list_due());
         silent.into_iter().chain(first).min().unwrap_or(Duration::MAX)
     }
 }
--- a/crates/controller/tests/proxies.rs
+++ b/crates/controller/tests/proxies.rs
@@ -21,28 +21,28 @@
 fn changed(proxies: &mut Proxies, now: Duration) -> Option<Vec<Proxy>> {
     let version = now.as_millis() as u64;
     proxies.has_changed(now).then(|| {
-        proxies.tell(Mark { number: 2, version });
-        proxies.told().map(|owners| owners.proxies.clone()).unwrap_or_default()
+        proxies.publish(Mark { number: 2, version });
+        proxies.published().map(|owners| owners.proxies.clone()).unwrap_or_default()
     })
 }
 
 /// Follows once a second, from all of these.
 fn run(proxies: &mut Proxies, from: u64, to: u64, who: &[Proxy]) -> Vec<Vec<Proxy>> {
-    let mut told = Vec::new();
+    let mut published = Vec::new();
     for t in (from..to).step_by(50) {
         if (t - from).is_multiple_of(1000) {
-            who.iter().for_each(|proxy| proxies.follows(ms(t), *proxy));
+            who.iter().for_each(|proxy| proxies.record(ms(t), *proxy));
         }
-        told.extend(changed(proxies, ms(t)));
+        published.extend(changed(proxies, ms(t)));
     }
-    told
+    published
 }
 
 #[test]
 fn a_first_list_waits_for_all() {
     let mut proxies = Proxies::new(ms(0), None);
     let all = [proxy(1, 7), proxy(2, 8), proxy(3, 9)];
-    proxies.follows(ms(100), all[0]);
+    proxies.record(ms(100), all[0]);
     assert_eq!(changed(&mut proxies, ms(200)), None);
     assert_eq!(run(&mut proxies, 1000, 5000, &all), vec![all.to_vec()]);
 }
@@ -55,17 +55,17 @@
     assert_eq!(proxies.next_due(), ms(1500));
     for (n, at) in [(1, 100), (2, 150), (3, 250)] {
         assert_eq!(changed(&mut proxies, ms(at)), None);
-        proxies.follows(ms(at), proxy(n, 7));
+        proxies.record(ms(at), proxy(n, 7));
     }
     // Following again is no coming.
-    proxies.follows(ms(300), proxy(1, 7));
+    proxies.record(ms(300), proxy(1, 7));
     assert_eq!(changed(&mut proxies, ms(369)), None);
     assert_eq!(proxies.next_due(), ms(370));
     assert_eq!(changed(&mut proxies, ms(370)).map(|list| list.len()), Some(3));
     // However many go on coming.
     let mut proxies = Proxies::new(ms(0), None);
     let first = (0..30).find(|n| {
-        proxies.follows(ms(100 * u64::from(*n)), proxy(*n + 1, 7));
+        proxies.record(ms(100 * u64::from(*n)), proxy(*n + 1, 7));
         changed(&mut proxies, ms(100 * u64::from(*n))).is_some()
     });
     assert_eq!(first, Some(15));
@@ -78,15 +78,15 @@
     assert_eq!(changed(&mut proxies, ms(0)), None);
     // The second is gone, and the third began anew.
     let now = [proxy(1, 7), proxy(3, 10)];
-    let told = run(&mut proxies, 100, 6000, &now);
-    assert_eq!(told, vec![vec![before[0], before[1], now[1]], now.to_vec()]);
+    let published = run(&mut proxies, 100, 6000, &now);
+    assert_eq!(published, vec![vec![before[0], before[1], now[1]], now.to_vec()]);
 }
 
 #[test]
 fn one_that_leaves_is_gone_at_once_and_a_silent_one_after_a_while() {
     let all = [proxy(1, 7), proxy(2, 8)];
     let mut proxies = Proxies::new(ms(0), Some(&owners(&all)));
-    proxies.follows(ms(100), proxy(2, 0));
+    proxies.record(ms(100), proxy(2, 0));
     assert_eq!(changed(&mut proxies, ms(100)), Some(all[..1].to_vec()));
     let mut silent_at = None;
     for t in (100..6000).step_by(50) {
@@ -105,5 +105,5 @@
     assert_eq!(changed(&mut proxies, ms(500)), None);
     assert_eq!(changed(&mut proxies, ms(9500)), None);
     assert_eq!(changed(&mut proxies, ms(10_000)), None);
-    assert_eq!(proxies.told(), Some(&owners(&all)));
+    assert_eq!(proxies.published(), Some(&owners(&all)));
 }
--- a/crates/house/src/controller/agents.rs
+++ b/crates/house/src/controller/agents.rs
@@ -22,7 +22,7 @@
         match note {
             Note::ControlStore(envelope) => self.control_store.receive(now, from, envelope),
             Note::Pull { ip, revision, mark, greets, wants } => {
-                self.agents.pulled(now, ip, revision, wants);
+                self.agents.record_pull(now, ip, revision, wants);
                 let news = self.news(now, ip, greets);
                 self.post.send(from, &news);
                 if wants {
@@ -34,11 +34,11 @@
                 }
                 self.read_first_instances(now);
             }
-            Note::Leaving { ip } => self.agents.left(ip),
+            Note::Leaving { ip } => self.agents.remove(ip),
             Note::Follow { mark, greets, proxy } => {
                 let relays = self.control_store.members().contains(&from);
                 if !relays {
-                    self.agents.followed(now, from.ip());
+                    self.agents.record_follow(now, from.ip());
                 }
                 if greets {
                     let news = self.news(now, from.ip(), true);
@@ -47,7 +47,7 @@
                 if let Some(lease) = &mut self.lease {
                     // Its own address: a note is not to speak for another.
                     if let Some(proxy) = proxy.filter(|proxy| proxy.ip == from.ip()) {
-                        lease.duties.proxy_follows(now, proxy);
+                        lease.duties.record_proxy(now, proxy);
                     }
                     let version = lease.duties.scaler.version();
                     lease.duties.source.follow(now, version, from.ip(), mark, relays);
@@ -73,7 +73,7 @@
             }
             Note::Inherit { entries, tag, numbers } => {
                 if let Some(lease) = self.lease.as_mut() {
-                    lease.duties.inherit(now, entries, &numbers, tag);
+                    lease.duties.receive_handover(now, entries, &numbers, tag);
                 }
             }
             // These come from controllers alone.
@@ -120,7 +120,7 @@
                     None => (true, frame(&Note::Word(configuration.clone()))),
                 }
             });
-            self.agents.sent(now, ip, configuration.revision, *whole);
+            self.agents.record_sent(now, ip, configuration.revision, *whole);
             self.post.send_frame(SocketAddr::new(ip, port), bytes.clone());
         }
     }
@@ -186,9 +186,11 @@
 
     /// What changed in the instances, to those whom the source names.
     pub(super) fn tell_instances(&mut self, now: Duration) {
-        let Some(lease) = self.lease.as_mut().filter(|lease| lease.duties.is_informed()) else { return };
+        let Some(lease) = self.lease.as_mut().filter(|lease| lease.duties.has_complete_view()) else {
+            return;
+        };
         let duties = &mut lease.duties;
-        duties.look_at_proxies(now);
+        duties.update_proxies(now);
         duties.source.tick(now, duties.scaler.version());
         let me = self.settings.peer();
         // By the version it leads on from: the same piece goes to all controllers.
--- a/crates/house/src/controller/lease_duties.rs
+++ b/crates/house/src/controller/lease_duties.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
-use tindock_controller::{list_interval, LeaseDuties, LeaseSettings};
+use tindock_controller::{list_interval, LeaseHolder, LeaseSettings};
 use tindock_stacks::{self as autoscaler, Begun, Order};
 use tokio::sync::mpsc;
 
@@ -22,7 +22,7 @@
 
 /// The lease that this controller holds.
 pub(super) struct HeldLease {
-    pub duties: LeaseDuties,
+    pub duties: LeaseHolder,
     unread: UnreadLists,
 }
 
@@ -54,7 +54,7 @@
                 let _ = events.send(Event::Hosts(number, hosts)).await;
             });
         }
-        lease.duties.end_inheritance(now);
+        lease.duties.end_handover(now);
         while let Some(order) = lease.duties.next_order(now) {
             let (platform, events) = (platform.clone(), self.events.clone());
             let by = self.settings.node_name.clone();
@@ -69,7 +69,7 @@
         let configuration = self.configuration.as_ref();
         let settings = self.lease_settings(number);
         HeldLease {
-            duties: LeaseDuties::take_up(now, number, settings, configuration, replica),
+            duties: LeaseHolder::start(now, number, settings, configuration, replica),
             unread: UnreadLists::new(now),
         }
     }
--- a/crates/house/src/controller/mod.rs
+++ b/crates/house/src/controller/mod.rs
@@ -32,7 +32,7 @@
 use tindock_circulation::Relay;
 use tindock_control_store::files::Folder;
 use tindock_control_store::{Action, ControlStore, MemberSettings, Stored};
-use tindock_controller::{Agents, Contact, DISTRUST};
+use tindock_controller::{Agents, PauseDetector, DISTRUST_AFTER_PAUSE};
 use tindock_lifecycle::{GracePeriod, Lifecycle, Phase, Terminated};
 use tindock_stacks as autoscaler;
 use tokio::net::TcpListener;
@@ -84,7 +84,7 @@
     /// Revisions before it, the newest first: agents that have one of them are told what changed.
     older: VecDeque<Catalogue>,
     agents: Agents,
-    contact: Contact,
+    contact: PauseDetector,
     calls: calls::OpenCalls,
     log: LogState,
     lease: Option<HeldLease>,
@@ -230,7 +230,7 @@
             configuration: None,
             older: VecDeque::new(),
             agents: Agents::new(settings.ip_address),
-            contact: Contact::default(),
+            contact: PauseDetector::default(),
             calls: calls::OpenCalls::default(),
             log: LogState::new(control_store.members()),
             control_store,
@@ -255,8 +255,8 @@
     /// Another turn of the run loop: after a pause of the process what is heard may be old.
     fn turn(&mut self) {
         let now = self.now();
-        if self.contact.turn(now) {
-            warn!("this process stood still: what it hears counts as fresh from {DISTRUST:?} on");
+        if self.contact.observe(now) {
+            warn!("this process stood still: what it hears counts as fresh from {DISTRUST_AFTER_PAUSE:?} on");
         }
     }
 
--- a/crates/rehearsal/src/controller.rs
+++ b/crates/rehearsal/src/controller.rs
@@ -11,7 +11,7 @@
 use tindock_circulation::{Relay, Taken};
 use tindock_control_store::{Action, ControlStore, DiskState, MemberSettings, Outcome, Stored};
 use tindock_controller::{
-    list_interval, platform_instances, services, Agents, Contact, LeaseDuties, LeaseSettings,
+    list_interval, platform_instances, services, Agents, LeaseHolder, LeaseSettings, PauseDetector,
 };
 use tindock_stacks as stacks;
 
@@ -86,8 +86,8 @@
     pub control_store: ControlStore,
     catalogue: Option<Rc<Catalogue>>,
     agents: Agents,
-    contact: Contact,
-    lease: Option<LeaseDuties>,
+    contact: PauseDetector,
+    lease: Option<LeaseHolder>,
     holder: Option<(SocketAddr, u64)>,
     relay: Relay,
     followed: Duration,
@@ -107,7 +107,7 @@
             control_store,
             catalogue: None,
             agents: Agents::new(Ipv4Addr::UNSPECIFIED.into()),
-            contact: Contact::default(),
+            contact: PauseDetector::default(),
             lease: None,
             holder: None,
             relay: Relay::default(),
@@ -134,7 +134,7 @@
     }
 
     pub fn replace(&mut self, now: Duration, call: u64, text: &[u8]) {
-        self.contact.turn(now);
+        self.contact.observe(now);
         match Catalogue::read(text) {
             Ok(catalogue) => {
                 if self.terms.planted == Some(Planted::AckBeforeMajority) {
@@ -153,7 +153,7 @@
     }
 
     pub fn show(&mut self, now: Duration, call: u64) {
-        self.contact.turn(now);
+        self.contact.observe(now);
         if self.open_call(now, call) {
             self.control_store.show(now, call);
         }
@@ -194,7 +194,7 @@
 
     /// The platform's answer to a call made under this number.
     pub fn answered(&mut self, now: Duration, number: u64, call: &Call, answer: Answer) {
-        self.contact.turn(now);
+        self.contact.observe(now);
         if matches!(call, Call::First) {
             self.reading_first = false;
             if let (Answer::List(listed), None) = (answer, self.holder) {
@@ -231,11 +231,11 @@
     }
 
     pub fn note(&mut self, now: Duration, from: SocketAddr, note: Note) {
-        self.contact.turn(now);
+        self.contact.observe(now);
         match note {
             Note::ControlStore(envelope) => self.control_store.receive(now, from, envelope),
             Note::Pull { ip, revision, mark } => {
-                self.agents.pulled(now, ip, revision, true);
+                self.agents.record_pull(now, ip, revision, true);
                 let news = self.news(now, ip);
                 self.send(from, news);
                 self.send_word(now, Some(ip));
@@ -246,7 +246,7 @@
             Note::Follow { mark, greets, proxy } => {
                 let relays = self.control_store.members().contains(&from);
                 if !relays {
-                    self.agents.followed(now, from.ip());
+                    self.agents.record_follow(now, from.ip());
                 }
                 if greets {
                     let news = self.news(now, from.ip());
@@ -254,7 +254,7 @@
                 }
                 if let Some(lease) = &mut self.lease {
                     if let Some(proxy) = proxy {
-                        lease.proxy_follows(now, proxy);
+                        lease.record_proxy(now, proxy);
                     }
                     lease.source.follow(now, lease.scaler.version(), from.ip(), mark, relays);
                 }
@@ -279,7 +279,7 @@
             }
             Note::Inherit { entries, tag, numbers } => {
                 if let Some(lease) = self.lease.as_mut() {
-                    lease.inherit(now, entries, &numbers, tag);
+                    lease.receive_handover(now, entries, &numbers, tag);
                 }
             }
             Note::News { .. } | Note::Word(_) | Note::Owners(_) => {}
@@ -303,7 +303,7 @@
         }
         let Some(catalogue) = self.catalogue.clone() else { return };
         for (ip, _) in self.agents.behind(now, catalogue.revision, to) {
-            self.agents.sent(now, ip, catalogue.revision, true);
+            self.agents.record_sent(now, ip, catalogue.revision, true);
             self.send(SocketAddr::new(ip, PEER_PORT), Note::Word(catalogue.clone()));
         }
     }
@@ -360,8 +360,8 @@
     }
 
     fn tell_instances(&mut self, now: Duration) {
-        let Some(lease) = self.lease.as_mut().filter(|lease| lease.is_informed()) else { return };
-        lease.look_at_proxies(now);
+        let Some(lease) = self.lease.as_mut().filter(|lease| lease.has_complete_view()) else { return };
+        lease.update_proxies(now);
         lease.source.tick(now, lease.scaler.version());
         let me = self.terms.setup.me;
         let mut sends = Vec::new();
@@ -378,7 +378,7 @@
 
     /// Everything the deciders want done.
     pub fn carry(&mut self, now: Duration) {
-        self.contact.turn(now);
+        self.contact.observe(now);
         while let Some(order) = self.control_store.next() {
             match order {
                 Action::Send { to, envelope } => {
@@ -440,7 +440,7 @@
         if lease.begin_reading_hosts(now) {
             self.out.push(Out::Platform { number, call: Call::Hosts });
         }
-        lease.end_inheritance(now);
+        lease.end_handover(now);
         while let Some(order) = lease.next_order(now) {
             let call = match order {
                 stacks::Order::Begin { token, service, host, nonce } => {
@@ -453,13 +453,13 @@
         self.tell_instances(now);
     }
 
-    fn take_up_lease(&self, now: Duration, number: u64) -> LeaseDuties {
+    fn take_up_lease(&self, now: Duration, number: u64) -> LeaseHolder {
         let settings = LeaseSettings {
             terms: self.terms.stacks.clone(),
             seed: number ^ hash(&self.terms.name),
             rebinding: self.terms.rebinding,
             list_interval: list_interval(self.terms.list_rate),
         };
-        LeaseDuties::take_up(now, number, settings, self.catalogue.as_deref(), self.relay.replica())
+        LeaseHolder::start(now, number, settings, self.catalogue.as_deref(), self.relay.replica())
     }
 }
