--- a/crates/controller/src/convert.rs
+++ b/crates/controller/src/convert.rs
@@ -1,11 +1,12 @@
-//! Between the configuration, the autoscaler's entries, the platform's list and the instances on the wire.
+//! Conversions between the configuration, the autoscaler's entries, the platform's list and the instances in
+//! messages.
 
 use std::time::Duration;
 use tindock_catalogue::Catalogue;
 use tindock_circulation::{Listed, Stacks};
 use tindock_stacks::{self as autoscaler, Entry, Service, Standing};
 
-/// What the autoscaler needs of the configuration.
+/// The services of the configuration as the autoscaler needs them.
 pub fn services(configuration: &Catalogue) -> Vec<Service> {
     let mut services: Vec<Service> = configuration
         .services
@@ -31,7 +32,7 @@
     services
 }
 
-/// An entry of the autoscaler as the wire has it: with an age in place of a time, as clocks differ.
+/// Converts an entry of the autoscaler to its wire form, with an age instead of a time, as clocks differ.
 pub fn entry_to_wire(now: Duration, entry: &Entry) -> Listed {
     let age = (now.as_millis() as u64).saturating_sub(entry.since_ms);
     Listed {
@@ -47,7 +48,7 @@
     }
 }
 
-/// The entry that an instance on the wire stands for.
+/// Converts an instance from its wire form to an entry of the autoscaler.
 pub fn entry_from_wire(now: Duration, listed: Listed) -> Entry {
     let standing = match (listed.ready, listed.lends) {
         (false, _) => Standing::Starting,
@@ -67,7 +68,7 @@
     }
 }
 
-/// The platform's list as agents are told it while nobody holds the lease.
+/// The platform's list in the form that agents receive while there is no lease holder.
 pub fn platform_instances(listed: Vec<autoscaler::Listed>) -> Stacks {
     let entries = listed.into_iter().map(|instance| Listed {
         instance: instance.instance,
--- a/crates/controller/src/lease_holder.rs
+++ b/crates/controller/src/lease_holder.rs
@@ -1,5 +1,5 @@
-//! The autoscaler of a controller while it holds the lease: when it reads the platform's lists, what it takes over from the
-//! holder before it, and what it tells of the instances.
+//! The autoscaler of a controller while it holds the leadership lease: when it reads the platform's lists,
+//! what state it takes over from the previous holder, and what it publishes about the instances.
 
 use crate::convert::{entry_from_wire, entry_to_wire, services};
 use crate::proxies::Proxies;
@@ -9,22 +9,24 @@
 use tindock_circulation::{Listed, Mark, Proxy, Replica, Source, Stacks};
 use tindock_stacks::{self as autoscaler, Entry, Host, Order, Rebinding, Scaler};
 
-/// Instances younger than this (ms) a new holder may not find on the platform's list.
+/// The platform's list may not contain instances younger than this (ms) yet.
 pub const UNLISTED_MS: u32 = 8000;
-/// A new holder listens to agents for so long before it starts or stops anything.
+/// A new holder collects the agents' state for this long before it starts or stops anything.
 const HANDOVER_WINDOW: Duration = Duration::from_millis(450);
-/// The list of instances is read this often (s); the worker machines half as often.
+/// How often the list of instances is read (s); the list of worker machines is read half as often.
 const LIST_INTERVAL_S: f64 = 0.5;
-/// The reading of the list takes a quarter of the calls that the platform allows, at the most.
-const CALLS_PER_READING: f64 = 4.0;
-const LEAST_RATE: f64 = 0.01;
+/// Reading the list of instances takes at most a quarter of the calls that the platform allows.
+const MIN_CALLS_BETWEEN_READINGS: f64 = 4.0;
+const MIN_CALLS_PER_S: f64 = 0.01;
 
-/// How often the list of instances is read where the platform allows `calls_per_s` from all schedulers together.
+/// How often the list of instances is read if the platform allows `calls_per_s` from all schedulers together.
 pub fn list_interval(calls_per_s: f64) -> Duration {
-    Duration::from_secs_f64(LIST_INTERVAL_S.max(CALLS_PER_READING / calls_per_s.max(LEAST_RATE)))
+    Duration::from_secs_f64(
+        LIST_INTERVAL_S.max(MIN_CALLS_BETWEEN_READINGS / calls_per_s.max(MIN_CALLS_PER_S)),
+    )
 }
 
-/// What the autoscaler is told at its start.
+/// The settings of the autoscaler at the start of a lease.
 #[derive(Clone)]
 pub struct LeaseSettings {
     pub terms: autoscaler::Terms,
@@ -33,17 +35,18 @@
     pub list_interval: Duration,
 }
 
-/// The autoscaler under one lease number. It acts when both lists were read and the earlier holder's starts are known.
+/// The autoscaler under one lease number. It acts once both lists were read and the previous holder's starts
+/// are known.
 pub struct LeaseHolder {
     pub number: u64,
     pub since: Duration,
     pub scaler: Scaler,
-    /// To whom the instances are told.
+    /// Publishes the instances to agents.
     pub source: Source,
     proxies: Proxies,
     list_interval: Duration,
-    inherited: bool,
-    /// Whether this controller knew the earlier holder's starts itself.
+    handover_complete: bool,
+    /// Whether this controller itself knew the previous holder's starts.
     knew_starts: bool,
     instances_known: bool,
     hosts_known: bool,
@@ -54,7 +57,7 @@
 }
 
 impl LeaseHolder {
-    /// Begins under the lease `number`, with what this controller itself knows of the instances.
+    /// Starts under the lease `number`, with what this controller itself knows of the instances.
     pub fn start(
         now: Duration,
         number: u64,
@@ -67,11 +70,11 @@
         if let Some(configuration) = configuration {
             scaler.services(now, &services(configuration));
         }
-        // What agents tell is added to this.
+        // The state reported by agents is added to this.
         let knew_starts = replica.tag() != 0;
         if knew_starts {
-            let young = replica.entries(now).into_iter().filter(|e| !e.ready || e.age < UNLISTED_MS);
-            let entries: Vec<Entry> = young.map(|listed| entry_from_wire(now, listed)).collect();
+            let recent = replica.entries(now).into_iter().filter(|e| !e.ready || e.age < UNLISTED_MS);
+            let entries: Vec<Entry> = recent.map(|listed| entry_from_wire(now, listed)).collect();
             scaler.inherit(now, &entries, &replica.numbers(), replica.tag());
         }
         LeaseHolder {
@@ -81,7 +84,7 @@
             source: Source::new(number, now),
             proxies: Proxies::new(now, replica.owners()),
             list_interval: settings.list_interval,
-            inherited: false,
+            handover_complete: false,
             knew_starts,
             instances_known: false,
             hosts_known: false,
@@ -92,14 +95,14 @@
         }
     }
 
-    /// When something is to be done at the latest.
+    /// The time of the next required action.
     pub fn next_due(&self) -> Duration {
         let readings = self.instances_due.min(self.hosts_due);
         let source_due = self.source.next_due(self.scaler.version());
         self.scaler.next_due().min(readings).min(source_due).min(self.proxies.next_due())
     }
 
-    /// Whether the list of instances is to be read now; then a reading has begun.
+    /// Whether the list of instances must be read now; if so, a reading is marked as started.
     pub fn begin_reading_instances(&mut self, now: Duration) -> bool {
         if now < self.instances_due || self.reading_instances {
             return false;
@@ -109,7 +112,7 @@
         true
     }
 
-    /// Whether the list of worker machines is to be read now; then a reading has begun.
+    /// Whether the list of worker machines must be read now; if so, a reading is marked as started.
     pub fn begin_reading_hosts(&mut self, now: Duration) -> bool {
         if now < self.hosts_due || self.reading_hosts {
             return false;
@@ -137,7 +140,8 @@
         }
     }
 
-    /// What an agent knows of an earlier holder's instances and starts. One that knows of no holder knows nothing.
+    /// The state that an agent has of a previous holder's instances and starts. An agent that knows no holder
+    /// (tag 0) has no such state.
     pub fn receive_handover(
         &mut self,
         now: Duration,
@@ -148,28 +152,29 @@
         if tag == 0 {
             return;
         }
-        self.inherited = true;
+        self.handover_complete = true;
         let entries: Vec<Entry> = listed.into_iter().map(|listed| entry_from_wire(now, listed)).collect();
         self.scaler.inherit(now, &entries, numbers, tag);
     }
 
-    /// After a while nobody is waited for: where no agent knows of an earlier holder's starts, this numbering is the first.
+    /// Ends the wait for agents' state after `HANDOVER_WINDOW`: if no agent knows a previous holder's starts,
+    /// this holder's numbering is the first.
     pub fn end_handover(&mut self, now: Duration) {
-        if self.inherited || now < self.since + HANDOVER_WINDOW {
+        if self.handover_complete || now < self.since + HANDOVER_WINDOW {
             return;
         }
-        self.inherited = true;
+        self.handover_complete = true;
         if !self.knew_starts {
             self.scaler.inherit(now, &[], &[], self.number);
         }
     }
 
-    /// An agent follows, and says which process serves beside it.
+    /// An agent follows, and reports the proxy process beside it.
     pub fn record_proxy(&mut self, now: Duration, proxy: Proxy) {
         self.proxies.record(now, proxy);
     }
 
-    /// A change of the proxies is told as one of the instances is, under a version of its own.
+    /// Publishes a change of the proxies like one of the instances, under a version of its own.
     pub fn update_proxies(&mut self, now: Duration) {
         if self.proxies.has_changed(now) {
             let version = self.scaler.next_version();
@@ -177,12 +182,13 @@
         }
     }
 
-    /// Whether it knows what there is. Before that its silence would read as an end of everything.
+    /// Whether the lists and the previous holder's state are known. Before that, an empty answer would be
+    /// understood as the end of all instances.
     pub fn has_complete_view(&self) -> bool {
-        self.instances_known && self.hosts_known && self.inherited
+        self.instances_known && self.hosts_known && self.handover_complete
     }
 
-    /// The next start or stop that the platform is to be asked for.
+    /// The next start or stop to request from the platform.
     pub fn next_order(&mut self, now: Duration) -> Option<Order> {
         if !self.has_complete_view() {
             return None;
@@ -190,24 +196,24 @@
         self.scaler.next(now)
     }
 
-    /// What changed in the instances after a version.
+    /// The changes of the instances after a version.
     pub fn changes_since(&self, now: Duration, version: u64) -> Stacks {
-        let news = self.scaler.since(version);
+        let changes = self.scaler.since(version);
         let (mut numbers, tag) = self.scaler.numbers();
-        if !news.whole {
-            let changed: HashSet<&str> = news.entries.iter().map(|entry| entry.service.as_str()).collect();
+        if !changes.whole {
+            let changed: HashSet<&str> = changes.entries.iter().map(|entry| entry.service.as_str()).collect();
             numbers.retain(|(service, _)| changed.contains(service.as_str()));
         }
         let published = self.proxies.published();
         let newer = |mark: Mark| mark > Mark { number: self.number, version };
-        let owners = published.filter(|owners| news.whole || newer(owners.mark)).cloned();
+        let owners = published.filter(|owners| changes.whole || newer(owners.mark)).cloned();
         Stacks {
             number: self.number,
             from: version,
-            whole: news.whole,
-            version: news.version,
-            entries: news.entries.iter().map(|entry| entry_to_wire(now, entry)).collect(),
-            ended: news.ended.into_iter().map(|(id, _)| id).collect(),
+            whole: changes.whole,
+            version: changes.version,
+            entries: changes.entries.iter().map(|entry| entry_to_wire(now, entry)).collect(),
+            ended: changes.ended.into_iter().map(|(id, _)| id).collect(),
             tag,
             numbers,
             owners,
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,11 +1,12 @@
-//! The controller's decisions beside the control store, without I/O: inputs carry the time, and the caller does what is
-//! asked of it. The program (`house::controller`) and the simulator (`rehearsal::archive`) both run on this code.
+//! The controller's decisions beside the control store, without I/O: inputs carry the time, and the caller
+//! performs the requested actions. The controller program and the simulator both run this code.
 //!
-//! - `lease_duties`: the autoscaler of a controller while it holds the lease;
-//! - `agents`: which agents ask this controller, and which of them lack the configuration in force;
+//! - `lease_holder`: the autoscaler of a controller while it holds the lease;
+//! - `agents`: which agents poll this controller, and which of them lack the configuration in force;
 //! - `proxies`: the proxies among which owners of slots are chosen;
-//! - `contact`: whether what was heard can be fresh;
-//! - `convert`: between the configuration, the autoscaler's entries and the instances on the wire.
+//! - `pause_detector`: whether received messages can be recent;
+//! - `convert`: conversions between the configuration, the autoscaler's entries and the instances in
+//!   messages.
 
 mod agents;
 mod convert;
--- a/crates/controller/src/pause_detector.rs
+++ b/crates/controller/src/pause_detector.rs
@@ -1,33 +1,34 @@
-//! Whether what was heard can be fresh: a process that stood still reads on waking what was sent to it long before.
+//! Detects pauses of the process: after a suspension it reads messages that were sent long before.
 
 use std::time::Duration;
 
-/// The caller's loop turns more often than this; a longer pause means that the process stood still.
+/// The caller's loop runs more often than this; a longer gap means that the process was suspended.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_millis(1000);
-/// After such a pause nothing heard counts as fresh for so long. The control store's own contact is the age of an answered
-/// stamp, which a pause makes no younger; this comes on top of it.
+/// After a pause, no received message counts as recent for this long. The control store's own contact is
+/// based on the age of an answered stamp, which a pause does not make younger; this delay comes on top of it.
 pub const DISTRUST_AFTER_PAUSE: Duration = Duration::from_millis(1400);
 
-/// Watches the caller's loop for pauses.
+/// Observes the caller's loop for pauses.
 #[derive(Debug, Default)]
 pub struct PauseDetector {
-    last_turn: Duration,
-    woke: Option<Duration>,
+    last_observed: Duration,
+    resumed_at: Option<Duration>,
 }
 
 impl PauseDetector {
-    /// To be called at each turn, before what came meanwhile is taken; true where the process has just stood still.
+    /// Must be called at each iteration, before waiting messages are received; returns true if the process
+    /// has just been suspended.
     pub fn observe(&mut self, now: Duration) -> bool {
-        let stood_still = now > self.last_turn + PAUSE_THRESHOLD;
-        self.last_turn = self.last_turn.max(now);
-        if stood_still {
-            self.woke = Some(now);
+        let paused = now > self.last_observed + PAUSE_THRESHOLD;
+        self.last_observed = self.last_observed.max(now);
+        if paused {
+            self.resumed_at = Some(now);
         }
-        stood_still
+        paused
     }
 
-    /// Whether a message taken lately was also sent lately.
+    /// Whether a message received recently was also sent recently.
     pub fn is_fresh(&self, now: Duration) -> bool {
-        self.woke.is_none_or(|woke| now >= woke + DISTRUST_AFTER_PAUSE)
+        self.resumed_at.is_none_or(|resumed_at| now >= resumed_at + DISTRUST_AFTER_PAUSE)
     }
 }
--- a/crates/controller/src/proxies.rs
+++ b/crates/controller/src/proxies.rs
@@ -1,87 +1,90 @@
-//! The proxies among which owners of slots are chosen, as the holder of the lease knows them: each agent follows the holder
-//! and says which process serves beside it. One list for all: what each proxy sees of the others differs for a while after
-//! each change, and for as long as a full link loses datagrams, and two that see differently own the same slots.
+//! The proxies among which owners of slots are chosen, as the lease holder knows them: each agent follows the
+//! holder and reports the proxy process beside it. All proxies use this one list: their own views of each
+//! other differ for a while after each change, and for as long as an overloaded link drops datagrams, and
+//! proxies with different views would own the same slots.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use std::time::Duration;
 use tindock_circulation::{Mark, Owners, Proxy};
 
-/// Without a predecessor's list the first one waits until no further agent has come for so long: after a loss of everything they
-/// all come within a few tenths of a second, and nothing is served before it.
-const NO_MORE_COME: Duration = Duration::from_millis(120);
-/// It waits no longer than this.
+/// Without a previous holder's list, the first list waits until no new agent has appeared for this long:
+/// after a restart of the whole system all agents appear within a few tenths of a second, and nothing is
+/// served before this list.
+const NEW_AGENTS_SETTLE_TIME: Duration = Duration::from_millis(120);
+/// The first list waits no longer than this.
 const FIRST_LIST_AFTER: Duration = Duration::from_millis(1500);
-/// An agent follows once a second; one that was not heard for so long is gone, or cut off.
+/// An agent follows once a second; one that was silent for this long is gone or cut off.
 const SILENT_AFTER: Duration = Duration::from_millis(2200);
-/// A longer pause between two looks is one in which this process stood still, and heard nobody.
+/// A longer gap between two checks means that this process was suspended and received nothing.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(1000);
 const MAX_PROXIES: usize = 4096;
 
 #[derive(Debug)]
-struct Known {
+struct KnownProxy {
     proxy: Proxy,
-    heard: Duration,
+    last_seen: Duration,
 }
 
-/// The proxies that serve.
+/// The proxies in service.
 #[derive(Debug)]
 pub struct Proxies {
-    known: BTreeMap<IpAddr, Known>,
-    /// As they were last told.
+    known: BTreeMap<IpAddr, KnownProxy>,
+    /// The last published list.
     published: Option<Owners>,
-    first_due: Duration,
-    /// When an agent last came that was not known.
-    newcomer: Duration,
-    looked: Duration,
+    first_list_deadline: Duration,
+    /// When a previously unknown agent last appeared.
+    last_new_agent: Duration,
+    last_checked: Duration,
 }
 
 impl Proxies {
-    /// `before`: what the holder before this one told last.
-    pub fn new(now: Duration, before: Option<&Owners>) -> Proxies {
-        let heard = |proxy: &Proxy| (proxy.ip, Known { proxy: *proxy, heard: now });
+    /// `previous`: the last list published by the previous holder.
+    pub fn new(now: Duration, previous: Option<&Owners>) -> Proxies {
+        let known_now = |proxy: &Proxy| (proxy.ip, KnownProxy { proxy: *proxy, last_seen: now });
         Proxies {
-            known: before.iter().flat_map(|owners| &owners.proxies).map(heard).collect(),
-            published: before.cloned(),
-            first_due: now + FIRST_LIST_AFTER,
-            newcomer: now,
-            looked: now,
+            known: previous.iter().flat_map(|owners| &owners.proxies).map(known_now).collect(),
+            published: previous.cloned(),
+            first_list_deadline: now + FIRST_LIST_AFTER,
+            last_new_agent: now,
+            last_checked: now,
         }
     }
 
-    /// An agent says which process serves beside it: none (life 0) where it leaves or has not begun.
+    /// An agent reports the proxy process beside it: none (`life` 0) if it is leaving or has not started.
     pub fn record(&mut self, now: Duration, proxy: Proxy) {
         if proxy.life == 0 {
             self.known.remove(&proxy.ip);
             return;
         }
         if self.known.len() < MAX_PROXIES || self.known.contains_key(&proxy.ip) {
-            let before = self.known.insert(proxy.ip, Known { proxy, heard: now });
-            if before.is_none() {
-                self.newcomer = now;
+            let previous = self.known.insert(proxy.ip, KnownProxy { proxy, last_seen: now });
+            if previous.is_none() {
+                self.last_new_agent = now;
             }
         }
     }
 
-    /// When the first list is told, where the holder before this one left none.
+    /// When the first list is published, if the previous holder left none.
     fn first_list_due(&self) -> Duration {
         match self.known.is_empty() {
-            true => self.first_due,
-            false => self.first_due.min(self.newcomer + NO_MORE_COME),
+            true => self.first_list_deadline,
+            false => self.first_list_deadline.min(self.last_new_agent + NEW_AGENTS_SETTLE_TIME),
         }
     }
 
-    /// Whether the list is another than the one that was told last. It is told under the mark that the caller gives it.
+    /// Whether the list differs from the last published one. The caller then publishes it under a mark of its
+    /// choice.
     pub fn has_changed(&mut self, now: Duration) -> bool {
-        let pause = now.saturating_sub(self.looked);
-        self.looked = now;
+        let pause = now.saturating_sub(self.last_checked);
+        self.last_checked = now;
         if pause > PAUSE_THRESHOLD {
-            self.known.values_mut().for_each(|known| known.heard += pause);
+            self.known.values_mut().for_each(|known| known.last_seen += pause);
         }
         if self.published.is_none() && now < self.first_list_due() {
             return false;
         }
-        self.known.retain(|_, known| now < known.heard + SILENT_AFTER);
+        self.known.retain(|_, known| now < known.last_seen + SILENT_AFTER);
         self.published.as_ref().is_none_or(|published| !published.proxies.iter().eq(self.list()))
     }
 
@@ -89,19 +92,19 @@
         self.known.values().map(|known| &known.proxy)
     }
 
-    /// The list as it is now is told under this mark.
+    /// Publishes the current list under this mark.
     pub fn publish(&mut self, mark: Mark) {
         self.published = Some(Owners { mark, proxies: self.list().copied().collect() });
     }
 
-    /// The list that was told last.
+    /// The last published list.
     pub fn published(&self) -> Option<&Owners> {
         self.published.as_ref()
     }
 
-    /// When a look may find a change without any further input.
+    /// When a check may find a change without any further input.
     pub fn next_due(&self) -> Duration {
-        let silent = self.known.values().map(|known| known.heard + SILENT_AFTER).min();
+        let silent = self.known.values().map(|known| known.last_seen + SILENT_AFTER).min();
         let first = self.published.is_none().then(|| self.first_list_due());
         silent.into_iter().chain(first).min().unwrap_or(Duration::MAX)
     }
--- a/crates/controller/tests/pause_detector.rs
+++ b/crates/controller/tests/pause_detector.rs
@@ -1,4 +1,4 @@
-//! A process that stood still does not take old messages for fresh ones.
+//! Guards against a suspended process that treats old messages as recent.
 
 use std::time::Duration;
 use tindock_controller::{PauseDetector, DISTRUST_AFTER_PAUSE, PAUSE_THRESHOLD};
@@ -6,7 +6,7 @@
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 #[test]
-fn a_loop_that_turns_is_trusted() {
+fn a_regular_loop_keeps_messages_fresh() {
     let mut pause_detector = PauseDetector::default();
     for n in 0..100 {
         assert!(!pause_detector.observe(MS(500 * n)));
@@ -15,13 +15,13 @@
 }
 
 #[test]
-fn after_a_pause_contact_is_built_anew() {
+fn messages_are_not_fresh_for_a_while_after_a_pause() {
     let mut pause_detector = PauseDetector::default();
     pause_detector.observe(MS(300));
-    let woke = MS(300) + PAUSE_THRESHOLD + MS(1);
-    assert!(pause_detector.observe(woke));
-    assert!(!pause_detector.observe(woke + MS(1)), "said once");
-    assert!(!pause_detector.is_fresh(woke));
-    assert!(!pause_detector.is_fresh(woke + DISTRUST_AFTER_PAUSE - MS(1)));
-    assert!(pause_detector.is_fresh(woke + DISTRUST_AFTER_PAUSE));
+    let resumed_at = MS(300) + PAUSE_THRESHOLD + MS(1);
+    assert!(pause_detector.observe(resumed_at));
+    assert!(!pause_detector.observe(resumed_at + MS(1)), "a pause is reported once");
+    assert!(!pause_detector.is_fresh(resumed_at));
+    assert!(!pause_detector.is_fresh(resumed_at + DISTRUST_AFTER_PAUSE - MS(1)));
+    assert!(pause_detector.is_fresh(resumed_at + DISTRUST_AFTER_PAUSE));
 }
