--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -1229,11 +1229,11 @@
             }
         }
         Stored::Voters(tables) => {
-            if disk.voters.as_ref().is_none_or(|kept| kept.mark() <= tables.mark()) {
+            if disk.voters.as_ref().is_none_or(|kept| kept.table_version() <= tables.table_version()) {
                 disk.voters = Some(tables.clone());
             }
         }
-        Stored::LeaseNumber(number) => disk.number = disk.number.max(*number),
+        Stored::LeaseNumber(number) => disk.lease_number = disk.lease_number.max(*number),
         Stored::Promise(ballot) => disk.promised = disk.promised.max(*ballot),
     }
 }
