--- a/crates/house/examples/desk.rs
+++ b/crates/house/examples/desk.rs
@@ -16,8 +16,8 @@
 use tindock_house::notes::{Desk, Listed, Told};
 use tindock_house::post::frame;
 use tindock_house::settings::Settings;
-use tindock_lending::words::{kind, Ended};
-use tindock_lending::{Entry, Function, Lending, Member, Order};
+use tindock_lending::messages::{kind, Ended};
+use tindock_lending::{Action, Allocator, Entry, Function, Member};
 
 const SERVICES: usize = 160;
 const INSTANCES: usize = 10;
@@ -75,11 +75,11 @@
     (value, body.bytes())
 }
 
-fn lender(catalogue: &Catalogue) -> Lending {
+fn lender(catalogue: &Catalogue) -> Allocator {
     let me = SocketAddr::from(([10, 0, 0, 1], 7301));
-    let mut lending = Lending::new(me, "a".into(), 1, 1, Duration::ZERO);
-    let member = Member { at: me, zone: "a".into(), region: "r".into(), life: 1 };
-    lending.members(Duration::ZERO, vec![member]);
+    let mut lending = Allocator::new(me, "a".into(), 1, 1, Duration::ZERO);
+    let member = Member { at: me, zone: "a".into(), region: "r".into(), incarnation: 1 };
+    lending.set_members(Duration::ZERO, vec![member]);
     let function = |name: &String| Function {
         kind: kind(name),
         name: name.clone(),
@@ -87,17 +87,17 @@
         boot: Duration::from_secs(1),
     };
     let functions = catalogue.services.iter().map(|s| function(&s.name)).collect();
-    lending.functions(Duration::ZERO, functions);
+    lending.set_functions(Duration::ZERO, functions);
     let entry = |n: usize| Entry {
         kind: kind(&format!("s{:03}", n / INSTANCES)),
         instance: format!("i-{:03}-{}", n / INSTANCES, n % INSTANCES),
         at: SocketAddr::from(([10, 0, 1, 1], 1024 + n as u16)),
         zone: "a".into(),
         ready: true,
-        lends: true,
+        accepts_calls: true,
         since: Duration::ZERO,
     };
-    lending.stacks(Duration::ZERO, (0..SERVICES * INSTANCES).map(entry).collect(), &[]);
+    lending.update_instances(Duration::ZERO, (0..SERVICES * INSTANCES).map(entry).collect(), &[]);
     lending
 }
 
@@ -146,8 +146,8 @@
     let lent = time(GOES, || {
         now += Duration::from_micros(500);
         let (aim, end) = (now + Duration::from_millis(800), now + Duration::from_secs(2));
-        let call = lending.want(now, of, 1, aim, end, "");
-        let Some(Order::Go { .. }) = lending.pull() else { panic!("no slot") };
+        let call = lending.request_slot(now, of, 1, aim, end, "");
+        let Some(Action::Dispatch { .. }) = lending.pull() else { panic!("no slot") };
         lending.settle(now + Duration::from_micros(400), call, Ended::Done);
         while lending.pull().is_some() {}
     });
--- a/crates/house/src/budget.rs
+++ b/crates/house/src/budget.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
-use tindock_lending::words::Kind;
+use tindock_lending::messages::Kind;
 
 /// The window is kept in so many parts; a part that is only partly in the window counts whole for repeats and not at
 /// all for requests, so that every span of the window's length holds.
--- a/crates/house/src/client.rs
+++ b/crates/house/src/client.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use tindock_catalogue::{Route, RouteKind};
 use tindock_folio::{request_head, write_answer, write_own, Body, Framing, Read, RequestHead};
-use tindock_lending::words::{kind, Ended, Kind};
+use tindock_lending::messages::{kind, Ended, Kind};
 use tindock_lifecycle::planted::{planted, Defect};
 use tindock_lifecycle::Phase;
 use tindock_upstream::{Attempt, Conclusion, Refusal, Repeatability, SendPermit, WorkerAnswer};
--- a/crates/house/src/desk.rs
+++ b/crates/house/src/desk.rs
@@ -16,8 +16,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tindock_catalogue::{Catalogue, Finder, Limits, Route};
-use tindock_lending::words::{kind, Ended, Kind};
-use tindock_lending::{Entry, Function, Lending, Member, Order, Told as Spoken};
+use tindock_lending::messages::{kind, Ended, Kind};
+use tindock_lending::{Action, Allocator, Entry, Function, LoadReport as Spoken, Member};
 use tindock_lifecycle::{GracePeriod, Lifecycle, Phase, Refused, RunTimes, Terminated};
 use tindock_upstream::Connection;
 use tokio::io::AsyncWriteExt;
@@ -54,7 +54,7 @@
     regions: HashMap<String, String>,
     /// Zones in the order in which their numbers are told.
     places: Vec<(String, String)>,
-    lending: Lending,
+    lending: Allocator,
     waiting: HashMap<u32, Waiting>,
     pub workers: Workers,
     pub budget: Budget,
@@ -109,7 +109,7 @@
         catalogue: None,
         regions: settings.places().into_iter().collect(),
         places: settings.places(),
-        lending: Lending::new(settings.lending(), settings.zone.clone(), life, seed, Duration::ZERO),
+        lending: Allocator::new(settings.lending(), settings.zone.clone(), life, seed, Duration::ZERO),
         waiting: HashMap::new(),
         workers: Workers::new(limits.file_descriptors / 3),
         budget: Budget::new(
@@ -302,7 +302,7 @@
         slot: oneshot::Sender<Slot>,
     ) -> u32 {
         let now = self.now();
-        let call = self.lending.want(now, kind, priority, aim, work.end, avoid);
+        let call = self.lending.request_slot(now, kind, priority, aim, work.end, avoid);
         self.waiting.insert(call, Waiting { slot, work });
         self.wake.notify_one();
         call
@@ -341,7 +341,7 @@
             slots: if s.max_inflight == 0 { 1024 } else { s.max_inflight as usize },
             boot: Duration::from_millis(s.boot_ms.into()),
         });
-        self.lending.functions(now, functions.collect());
+        self.lending.set_functions(now, functions.collect());
         let finder = Finder::new(&catalogue);
         info!("revision {} in force", catalogue.revision);
         self.catalogue = Some(Rc::new((catalogue, finder)));
@@ -365,28 +365,28 @@
                 // Only until the holder of the lease has told who owns.
                 if self.owners.is_none() {
                     let members = self.members_of(desks);
-                    self.lending.provisional_members(now, members);
+                    self.lending.set_provisional_members(now, members);
                 }
             }
             Told::Owners(desks) => {
                 self.owners = Some(desks.len().max(1));
                 let members = self.members_of(desks);
-                self.lending.members(now, members);
+                self.lending.set_members(now, members);
             }
             Told::Stacks { entries, mut ended, whole } => {
                 self.stacked = true;
                 if whole {
                     // What ended while the link was down is told by its absence.
-                    ended.extend(self.lending.entries_but(&entries, |listed| &listed.instance));
+                    ended.extend(self.lending.entries_missing_from(&entries, |listed| &listed.instance));
                 }
                 let entries = entries.into_iter().map(|listed| entry(now, listed)).collect();
-                self.lending.stacks(now, entries, &ended);
+                self.lending.update_instances(now, entries, &ended);
                 for id in &ended {
                     self.workers.forget(id);
                 }
             }
             Told::Fresh(fresh) => self.fresh = fresh,
-            Told::InTouch(in_touch) => self.lending.contact(now, in_touch),
+            Told::InTouch(in_touch) => self.lending.set_controllers_reachable(now, in_touch),
         }
         if !self.ready_said && self.ready() {
             self.ready_said = true;
@@ -402,7 +402,7 @@
             at: SocketAddr::new(desk.ip, port),
             region: self.regions.get(&desk.zone).cloned().unwrap_or_default(),
             zone: desk.zone,
-            life: desk.life,
+            incarnation: desk.life,
         };
         desks.into_iter().map(member).collect()
     }
@@ -451,7 +451,7 @@
         at: listed.at,
         zone: listed.zone,
         ready: listed.ready,
-        lends: listed.lends,
+        accepts_calls: listed.lends,
         since: now.saturating_sub(Duration::from_millis(listed.age.into())),
     }
 }
@@ -462,11 +462,11 @@
         let mut state = shared.borrow_mut();
         let Some(order) = state.lending.pull() else { return };
         match order {
-            Order::Send { to, bytes } => {
+            Action::Send { to, bytes } => {
                 // A datagram that does not go now is said again by who waits for its answer.
                 let _ = state.socket.try_send_to(&bytes, to);
             }
-            Order::Go { call, instance, at } => {
+            Action::Dispatch { call, instance, at } => {
                 let taken = state
                     .waiting
                     .remove(&call)
@@ -477,32 +477,32 @@
                     state.lending.settle(now, call, Ended::Idle);
                 }
             }
-            Order::No { call, after } => {
+            Action::Reject { call, after } => {
                 if let Some(waits) = state.waiting.remove(&call) {
                     let _ = waits.slot.send(Slot::No { after: Some(after) });
                 }
             }
-            Order::Dial { instance, at } => {
+            Action::Dial { instance, at } => {
                 drop(state);
                 tokio::task::spawn_local(dial(shared.clone(), instance, at));
             }
-            Order::Probe { owner } => {
+            Action::Probe { owner } => {
                 let at = SocketAddr::new(owner.ip(), state.readiness_port());
                 drop(state);
                 tokio::task::spawn_local(probe(shared.clone(), owner, at));
             }
-            Order::Gone { instance } => {
+            Action::InstanceGone { instance } => {
                 info!("instance {instance} gone: it refuses connections, or its address is another's");
                 state.workers.forget(&instance);
                 state.tell(&Tells::Gone(instance));
             }
-            Order::Ready { instance } => state.tell(&Tells::Ready(instance)),
-            Order::Wanted(spoken) => {
+            Action::InstanceReady { instance } => state.tell(&Tells::Ready(instance)),
+            Action::InstanceWanted(spoken) => {
                 if let Some(demand) = state.demand(spoken) {
                     state.tell(&Tells::Demand(vec![demand]));
                 }
             }
-            Order::PassedOver { lender } => {
+            Action::Suspected { owner: lender } => {
                 info!("lender {} passed over until it is heard", lender.ip());
             }
         }
@@ -530,7 +530,7 @@
             let mut state = shared.borrow_mut();
             let now = state.now();
             info!("lender {} refuses connections", owner.ip());
-            state.lending.has_ended(now, owner);
+            state.lending.connection_refused(now, owner);
         }
         pump(&shared);
     }
@@ -571,7 +571,7 @@
             let mut state = shared.borrow_mut();
             state.fresh = false;
             let now = state.now();
-            state.lending.contact(now, false);
+            state.lending.set_controllers_reachable(now, false);
             if !state.is_leaving() {
                 warn!("page's link broke; going on with revision {}", state.revision());
             }
@@ -588,7 +588,7 @@
                 {
                     let mut state = shared.borrow_mut();
                     let now = state.now();
-                    state.lending.hear(now, from, &buf[..n]);
+                    state.lending.receive(now, from, &buf[..n]);
                 }
                 pump(&shared);
             }
@@ -609,7 +609,7 @@
             state.lending.tick(now);
             if now >= told + TELL {
                 told = now;
-                let spoken = state.lending.told(now, TELL);
+                let spoken = state.lending.load_reports(now, TELL);
                 let demand: Vec<Demand> = spoken.into_iter().filter_map(|s| state.demand(s)).collect();
                 if !demand.is_empty() {
                     state.tell(&Tells::Demand(demand));
--- a/crates/house/src/loans.rs
+++ b/crates/house/src/loans.rs
@@ -9,8 +9,8 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 use tindock_folio::RequestHead;
-use tindock_lending::lender::{Book, Shelf};
-use tindock_lending::Lending;
+use tindock_lending::pool::{InstanceLedger, SlotPool};
+use tindock_lending::Allocator;
 
 pub const PATH: &str = "/v1/loans";
 /// Guards the desk's one thread, and whoever reads, against a large fleet: what is over is only counted.
@@ -85,31 +85,31 @@
     more
 }
 
-fn function(now: Duration, shelf: &Shelf) -> OnLoan {
+fn function(now: Duration, shelf: &SlotPool) -> OnLoan {
     let slots = shelf.slots() as u64;
-    let instance = |book: &Book| Instance {
+    let instance = |book: &InstanceLedger| Instance {
         id: book.entry.instance.clone(),
         zone: book.entry.zone.clone(),
         ready: book.entry.ready,
-        lends: book.entry.lends,
+        lends: book.entry.accepts_calls,
         slots,
-        lent: book.loans.len() as u64,
-        rests_ms: book.rests(now).as_millis() as u64,
+        lent: book.grants.len() as u64,
+        rests_ms: book.pause_left(now).as_millis() as u64,
     };
     OnLoan {
         name: shelf.function.name.clone(),
-        ready: shelf.books.iter().filter(|book| book.entry.ready).count() as u64,
-        lent: shelf.lent() as u64,
+        ready: shelf.ledgers.iter().filter(|book| book.entry.ready).count() as u64,
+        lent: shelf.granted() as u64,
         free: shelf.free(now) as u64,
         waiting: shelf.queue.len() as u64,
         rate: (shelf.rate(now) * 100.0).round() / 100.0,
-        instances: shelf.books.iter().map(instance).collect(),
+        instances: shelf.ledgers.iter().map(instance).collect(),
     }
 }
 
 /// What there is to tell, in the order of names. Where there is too much, functions in use and the newest rooms go first.
-pub fn loans(now: Duration, node: &str, zone: &str, revision: u64, lending: &Lending) -> Loans {
-    let mut functions: Vec<OnLoan> = lending.shelves().map(|shelf| function(now, shelf)).collect();
+pub fn loans(now: Duration, node: &str, zone: &str, revision: u64, lending: &Allocator) -> Loans {
+    let mut functions: Vec<OnLoan> = lending.pools().map(|shelf| function(now, shelf)).collect();
     functions.sort_by(|a, b| (!in_use(a), &a.name).cmp(&(!in_use(b), &b.name)));
     let more_functions = cut(&mut functions, FUNCTIONS);
     functions.sort_by(|a, b| a.name.cmp(&b.name));
@@ -119,10 +119,10 @@
         more_instances += cut(&mut of.instances, left);
         left -= of.instances.len();
     }
-    let mut rooms: Vec<_> = lending.rooms().collect();
-    rooms.sort_by_key(|(kind, at, room)| (std::cmp::Reverse(room.heard), *kind, *at));
+    let mut rooms: Vec<_> = lending.capacities().collect();
+    rooms.sort_by_key(|(kind, at, room)| (std::cmp::Reverse(room.received), *kind, *at));
     let more_rooms = cut(&mut rooms, ROOMS);
-    let room = |(kind, at, room): (u32, std::net::SocketAddr, &tindock_lending::Room)| Elsewhere {
+    let room = |(kind, at, room): (u32, std::net::SocketAddr, &tindock_lending::Capacity)| Elsewhere {
         // One that this desk's configuration does not have.
         function: lending.name(kind).map_or_else(|| format!("#{kind:08x}"), str::to_string),
         lender: at.to_string(),
@@ -130,11 +130,11 @@
         free: room.free.into(),
         waiting: room.waiting.into(),
         run_ms: room.run.into(),
-        age_ms: now.saturating_sub(room.heard).as_millis() as u64,
+        age_ms: now.saturating_sub(room.received).as_millis() as u64,
     };
     let mut rooms: Vec<Elsewhere> = rooms.into_iter().map(room).collect();
     rooms.sort_by(|a, b| (&a.function, &a.lender).cmp(&(&b.function, &b.lender)));
-    let mut passed_over: Vec<_> = lending.passed_over().collect();
+    let mut passed_over: Vec<_> = lending.suspects().collect();
     passed_over.sort();
     Loans {
         node: node.to_string(),
--- a/crates/house/src/workers.rs
+++ b/crates/house/src/workers.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tindock_folio::{write_request, RequestHead};
-use tindock_lending::words::Ended;
+use tindock_lending::messages::Ended;
 use tindock_upstream::{
     Attempt, Connection, Exchange, InFlight, Pool, Reply, SendPermit, Step, Verdict, WorkerAnswer,
 };
--- a/crates/house/tests/loans.rs
+++ b/crates/house/tests/loans.rs
@@ -9,8 +9,8 @@
 use tindock_house::notes::{Desk, Listed, Tells, Told};
 use tindock_house::post::{frame, read_frame};
 use tindock_house::settings::Settings;
-use tindock_lending::words::{kind, Letter, Line};
-use tindock_lending::{Entry, Function, Lending, Member};
+use tindock_lending::messages::{kind, Datagram, Message};
+use tindock_lending::{Allocator, Entry, Function, Member};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
@@ -142,8 +142,8 @@
             clients.push(client);
         }
         let other = UdpSocket::bind((host(9), port - 1)).await.unwrap();
-        let room = Line::Room { kind: kind("sums"), free: 3, waiting: 0, run: 90 };
-        let letter = Letter { life: 1, lines: vec![room] }.write();
+        let room = Message::Capacity { kind: kind("sums"), free: 3, waiting: 0, run: 90 };
+        let letter = Datagram { incarnation: 1, messages: vec![room] }.encode();
         let mut table;
         loop {
             other.send_to(&letter, (host(2), port - 1)).await.unwrap();
@@ -188,23 +188,23 @@
     });
 }
 
-fn lending(functions: impl Iterator<Item = String>) -> Lending {
+fn lending(functions: impl Iterator<Item = String>) -> Allocator {
     let at = |n| SocketAddr::from(([10, 0, 0, n], 7301));
-    let mut lending = Lending::new(at(1), "a".into(), 1, 1, Duration::ZERO);
-    let member = |n, zone: &str| Member { at: at(n), zone: zone.into(), region: "r".into(), life: 1 };
+    let mut lending = Allocator::new(at(1), "a".into(), 1, 1, Duration::ZERO);
+    let member = |n, zone: &str| Member { at: at(n), zone: zone.into(), region: "r".into(), incarnation: 1 };
     // First alone: of another that is there first it would wait for a handover.
-    lending.members(Duration::ZERO, vec![member(1, "a")]);
-    lending.members(Duration::ZERO, vec![member(1, "a"), member(2, "b")]);
+    lending.set_members(Duration::ZERO, vec![member(1, "a")]);
+    lending.set_members(Duration::ZERO, vec![member(1, "a"), member(2, "b")]);
     let function =
         |name: String| Function { kind: kind(&name), name, slots: 2, boot: Duration::from_secs(1) };
-    lending.functions(Duration::ZERO, functions.map(function).collect());
+    lending.set_functions(Duration::ZERO, functions.map(function).collect());
     lending
 }
 
 fn entry(instance: String, function: &str, zone: &str, ready: bool) -> Entry {
     let at = SocketAddr::from(([10, 0, 1, 1], 80));
     let since = Duration::ZERO;
-    Entry { instance, kind: kind(function), at, zone: zone.into(), ready, lends: true, since }
+    Entry { instance, kind: kind(function), at, zone: zone.into(), ready, accepts_calls: true, since }
 }
 
 #[test]
@@ -217,14 +217,14 @@
     let many =
         |n: usize| (0..2_500).map(move |i| entry(format!("i{n}-{i:04}"), &format!("f{n:04}"), "a", true));
     entries.extend((0..4).flat_map(many));
-    lending.stacks(Duration::ZERO, entries, &[]);
+    lending.update_instances(Duration::ZERO, entries, &[]);
     // Comes later, and is the first by its id.
-    lending.stacks(Duration::ZERO, vec![entry("a".into(), "f0000", "a", true)], &[]);
+    lending.update_instances(Duration::ZERO, vec![entry("a".into(), "f0000", "a", true)], &[]);
     for n in 0..ROOMS as u32 + 3 {
-        let line = Line::Room { kind: n, free: 1, waiting: 0, run: 5 };
+        let line = Message::Capacity { kind: n, free: 1, waiting: 0, run: 5 };
         let now = Duration::from_millis(1 + u64::from(n >= 3));
-        let letter = Letter { life: 1, lines: vec![line] }.write();
-        assert!(lending.hear(now, SocketAddr::from(([10, 0, 0, 2], 7301)), &letter));
+        let letter = Datagram { incarnation: 1, messages: vec![line] }.encode();
+        assert!(lending.receive(now, SocketAddr::from(([10, 0, 0, 2], 7301)), &letter));
     }
     let told = loans(Duration::from_millis(9), "n", "a", 1, &lending);
     assert_eq!((told.functions.len(), told.more_functions), (FUNCTIONS, 5));
@@ -247,11 +247,11 @@
     let ms = Duration::from_millis;
     let mut lending = lending(["far", "near"].into_iter().map(str::to_string));
     let entries = vec![entry("i-far".into(), "far", "b", true), entry("i-near".into(), "near", "a", true)];
-    lending.stacks(ms(0), entries, &[]);
+    lending.update_instances(ms(0), entries, &[]);
     for name in ["far", "near", "near", "near"] {
-        lending.want(ms(10), kind(name), 1, ms(9_000), ms(9_000), "");
+        lending.request_slot(ms(10), kind(name), 1, ms(9_000), ms(9_000), "");
     }
-    let told = |lending: &Lending, at| loans(ms(at), "n", "a", 1, lending);
+    let told = |lending: &Allocator, at| loans(ms(at), "n", "a", 1, lending);
     let near = &told(&lending, 10).functions[0];
     assert_eq!((near.name.as_str(), near.lent, near.waiting, near.free), ("near", 0, 3, 0));
     // A new lender rests for 0.2 s what others may have lent.
@@ -265,6 +265,7 @@
     let near = seen.functions.iter().find(|of| of.name == "near").unwrap();
     assert_eq!((near.lent, near.waiting, near.free, near.instances[0].rests_ms), (2, 1, 0, 0));
     // As the scaler is told it at that time.
-    let scaler = lending.told(ms(1000), ms(0)).into_iter().find(|told| told.kind == kind("near")).unwrap();
+    let scaler =
+        lending.load_reports(ms(1000), ms(0)).into_iter().find(|told| told.kind == kind("near")).unwrap();
     assert!(near.rate > 0.5 && (near.rate - scaler.rate).abs() <= 0.005, "{} {}", near.rate, scaler.rate);
 }
--- /dev/null
+++ b/crates/lending/src/capacity.rs
@@ -0,0 +1,161 @@
+//! Free slots and waiting calls as owners tell them to one another, and calls that go where there is room.
+
+use crate::messages::{kind as hash, Kind, Message, MAX_MESSAGES};
+use crate::pool::{self, SlotRequest};
+use crate::{
+    advertised_capacity, Allocator, Capacity, CAPACITY_VALID_FOR, FREE_INTERVAL, FULL_INTERVAL, LOWEST,
+    MAX_CAPACITY_PEERS, MAX_HOPS,
+};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+impl Allocator {
+    /// What was heard of the lender of a zone lately.
+    pub(crate) fn capacity_at(&self, kind: Kind, zone: &str) -> Option<Capacity> {
+        let owner = self.owner_of(kind, zone)?;
+        self.capacities
+            .get(&(kind, owner))
+            .copied()
+            .filter(|capacity| capacity.received + CAPACITY_VALID_FOR > self.now)
+    }
+
+    /// The nearest other zone whose lender said lately that it has free slots and that nobody waits there.
+    pub(crate) fn zone_with_capacity(&self, kind: Kind) -> Option<(String, SocketAddr, u8)> {
+        if !self.capacities.keys().any(|(k, _)| *k == kind) {
+            return None;
+        }
+        let zones = self.zones_of(kind);
+        let open = zones.keys().filter_map(|zone| {
+            let owner = self.owner_of(kind, zone).filter(|at| *at != self.me)?;
+            let capacity =
+                self.capacity_at(kind, zone).filter(|capacity| capacity.free > 0 && capacity.waiting == 0)?;
+            Some((self.redirect_cost(zone), u8::MAX - capacity.free, zone.to_string(), owner))
+        });
+        open.min().map(|(_, taken, zone, owner)| (zone, owner, u8::MAX - taken))
+    }
+
+    /// Lenders of this function's other instances.
+    pub(crate) fn peers(&self, kind: Kind) -> BTreeSet<SocketAddr> {
+        let mut zones: Vec<&str> = self.zones_of(kind).into_keys().collect();
+        zones.sort_by_key(|zone| self.redirect_cost(zone));
+        let owners = zones.iter().filter_map(|zone| self.owner_of(kind, zone));
+        owners.filter(|at| *at != self.me).take(MAX_CAPACITY_PEERS).collect()
+    }
+
+    /// Tells another lender what there is here, if it has not been told just now.
+    pub(crate) fn send_capacity(&mut self, kind: Kind, to: SocketAddr, pause: Duration) {
+        let now = self.now;
+        let Some(message) = self.capacity_message(kind) else { return };
+        let open = matches!(message, Message::Capacity { free: 1.., waiting: 0, .. });
+        let last = self.capacity_sent.get(&(kind, to));
+        if last.is_some_and(|(at, was)| now < *at + if *was == open { pause } else { FREE_INTERVAL / 2 }) {
+            return;
+        }
+        if self.capacity_sent.len() < 65_536 {
+            self.capacity_sent.insert((kind, to), (now, open));
+        }
+        self.send(to, message);
+    }
+
+    pub(crate) fn capacity_message(&self, kind: Kind) -> Option<Message> {
+        let pool = self.pools.get(&kind).filter(|pool| pool.accepts_calls())?;
+        let (free, waiting) = advertised_capacity(pool, self.now);
+        let run = u16::try_from(pool.run().as_millis()).unwrap_or(u16::MAX);
+        Some(Message::Capacity { kind, free, waiting, run })
+    }
+
+    /// Calls wait here: the lenders of the function elsewhere are told, and told again when none waits any more. Who has
+    /// room tells those that said so.
+    pub(crate) fn announce_capacity(&mut self, kind: Kind) {
+        let now = self.now;
+        let Some(pool) = self.pools.get(&kind) else { return };
+        let waits = !pool.queue.is_empty();
+        let open = !waits && pool.free(now) > 0;
+        if waits {
+            self.announced_full.insert(kind);
+            for peer in self.peers(kind) {
+                self.send_capacity(kind, peer, FULL_INTERVAL);
+            }
+        } else if open && self.announced_full.remove(&kind) {
+            for peer in self.peers(kind) {
+                self.send_capacity(kind, peer, FULL_INTERVAL);
+            }
+        }
+        if open && !self.short_peers.is_empty() {
+            let entries = self.short_peers.range((kind, LOWEST)..).take_while(|((k, _), _)| *k == kind);
+            let interested: Vec<SocketAddr> = entries.map(|((_, at), _)| *at).collect();
+            for peer in interested {
+                self.send_capacity(kind, peer, FREE_INTERVAL);
+            }
+        }
+    }
+
+    /// Waiting calls go where there is room, if that is better for them.
+    pub(crate) fn redirect_waiting(&mut self, kind: Kind) {
+        let now = self.now;
+        if self.pools.get(&kind).is_none_or(|pool| pool.queue.is_empty()) {
+            return;
+        }
+        let Some((zone, owner, free)) = self.zone_with_capacity(kind) else { return };
+        let far = self.redirect_cost(&zone);
+        let Some(pool) = self.pools.get_mut(&kind) else { return };
+        let gone = pool.take_redirectable(now, far, free.into(), MAX_HOPS);
+        if let Some(capacity) = self.capacities.get_mut(&(kind, owner)) {
+            capacity.free = capacity.free.saturating_sub(u8::try_from(gone.len()).unwrap_or(u8::MAX));
+        }
+        for request in gone {
+            self.send(request.from, Message::Redirect { seq: request.seq, zone: hash(&zone) });
+        }
+    }
+
+    /// What is known of others' room: function, lender, and what it said when.
+    pub fn capacities(&self) -> impl Iterator<Item = (Kind, SocketAddr, &Capacity)> {
+        self.capacities.iter().map(|((kind, at), capacity)| (*kind, *at, capacity))
+    }
+
+    pub(crate) fn note_capacity(&mut self, kind: Kind, from: SocketAddr, free: u8, waiting: u8, run: u16) {
+        if self.capacities.len() < 65_536 {
+            self.capacities.insert((kind, from), Capacity { received: self.now, free, waiting, run });
+        }
+    }
+
+    /// The zone with room in which a call that would wait here does better, if there is one.
+    pub(crate) fn better_zone(&mut self, kind: Kind, request: &SlotRequest) -> Option<String> {
+        let now = self.now;
+        let (zone, owner, _) = self.zone_with_capacity(kind)?;
+        let pool = self.pools.get(&kind)?;
+        let wait = pool.wait(now, request)?;
+        if !pool::gains_by_redirect(
+            now,
+            request,
+            wait,
+            pool.mean_run(request.priority),
+            self.redirect_cost(&zone),
+        ) {
+            return None;
+        }
+        let capacity = self.capacities.get_mut(&(kind, owner))?;
+        capacity.free = capacity.free.saturating_sub(1);
+        Some(zone)
+    }
+
+    /// A letter that goes anyway takes along what its reader asked for lately.
+    pub(crate) fn piggyback_capacities(&mut self, to: SocketAddr, part: &mut Vec<Message>) {
+        let now = self.now;
+        let interested: Vec<Kind> =
+            self.short_peers.keys().filter(|(_, at)| *at == to).map(|(kind, _)| *kind).collect();
+        for kind in interested {
+            if part.len() >= MAX_MESSAGES
+                || self.capacity_sent.get(&(kind, to)).is_some_and(|(at, _)| now < *at + FREE_INTERVAL)
+            {
+                continue;
+            }
+            if let Some(message) = self.capacity_message(kind) {
+                let open = matches!(message, Message::Capacity { free: 1.., waiting: 0, .. });
+                self.capacity_sent.insert((kind, to), (now, open));
+                part.push(message);
+            }
+        }
+    }
+}
--- a/crates/lending/src/planted.rs
+++ b/crates/lending/src/defects.rs
@@ -5,62 +5,62 @@
     /// An instance lends one slot more than it has.
     OneTooMany,
     /// A waiting call is granted a slot that is not written down.
-    GrantsUnwritten,
+    GrantNotRecorded,
     /// A new lender lends before it has heard what is out.
-    LendsAtOnce,
+    GrantsBeforeHandover,
     /// What borrowers tell of loans by a former lender is not written down.
-    HoldsUnheard,
+    HoldsIgnored,
     /// Loans whose borrower vanished are never taken back.
-    NoTerm,
+    NoExpiry,
     /// Borrowers are not asked after loans that are out for long.
-    NeverAsked,
+    NeverChecked,
     /// Calls that nobody answers are forgotten.
-    EndUnseen,
+    DeadlineIgnored,
     /// Calls are served in the order in which they came.
-    ByArrival,
+    ArrivalOrder,
     /// Slots that come back wait for the next ask.
-    QueueForgotten,
+    QueueNotServed,
     /// What drains is still lent.
-    DrainLent,
+    DrainingGranted,
     /// A slot of an instance that the requester knows to leave is used all the same.
     LeavingUsed,
     /// A new life numbers its calls like the one before, and takes what comes for them.
-    NumbersAgain,
+    NumbersReused,
     /// Loans are forgotten when their instance goes to another lender for a while.
-    BooksForgotten,
+    LedgerForgotten,
     /// A new owner doesn't wait for what the former one hands over.
     HandoverNotAwaited,
     /// A former owner hands nothing over.
     NothingHandedOver,
     /// Whoever says nothing for a while is taken for ended.
-    SilenceIsEnd,
+    SilenceCountsAsEnd,
     /// An owner that hears nobody goes on lending.
-    IsolatedLends,
+    IsolatedGrants,
     /// A former owner that has not learned of a change lends on while another claims what it owns.
     ClaimsIgnored,
     /// Before the holder has published any members, one that knows nobody in a zone owns its instances.
-    FirstHeardOwns,
+    FirstKnownOwns,
     /// A refused connection proves the end of a process, on whichever side of a cut this one is.
     RefusalIsProof,
     /// A slot that comes back is freed twice.
     FreedTwice,
     /// Letters of a life that another has followed are taken for the present one's.
-    FormerHeard,
+    FormerAccepted,
     /// Copies of asks and of loans told of are served after their call is over.
     CopiesServed,
 }
 
 #[cfg(feature = "planted")]
 thread_local! {
-    pub static PLANTED: std::cell::Cell<Option<Defect>> = const { std::cell::Cell::new(None) };
+    pub static INJECTED: std::cell::Cell<Option<Defect>> = const { std::cell::Cell::new(None) };
 }
 
 #[cfg(feature = "planted")]
-pub fn planted(defect: Defect) -> bool {
-    PLANTED.get() == Some(defect)
+pub fn injected(defect: Defect) -> bool {
+    INJECTED.get() == Some(defect)
 }
 
 #[cfg(not(feature = "planted"))]
-pub const fn planted(_: Defect) -> bool {
+pub const fn injected(_: Defect) -> bool {
     false
 }
--- a/crates/lending/src/over.rs
+++ b/crates/lending/src/finished_calls.rs
@@ -1,6 +1,6 @@
 //! Calls of other processes that are over here: an ask or a loan told of that comes after that is a late copy.
 
-use crate::planted::{planted, Defect};
+use crate::defects::{injected, Defect};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 /// What has been said of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
+pub enum Finish {
     /// Its slot came back: it asks for nothing and holds nothing.
     Returned,
     /// Another lender was quicker: it asks for nothing here, and may hold a slot that it tells of.
@@ -23,15 +23,15 @@
 
 /// The calls that were over lately.
 #[derive(Default)]
-pub struct CallsOver {
-    calls: HashMap<Key, Over>,
+pub struct FinishedCalls {
+    calls: HashMap<Key, Finish>,
     by_age: VecDeque<(Duration, Key)>,
 }
 
-impl CallsOver {
+impl FinishedCalls {
     /// `awake`: the time in which this process ran.
-    pub fn note(&mut self, awake: Duration, key: Key, over: Over) {
-        if planted(Defect::CopiesServed) {
+    pub fn note(&mut self, awake: Duration, key: Key, over: Finish) {
+        if injected(Defect::CopiesServed) {
             return;
         }
         while self.by_age.front().is_some_and(|(at, _)| *at + REMEMBERED < awake) {
@@ -40,7 +40,7 @@
             }
         }
         if let Some(known) = self.calls.get_mut(&key) {
-            if over == Over::Returned {
+            if over == Finish::Returned {
                 *known = over;
             }
         } else if self.calls.len() < MAX_CALLS {
@@ -50,12 +50,12 @@
     }
 
     /// An ask for this call is a copy.
-    pub fn asks_nothing(&self, key: &Key) -> bool {
+    pub fn is_finished(&self, key: &Key) -> bool {
         self.calls.contains_key(key)
     }
 
     /// It holds nothing either.
-    pub fn holds_nothing(&self, key: &Key) -> bool {
-        self.calls.get(key) == Some(&Over::Returned)
+    pub fn is_returned(&self, key: &Key) -> bool {
+        self.calls.get(key) == Some(&Finish::Returned)
     }
 }
--- a/crates/lending/src/granting.rs
+++ b/crates/lending/src/granting.rs
@@ -1,88 +1,89 @@
 //! The owner's side: who gets a slot that is free, who waits, and who is sent elsewhere.
 
-use crate::lender::{Shelf, Verdict, Wish};
+use crate::messages::{kind as hash, Kind, Message};
 use crate::owners::weight;
-use crate::words::{kind as hash, Kind, Line};
-use crate::{ms, room, Lending, Order, CUT_OFF_RETRY, DIAL, HOPS, SHORTAGE};
+use crate::pool::{SlotPool, SlotRequest, Verdict};
+use crate::{
+    advertised_capacity, ms, Action, Allocator, DIAL_INTERVAL, ISOLATED_RETRY, MAX_HOPS, SHORTAGE_INTERVAL,
+};
 use std::time::Duration;
 
-impl Lending {
-    pub(crate) fn asked(&mut self, kind: Kind, wish: Wish, hops: u8) {
+impl Allocator {
+    pub(crate) fn handle_request(&mut self, kind: Kind, request: SlotRequest, hops: u8) {
         let now = self.now;
-        if self.over.asks_nothing(&(wish.from, wish.life, wish.seq)) {
+        if self.finished.is_finished(&(request.from, request.incarnation, request.seq)) {
             return;
         }
         if self.is_fenced() {
-            return self.say(wish.from, Line::Later { seq: wish.seq, after: ms(CUT_OFF_RETRY) });
+            return self
+                .send(request.from, Message::RetryAfter { seq: request.seq, after: ms(ISOLATED_RETRY) });
         }
         let Some(function) = self.functions.get(&kind).cloned() else {
-            return self.say(wish.from, Line::Later { seq: wish.seq, after: 300 });
+            return self.send(request.from, Message::RetryAfter { seq: request.seq, after: 300 });
         };
         let score = self.score;
-        let shelf = self.shelves.entry(kind).or_insert_with(|| Shelf::new(function, now).scored(score));
-        let (free, waiting) = room(shelf, now);
+        let pool = self.pools.entry(kind).or_insert_with(|| SlotPool::new(function, now).with_score(score));
+        let (free, waiting) = advertised_capacity(pool, now);
         // Said again: the grant or the place it has.
-        if let Some(book) = shelf
-            .books
-            .iter()
-            .find(|b| b.loans.iter().any(|l| (l.to, l.life, l.seq) == (wish.from, wish.life, wish.seq)))
-        {
-            let (instance, at) = (book.entry.instance.clone(), book.entry.at);
-            return self.say(wish.from, Line::Grant { seq: wish.seq, instance, at, free, waiting });
-        }
-        if shelf
-            .queue
-            .iter()
-            .any(|other| (other.from, other.life, other.seq) == (wish.from, wish.life, wish.seq))
-        {
-            return self.say(wish.from, Line::Waits { seq: wish.seq, free, waiting });
-        }
-        let origin = self.owners.member(wish.from).map_or(0, |m| hash(&m.zone));
-        shelf.counted(now, origin);
-        let lends = shelf.lends();
-        if !lends {
+        if let Some(ledger) = pool.ledgers.iter().find(|b| {
+            b.grants
+                .iter()
+                .any(|l| (l.to, l.incarnation, l.seq) == (request.from, request.incarnation, request.seq))
+        }) {
+            let (instance, at) = (ledger.entry.instance.clone(), ledger.entry.at);
+            return self.send(request.from, Message::Grant { seq: request.seq, instance, at, free, waiting });
+        }
+        if pool.queue.iter().any(|other| {
+            (other.from, other.incarnation, other.seq) == (request.from, request.incarnation, request.seq)
+        }) {
+            return self.send(request.from, Message::Queued { seq: request.seq, free, waiting });
+        }
+        let origin = self.owners.member(request.from).map_or(0, |m| hash(&m.zone));
+        pool.count_arrival(now, origin);
+        let accepts_calls = pool.accepts_calls();
+        if !accepts_calls {
             self.probe_owner(kind);
         }
-        if !lends && hops < HOPS {
-            if let Some(zone) = self.elsewhere(kind) {
-                return self.say(wish.from, Line::Elsewhere { seq: wish.seq, zone: hash(&zone) });
+        if !accepts_calls && hops < MAX_HOPS {
+            if let Some(zone) = self.other_zone(kind) {
+                return self.send(request.from, Message::Redirect { seq: request.seq, zone: hash(&zone) });
             }
         }
-        let (from, seq) = (wish.from, wish.seq);
-        if hops < HOPS && self.shelves.get(&kind).is_some_and(|s| s.wait(now, &wish).is_some()) {
-            if let Some(zone) = self.better(kind, &wish) {
-                return self.say(from, Line::Elsewhere { seq, zone: hash(&zone) });
+        let (from, seq) = (request.from, request.seq);
+        if hops < MAX_HOPS && self.pools.get(&kind).is_some_and(|s| s.wait(now, &request).is_some()) {
+            if let Some(zone) = self.better_zone(kind, &request) {
+                return self.send(from, Message::Redirect { seq, zone: hash(&zone) });
             }
         }
-        let chance = &mut self.chance;
-        let shelf = match self.shelves.get_mut(&kind) {
-            Some(shelf) => shelf,
+        let rng = &mut self.rng;
+        let pool = match self.pools.get_mut(&kind) {
+            Some(pool) => pool,
             None => return,
         };
-        let mut draw = |n: usize| chance.rand_range(0..n.max(1) as u32) as usize;
-        let verdict = shelf.ask(now, wish, &mut draw);
+        let mut random_below = |n: usize| rng.rand_range(0..n.max(1) as u32) as usize;
+        let verdict = pool.request(now, request, &mut random_below);
         let granted = matches!(verdict, Verdict::Granted(_));
         match verdict {
             Verdict::Granted(i) => {
-                let (free, waiting) = room(shelf, now);
-                let (instance, at) = (shelf.books[i].entry.instance.clone(), shelf.books[i].entry.at);
-                self.say(from, Line::Grant { seq, instance, at, free, waiting });
+                let (free, waiting) = advertised_capacity(pool, now);
+                let (instance, at) = (pool.ledgers[i].entry.instance.clone(), pool.ledgers[i].entry.at);
+                self.send(from, Message::Grant { seq, instance, at, free, waiting });
             }
             Verdict::Waits => {}
-            Verdict::Later(after) => self.say(from, Line::Later { seq, after: ms(after) }),
+            Verdict::Later(after) => self.send(from, Message::RetryAfter { seq, after: ms(after) }),
         }
         if !granted {
-            self.tell_rooms(kind);
+            self.announce_capacity(kind);
         }
         // A start takes a second: what lacks slots is told now, not with the next round.
         if !granted {
-            let pause = if lends { SHORTAGE } else { SHORTAGE / 2 };
-            let told = self
-                .shelves
+            let pause = if accepts_calls { SHORTAGE_INTERVAL } else { SHORTAGE_INTERVAL / 2 };
+            let report = self
+                .pools
                 .get_mut(&kind)
-                .filter(|s| !lends || s.is_short(now))
-                .and_then(|s| s.tell(now, pause));
-            self.orders.extend(told.map(Order::Wanted));
+                .filter(|s| !accepts_calls || s.has_shortage(now))
+                .and_then(|s| s.load_report(now, pause));
+            self.actions.extend(report.map(Action::InstanceWanted));
         }
     }
 
@@ -93,61 +94,66 @@
             return;
         }
         loop {
-            let Some(shelf) = self.shelves.get_mut(&kind) else { return };
-            let chance = &mut self.chance;
-            let mut draw = |n: usize| chance.rand_range(0..n.max(1) as u32) as usize;
-            let Some((i, wish)) = shelf.serve(now, &mut draw) else { return };
-            let (free, waiting) = room(shelf, now);
-            let (instance, at) = (shelf.books[i].entry.instance.clone(), shelf.books[i].entry.at);
-            self.say(wish.from, Line::Grant { seq: wish.seq, instance, at, free, waiting });
+            let Some(pool) = self.pools.get_mut(&kind) else { return };
+            let rng = &mut self.rng;
+            let mut random_below = |n: usize| rng.rand_range(0..n.max(1) as u32) as usize;
+            let Some((i, request)) = pool.serve(now, &mut random_below) else { return };
+            let (free, waiting) = advertised_capacity(pool, now);
+            let (instance, at) = (pool.ledgers[i].entry.instance.clone(), pool.ledgers[i].entry.at);
+            self.send(request.from, Message::Grant { seq: request.seq, instance, at, free, waiting });
         }
     }
 
     /// Another zone that has instances which lend.
-    pub(crate) fn elsewhere(&self, kind: Kind) -> Option<String> {
-        if let Some((zone, ..)) = self.roomy(kind) {
+    pub(crate) fn other_zone(&self, kind: Kind) -> Option<String> {
+        if let Some((zone, ..)) = self.zone_with_capacity(kind) {
             return Some(zone);
         }
         let ids = self.by_kind.get(&kind)?;
-        let others = ids.iter().filter_map(|id| self.entries.get(id)).filter(|e| e.lends);
-        let others = others.filter(|e| self.lender(kind, &e.zone) != Some(self.me));
+        let others = ids.iter().filter_map(|id| self.entries.get(id)).filter(|e| e.accepts_calls);
+        let others = others.filter(|e| self.owner_of(kind, &e.zone) != Some(self.me));
         others.max_by_key(|e| (e.ready, weight(kind, &e.at))).map(|e| e.zone.clone())
     }
 
     pub(crate) fn sweep(&mut self, kind: Kind) {
         let now = self.now;
         if self.is_fenced() {
-            self.turn_away(kind);
+            self.reject_waiting(kind);
         }
-        let Some(shelf) = self.shelves.get_mut(&kind) else { return };
-        shelf.expire(now);
-        let doubts = shelf.doubts(now);
+        let Some(pool) = self.pools.get_mut(&kind) else { return };
+        pool.expire(now);
+        let due_checks = pool.due_checks(now);
         let mut dials = Vec::new();
-        let boot = shelf.function.boot;
-        for book in &mut shelf.books {
-            let due = book.entry.since + boot.mul_f64(0.5);
-            if book.entry.lends && !book.entry.ready && now >= due && now >= book.dialled + DIAL {
-                book.refused = book.dialled > Duration::ZERO;
-                book.dialled = now;
-                dials.push(Order::Dial { instance: book.entry.instance.clone(), at: book.entry.at });
+        let boot = pool.function.boot;
+        for ledger in &mut pool.ledgers {
+            let due = ledger.entry.since + boot.mul_f64(0.5);
+            if ledger.entry.accepts_calls
+                && !ledger.entry.ready
+                && now >= due
+                && now >= ledger.dialled + DIAL_INTERVAL
+            {
+                ledger.refused = ledger.dialled > Duration::ZERO;
+                ledger.dialled = now;
+                dials.push(Action::Dial { instance: ledger.entry.instance.clone(), at: ledger.entry.at });
             }
         }
-        let hopeless = shelf.hopeless(now);
-        let moved = if !shelf.queue.is_empty() && !shelf.lends() { self.elsewhere(kind) } else { None };
-        self.orders.extend(dials);
-        for (to, life, seq, instance) in doubts {
-            self.say(to, Line::Still { seq, kind, instance, life });
+        let hopeless = pool.remove_hopeless(now);
+        let moved =
+            if !pool.queue.is_empty() && !pool.accepts_calls() { self.other_zone(kind) } else { None };
+        self.actions.extend(dials);
+        for (to, incarnation, seq, instance) in due_checks {
+            self.send(to, Message::CheckGrant { seq, kind, instance, incarnation });
         }
-        for wish in hopeless {
-            self.say(wish.from, Line::Later { seq: wish.seq, after: 250 });
+        for request in hopeless {
+            self.send(request.from, Message::RetryAfter { seq: request.seq, after: 250 });
         }
-        if let (Some(zone), Some(shelf)) = (moved, self.shelves.get_mut(&kind)) {
-            for wish in std::mem::take(&mut shelf.queue) {
-                self.say(wish.from, Line::Elsewhere { seq: wish.seq, zone: hash(&zone) });
+        if let (Some(zone), Some(pool)) = (moved, self.pools.get_mut(&kind)) {
+            for request in std::mem::take(&mut pool.queue) {
+                self.send(request.from, Message::Redirect { seq: request.seq, zone: hash(&zone) });
             }
         }
         self.serve(kind);
-        self.tell_rooms(kind);
-        self.hand_on(kind);
+        self.announce_capacity(kind);
+        self.redirect_waiting(kind);
     }
 }
--- /dev/null
+++ b/crates/lending/src/instances.rs
@@ -0,0 +1,97 @@
+//! The instances that this process owns, on their shelves: what comes, what goes to another, what is kept aside.
+
+use crate::defects::{injected, Defect};
+use crate::handover::Cause;
+use crate::messages::{Kind, Message};
+use crate::pool::{InstanceLedger, SlotPool};
+use crate::{Allocator, Entry, Function};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+impl Allocator {
+    /// Puts the instances in this one's care on its shelves. Those that another may have lent until now rest first.
+    pub(crate) fn update_all_pools(&mut self, cause: Cause) {
+        let mut kinds: BTreeSet<Kind> = self.pools.keys().copied().collect();
+        kinds.extend(self.by_kind.keys().copied());
+        self.update_pools(kinds, &cause);
+    }
+
+    pub(crate) fn update_pools(&mut self, kinds: BTreeSet<Kind>, cause: &Cause) {
+        for kind in kinds {
+            let mine = self.owned(kind);
+            if mine.is_empty() && !self.pools.contains_key(&kind) {
+                continue;
+            }
+            match self.functions.get(&kind).cloned() {
+                Some(function) => self.update_pool(function, mine, cause),
+                None => self.close_pool(kind),
+            }
+        }
+    }
+
+    /// The instances of a function that this process owns.
+    pub(crate) fn owned(&self, kind: Kind) -> BTreeMap<String, Entry> {
+        if !self.functions.contains_key(&kind) {
+            return BTreeMap::new();
+        }
+        let all = self.by_kind.get(&kind).into_iter().flatten().filter_map(|id| self.entries.get(id));
+        let mine = all.filter(|entry| self.owner_of(kind, &entry.zone) == Some(self.me));
+        mine.map(|entry| (entry.instance.clone(), entry.clone())).collect()
+    }
+
+    /// Guards calls of a function that left the configuration: they are answered, not forgotten. Nor are its loans: a later
+    /// change may bring it back while they are out.
+    pub(crate) fn close_pool(&mut self, kind: Kind) {
+        let Some(pool) = self.pools.remove(&kind) else { return };
+        for request in pool.queue {
+            self.send(request.from, Message::RetryAfter { seq: request.seq, after: 500 });
+        }
+        for ledger in pool.ledgers {
+            self.park(ledger);
+        }
+    }
+
+    /// Loans are kept for their terms: the instance may come back to this one's care.
+    pub(crate) fn park(&mut self, ledger: InstanceLedger) {
+        if !ledger.grants.is_empty() && !injected(Defect::LedgerForgotten) {
+            self.parked.entry(ledger.entry.instance).or_default().extend(ledger.grants);
+        }
+    }
+
+    pub(crate) fn update_pool(
+        &mut self,
+        function: Function,
+        mut mine: BTreeMap<String, Entry>,
+        cause: &Cause,
+    ) {
+        let (now, score, kind, boot) = (self.now, self.score, function.kind, function.boot);
+        let pool = self.pools.entry(kind).or_insert_with(|| SlotPool::new(function, now).with_score(score));
+        let (mut kept, dropped): (Vec<InstanceLedger>, Vec<InstanceLedger>) =
+            pool.ledgers.drain(..).partition(|ledger| mine.contains_key(&ledger.entry.instance));
+        for ledger in &mut kept {
+            if let Some(entry) = mine.remove(&ledger.entry.instance) {
+                ledger.entry = entry;
+            }
+        }
+        for ledger in dropped {
+            self.hand_over(&ledger);
+            self.park(ledger);
+        }
+        for entry in mine.into_values() {
+            kept.push(self.new_ledger(entry, boot, cause));
+        }
+        if let Some(pool) = self.pools.get_mut(&kind) {
+            pool.ledgers = kept;
+        }
+    }
+
+    pub(crate) fn new_ledger(&mut self, entry: Entry, boot: Duration, cause: &Cause) -> InstanceLedger {
+        let initial_state = self.initial_state(&entry, boot, cause);
+        let grants = self.parked.remove(&entry.instance).unwrap_or_default();
+        let early = self.early.remove(&entry.instance);
+        let mut ledger = InstanceLedger::new(entry, initial_state.paused_until, grants);
+        ledger.awaits = initial_state.awaits;
+        ledger.merge(early.map(|early| early.grants).unwrap_or_default());
+        ledger
+    }
+}
--- a/crates/lending/src/membership.rs
+++ b/crates/lending/src/membership.rs
@@ -1,34 +1,34 @@
 //! Functions and members as they change, and whom loans in hand are told to then.
 
 use crate::handover::Cause;
-use crate::words::{kind as hash, Kind, Line};
-use crate::{ms, Call, Function, Lending, Member, Stage};
+use crate::messages::{kind as hash, Kind, Message};
+use crate::{ms, Allocator, Call, Function, Member, Stage};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-impl Lending {
+impl Allocator {
     /// The functions in force; what is gone lends no more.
-    pub fn functions(&mut self, now: Duration, functions: Vec<Function>) {
+    pub fn set_functions(&mut self, now: Duration, functions: Vec<Function>) {
         self.now = now;
         self.functions = functions.into_iter().map(|f| (f.kind, f)).collect();
-        for (kind, shelf) in &mut self.shelves {
+        for (kind, pool) in &mut self.pools {
             if let Some(function) = self.functions.get(kind) {
-                shelf.function = function.clone();
+                pool.function = function.clone();
             }
         }
-        self.arrange(Cause::News);
+        self.update_all_pools(Cause::Update);
         self.pump();
     }
 
     /// Who lends and borrows, as the holder of the lease published it; this one among them if it does.
-    pub fn members(&mut self, now: Duration, members: Vec<Member>) {
+    pub fn set_members(&mut self, now: Duration, members: Vec<Member>) {
         let published = self.owners.set_provisional(false);
         self.replace_members(now, members, published);
     }
 
     /// Members that were heard of while the holder of the lease has published none.
-    pub fn provisional_members(&mut self, now: Duration, members: Vec<Member>) {
+    pub fn set_provisional_members(&mut self, now: Duration, members: Vec<Member>) {
         let withdrawn = self.owners.set_provisional(true);
         self.replace_members(now, members, withdrawn);
     }
@@ -40,57 +40,58 @@
         if !in_any_case && members == self.owners.members() {
             return;
         }
-        let known = |m: &&Member| self.owners.member(m.at).is_some_and(|old| old.life == m.life);
+        let known =
+            |m: &&Member| self.owners.member(m.at).is_some_and(|old| old.incarnation == m.incarnation);
         let fresh: HashSet<SocketAddr> = members.iter().filter(|m| !known(m)).map(|m| m.at).collect();
         let former = self.owners.replace(members);
-        self.name_lives();
+        self.name_incarnations();
         // One that begins anew may speak again.
-        self.passed_over.retain(|at, _| !fresh.contains(at));
+        self.suspects.retain(|at, _| !fresh.contains(at));
         self.changed = now;
-        self.arrange(Cause::Members(&former));
+        self.update_all_pools(Cause::Members(&former));
         self.former = former;
         self.claim();
         self.probe_former_owners();
-        self.tell_new_lenders(&fresh);
-        self.ask_owners();
-        self.ask_first_owners();
+        self.report_held_to_new_owners(&fresh);
+        self.retarget_requests();
+        self.request_without_owner();
         self.pump();
     }
 
     /// A life that the members name is the present one, also before it speaks.
-    pub(crate) fn name_lives(&mut self) {
+    pub(crate) fn name_incarnations(&mut self) {
         for member in self.owners.members().iter().filter(|member| member.at != self.me) {
-            if self.lives.named(self.awake, member.at, member.life) {
-                self.shelves.values_mut().for_each(|shelf| shelf.forget_asks(member.at, member.life));
+            if self.incarnations.named(self.awake, member.at, member.incarnation) {
+                self.pools.values_mut().for_each(|pool| pool.forget_requests(member.at, member.incarnation));
             }
         }
     }
 
     /// Loans held are told to whoever lends their instance now, if that is not who gave them, or lives anew.
-    pub(crate) fn tell_new_lenders(&mut self, fresh: &HashSet<SocketAddr>) {
-        let mut told = Vec::new();
+    pub(crate) fn report_held_to_new_owners(&mut self, fresh: &HashSet<SocketAddr>) {
+        let mut reported = Vec::new();
         for (&seq, call) in &self.calls {
-            let Stage::Holding { lender, instance, .. } = &call.stage else { continue };
+            let Stage::Holding { owner, instance, .. } = &call.stage else { continue };
             let Some(entry) = self.entries.get(instance) else { continue };
-            let Some(new) = self.lender(call.kind, &entry.zone) else { continue };
-            if new != *lender || fresh.contains(&new) {
-                told.push((seq, new, instance.clone(), call.kind, ms(call.end.saturating_sub(self.now))));
+            let Some(new) = self.owner_of(call.kind, &entry.zone) else { continue };
+            if new != *owner || fresh.contains(&new) {
+                reported.push((seq, new, instance.clone(), call.kind, ms(call.end.saturating_sub(self.now))));
             }
         }
-        for (seq, new, instance, kind, left) in told {
-            self.tell_holds(seq, new, kind, instance, left);
+        for (seq, new, instance, kind, left) in reported {
+            self.report_held(seq, new, kind, instance, left);
         }
     }
 
     /// Said until the new lender has heard: it may not know the instance yet.
-    pub(crate) fn tell_holds(&mut self, seq: u32, new: SocketAddr, kind: Kind, instance: String, left: u32) {
+    pub(crate) fn report_held(&mut self, seq: u32, new: SocketAddr, kind: Kind, instance: String, left: u32) {
         let now = self.now;
-        if let Some(Call { stage: Stage::Holding { lender, told, .. }, .. }) = self.calls.get_mut(&seq) {
-            *lender = new;
-            *told = Some((now, 1));
+        if let Some(Call { stage: Stage::Holding { owner, reported, .. }, .. }) = self.calls.get_mut(&seq) {
+            *owner = new;
+            *reported = Some((now, 1));
         }
         let id = hash(&instance);
-        self.strays.retain(|stray| (stray.to, stray.seq, stray.instance) != (new, seq, id));
-        self.say(new, Line::Holds { seq, kind, instance, left });
+        self.unused_grants.retain(|unused| (unused.to, unused.seq, unused.instance) != (new, seq, id));
+        self.send(new, Message::Holds { seq, kind, instance, left });
     }
 }
--- a/crates/lending/src/words.rs
+++ b/crates/lending/src/messages.rs
@@ -31,63 +31,90 @@
 
 /// A slot that is out, as a former owner tells the new one: whose it is, and for how many ms yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoanedSlot {
+pub struct GrantedSlot {
     pub to: SocketAddr,
-    pub life: u32,
+    #[serde(rename = "life")]
+    pub incarnation: u32,
     pub seq: u32,
     pub left: u32,
 }
 
 /// The most that are told of one instance; requesters tell of the rest themselves.
-pub const MAX_LOANED_SLOTS: usize = 32;
+pub const MAX_GRANTED_SLOTS: usize = 32;
 
 /// One line of a letter.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Line {
+pub enum Message {
     /// A slot is wanted. Times in ms: `aim` to the end of its full worth, `left` to its end.
-    Ask { seq: u32, kind: Kind, priority: u8, aim: u32, left: u32, avoid: u32, hops: u8 },
+    #[serde(rename = "Ask")]
+    Request { seq: u32, kind: Kind, priority: u8, aim: u32, left: u32, avoid: u32, hops: u8 },
     /// Here is one, with what is still free and who waits behind.
     Grant { seq: u32, instance: String, at: SocketAddr, free: u8, waiting: u8 },
     /// It is known and waits: answers an ask that came again.
-    Waits { seq: u32, free: u8, waiting: u8 },
+    #[serde(rename = "Waits")]
+    Queued { seq: u32, free: u8, waiting: u8 },
     /// The zone (its hash) whose lender has instances.
-    Elsewhere { seq: u32, zone: u32 },
+    #[serde(rename = "Elsewhere")]
+    Redirect { seq: u32, zone: u32 },
     /// No room in time; worth another try after so many ms.
-    Later { seq: u32, after: u32 },
+    #[serde(rename = "Later")]
+    RetryAfter { seq: u32, after: u32 },
     /// A slot comes back, or an ask is taken back; `ms` it was held. Without a kind (0) the lender looks for it.
     Return { seq: u32, kind: Kind, ended: Ended, ms: u32 },
     /// The return was heard.
-    Noted { seq: u32 },
+    #[serde(rename = "Noted")]
+    ReturnAck { seq: u32 },
     /// Told to a new lender: this slot is out, for so many ms yet.
     Holds { seq: u32, kind: Kind, instance: String, left: u32 },
     /// That was written down. Instances are named by their hash here and below.
-    Heard { seq: u32, kind: Kind, instance: u32 },
+    #[serde(rename = "Heard")]
+    HoldsAck { seq: u32, kind: Kind, instance: u32 },
     /// A slot nobody waits for any more; 0 for a place in the queue.
-    Unwanted { seq: u32, kind: Kind, instance: u32 },
+    #[serde(rename = "Unwanted")]
+    Release { seq: u32, kind: Kind, instance: u32 },
     /// It was struck out.
-    Dropped { seq: u32, instance: u32 },
+    #[serde(rename = "Dropped")]
+    ReleaseAck { seq: u32, instance: u32 },
     /// What a lender has of a function: free slots, waiting calls, ms that a call takes.
-    Room { kind: Kind, free: u8, waiting: u8, run: u16 },
+    #[serde(rename = "Room")]
+    Capacity { kind: Kind, free: u8, waiting: u8, run: u16 },
     /// Asked of a borrower, of a loan that is out for long or was forgotten for a while: does it have it still?
-    Still { seq: u32, kind: Kind, instance: u32, life: u32 },
+    #[serde(rename = "Still")]
+    CheckGrant {
+        seq: u32,
+        kind: Kind,
+        instance: u32,
+        #[serde(rename = "life")]
+        incarnation: u32,
+    },
     /// A grant that the requester won't use: by its own word the instance leaves, or has ended. Answered with `Dropped`.
     Refused { seq: u32, kind: Kind, instance: u32 },
     /// To the new owner of an instance: the sender lends it no more, and these slots are out.
-    HandsOver { kind: Kind, instance: String, loans: Vec<LoanedSlot>, complete: bool },
+    #[serde(rename = "HandsOver")]
+    Handover {
+        kind: Kind,
+        instance: String,
+        #[serde(rename = "loans")]
+        grants: Vec<GrantedSlot>,
+        complete: bool,
+    },
     /// That was written down.
-    TookOver { instance: u32 },
+    #[serde(rename = "TookOver")]
+    HandoverAck { instance: u32 },
     /// To the former owner of an instance: the sender owns it from now on, and waits for what is out.
-    Claims { kind: Kind, instance: String },
+    #[serde(rename = "Claims")]
+    Claim { kind: Kind, instance: String },
     /// The answer of one that has handed it over to another already.
-    GaveTo { kind: Kind, instance: String, owner: SocketAddr },
+    #[serde(rename = "GaveTo")]
+    HandedTo { kind: Kind, instance: String, owner: SocketAddr },
 }
 
-impl Line {
+impl Message {
     /// About how many bytes it takes.
     fn size(&self) -> usize {
         match self {
-            Line::HandsOver { instance, loans, .. } => 8 + instance.len() + 20 * loans.len(),
-            Line::Claims { instance, .. } | Line::GaveTo { instance, .. } => 20 + instance.len(),
+            Message::Handover { instance, grants, .. } => 8 + instance.len() + 20 * grants.len(),
+            Message::Claim { instance, .. } | Message::HandedTo { instance, .. } => 20 + instance.len(),
             _ => 32,
         }
     }
@@ -95,34 +122,36 @@
 
 /// A datagram: who says it (the life of its process) and its lines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Letter {
-    pub life: u32,
-    pub lines: Vec<Line>,
+pub struct Datagram {
+    #[serde(rename = "life")]
+    pub incarnation: u32,
+    #[serde(rename = "lines")]
+    pub messages: Vec<Message>,
 }
 
 /// Lines in one datagram; keeps it under a packet's size.
-pub const LINES: usize = 16;
+pub const MAX_MESSAGES: usize = 16;
 /// Bytes of the lines in one datagram, for lines that are longer than most.
-const LINES_SIZE: usize = 1200;
+const MAX_MESSAGES_BYTES: usize = 1200;
 
 /// How many of these lines go in the next datagram.
-pub fn lines_that_fit(lines: &[Line]) -> usize {
+pub fn messages_that_fit(messages: &[Message]) -> usize {
     let mut size = 0;
-    let fit = lines.iter().take(LINES).take_while(|line| {
-        size += line.size();
-        size <= LINES_SIZE
+    let fit = messages.iter().take(MAX_MESSAGES).take_while(|message| {
+        size += message.size();
+        size <= MAX_MESSAGES_BYTES
     });
-    fit.count().max(1).min(lines.len())
+    fit.count().max(1).min(messages.len())
 }
 
-impl Letter {
+impl Datagram {
     /// None for what cannot be read: dropped by the reader, never guessed.
-    pub fn read(bytes: &[u8]) -> Option<Letter> {
-        let (letter, rest) = postcard::take_from_bytes::<Letter>(bytes).ok()?;
-        (rest.is_empty() && letter.lines.len() <= LINES).then_some(letter)
+    pub fn decode(bytes: &[u8]) -> Option<Datagram> {
+        let (datagram, rest) = postcard::take_from_bytes::<Datagram>(bytes).ok()?;
+        (rest.is_empty() && datagram.messages.len() <= MAX_MESSAGES).then_some(datagram)
     }
 
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 }
--- a/crates/lending/src/owners.rs
+++ b/crates/lending/src/owners.rs
@@ -4,8 +4,8 @@
 //! of its process's end and no proof: a firewall refuses as well, for both sides of a cut. So it counts only while this
 //! process may be on the side of the holder, and not for longer than the holder takes to publish an end.
 
-use crate::planted::{planted, Defect};
-use crate::words::Kind;
+use crate::defects::{injected, Defect};
+use crate::messages::Kind;
 use crate::Member;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 
 /// Connections to a member were refused.
 struct Refusal {
-    life: u32,
+    incarnation: u32,
     since: Duration,
 }
 
@@ -34,7 +34,7 @@
     members: Vec<Member>,
     refusals: HashMap<SocketAddr, Refusal>,
     /// This process is likely cut off from the holder, so that refusals prove nothing.
-    doubted: bool,
+    distrusted: bool,
     /// These are the members that were heard of, and not those that the holder published: who begins hears of those of its own
     /// zone first, and of the others in an order of chance.
     provisional: bool,
@@ -53,16 +53,16 @@
     /// Other members. Returns the former ones.
     pub fn replace(&mut self, members: Vec<Member>) -> Vec<Member> {
         self.refusals.retain(|at, refusal| {
-            members.iter().any(|member| member.at == *at && member.life == refusal.life)
+            members.iter().any(|member| member.at == *at && member.incarnation == refusal.incarnation)
         });
         std::mem::replace(&mut self.members, members)
     }
 
     /// Time passes, and refusals are doubted or not; true if other members count as ended now.
-    pub fn weigh(&mut self, now: Duration, doubted: bool) -> bool {
-        let doubted = doubted && !planted(Defect::RefusalIsProof);
+    pub fn update_refusals(&mut self, now: Duration, distrusted: bool) -> bool {
+        let distrusted = distrusted && !injected(Defect::RefusalIsProof);
         let before = self.refusals.keys().filter(|at| self.has_ended(**at)).count();
-        (self.now, self.doubted) = (now, doubted);
+        (self.now, self.distrusted) = (now, distrusted);
         let after = self.refusals.keys().filter(|at| self.has_ended(**at)).count();
         self.refusals.retain(|_, refusal| now < refusal.since + REFUSAL_KEPT);
         before != after
@@ -79,17 +79,17 @@
 
     /// Its process counts as ended.
     pub fn has_ended(&self, at: SocketAddr) -> bool {
-        let counts = |refusal: &Refusal| refusal.counts(self.now) || planted(Defect::RefusalIsProof);
-        !self.doubted && self.refusals.get(&at).is_some_and(counts)
+        let counts = |refusal: &Refusal| refusal.counts(self.now) || injected(Defect::RefusalIsProof);
+        !self.distrusted && self.refusals.get(&at).is_some_and(counts)
     }
 
     /// Connections to a member are refused; true if that is news of the life that it is known by.
     pub fn note_refusal(&mut self, now: Duration, at: SocketAddr) -> bool {
-        let Some(life) = self.member(at).map(|member| member.life) else { return false };
-        if self.refusals.get(&at).is_some_and(|known| known.life == life) {
+        let Some(incarnation) = self.member(at).map(|member| member.incarnation) else { return false };
+        if self.refusals.get(&at).is_some_and(|known| known.incarnation == incarnation) {
             return false;
         }
-        self.refusals.insert(at, Refusal { life, since: now });
+        self.refusals.insert(at, Refusal { incarnation, since: now });
         true
     }
 
@@ -100,7 +100,7 @@
 
     /// Whether the members were heard of, and not published; true if that is another word than before.
     pub fn set_provisional(&mut self, provisional: bool) -> bool {
-        let provisional = provisional && !planted(Defect::FirstHeardOwns);
+        let provisional = provisional && !injected(Defect::FirstKnownOwns);
         std::mem::replace(&mut self.provisional, provisional) != provisional
     }
 
--- /dev/null
+++ b/crates/lending/src/pool.rs
@@ -0,0 +1,830 @@
+//! The lender's books: slots of the instances in its care, who has them, who waits.
+
+use crate::defects::{injected, Defect};
+use crate::messages::{kind as hash, Ended, GrantedSlot, Kind};
+use crate::selection::{index, BootTimes, IndexInputs, InstanceStats, Score, RATE_FLOOR};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// A loan outlives its call's end by this much: the answer's way, and a clock that runs slow.
+const EXPIRY_GRACE: Duration = Duration::from_millis(300);
+/// An instance that was full though its books said otherwise lends nothing for so long.
+const FULL_PAUSE: Duration = Duration::from_millis(60);
+/// One that a requester knows to leave: this lender's own word is older, and the newer one is on its way.
+const LEAVING_PAUSE: Duration = Duration::from_millis(500);
+/// One that kept silent rests longer, doubling up to eight times this.
+const SILENT_PAUSE: Duration = Duration::from_millis(500);
+/// Smooths run times: about twenty runs.
+const RUN_SMOOTHING: f64 = 0.05;
+/// Runs of a priority after which an instance's own are held against them.
+const MIN_RUNS: u64 = 20;
+/// Seconds a slot is held, before any was.
+const INITIAL_RUN_S: f64 = 0.1;
+/// A call that ends after this share of its aim is not served well: another instance is wanted.
+const SHORTAGE_SHARE: f64 = 0.6;
+/// A call that is late anyway waits at most this share of the time it has left: its client can then still try again.
+const LATE_WAIT_SHARE: f64 = 0.5;
+/// A borrower is asked after a loan that is out so long, or so many times as long as usual, whichever is more.
+const CHECK_AFTER: Duration = Duration::from_millis(1000);
+const CHECK_AFTER_RUNS: f64 = 8.0;
+/// Priorities up to this are urgent.
+pub const URGENT: u8 = 1;
+/// A call is handed on only if it gains so much.
+const MIN_GAIN: Duration = Duration::from_millis(10);
+/// Seconds over which it is told where calls come from, and the most zones that are told apart.
+const ORIGIN_WINDOW_S: f64 = 4.0;
+const MAX_ORIGINS: usize = 64;
+/// Calls that may wait for one function; more are turned away at once.
+const MAX_QUEUE: usize = 512;
+
+/// Terms of a function.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Function {
+    pub kind: Kind,
+    pub name: String,
+    pub slots: usize,
+    pub boot: Duration,
+}
+
+/// An instance as the stacks tell it.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Entry {
+    pub instance: String,
+    pub kind: Kind,
+    pub at: SocketAddr,
+    pub zone: String,
+    /// It has started: the list shows it, or somebody has reached it.
+    pub ready: bool,
+    /// It may take calls: neither draining nor about to be stopped.
+    pub accepts_calls: bool,
+    /// When it was begun, by the reader's clock.
+    pub since: Duration,
+}
+
+#[derive(Debug, Clone)]
+pub struct SlotGrant {
+    pub to: SocketAddr,
+    /// Of the borrower's process: one that begins anew has not got it, but its call may still run.
+    pub incarnation: u32,
+    pub seq: u32,
+    pub since: Duration,
+    pub until: Duration,
+    priority: u8,
+    /// The borrower is asked then whether it has it still, and how often it has been.
+    check_at: Duration,
+    checks: u32,
+}
+
+impl SlotGrant {
+    fn is(&self, from: SocketAddr, incarnation: u32, seq: u32) -> bool {
+        self.to == from && self.seq == seq && self.incarnation == incarnation
+    }
+}
+
+#[derive(Debug)]
+pub struct InstanceLedger {
+    pub entry: Entry,
+    pub grants: Vec<SlotGrant>,
+    paused_until: Duration,
+    /// The former owner whose handover ends the rest.
+    pub awaits: Option<SocketAddr>,
+    /// When its first rest ends: what was out before is known from then on.
+    pub complete_from: Duration,
+    /// When it is next asked for.
+    pub claim_due: Duration,
+    silent: u32,
+    pub dialled: Duration,
+    /// It has been dialled in vain: the first connection it takes tells how long its start took.
+    pub refused: bool,
+    stats: InstanceStats,
+}
+
+/// A call that waits for a slot.
+#[derive(Debug, Clone)]
+pub struct SlotRequest {
+    pub from: SocketAddr,
+    pub incarnation: u32,
+    pub seq: u32,
+    pub priority: u8,
+    pub arrived: Duration,
+    pub aim: Duration,
+    pub end: Duration,
+    pub avoid: u32,
+    /// It cannot be in time for its full worth any more.
+    pub late: bool,
+    /// How often it has been sent on.
+    pub hops: u8,
+}
+
+impl SlotRequest {
+    /// The order of service: those in time, then by rank, then by who must be served first.
+    fn key(&self) -> (bool, u8, Duration) {
+        (self.late, self.priority, self.aim)
+    }
+}
+
+/// What a lender tells the scaler of a function.
+#[derive(Debug, Clone, PartialEq)]
+pub struct LoadReport {
+    pub kind: Kind,
+    pub rate: f64,
+    pub busy: f64,
+    pub peak: usize,
+    pub waiting: usize,
+    pub run: Duration,
+    pub idle: Duration,
+    /// Zones (their hashes) that the calls came from lately, with their shares.
+    pub origins: Vec<(u32, f64)>,
+}
+
+/// Run times of one priority: seconds, and its share of the late runs.
+#[derive(Debug, Default)]
+struct Run {
+    mean: f64,
+    share: f64,
+    count: u64,
+}
+
+/// One function at one lender.
+#[derive(Debug)]
+pub struct SlotPool {
+    pub function: Function,
+    pub ledgers: Vec<InstanceLedger>,
+    pub queue: Vec<SlotRequest>,
+    runs: BTreeMap<u8, Run>, // by priority: a function may serve short calls and long ones
+    rate: f64,
+    busy: f64,
+    smoothed: Duration,
+    arrivals: usize,
+    /// Calls by the zone of the desk that has them, fading over `ORIGIN`.
+    origins: BTreeMap<u32, f64>,
+    peak: usize,
+    rejected: usize, // away since the last telling
+    last_arrival: Duration,
+    reported: Duration,
+    report_interval: Duration,
+    changed: bool,
+    boots: BootTimes,
+    score: Score,
+}
+
+/// Whether a call that would wait here for so long does better `far` away, where there is room: an urgent one if it is
+/// quicker, another only if it is not in time here.
+pub fn gains_by_redirect(
+    now: Duration,
+    request: &SlotRequest,
+    wait: Duration,
+    run: f64,
+    far: Duration,
+) -> bool {
+    let late = now + wait + Duration::from_secs_f64(run) > request.aim;
+    wait > far + MIN_GAIN && (late || request.priority <= URGENT)
+}
+
+/// What an ask comes to.
+pub enum Verdict {
+    Granted(usize),
+    Waits,
+    Later(Duration),
+}
+
+impl SlotPool {
+    pub fn new(function: Function, now: Duration) -> Self {
+        SlotPool {
+            function,
+            ledgers: Vec::new(),
+            queue: Vec::new(),
+            runs: BTreeMap::new(),
+            rate: 0.0,
+            busy: 0.0,
+            smoothed: now,
+            arrivals: 0,
+            origins: BTreeMap::new(),
+            peak: 0,
+            rejected: 0,
+            last_arrival: now,
+            reported: Duration::ZERO,
+            report_interval: Duration::ZERO,
+            changed: false,
+            boots: BootTimes::default(),
+            score: index,
+        }
+    }
+
+    /// Another way to score instances, to be compared with the index.
+    pub fn with_score(mut self, score: Score) -> Self {
+        self.score = score;
+        self
+    }
+
+    /// A start was seen from its beginning to the first connection that was taken.
+    pub fn started(&mut self, took: Duration) {
+        self.boots.observe(took, self.function.boot);
+    }
+
+    /// The mean time a slot is held, over all calls.
+    pub fn run(&self) -> Duration {
+        let (sum, weight) =
+            self.runs.values().fold((0.0, 0.0), |(s, w), run| (s + run.mean * run.share, w + run.share));
+        Duration::from_secs_f64(if weight > 0.0 { sum / weight } else { INITIAL_RUN_S })
+    }
+
+    /// The same for calls of one priority.
+    fn run_of(&self, priority: u8) -> f64 {
+        self.runs.get(&priority).map_or_else(|| self.run().as_secs_f64(), |run| run.mean)
+    }
+
+    fn ran(&mut self, priority: u8, held: f64) {
+        for run in self.runs.values_mut() {
+            run.share *= 1.0 - RUN_SMOOTHING;
+        }
+        if self.runs.len() >= 16 && !self.runs.contains_key(&priority) {
+            return;
+        }
+        let run = self.runs.entry(priority).or_default();
+        run.count += 1;
+        run.share += RUN_SMOOTHING;
+        run.mean += RUN_SMOOTHING.max(1.0 / run.count as f64) * (held.clamp(0.002, 60.0) - run.mean);
+    }
+
+    pub fn granted(&self) -> usize {
+        self.ledgers.iter().map(|ledger| ledger.grants.len()).sum()
+    }
+
+    /// Calls that one instance may have at once.
+    pub fn slots(&self) -> usize {
+        self.function.slots.max(1)
+    }
+
+    /// Free slots now, over all that lends.
+    pub fn free(&self, now: Duration) -> usize {
+        let open = self.ledgers.iter().filter(|ledger| ledger.can_grant(now));
+        open.map(|ledger| self.slots().saturating_sub(ledger.grants.len())).sum()
+    }
+
+    pub fn accepts_calls(&self) -> bool {
+        self.ledgers.iter().any(|ledger| ledger.entry.accepts_calls)
+    }
+
+    /// Rates by time: the mean busy slots over half a second, arrivals over one.
+    fn smooth(&mut self, now: Duration) {
+        let span = now.saturating_sub(self.smoothed).as_secs_f64();
+        if span < 0.05 {
+            return;
+        }
+        self.smoothed = now;
+        let (kept_rate, kept_busy) = ((-span).exp(), (-span / 0.5).exp());
+        self.rate = self.rate * kept_rate + self.arrivals as f64 / span * (1.0 - kept_rate);
+        self.busy = self.busy * kept_busy + self.granted() as f64 * (1.0 - kept_busy);
+        self.arrivals = 0;
+        let kept = (-span / ORIGIN_WINDOW_S).exp();
+        self.origins.retain(|_, calls| {
+            *calls *= kept;
+            *calls > 0.01
+        });
+    }
+
+    /// Calls a second over about the last one, as it stands now.
+    pub fn rate(&self, now: Duration) -> f64 {
+        let span = now.saturating_sub(self.smoothed).as_secs_f64();
+        if span < 0.05 {
+            return self.rate;
+        }
+        let kept = (-span).exp();
+        self.rate * kept + self.arrivals as f64 / span * (1.0 - kept)
+    }
+
+    /// A call of a desk in this zone has come; it is counted once.
+    pub fn count_arrival(&mut self, now: Duration, origin: u32) {
+        self.smooth(now);
+        self.arrivals += 1;
+        if self.origins.len() < MAX_ORIGINS || self.origins.contains_key(&origin) {
+            *self.origins.entry(origin).or_default() += 1.0;
+        }
+        self.last_arrival = now;
+        self.changed = true;
+        self.peak = self.peak.max(self.granted() + self.queue.len() + 1);
+    }
+
+    /// What the index of an instance is made of.
+    fn index_inputs(&self, now: Duration, ledger: &InstanceLedger, instances: usize) -> IndexInputs {
+        let n = ledger.grants.len();
+        IndexInputs {
+            n,
+            energy: ledger.stats.energy(now, n),
+            lambda: self.rate.max(RATE_FLOOR),
+            mu: self.slots() as f64 / (self.run().as_secs_f64() * ledger.stats.ratio()).max(1e-3),
+            delta: self.boots.delta(self.function.boot),
+            instances,
+        }
+    }
+
+    /// The instance with the lowest index among those with a free slot, ties by `chance`. One that has completed nothing
+    /// yet stands at the others' mean. What the call wants to avoid comes last.
+    fn lowest(
+        &self,
+        now: Duration,
+        avoid: u32,
+        random_below: &mut dyn FnMut(usize) -> usize,
+    ) -> Option<usize> {
+        let slots = self.slots() + usize::from(injected(Defect::OneTooMany));
+        let started =
+            || self.ledgers.iter().filter(|ledger| ledger.entry.accepts_calls && ledger.entry.ready);
+        let instances = started().count();
+        let own = |ledger: &InstanceLedger| (self.score)(&self.index_inputs(now, ledger, instances));
+        let mut mean = None; // found once it is wanted
+        let (mut best, mut lowest, mut ties) = (None, (true, f64::INFINITY), 0);
+        for (i, ledger) in self.ledgers.iter().enumerate() {
+            if !ledger.can_grant(now) || ledger.grants.len() >= slots {
+                continue;
+            }
+            let index = if ledger.stats.known() {
+                own(ledger)
+            } else {
+                let mean = *mean.get_or_insert_with(|| {
+                    let known = started().filter(|ledger| ledger.stats.known()).map(own);
+                    let (sum, count) =
+                        known.fold((0.0, 0.0), |(sum, count), index| (sum + index, count + 1.0));
+                    (count > 0.0).then(|| sum / count)
+                });
+                mean.unwrap_or_else(|| own(ledger))
+            };
+            // A second try goes elsewhere where there is an elsewhere. No addend: the index grows as b^n, beyond any.
+            let avoided = hash(&ledger.entry.instance) == avoid;
+            let close = 1e-9 * (1.0 + lowest.1.abs());
+            if (avoided, index) < lowest && !(avoided == lowest.0 && (lowest.1 - index) <= close) {
+                (best, lowest, ties) = (Some(i), (avoided, index), 1);
+            } else if avoided == lowest.0 && (index - lowest.1).abs() <= close {
+                ties += 1;
+                if random_below(ties) == 0 {
+                    best = Some(i);
+                }
+            }
+        }
+        best
+    }
+
+    /// When slots come free, soonest first: those of instances that start, and those lent, by what such calls take.
+    fn slots_free(&self, now: Duration) -> Vec<f64> {
+        let mut free = Vec::new();
+        for ledger in self.ledgers.iter().filter(|ledger| ledger.entry.accepts_calls) {
+            let up = (ledger.entry.since + self.function.boot).saturating_sub(now).as_secs_f64();
+            let from = match ledger.entry.ready {
+                true => ledger.paused_until.saturating_sub(now).as_secs_f64(),
+                false => up.max(0.05),
+            };
+            for grant in &ledger.grants {
+                let run = self.run_of(grant.priority);
+                let held = now.saturating_sub(grant.since).as_secs_f64();
+                // One that runs longer than usual may go on as long again.
+                free.push((run - held).max(0.3 * run).max(from));
+            }
+            free.extend(std::iter::repeat_n(from, self.slots().saturating_sub(ledger.grants.len()).min(64)));
+        }
+        if free.is_empty() {
+            let boot = self.function.boot.as_secs_f64() + 0.06;
+            free.extend(std::iter::repeat_n(boot, self.slots().min(64)));
+        }
+        free.sort_by(f64::total_cmp);
+        free
+    }
+
+    /// The start of a call's run if it takes the soonest slot, which is then taken for `run` seconds.
+    fn place(free: &mut [f64], run: f64) -> f64 {
+        let Some(first) = free.first_mut() else { return f64::INFINITY };
+        let start = *first;
+        *first += run;
+        let mut i = 0;
+        while i + 1 < free.len() && free[i] > free[i + 1] {
+            free.swap(i, i + 1);
+            i += 1;
+        }
+        start
+    }
+
+    /// When this call's run would start, behind those that go before it.
+    fn estimate(&self, now: Duration, request: &SlotRequest) -> Duration {
+        let mut free = self.slots_free(now);
+        for other in self.queue.iter().filter(|other| other.key() <= request.key()) {
+            Self::place(&mut free, self.run_of(other.priority));
+        }
+        Duration::try_from_secs_f64(Self::place(&mut free, 0.0)).unwrap_or(Duration::from_secs(60))
+    }
+
+    /// When a call that comes now would start, if not at once.
+    pub fn wait(&self, now: Duration, request: &SlotRequest) -> Option<Duration> {
+        let at_once = self.queue.is_empty() && self.free(now) > 0;
+        (!at_once).then(|| self.estimate(now, request))
+    }
+
+    /// Waiting calls that would gain by going where there is room, `far` away: those that are not in time here, and urgent
+    /// ones that wait for longer than the way there takes. Urgent ones first, at most `most`.
+    pub fn take_redirectable(
+        &mut self,
+        now: Duration,
+        far: Duration,
+        most: usize,
+        hops: u8,
+    ) -> Vec<SlotRequest> {
+        let mut free = self.slots_free(now);
+        let mut gain: Vec<(u8, usize)> = Vec::new();
+        for (n, request) in self.queue.iter().enumerate() {
+            let run = self.run_of(request.priority);
+            let start = Self::place(&mut free, run);
+            let there = now + far + Duration::from_secs_f64(run);
+            let wait = Duration::try_from_secs_f64(start).unwrap_or(Duration::MAX / 4);
+            if request.hops < hops && there < request.end && gains_by_redirect(now, request, wait, run, far) {
+                gain.push((request.priority, n));
+            }
+        }
+        gain.sort_unstable();
+        gain.truncate(most);
+        let mut places: Vec<usize> = gain.into_iter().map(|(_, n)| n).collect();
+        places.sort_unstable_by(|a, b| b.cmp(a));
+        let mut gone: Vec<SlotRequest> = places.into_iter().map(|n| self.queue.remove(n)).collect();
+        gone.reverse();
+        gone
+    }
+
+    /// Mean time a slot is held, for calls of this rank.
+    pub fn mean_run(&self, priority: u8) -> f64 {
+        self.run_of(priority)
+    }
+
+    /// Waiting calls that the slots there are, and those that start, do not serve well before their aim.
+    fn shortage(&self, now: Duration) -> usize {
+        if self.queue.is_empty() {
+            return 0;
+        }
+        if !self.accepts_calls() {
+            return self.queue.len();
+        }
+        let mut free = self.slots_free(now);
+        let late = |request: &&SlotRequest| {
+            let run = self.run_of(request.priority);
+            let ends = Self::place(&mut free, run) + run;
+            ends > request.aim.saturating_sub(request.arrived).as_secs_f64() * SHORTAGE_SHARE
+                - now.saturating_sub(request.arrived).as_secs_f64()
+        };
+        self.queue.iter().filter(late).count()
+    }
+
+    pub fn has_shortage(&self, now: Duration) -> bool {
+        self.rejected > 0 || self.shortage(now) > 0
+    }
+
+    /// An ask: a slot at once, a place in the queue, or no.
+    pub fn request(
+        &mut self,
+        now: Duration,
+        mut request: SlotRequest,
+        random_below: &mut dyn FnMut(usize) -> usize,
+    ) -> Verdict {
+        if self.queue.is_empty() {
+            if let Some(i) = self.lowest(now, request.avoid, random_below) {
+                self.grant(now, i, &request);
+                return Verdict::Granted(i);
+            }
+        }
+        let run = Duration::from_secs_f64(self.run_of(request.priority));
+        let left = request.end.saturating_sub(now);
+        let wait = self.estimate(now, &request);
+        // What cannot be in time waits behind all that can, as long as that leaves its client another try; else it is told
+        // so at once.
+        if now + wait + run > request.aim {
+            request.late = true;
+            let wait = self.estimate(now, &request);
+            if wait + run > left.mul_f64(LATE_WAIT_SHARE) || self.queue.len() >= MAX_QUEUE {
+                self.rejected += 1;
+                return Verdict::Later(wait);
+            }
+        } else if self.queue.len() >= MAX_QUEUE {
+            return Verdict::Later(wait);
+        }
+        let at = match injected(Defect::ArrivalOrder) {
+            true => self.queue.len(),
+            false => self.queue.partition_point(|other| other.key() <= request.key()),
+        };
+        self.queue.insert(at, request);
+        self.peak = self.peak.max(self.granted() + self.queue.len());
+        Verdict::Waits
+    }
+
+    pub fn grant(&mut self, now: Duration, i: usize, request: &SlotRequest) {
+        let mean_run = Duration::from_secs_f64(self.run_of(request.priority) * CHECK_AFTER_RUNS);
+        let grant = SlotGrant {
+            to: request.from,
+            incarnation: request.incarnation,
+            seq: request.seq,
+            since: now,
+            until: request.end + EXPIRY_GRACE,
+            priority: request.priority,
+            check_at: now + mean_run.max(CHECK_AFTER),
+            checks: 0,
+        };
+        let ledger = &mut self.ledgers[i];
+        ledger.stats.granted(now, ledger.grants.len());
+        ledger.grants.push(grant);
+        self.peak = self.peak.max(self.granted() + self.queue.len());
+    }
+
+    /// The next waiting call that can have a slot, with the book it is lent from.
+    pub fn serve(
+        &mut self,
+        now: Duration,
+        random_below: &mut dyn FnMut(usize) -> usize,
+    ) -> Option<(usize, SlotRequest)> {
+        self.demote_late(now);
+        let avoid = self.queue.first()?.avoid;
+        let i = self.lowest(now, avoid, random_below)?;
+        let request = self.queue.remove(0);
+        if !injected(Defect::GrantNotRecorded) {
+            self.grant(now, i, &request);
+        }
+        Some((i, request))
+    }
+
+    /// Calls in front that have waited too long to be in time let the others go first: serving them all late would leave
+    /// none in time.
+    fn demote_late(&mut self, now: Duration) {
+        for _ in 0..self.queue.len() {
+            let Some(first) = self.queue.first().filter(|w| !w.late) else { return };
+            let run = Duration::from_secs_f64(self.run_of(first.priority));
+            if now + run.mul_f64(0.7) <= first.aim {
+                return;
+            }
+            let mut request = self.queue.remove(0);
+            request.late = true;
+            let at = self.queue.partition_point(|other| other.key() <= request.key());
+            self.queue.insert(at, request);
+        }
+    }
+
+    /// Calls that can no longer end in time: out of the queue.
+    pub fn remove_hopeless(&mut self, now: Duration) -> Vec<SlotRequest> {
+        let runs: Vec<f64> = self.queue.iter().map(|request| self.run_of(request.priority)).collect();
+        let mut runs = runs.into_iter();
+        let (gone, kept) = self.queue.drain(..).partition(|request| {
+            request.end <= now + Duration::from_secs_f64(runs.next().unwrap_or_default())
+        });
+        self.queue = kept;
+        gone
+    }
+
+    /// A slot comes back. The book of an instance that is to be told of as gone is closed.
+    pub fn return_slot(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        incarnation: u32,
+        seq: u32,
+        ended: Ended,
+    ) -> Option<InstanceLedger> {
+        self.queue
+            .retain(|request| (request.from, request.incarnation, request.seq) != (from, incarnation, seq));
+        let same = |grant: &SlotGrant| grant.is(from, incarnation, seq);
+        let i = self.ledgers.iter().position(|ledger| ledger.grants.iter().any(same))?;
+        let ledger = &mut self.ledgers[i];
+        let grant = ledger.grants.iter().position(same).map(|at| ledger.grants.swap_remove(at))?;
+        if injected(Defect::FreedTwice) {
+            ledger.grants.pop();
+        }
+        let held = now.saturating_sub(grant.since).as_secs_f64();
+        let mean_run =
+            self.runs.get(&grant.priority).filter(|run| run.count >= MIN_RUNS).map(|run| held / run.mean);
+        ledger.stats.record_return(now, ended, mean_run);
+        match ended {
+            Ended::Done => {
+                ledger.silent = 0;
+                self.ran(grant.priority, held);
+            }
+            Ended::Idle => {}
+            Ended::Full => ledger.paused_until = now + FULL_PAUSE,
+            Ended::Leaving => ledger.paused_until = now + LEAVING_PAUSE,
+            Ended::Silent => {
+                ledger.paused_until = now + SILENT_PAUSE * (1 << ledger.silent.min(3));
+                ledger.silent += 1;
+                if ledger.silent >= 4 {
+                    return Some(self.drop_ledger(i));
+                }
+            }
+            Ended::Gone => return Some(self.drop_ledger(i)),
+        }
+        self.changed = true;
+        None
+    }
+
+    fn drop_ledger(&mut self, i: usize) -> InstanceLedger {
+        self.changed = true;
+        self.ledgers.swap_remove(i)
+    }
+
+    /// A loan that a former lender gave, or one asked after: counted as out until it comes back or its call must be over.
+    /// False if the instance is not in this one's care.
+    pub fn record_held(&mut self, now: Duration, grant: SlotGrant, instance: &str) -> bool {
+        let Some(ledger) = self.ledgers.iter_mut().find(|ledger| ledger.entry.instance == instance) else {
+            return false;
+        };
+        let has_space = ledger.grants.len() < 4096;
+        match ledger.grants.iter_mut().find(|old| old.is(grant.to, grant.incarnation, grant.seq)) {
+            Some(old) => old.schedule_check(now),
+            None if has_space => ledger.grants.push(grant),
+            None => return false,
+        }
+        true
+    }
+
+    /// A grant that nobody waits for any more, or (instance 0) a place in the queue.
+    pub fn unwanted(&mut self, from: SocketAddr, incarnation: u32, seq: u32, instance: u32) {
+        if instance == 0 {
+            self.queue.retain(|request| {
+                (request.from, request.incarnation, request.seq) != (from, incarnation, seq)
+            });
+        }
+        for ledger in self.ledgers.iter_mut().filter(|ledger| hash(&ledger.entry.instance) == instance) {
+            if let Some(at) = ledger.grants.iter().position(|grant| grant.is(from, incarnation, seq)) {
+                ledger.grants.swap_remove(at);
+                self.changed = true;
+            }
+        }
+    }
+
+    /// A grant that its requester won't use, since it knows the instance to leave.
+    pub fn refused(&mut self, now: Duration, from: SocketAddr, incarnation: u32, seq: u32, instance: u32) {
+        for ledger in self.ledgers.iter_mut().filter(|ledger| hash(&ledger.entry.instance) == instance) {
+            if let Some(at) = ledger.grants.iter().position(|grant| grant.is(from, incarnation, seq)) {
+                ledger.grants.swap_remove(at);
+                ledger.paused_until = now + LEAVING_PAUSE;
+                self.changed = true;
+            }
+        }
+    }
+
+    /// A process that begins anew waits for nothing that the one before asked for.
+    pub fn forget_requests(&mut self, from: SocketAddr, incarnation: u32) {
+        self.queue.retain(|request| request.from != from || request.incarnation == incarnation);
+    }
+
+    /// Loans whose call must be over, and whose borrower never said so.
+    pub fn expire(&mut self, now: Duration) {
+        if injected(Defect::NoExpiry) {
+            return;
+        }
+        for ledger in &mut self.ledgers {
+            ledger.grants.retain(|grant| grant.until > now);
+        }
+    }
+
+    /// This borrower is asked at once after all loans that it has been asked after before.
+    pub fn check_requester(&mut self, now: Duration, from: SocketAddr) {
+        let of = self.ledgers.iter_mut().flat_map(|ledger| &mut ledger.grants);
+        for grant in of.filter(|grant| grant.to == from && now >= grant.since + CHECK_AFTER / 4) {
+            (grant.check_at, grant.checks) = (now, 0);
+        }
+    }
+
+    /// Loans to be asked after now: the borrower, its life, the call and the instance.
+    pub fn due_checks(&mut self, now: Duration) -> Vec<(SocketAddr, u32, u32, u32)> {
+        let mut all = Vec::new();
+        if injected(Defect::NeverChecked) {
+            return all;
+        }
+        for ledger in &mut self.ledgers {
+            for grant in ledger.grants.iter_mut().filter(|grant| now >= grant.check_at) {
+                grant.schedule_check(now);
+                all.push((grant.to, grant.incarnation, grant.seq, hash(&ledger.entry.instance)));
+            }
+        }
+        all
+    }
+
+    /// What the scaler is to hear, if anything; said again at growing pauses once nothing happens.
+    pub fn load_report(&mut self, now: Duration, at_least: Duration) -> Option<LoadReport> {
+        self.smooth(now);
+        if !self.queue.is_empty() || self.granted() > 0 {
+            self.changed = true;
+        }
+        let pause = if self.changed { at_least } else { self.report_interval };
+        if self.last_arrival == Duration::ZERO
+            || now < self.reported + pause
+            || (!self.changed && self.report_interval > Duration::from_secs(20))
+        {
+            return None;
+        }
+        self.report_interval = if self.changed { at_least * 2 } else { self.report_interval * 2 };
+        (self.reported, self.changed) = (now, false);
+        let peak = std::mem::take(&mut self.peak).max(self.granted() + self.queue.len());
+        Some(LoadReport {
+            kind: self.function.kind,
+            rate: self.rate,
+            busy: self.busy,
+            peak,
+            waiting: self.shortage(now) + std::mem::take(&mut self.rejected),
+            run: self.run(),
+            idle: now.saturating_sub(self.last_arrival),
+            origins: self.shares(),
+        })
+    }
+}
+
+impl SlotPool {
+    fn shares(&self) -> Vec<(u32, f64)> {
+        let all: f64 = self.origins.values().sum();
+        self.origins.iter().map(|(zone, calls)| (*zone, calls / all.max(1e-9))).collect()
+    }
+}
+
+impl SlotGrant {
+    /// Told by a borrower that it has it.
+    pub fn reported(now: Duration, to: SocketAddr, incarnation: u32, seq: u32, left: Duration) -> SlotGrant {
+        let (check_at, until) = (now + CHECK_AFTER, now + left + EXPIRY_GRACE);
+        SlotGrant { to, incarnation, seq, since: now, until, priority: 0, check_at, checks: 0 }
+    }
+
+    /// As a new owner is told of it.
+    pub fn as_granted_slot(&self, now: Duration) -> GrantedSlot {
+        let left = u32::try_from(self.until.saturating_sub(now).as_millis()).unwrap_or(u32::MAX);
+        GrantedSlot { to: self.to, incarnation: self.incarnation, seq: self.seq, left }
+    }
+
+    /// The same, told by the former owner: it may have come back there meanwhile, so its borrower is asked soon.
+    pub fn from_handover(
+        now: Duration,
+        to: SocketAddr,
+        incarnation: u32,
+        seq: u32,
+        left: Duration,
+    ) -> SlotGrant {
+        SlotGrant {
+            check_at: now + CHECK_AFTER / 4,
+            until: now + left,
+            ..SlotGrant::reported(now, to, incarnation, seq, left)
+        }
+    }
+
+    /// It is asked after again in a while, each time later.
+    fn schedule_check(&mut self, now: Duration) {
+        self.check_at = now + CHECK_AFTER / 4 * (1 << self.checks.min(2));
+        self.checks += 1;
+    }
+}
+
+impl InstanceLedger {
+    pub fn new(entry: Entry, paused_until: Duration, grants: Vec<SlotGrant>) -> Self {
+        let mut ledger = InstanceLedger {
+            entry,
+            grants,
+            paused_until,
+            awaits: None,
+            complete_from: paused_until,
+            claim_due: Duration::ZERO,
+            silent: 0,
+            dialled: Duration::ZERO,
+            refused: false,
+            stats: InstanceStats::default(),
+        };
+        // What was kept from a time as lender may have come back to another since.
+        for grant in &mut ledger.grants {
+            grant.check_at = Duration::ZERO;
+        }
+        ledger
+    }
+
+    /// Nothing is waited for any more; it lends from then on.
+    pub fn stop_waiting(&mut self, paused_until: Duration) {
+        self.awaits = None;
+        self.paused_until = self.paused_until.min(paused_until);
+        self.complete_from = self.complete_from.min(paused_until);
+    }
+
+    /// Loans that a former owner gave, as far as they are not known.
+    pub fn merge(&mut self, grants: Vec<SlotGrant>) {
+        for grant in grants {
+            if !self.grants.iter().any(|old| old.is(grant.to, grant.incarnation, grant.seq)) {
+                self.grants.push(grant);
+            }
+        }
+    }
+
+    /// It lends nothing before then.
+    pub fn pause_until(&mut self, then: Duration) {
+        self.paused_until = self.paused_until.max(then);
+    }
+
+    pub fn pause_end(&self) -> Duration {
+        self.paused_until
+    }
+
+    /// How much longer it lends nothing, though it may.
+    pub fn pause_left(&self, now: Duration) -> Duration {
+        self.paused_until.saturating_sub(now)
+    }
+
+    /// It lends now.
+    pub fn can_grant(&self, now: Duration) -> bool {
+        (self.entry.accepts_calls || injected(Defect::DrainingGranted))
+            && self.entry.ready
+            && now >= self.paused_until
+    }
+}
--- /dev/null
+++ b/crates/lending/src/receive.rs
@@ -0,0 +1,341 @@
+//! Letters of other schedulers: which life wrote them, and what each line comes to.
+
+use crate::defects::{injected, Defect};
+use crate::finished_calls::Finish;
+use crate::handover::Cause;
+use crate::incarnations::Sender;
+use crate::messages::{kind as hash, Datagram, Kind, Message};
+use crate::pool::{SlotGrant, SlotRequest};
+use crate::{ms, Action, Allocator, Call, Stage, RESEND_AFTER, RESEND_FOR, SUSPECT_RETRY};
+use std::collections::HashSet;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+impl Allocator {
+    /// A datagram. What cannot be read is dropped: false.
+    pub fn receive(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) -> bool {
+        self.now = now;
+        let Some(datagram) = Datagram::decode(bytes) else { return false };
+        let sender = self.incarnations.receive(now, self.awake, from, datagram.incarnation);
+        if sender == Sender::Disputed {
+            self.query_incarnation(from);
+        }
+        if matches!(sender, Sender::Former | Sender::Disputed) {
+            self.receive_former(from, datagram);
+            return true;
+        }
+        self.suspects.remove(&from);
+        if self.owners.note_alive(from) {
+            self.update_all_pools(Cause::Liveness);
+            self.report_held_to_new_owners(&HashSet::new());
+        }
+        // What it said while it was cut off is lost: it is asked after what it had then.
+        let last = match sender {
+            Sender::Same { last } | Sender::New { last } => last,
+            Sender::Unknown | Sender::Former | Sender::Disputed => None,
+        };
+        if last.is_none_or(|received| received + SUSPECT_RETRY < now) {
+            self.pools.values_mut().for_each(|pool| pool.check_requester(now, from));
+        }
+        // A process that lives anew has forgotten what it lent, and waits for nothing that the one before asked for.
+        if matches!(sender, Sender::New { .. }) {
+            self.report_held_to_new_owners(&HashSet::from([from]));
+            self.pools.values_mut().for_each(|pool| pool.forget_requests(from, datagram.incarnation));
+        }
+        for message in datagram.messages {
+            self.handle_message(from, datagram.incarnation, message);
+        }
+        self.pump();
+        true
+    }
+
+    /// Which of two lives is the present one: the one that answers a question of a number that was never used.
+    pub(crate) fn query_incarnation(&mut self, at: SocketAddr) {
+        let now = self.now;
+        if self.incarnation_queries.get(&at).is_some_and(|(_, asked)| now < *asked + RESEND_AFTER) {
+            return;
+        }
+        self.incarnation_queries.retain(|_, (_, asked)| now < *asked + RESEND_FOR);
+        let number = self.rng.rand_u32() | 1;
+        self.incarnation_queries.insert(at, (number, now));
+        self.send(at, Message::Release { seq: number, kind: 0, instance: 0 });
+    }
+
+    /// A late letter of a life that is over can still give back what that life had, and nothing else.
+    pub(crate) fn receive_former(&mut self, from: SocketAddr, datagram: Datagram) {
+        for message in datagram.messages {
+            let answers =
+                |(number, _): &(u32, Duration)| message == Message::ReleaseAck { seq: *number, instance: 0 };
+            if self.incarnation_queries.get(&from).is_some_and(answers) {
+                self.incarnation_queries.remove(&from);
+                self.incarnations.answered(self.now, self.awake, from, datagram.incarnation);
+                self.pools.values_mut().for_each(|pool| pool.forget_requests(from, datagram.incarnation));
+                self.report_held_to_new_owners(&HashSet::from([from]));
+            }
+            if matches!(message, Message::Return { .. } | Message::Release { .. } | Message::Refused { .. }) {
+                self.handle_message(from, datagram.incarnation, message);
+            }
+        }
+        self.pump();
+    }
+
+    pub(crate) fn granted(
+        &mut self,
+        from: SocketAddr,
+        seq: u32,
+        instance: String,
+        at: SocketAddr,
+        free: u8,
+        waiting: u8,
+    ) {
+        let now = self.now;
+        // For a process that was here before: the lender holds it back until its call must be over.
+        if seq.wrapping_sub(self.first) >= self.next.wrapping_sub(self.first)
+            && !injected(Defect::NumbersReused)
+        {
+            return;
+        }
+        let id = hash(&instance);
+        let fits = |kind| {
+            let entry = self.entries.get(&instance);
+            entry.is_none_or(|entry| entry.kind == kind) || injected(Defect::NumbersReused)
+        };
+        let may_send = self.may_send_to(&instance);
+        match self.calls.get_mut(&seq) {
+            Some(call) if matches!(call.stage, Stage::Requesting { .. }) && fits(call.kind) && !may_send => {
+                let kind = call.kind;
+                call.avoid = id;
+                self.give_back(from, seq, kind, id, true);
+                self.request_again_elsewhere(seq, from);
+            }
+            Some(call) if matches!(call.stage, Stage::Requesting { .. }) && fits(call.kind) => {
+                let kind = call.kind;
+                let asked = match call.stage {
+                    Stage::Requesting { to, .. } => to,
+                    _ => from,
+                };
+                let held = instance.clone();
+                call.stage = Stage::Holding {
+                    owner: from,
+                    granted_by: from,
+                    instance: held,
+                    since: now,
+                    reported: None,
+                };
+                let left = ms(call.end.saturating_sub(now));
+                // Another was quicker than the one asked now.
+                if asked != from {
+                    self.return_unused(asked, seq, kind, 0);
+                }
+                self.note_capacity(kind, from, free, waiting, 0);
+                // From one that lends it no more: who does now counts it as out until it comes back or its call is over.
+                let zone = self.entries.get(&instance).map(|entry| entry.zone.clone());
+                if let Some(present) =
+                    zone.and_then(|zone| self.owner_of(kind, &zone)).filter(|at| *at != from)
+                {
+                    self.report_held(seq, present, kind, instance.clone(), left);
+                }
+                self.actions.push_back(Action::Dispatch { call: seq, instance, at });
+            }
+            // The same grant again: the answer to an ask that was said twice.
+            Some(Call { stage: Stage::Holding { instance: held, .. }, .. }) if *held == instance => {}
+            // Nobody wants it any more, or another lender was quicker.
+            other => {
+                let kind = other.map(|call| call.kind);
+                let kind = kind.or_else(|| self.entries.get(&instance).map(|entry| entry.kind));
+                if let Some(kind) = kind {
+                    self.return_unused(from, seq, kind, id);
+                }
+            }
+        }
+    }
+
+    pub(crate) fn handle_message(&mut self, from: SocketAddr, incarnation: u32, message: Message) {
+        let now = self.now;
+        match message {
+            Message::Request { seq, kind, priority, aim, left, avoid, hops } => {
+                let request = SlotRequest {
+                    from,
+                    incarnation,
+                    seq,
+                    priority,
+                    arrived: now,
+                    aim: now + Duration::from_millis(aim.into()),
+                    end: now + Duration::from_millis(left.into()),
+                    avoid,
+                    late: false,
+                    hops,
+                };
+                self.handle_request(kind, request, hops);
+            }
+            Message::Return { seq, kind, ended, .. } => {
+                if from != self.me {
+                    self.finished.note(self.awake, (from, incarnation, seq), Finish::Returned);
+                }
+                // Without a kind (of a grant that nobody waits for any more) all shelves are looked at.
+                let kinds: Vec<Kind> = match kind {
+                    0 => self.pools.keys().copied().collect(),
+                    kind => vec![kind],
+                };
+                let (mut gone, mut kind) = (None, None);
+                for k in kinds {
+                    let Some(pool) = self.pools.get_mut(&k) else { continue };
+                    let had = pool.granted() + pool.queue.len();
+                    gone = pool.return_slot(now, from, incarnation, seq, ended);
+                    if gone.is_some() || pool.granted() + pool.queue.len() != had {
+                        kind = Some(k);
+                        break;
+                    }
+                }
+                if kind.is_none() && !self.parked.is_empty() {
+                    let same = |grant: &SlotGrant| {
+                        (grant.to, grant.incarnation, grant.seq) == (from, incarnation, seq)
+                    };
+                    self.parked.values_mut().for_each(|grants| grants.retain(|grant| !same(grant)));
+                }
+                if let Some(ledger) = gone {
+                    self.forget(&ledger.entry.instance);
+                    let instance = ledger.entry.instance;
+                    // The list may show it again while others still have calls there.
+                    if !ledger.grants.is_empty() {
+                        self.parked.insert(instance.clone(), ledger.grants);
+                    }
+                    self.actions.push_back(Action::InstanceGone { instance });
+                }
+                self.send(from, Message::ReturnAck { seq });
+                if let Some(kind) = kind.filter(|_| !injected(Defect::QueueNotServed)) {
+                    self.serve(kind);
+                }
+            }
+            Message::Holds { seq, kind, instance, left } => {
+                if injected(Defect::HoldsIgnored) {
+                    return;
+                }
+                if self.finished.is_returned(&(from, incarnation, seq)) {
+                    return;
+                }
+                if let Some(pool) = self.pools.get_mut(&kind) {
+                    let grant =
+                        SlotGrant::reported(now, from, incarnation, seq, Duration::from_millis(left.into()));
+                    if pool.record_held(now, grant, &instance) {
+                        self.send(from, Message::HoldsAck { seq, kind, instance: hash(&instance) });
+                    }
+                }
+            }
+            Message::HoldsAck { seq, kind, instance } => match self.calls.get_mut(&seq) {
+                Some(Call { stage: Stage::Holding { owner, reported, .. }, .. }) => {
+                    if *owner == from {
+                        *reported = None;
+                    }
+                }
+                // It came back before it was heard of.
+                _ => self.return_unused(from, seq, kind, instance),
+            },
+            Message::Release { seq, kind, instance } => {
+                if instance == 0 && from != self.me {
+                    self.finished.note(self.awake, (from, incarnation, seq), Finish::Served);
+                }
+                if let Some(pool) = self.pools.get_mut(&kind) {
+                    pool.unwanted(from, incarnation, seq, instance);
+                }
+                let parked = self.parked.iter_mut().filter(|(id, _)| hash(id) == instance);
+                parked.for_each(|(_, grants)| {
+                    grants.retain(|l| (l.to, l.incarnation, l.seq) != (from, incarnation, seq))
+                });
+                self.send(from, Message::ReleaseAck { seq, instance });
+                self.serve(kind);
+            }
+            Message::Refused { seq, kind, instance } => {
+                if let Some(pool) = self.pools.get_mut(&kind) {
+                    pool.refused(now, from, incarnation, seq, instance);
+                }
+                let parked = self.parked.iter_mut().filter(|(id, _)| hash(id) == instance);
+                parked.for_each(|(_, grants)| {
+                    grants.retain(|l| (l.to, l.incarnation, l.seq) != (from, incarnation, seq))
+                });
+                self.send(from, Message::ReleaseAck { seq, instance });
+                self.serve(kind);
+            }
+            Message::ReleaseAck { seq, instance } => {
+                self.unused_grants.retain(|s| (s.to, s.seq, s.instance) != (from, seq, instance));
+            }
+            Message::Handover { kind, instance, grants, complete } => {
+                self.take_over(from, kind, instance, grants, complete)
+            }
+            Message::HandoverAck { instance } => self.handover_acknowledged(from, instance),
+            Message::Claim { kind, instance } => self.claimed(from, kind, instance),
+            Message::HandedTo { kind, instance, owner } => self.redirect_claim(from, kind, &instance, owner),
+            Message::Capacity { kind, free, waiting, run } => {
+                self.note_capacity(kind, from, free, waiting, run);
+                if waiting > 0 {
+                    if self.short_peers.len() < 4096 {
+                        self.short_peers.insert((kind, from), now);
+                    }
+                    self.announce_capacity(kind);
+                } else if free > 0 {
+                    self.redirect_waiting(kind);
+                }
+            }
+            Message::CheckGrant { seq, kind, instance, incarnation } => {
+                if incarnation != self.incarnation {
+                    return;
+                }
+                match self.calls.get(&seq) {
+                    Some(Call { end, stage: Stage::Holding { instance: held, .. }, .. })
+                        if hash(held) == instance =>
+                    {
+                        let (instance, left) = (held.clone(), ms(end.saturating_sub(now)));
+                        self.send(from, Message::Holds { seq, kind, instance, left });
+                    }
+                    // The grant is on its way, or the return.
+                    Some(Call { stage: Stage::Requesting { .. }, .. }) => {}
+                    _ => self.send(from, Message::Release { seq, kind, instance }),
+                }
+            }
+            Message::Grant { seq, instance, at, free, waiting } => {
+                self.granted(from, seq, instance, at, free, waiting)
+            }
+            Message::Queued { seq, free, waiting } => {
+                let waiting_kind = self.calls.get_mut(&seq).and_then(|call| match &mut call.stage {
+                    Stage::Requesting { to, waits, tries, .. } if *to == from => {
+                        (*waits, *tries) = (true, 1);
+                        Some(call.kind)
+                    }
+                    _ => None,
+                });
+                if let Some(kind) = waiting_kind {
+                    self.note_capacity(kind, from, free, waiting, 0);
+                }
+            }
+            Message::Redirect { seq, zone } => {
+                let Some(call) = self.calls.get(&seq) else { return };
+                let Stage::Requesting { to, hops, .. } = call.stage else { return };
+                if to != from {
+                    return;
+                }
+                let mut zones = self.owners.members().iter().map(|m| &m.zone);
+                let named = zones.find(|name| hash(name) == zone).cloned();
+                match named {
+                    Some(zone) => self.request_in(seq, &zone, hops.saturating_add(1)),
+                    None => self.request(seq, hops.saturating_add(1)),
+                }
+            }
+            Message::RetryAfter { seq, after } => {
+                let Some(call) = self.calls.get(&seq) else { return };
+                if matches!(call.stage, Stage::Requesting { to, .. } if to == from) {
+                    let kind = call.kind;
+                    self.calls.remove(&seq);
+                    self.note_capacity(kind, from, 0, 1, 0);
+                    self.actions
+                        .push_back(Action::Reject { call: seq, after: Duration::from_millis(after.into()) });
+                }
+            }
+            Message::ReturnAck { seq } => {
+                if matches!(self.calls.get(&seq).map(|c| &c.stage), Some(Stage::Returning { owner, .. }) if *owner == from)
+                {
+                    self.calls.remove(&seq);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/lending/src/requests.rs
@@ -0,0 +1,260 @@
+//! The requester's side: in which zone a call asks for a slot, whom, how often, and when it is given up.
+
+use crate::defects::{injected, Defect};
+use crate::messages::{kind as hash, Kind, Message};
+use crate::owners::weight;
+use crate::{
+    ms, Action, Allocator, Call, Stage, CROSS_REGION_COST, ISOLATED_RETRY, MAX_ATTEMPTS, MAX_CALLS,
+    RESEND_AFTER, RESEND_FOR, RESEND_QUEUED_AFTER, RESPONSIVE_FOR, SAME_REGION_COST, UNANSWERED_LIMIT,
+};
+use std::collections::{BTreeMap, HashSet};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+impl Allocator {
+    /// A call wants a slot; its number is what `Go` and `No` name. `aim` and `end` are times by the same clock.
+    pub fn request_slot(
+        &mut self,
+        now: Duration,
+        kind: Kind,
+        priority: u8,
+        aim: Duration,
+        end: Duration,
+        avoid: &str,
+    ) -> u32 {
+        self.now = now;
+        let seq = self.next;
+        self.next = self.next.wrapping_add(1).max(1);
+        if self.calls.len() >= MAX_CALLS || !self.functions.contains_key(&kind) {
+            self.actions.push_back(Action::Reject { call: seq, after: Duration::from_millis(300) });
+            return seq;
+        }
+        let avoid = if avoid.is_empty() { 0 } else { hash(avoid) };
+        let stage = Stage::Requesting { to: self.me, sent: now, tries: 0, waits: false, hops: 0 };
+        self.calls.insert(seq, Call { kind, priority, aim, end, arrived: now, avoid, stage });
+        self.request(seq, 0);
+        self.pump();
+        seq
+    }
+
+    /// Zones with instances of this function that lend; whether one of them has started, and the highest weight.
+    pub(crate) fn zones_of(&self, kind: Kind) -> BTreeMap<&str, (bool, u64)> {
+        let mut zones: BTreeMap<&str, (bool, u64)> = BTreeMap::new();
+        for id in self.by_kind.get(&kind).into_iter().flatten() {
+            let Some(entry) = self.entries.get(id).filter(|entry| entry.accepts_calls) else { continue };
+            let (ready, heavy) = zones.entry(&entry.zone).or_default();
+            // The weight is of those that count: started ones where there are any.
+            if entry.ready && !*ready {
+                (*ready, *heavy) = (true, weight(kind, &entry.at));
+            } else if entry.ready == *ready {
+                *heavy = (*heavy).max(weight(kind, &entry.at));
+            }
+        }
+        zones
+    }
+
+    /// The zone to ask in: the nearest that has instances and room, as far as is known.
+    pub(crate) fn zone_for(&self, kind: Kind) -> String {
+        let local_region = self.region(&self.zone);
+        let cost = |zone: &str, ready: bool| {
+            let far =
+                if zone == self.zone { 0 } else { 2 + 2 * u32::from(self.region(zone) != local_region) };
+            let starting = if ready { 0 } else { 8 };
+            let full = self
+                .capacity_at(kind, zone)
+                .is_some_and(|capacity| capacity.free == 0 || capacity.waiting > 0);
+            let silent = self.owner_of(kind, zone).is_none_or(|at| self.suspects.contains_key(&at));
+            far + starting + if full { 5 } else { 0 } + if silent { 30 } else { 0 }
+        };
+        let zones = self.zones_of(kind);
+        let best = zones.iter().min_by_key(|(zone, (ready, heavy))| (cost(zone, *ready), *heavy));
+        best.map_or_else(|| self.zone.clone(), |(zone, _)| zone.to_string())
+    }
+
+    /// What the way to a zone costs a call.
+    pub(crate) fn redirect_cost(&self, zone: &str) -> Duration {
+        if self.region(zone) == self.region(&self.zone) {
+            SAME_REGION_COST
+        } else {
+            CROSS_REGION_COST
+        }
+    }
+
+    pub(crate) fn request(&mut self, seq: u32, hops: u8) {
+        let Some(call) = self.calls.get(&seq) else { return };
+        let zone = self.zone_for(call.kind);
+        self.request_in(seq, &zone, hops);
+    }
+
+    pub(crate) fn request_in(&mut self, seq: u32, zone: &str, hops: u8) {
+        let Some(call) = self.calls.get(&seq) else { return };
+        // Before any owner is known a call waits for one; it is no sign of a lack of instances.
+        let Some(to) = self.owner_of(call.kind, zone) else { return };
+        if to != self.me && self.is_isolated() {
+            // No word would come: the client may find one that is not cut off.
+            self.calls.remove(&seq);
+            self.actions.push_back(Action::Reject { call: seq, after: ISOLATED_RETRY });
+            return;
+        }
+        let message = self.request_message(seq, call, hops);
+        let now = self.now;
+        if let Some(call) = self.calls.get_mut(&seq) {
+            call.stage = Stage::Requesting { to, sent: now, tries: 1, waits: false, hops };
+        }
+        self.send(to, message);
+    }
+
+    pub(crate) fn request_message(&self, seq: u32, call: &Call, hops: u8) -> Message {
+        let (aim, left) = (call.aim.saturating_sub(self.now), call.end.saturating_sub(self.now));
+        Message::Request {
+            seq,
+            kind: call.kind,
+            priority: call.priority,
+            aim: ms(aim),
+            left: ms(left),
+            avoid: call.avoid,
+            hops,
+        }
+    }
+
+    /// Calls that were asked of one that owns nothing of their function any more are asked of the owners.
+    pub(crate) fn retarget_requests(&mut self) {
+        let requested = self.calls.values().filter_map(|call| match call.stage {
+            Stage::Requesting { to, .. } if to != self.me => Some((call.kind, to)),
+            _ => None,
+        });
+        let requested: HashSet<(Kind, SocketAddr)> = requested.collect();
+        let owns = |(kind, at): &(Kind, SocketAddr)| {
+            self.zones_of(*kind).keys().any(|zone| self.owner_of(*kind, zone) == Some(*at))
+        };
+        let owners: HashSet<(Kind, SocketAddr)> = requested.into_iter().filter(owns).collect();
+        self.resend_requests(|kind, to| !owners.contains(&(kind, to)));
+    }
+
+    /// Calls that came before any owner was known.
+    pub(crate) fn request_without_owner(&mut self) {
+        let unasked = |call: &Call| matches!(call.stage, Stage::Requesting { tries: 0, .. });
+        let unasked: Vec<u32> =
+            self.calls.iter().filter(|(_, call)| unasked(call)).map(|(seq, _)| *seq).collect();
+        unasked.into_iter().for_each(|seq| self.request(seq, 0));
+    }
+
+    /// Calls that wait for a word of others for which this holds are asked anew.
+    pub(crate) fn resend_requests(&mut self, which: impl Fn(Kind, SocketAddr) -> bool) {
+        let waits = |(&seq, call): (&u32, &Call)| match call.stage {
+            Stage::Requesting { to, .. } if to != self.me && which(call.kind, to) => {
+                Some((seq, call.kind, to))
+            }
+            _ => None,
+        };
+        let lost: Vec<(u32, Kind, SocketAddr)> = self.calls.iter().filter_map(waits).collect();
+        for (seq, kind, to) in lost {
+            if self.owners.member(to).is_some() {
+                self.return_unused(to, seq, kind, 0);
+            }
+            self.request(seq, 0);
+        }
+    }
+
+    /// A call whose grant was refused: the one that gave it rests the instance. Where it has no other, the call is sent on or
+    /// waits there, as any does.
+    pub(crate) fn request_again_elsewhere(&mut self, seq: u32, granted_by: SocketAddr) {
+        let Some(Call { stage: Stage::Requesting { to, hops, .. }, .. }) = self.calls.get(&seq) else {
+            return;
+        };
+        // Another was asked meanwhile, and answers too.
+        if *to == granted_by {
+            let hops = hops.saturating_add(1);
+            self.request(seq, hops);
+        }
+    }
+
+    /// Asks and returns without a word so far are said again; lenders that say nothing are passed over.
+    pub(crate) fn resend(&mut self) {
+        let now = self.now;
+        let (mut messages, mut silent, mut expired, mut ended) =
+            (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+        let mut holds = Vec::new();
+        for (&seq, call) in &mut self.calls {
+            match &mut call.stage {
+                Stage::Requesting { to, sent, tries, waits, hops } => {
+                    if call.end <= now && !injected(Defect::DeadlineIgnored) {
+                        expired.push(seq);
+                        continue;
+                    }
+                    if *tries == 0 {
+                        if now >= call.arrived + UNANSWERED_LIMIT {
+                            expired.push(seq);
+                        }
+                        continue;
+                    }
+                    // What is known to wait is asked after now and then; once that is not answered, as often as any.
+                    let known = *waits && *tries == 1;
+                    let pause =
+                        if known { RESEND_QUEUED_AFTER } else { RESEND_AFTER * (1 << (*tries - 1).min(3)) };
+                    if *to != self.me && now >= *sent + pause {
+                        // One that was heard since speaks, and has only missed this: it is asked again.
+                        let responsive = self
+                            .incarnations
+                            .last_received(to)
+                            .is_some_and(|received| received + RESPONSIVE_FOR > now);
+                        if *tries >= MAX_ATTEMPTS && responsive {
+                            (*sent, *tries) = (now, 1);
+                            messages.push((*to, seq, *hops));
+                        } else if *tries >= MAX_ATTEMPTS {
+                            silent.push(*to);
+                        } else {
+                            (*sent, *tries) = (now, *tries + 1);
+                            messages.push((*to, seq, *hops));
+                        }
+                    }
+                }
+                Stage::Holding { owner, instance, reported: Some((sent, tries)), .. } => {
+                    if now >= *sent + RESEND_AFTER * (1 << (*tries - 1).min(4)) {
+                        (*sent, *tries) = (now, *tries + 1);
+                        let left = ms(call.end.saturating_sub(now));
+                        let message =
+                            Message::Holds { seq, kind: call.kind, instance: instance.clone(), left };
+                        holds.push((*owner, message));
+                    }
+                }
+                Stage::Holding { .. } => {}
+                Stage::Returning { owner, ended: how, ms, sent, tries, began } => {
+                    if now > *began + RESEND_FOR {
+                        ended.push(seq);
+                    } else if now >= *sent + RESEND_AFTER * (1 << (*tries - 1).min(4)) {
+                        (*sent, *tries) = (now, *tries + 1);
+                        let message = Message::Return { seq, kind: call.kind, ended: *how, ms: *ms };
+                        self.outgoing.entry(*owner).or_default().push(message);
+                    }
+                }
+            }
+        }
+        for (to, message) in holds {
+            self.send(to, message);
+        }
+        self.unused_grants.retain(|unused| now <= unused.began + RESEND_FOR);
+        for unused in &mut self.unused_grants {
+            if now >= unused.sent + RESEND_AFTER * (1 << (unused.tries - 1).min(4)) {
+                (unused.sent, unused.tries) = (now, unused.tries + 1);
+                let message = unused.message();
+                self.outgoing.entry(unused.to).or_default().push(message);
+            }
+        }
+        for (to, seq, hops) in messages {
+            if let Some(message) = self.calls.get(&seq).map(|call| self.request_message(seq, call, hops)) {
+                self.send(to, message);
+            }
+        }
+        for seq in ended {
+            self.calls.remove(&seq);
+        }
+        for seq in expired {
+            if let Some(Call { kind, stage: Stage::Requesting { to, .. }, .. }) = self.calls.remove(&seq) {
+                self.return_unused(to, seq, kind, 0);
+            }
+            self.actions.push_back(Action::Reject { call: seq, after: Duration::from_millis(200) });
+        }
+        self.suspect(silent);
+    }
+}
--- a/crates/lending/tests/disputes.rs
+++ b/crates/lending/tests/disputes.rs
@@ -4,10 +4,10 @@
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::Duration;
+use tindock_lending::defects::{Defect, INJECTED};
+use tindock_lending::messages::kind;
 use tindock_lending::owners::weight;
-use tindock_lending::planted::{Defect, PLANTED};
-use tindock_lending::words::kind;
-use tindock_lending::{Entry, Function, Lending, Member, Order};
+use tindock_lending::{Action, Allocator, Entry, Function, Member};
 
 const MS: Duration = Duration::from_millis(1);
 const HERE: &str = "here";
@@ -17,7 +17,7 @@
 }
 
 fn member(n: u8) -> Member {
-    Member { at: at(n), zone: HERE.into(), region: "r".into(), life: u32::from(n) * 2 + 9 }
+    Member { at: at(n), zone: HERE.into(), region: "r".into(), incarnation: u32::from(n) * 2 + 9 }
 }
 
 /// A function whose instances the second of two members owns.
@@ -26,56 +26,56 @@
     (0..100).map(|n| format!("f{n}")).find(owned).expect("one of a hundred")
 }
 
-fn scheduler(n: u8, name: &str, zone: &str) -> Lending {
-    let mut lending = Lending::new(at(n), HERE.into(), member(n).life, n.into(), Duration::ZERO);
+fn scheduler(n: u8, name: &str, zone: &str) -> Allocator {
+    let mut allocator = Allocator::new(at(n), HERE.into(), member(n).incarnation, n.into(), Duration::ZERO);
     let boot = Duration::from_secs(1);
-    lending.functions(MS, vec![Function { kind: kind(name), name: name.into(), slots: 2, boot }]);
+    allocator.set_functions(MS, vec![Function { kind: kind(name), name: name.into(), slots: 2, boot }]);
     let entry = Entry {
         instance: "i1".into(),
         kind: kind(name),
         at: SocketAddr::from(([10, 2, 0, 1], 80)),
         zone: zone.into(),
         ready: true,
-        lends: true,
+        accepts_calls: true,
         since: Duration::ZERO,
     };
-    lending.stacks(MS, vec![entry], &[]);
-    lending
+    allocator.update_instances(MS, vec![entry], &[]);
+    allocator
 }
 
-fn lends(lending: &Lending, now: Duration) -> bool {
-    lending.shelves().flat_map(|shelf| &shelf.books).any(|book| book.open(now))
+fn accepts_calls(allocator: &Allocator, now: Duration) -> bool {
+    allocator.pools().flat_map(|pool| &pool.ledgers).any(|ledger| ledger.can_grant(now))
 }
 
 /// From the second's learning of a change to the first's: how often both lent, and when the second lent first.
 fn dispute(first_learns: Duration) -> (usize, Option<Duration>) {
     let name = of_the_second();
     let mut both = [scheduler(1, &name, HERE), scheduler(2, &name, HERE)];
-    both.iter_mut().for_each(|lending| lending.members(MS, vec![member(1)]));
-    let (learns, mut twice, mut begun) = (Duration::from_secs(5), 0, None);
+    both.iter_mut().for_each(|allocator| allocator.set_members(MS, vec![member(1)]));
+    let (learns, mut both_grant, mut first_grant) = (Duration::from_secs(5), 0, None);
     for now in (1..9000).map(|n| n * MS) {
         if now == learns {
-            both[1].members(now, vec![member(1), member(2)]);
+            both[1].set_members(now, vec![member(1), member(2)]);
         }
         if now == learns + first_learns {
-            both[0].members(now, vec![member(1), member(2)]);
+            both[0].set_members(now, vec![member(1), member(2)]);
         }
         if now.as_millis().is_multiple_of(25) {
-            both.iter_mut().for_each(|lending| lending.tick(now));
+            both.iter_mut().for_each(|allocator| allocator.tick(now));
         }
         for from in [0, 1] {
-            while let Some(order) = both[from].pull() {
-                if let Order::Send { bytes, .. } = order {
-                    both[1 - from].hear(now, at(from as u8 + 1), &bytes);
+            while let Some(action) = both[from].pull() {
+                if let Action::Send { bytes, .. } = action {
+                    both[1 - from].receive(now, at(from as u8 + 1), &bytes);
                 }
             }
         }
-        twice += usize::from(both.iter().all(|lending| lends(lending, now)));
-        if lends(&both[1], now) {
-            begun.get_or_insert(now - learns);
+        both_grant += usize::from(both.iter().all(|allocator| accepts_calls(allocator, now)));
+        if accepts_calls(&both[1], now) {
+            first_grant.get_or_insert(now - learns);
         }
     }
-    (twice, begun)
+    (both_grant, first_grant)
 }
 
 /// Guards against a former owner that lends on until it learns of the change, while the new one lends after its wait.
@@ -84,56 +84,59 @@
 #[case::late(1500 * MS)]
 #[case::later(2000 * MS)]
 fn who_is_claimed_from_lends_no_more(#[case] first_learns: Duration) {
-    let (twice, begun) = dispute(first_learns);
-    assert_eq!(twice, 0);
-    assert!(begun.is_some_and(|begun| begun <= first_learns.min(1000 * MS) + 50 * MS), "{begun:?}");
+    let (both_grant, first_grant) = dispute(first_learns);
+    assert_eq!(both_grant, 0);
+    assert!(
+        first_grant.is_some_and(|first_grant| first_grant <= first_learns.min(1000 * MS) + 50 * MS),
+        "{first_grant:?}"
+    );
 }
 
 #[test]
 fn one_that_lends_on_is_found() {
-    PLANTED.set(Some(Defect::ClaimsIgnored));
-    let (twice, _) = dispute(1500 * MS);
-    PLANTED.set(None);
-    assert!(twice > 0);
+    INJECTED.set(Some(Defect::ClaimsIgnored));
+    let (both_grant, _) = dispute(1500 * MS);
+    INJECTED.set(None);
+    assert!(both_grant > 0);
 }
 
-fn owned(lending: &Lending) -> usize {
-    lending.shelves().map(|shelf| shelf.books.len()).sum()
+fn owned(allocator: &Allocator) -> usize {
+    allocator.pools().map(|pool| pool.ledgers.len()).sum()
 }
 
 /// Guards against what came after a loss of everything: whoever had heard of nobody in a zone yet owned all of its instances.
 #[rstest]
 #[case::own_zone(HERE, None, 1)]
 #[case::another_zone("there", None, 0)]
-#[case::planted("there", Some(Defect::FirstHeardOwns), 1)]
+#[case::injected("there", Some(Defect::FirstKnownOwns), 1)]
 fn before_the_holder_publishes_a_process_owns_in_its_own_zone_alone(
     #[case] zone: &str,
     #[case] defect: Option<Defect>,
     #[case] owns: usize,
 ) {
-    PLANTED.set(defect);
-    let mut lending = scheduler(1, "f", zone);
-    lending.provisional_members(2 * MS, vec![member(1)]);
-    let before = owned(&lending);
+    INJECTED.set(defect);
+    let mut allocator = scheduler(1, "f", zone);
+    allocator.set_provisional_members(2 * MS, vec![member(1)]);
+    let before = owned(&allocator);
     // Of a zone without proxies somebody owns the instances, once it is known that there are none.
-    lending.members(3 * MS, vec![member(1)]);
-    PLANTED.set(None);
-    assert_eq!((before, owned(&lending)), (owns, 1));
+    allocator.set_members(3 * MS, vec![member(1)]);
+    INJECTED.set(None);
+    assert_eq!((before, owned(&allocator)), (owns, 1));
 }
 
 /// A call for an instance that nobody is known to own waits, tells no shortage, and is given up after a while.
 #[test]
 fn a_call_before_any_owner_waits_and_asks_for_no_instance() {
-    let mut lending = scheduler(1, "f", "there");
-    lending.provisional_members(2 * MS, vec![member(1)]);
-    let call = lending.want(3 * MS, kind("f"), 1, 400 * MS, 4000 * MS, "");
+    let mut allocator = scheduler(1, "f", "there");
+    allocator.set_provisional_members(2 * MS, vec![member(1)]);
+    let call = allocator.request_slot(3 * MS, kind("f"), 1, 400 * MS, 4000 * MS, "");
     let (mut wanted, mut refused) = (0, None);
     for now in (3..2000).step_by(25).map(|n| n * MS) {
-        lending.tick(now);
-        while let Some(order) = lending.pull() {
-            match order {
-                Order::Wanted(_) => wanted += 1,
-                Order::No { call: of, .. } if of == call => refused = Some(now),
+        allocator.tick(now);
+        while let Some(action) = allocator.pull() {
+            match action {
+                Action::InstanceWanted(_) => wanted += 1,
+                Action::Reject { call: of, .. } if of == call => refused = Some(now),
                 _ => {}
             }
         }
