--- a/crates/lending/tests/harness/mod.rs
+++ b/crates/lending/tests/harness/mod.rs
@@ -5,15 +5,15 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use tindock_lending::words::{kind, Ended, Kind, Letter, Line};
-use tindock_lending::{Entry, Function, Lending, Member, Order};
+use tindock_lending::messages::{kind, Datagram, Ended, Kind, Message};
+use tindock_lending::{Action, Allocator, Entry, Function, Member};
 
 const MS: Duration = Duration::from_millis(1);
 /// A loan outlives its call by the lender's grace and a sweep; clocks are 1% apart.
-const TERM_SLACK: Duration = Duration::from_millis(600);
+const EXPIRY_SLACK: Duration = Duration::from_millis(600);
 /// Returns are said for three seconds; what is still out then is asked after each second.
-const RETURNED: Duration = Duration::from_millis(3300);
-const ASKED: Duration = Duration::from_millis(6000);
+const RETURN_BOUND: Duration = Duration::from_millis(3300);
+const CHECK_BOUND: Duration = Duration::from_millis(6000);
 /// What nobody lends any more may be granted so much later: a datagram was under way.
 const UNDERWAY: Duration = Duration::from_millis(2000);
 /// A free slot beside a waiting call: a sweep, twice.
@@ -34,7 +34,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
     pub at: Duration,
     pub what: String,
@@ -57,7 +57,7 @@
     /// A loan outlived its call.
     Returned,
     /// Not the order of service.
-    Order,
+    ServiceOrder,
     /// A free slot beside a waiting call, or a call past its aim though there was room.
     Starved,
     /// A slot lent on an instance that lends no more.
@@ -65,16 +65,16 @@
     /// A call sent to an instance that its own proxy knows to leave, or to have ended.
     KnownToLeave,
     /// A slot lent to a life that another has followed, as its lender has heard.
-    Life,
+    Incarnation,
     /// A slot lent again, or told of, for a call that has come back.
-    Again,
+    Repeated,
 }
 
 #[derive(Debug, Default)]
 pub struct Outcome {
-    pub broken: Vec<Broken>,
+    pub violations: Vec<Violation>,
     pub calls: usize,
-    pub went: usize,
+    pub dispatched: usize,
     pub in_aim: usize,
     pub refused: usize,
     /// Most that ran on one instance at once, in slots it has.
@@ -82,7 +82,7 @@
     /// For so long some instance had more on it than its slots.
     pub over: Duration,
     pub bytes: usize,
-    pub letters: usize,
+    pub datagrams: usize,
     pub slowest: Duration,
 }
 
@@ -90,11 +90,11 @@
 enum Event {
     Tick {
         who: usize,
-        life: u32,
+        incarnation: u32,
     },
-    Letter {
+    Datagram {
         to: usize,
-        life: u32,
+        incarnation: u32,
         from: SocketAddr,
         bytes: Vec<u8>,
     },
@@ -104,56 +104,56 @@
     Ran {
         call: usize,
     },
-    Told {
+    CallEnded {
         call: usize,
-        life: u32,
+        incarnation: u32,
     },
     Due {
         call: usize,
-        life: u32,
+        incarnation: u32,
     },
     View {
         who: usize,
-        life: u32,
+        incarnation: u32,
         version: usize,
     },
-    Stacks {
+    Instances {
         who: usize,
-        life: u32,
+        incarnation: u32,
         version: usize,
     },
     Dialled {
         who: usize,
-        life: u32,
+        incarnation: u32,
         instance: String,
         taken: bool,
     },
     /// The functions of the configuration with this number.
     Configuration {
         who: usize,
-        life: u32,
+        incarnation: u32,
         version: usize,
     },
     /// A member that leaves has had its time.
     Left {
         who: usize,
-        life: u32,
+        incarnation: u32,
         back: Option<Duration>,
     },
     /// Connections to the process at this address are refused.
     Probed {
         who: usize,
-        life: u32,
+        incarnation: u32,
         owner: SocketAddr,
     },
-    Act,
+    Disturb,
     Start {
         who: usize,
     },
-    Thaw {
+    Unfreeze {
         who: usize,
     },
-    Mend {
+    HealCut {
         a: usize,
         b: usize,
     },
@@ -163,26 +163,26 @@
     at: SocketAddr,
     zone: String,
     region: String,
-    life: u32,
-    lives: u32,
-    born: Duration,
+    incarnation: u32,
+    incarnations: u32,
+    started_at: Duration,
     /// Its clock runs this much faster.
-    fast: f64,
-    lending: Option<Lending>,
+    clock_rate: f64,
+    allocator: Option<Allocator>,
     /// Its machine has no power.
-    dark: bool,
+    without_power: bool,
     /// It is to end, and no member any more.
     leaving: bool,
     /// Until then what it says comes late, or not at all.
     slow: Duration,
     configuration: usize,
     frozen: Option<Vec<Event>>,
-    thawed: Duration,
+    unfrozen_at: Duration,
     view: usize,
-    stacks: usize,
-    sees: BTreeSet<(SocketAddr, u32)>,
+    instance_lists: usize,
+    known_members: BTreeSet<(SocketAddr, u32)>,
     /// Lives of others in the order in which they began, of those that were heard here; and when calls of others came back.
-    heard: HashMap<SocketAddr, usize>,
+    received: HashMap<SocketAddr, usize>,
     returned: HashMap<(SocketAddr, u32, u32), Duration>,
     /// Number of a call at this one, to that of the world.
     calls: HashMap<u32, usize>,
@@ -190,14 +190,14 @@
 
 struct Call {
     who: usize,
-    life: u32,
+    incarnation: u32,
     seq: u32,
     kind: usize,
-    came: Duration,
+    arrived: Duration,
     aim: Duration,
     end: Duration,
     work: Duration,
-    went: Option<Duration>,
+    dispatched: Option<Duration>,
     refused: bool,
     /// The borrower has given the slot back, or never had one.
     over: Option<Duration>,
@@ -218,7 +218,7 @@
 
 pub struct World {
     class: Class,
-    chance: Rand64,
+    rng: Rand64,
     now: Duration,
     end: Duration,
     queue: BTreeMap<(Duration, u64), Event>,
@@ -229,42 +229,42 @@
     instances: Vec<Instance>,
     by_id: HashMap<String, usize>,
     /// All lives of hosts, in the order in which they began.
-    lives: Vec<u32>,
+    incarnations: Vec<u32>,
     calls: Vec<Call>,
     /// Members by version, and instances by version with those that have ended.
     views: Vec<Vec<Member>>,
-    stacks: Vec<Vec<Entry>>,
+    instance_lists: Vec<Vec<Entry>>,
     gone: Vec<String>,
     /// The functions that each configuration lacks.
     configurations: Vec<Option<usize>>,
     cuts: BTreeSet<(usize, usize)>,
     loss: f64,
-    doubled: f64,
-    late: f64,
+    duplicated: f64,
+    delayed: f64,
     skew: Duration,
     longest: Duration,
     /// The last time at which views of lenders differed.
     differed: Duration,
     /// Lenders that instances had lately.
-    lenders: HashMap<usize, BTreeMap<(usize, u32), Duration>>,
-    loans: HashMap<(usize, u32, usize, SocketAddr, u32), Duration>,
+    owners: HashMap<usize, BTreeMap<(usize, u32), Duration>>,
+    grants: HashMap<(usize, u32, usize, SocketAddr, u32), Duration>,
     idle: HashMap<(usize, Kind), Duration>,
-    looked: Duration,
+    last_check: Duration,
     over_since: Option<Duration>,
     trace: bool,
     pub out: Outcome,
 }
 
-fn port(n: usize) -> SocketAddr {
+fn address(n: usize) -> SocketAddr {
     SocketAddr::new(Ipv4Addr::new(10, 1, 0, n as u8 + 1).into(), 7301)
 }
 
 impl World {
     pub fn new(class: Class, seed: u64) -> World {
-        let chance = Rand64::new(u128::from(seed) << 20 | class as u128);
+        let rng = Rand64::new(u128::from(seed) << 20 | class as u128);
         let mut world = World {
             class,
-            chance,
+            rng,
             now: Duration::ZERO,
             end: Duration::from_millis(6000),
             queue: BTreeMap::new(),
@@ -274,42 +274,42 @@
             kinds: Vec::new(),
             instances: Vec::new(),
             by_id: HashMap::new(),
-            lives: Vec::new(),
+            incarnations: Vec::new(),
             calls: Vec::new(),
             views: vec![Vec::new()],
-            stacks: vec![Vec::new()],
+            instance_lists: vec![Vec::new()],
             gone: Vec::new(),
             configurations: vec![None],
             cuts: BTreeSet::new(),
             loss: 0.0,
-            doubled: 0.0,
-            late: 0.0,
+            duplicated: 0.0,
+            delayed: 0.0,
             skew: Duration::from_millis(40),
             longest: Duration::ZERO,
             differed: Duration::ZERO,
-            lenders: HashMap::new(),
-            loans: HashMap::new(),
+            owners: HashMap::new(),
+            grants: HashMap::new(),
             idle: HashMap::new(),
-            looked: Duration::ZERO,
+            last_check: Duration::ZERO,
             over_since: None,
             trace: std::env::var_os("LENDING_TRACE").is_some(),
             out: Outcome::default(),
         };
-        world.found();
+        world.set_up();
         world
     }
 
-    fn below(&mut self, n: usize) -> usize {
-        self.chance.rand_range(0..n.max(1) as u64) as usize
+    fn random_below(&mut self, n: usize) -> usize {
+        self.rng.rand_range(0..n.max(1) as u64) as usize
     }
 
-    fn share(&mut self) -> f64 {
-        self.chance.rand_float()
+    fn random_share(&mut self) -> f64 {
+        self.rng.rand_float()
     }
 
     fn span(&mut self, from: Duration, to: Duration) -> Duration {
-        let share = self.share();
-        from + to.saturating_sub(from).mul_f64(share)
+        let random_share = self.random_share();
+        from + to.saturating_sub(from).mul_f64(random_share)
     }
 
     fn later(&mut self, pause: Duration, event: Event) {
@@ -317,83 +317,84 @@
         self.queue.insert((self.now + pause, self.events), event);
     }
 
-    fn tell(&self, what: impl FnOnce() -> String) {
+    fn log(&self, what: impl FnOnce() -> String) {
         if self.trace {
             println!("{:?} {}", self.now, what());
         }
     }
 
-    fn find(&mut self, rule: Rule, what: String) {
-        if self.out.broken.len() < 20 {
-            self.out.broken.push(Broken { rule, at: self.now, what });
+    fn record_violation(&mut self, rule: Rule, what: String) {
+        if self.out.violations.len() < 20 {
+            self.out.violations.push(Violation { rule, at: self.now, what });
         }
     }
 
-    fn found(&mut self) {
+    fn set_up(&mut self) {
         if self.class == Class::Rough {
-            self.loss = [0.0, 0.01, 0.05][self.below(3)];
-            self.doubled = [0.0, 0.02, 0.1][self.below(3)];
-            self.late = [0.0, 0.01, 0.05][self.below(3)];
-            self.skew = Duration::from_millis([40, 300, 900][self.below(3)]);
+            self.loss = [0.0, 0.01, 0.05][self.random_below(3)];
+            self.duplicated = [0.0, 0.02, 0.1][self.random_below(3)];
+            self.delayed = [0.0, 0.01, 0.05][self.random_below(3)];
+            self.skew = Duration::from_millis([40, 300, 900][self.random_below(3)]);
         }
         if self.class == Class::Planned {
-            self.skew = Duration::from_millis([40, 150, 300][self.below(3)]);
-            self.loss = [0.0, 0.01, 0.05][self.below(3)];
+            self.skew = Duration::from_millis([40, 150, 300][self.random_below(3)]);
+            self.loss = [0.0, 0.01, 0.05][self.random_below(3)];
         }
-        let zones = 1 + self.below(3);
-        let hosts = if self.class == Class::Planned { 3 + self.below(6) } else { 2 + self.below(4) };
+        let zones = 1 + self.random_below(3);
+        let hosts =
+            if self.class == Class::Planned { 3 + self.random_below(6) } else { 2 + self.random_below(4) };
         for n in 0..hosts {
             let zone = n % zones;
             self.hosts.push(Host {
-                at: port(n),
+                at: address(n),
                 zone: format!("z{zone}"),
                 region: format!("r{}", zone / 2),
-                life: 0,
-                lives: 0,
-                born: Duration::ZERO,
-                fast: 0.0,
-                lending: None,
-                dark: false,
+                incarnation: 0,
+                incarnations: 0,
+                started_at: Duration::ZERO,
+                clock_rate: 0.0,
+                allocator: None,
+                without_power: false,
                 leaving: false,
                 slow: Duration::ZERO,
                 configuration: 0,
                 frozen: None,
-                thawed: Duration::ZERO,
+                unfrozen_at: Duration::ZERO,
                 view: 0,
-                stacks: 0,
-                sees: BTreeSet::new(),
-                heard: HashMap::new(),
+                instance_lists: 0,
+                known_members: BTreeSet::new(),
+                received: HashMap::new(),
                 returned: HashMap::new(),
                 calls: HashMap::new(),
             });
-            self.by_at.insert(port(n), n);
+            self.by_at.insert(address(n), n);
         }
         let spare = usize::from(self.class != Class::Quiet && hosts > 2);
         for n in 0..hosts - spare {
             self.start(n);
         }
-        for n in 0..1 + self.below(2) {
-            let slots = 1 + self.below(3);
-            let work = [15.0, 60.0, 150.0][self.below(3)];
+        for n in 0..1 + self.random_below(2) {
+            let slots = 1 + self.random_below(3);
+            let work = [15.0, 60.0, 150.0][self.random_below(3)];
             let work = if self.class == Class::Quiet { 15.0 } else { work };
             self.kinds.push((format!("function-{n}"), slots, work));
-            for _ in 0..1 + self.below(3) {
+            for _ in 0..1 + self.random_below(3) {
                 self.begin(n, true);
             }
         }
-        self.views_change();
-        self.stacks_change();
+        self.publish_view();
+        self.publish_instances();
         for who in 0..hosts {
             self.later(400 * MS, Event::Arrival { who });
         }
         if self.class != Class::Quiet {
-            self.later(600 * MS, Event::Act);
+            self.later(600 * MS, Event::Disturb);
         }
     }
 
     fn begin(&mut self, kind: usize, ready: bool) {
         let n = self.instances.len();
-        let zone = format!("z{}", self.below(self.hosts.len()) % 3);
+        let zone = format!("z{}", self.random_below(self.hosts.len()) % 3);
         let zone = if self.hosts.iter().any(|h| h.zone == zone) { zone } else { "z0".into() };
         let id = format!("i{n}");
         self.by_id.insert(id.clone(), n);
@@ -412,43 +413,48 @@
     }
 
     fn start(&mut self, who: usize) {
-        let seed = self.chance.rand_u64();
-        let fast = (self.share() - 0.5) * 0.02;
+        let seed = self.rng.rand_u64();
+        let clock_rate = (self.random_share() - 0.5) * 0.02;
         let host = &mut self.hosts[who];
-        host.lives += 1;
-        host.life = (seed as u32) | 1;
-        host.born = self.now;
+        host.incarnations += 1;
+        host.incarnation = (seed as u32) | 1;
+        host.started_at = self.now;
         (host.leaving, host.slow, host.configuration) = (false, Duration::ZERO, 0);
-        host.fast = fast;
+        host.clock_rate = clock_rate;
         host.frozen = None;
         host.calls.clear();
-        (host.view, host.stacks) = (0, 0);
-        host.sees.clear();
-        host.heard.clear();
+        (host.view, host.instance_lists) = (0, 0);
+        host.known_members.clear();
+        host.received.clear();
         host.returned.clear();
-        host.lending = Some(Lending::new(host.at, host.zone.clone(), host.life, seed, Duration::ZERO));
-        let life = host.life;
-        self.lives.push(life);
-        self.later(MS, Event::Tick { who, life });
+        host.allocator =
+            Some(Allocator::new(host.at, host.zone.clone(), host.incarnation, seed, Duration::ZERO));
+        let incarnation = host.incarnation;
+        self.incarnations.push(incarnation);
+        self.later(MS, Event::Tick { who, incarnation });
     }
 
-    fn local(&self, who: usize) -> Duration {
+    fn local_time(&self, who: usize) -> Duration {
         let host = &self.hosts[who];
-        self.now.saturating_sub(host.born).mul_f64(1.0 + host.fast)
+        self.now.saturating_sub(host.started_at).mul_f64(1.0 + host.clock_rate)
     }
 
     /// All who live hear of the members there are, each in its own time.
-    fn views_change(&mut self) {
-        let there = self.hosts.iter().filter(|h| h.lending.is_some() && !h.leaving);
-        let view =
-            there.map(|h| Member { at: h.at, zone: h.zone.clone(), region: h.region.clone(), life: h.life });
+    fn publish_view(&mut self) {
+        let there = self.hosts.iter().filter(|h| h.allocator.is_some() && !h.leaving);
+        let view = there.map(|h| Member {
+            at: h.at,
+            zone: h.zone.clone(),
+            region: h.region.clone(),
+            incarnation: h.incarnation,
+        });
         let view: Vec<Member> = view.collect();
         self.views.push(view);
         let version = self.views.len() - 1;
         for who in 0..self.hosts.len() {
-            let (life, skew) = (self.hosts[who].life, self.skew);
+            let (incarnation, skew) = (self.hosts[who].incarnation, self.skew);
             let pause = self.span(Duration::ZERO, skew);
-            self.later(pause, Event::View { who, life, version });
+            self.later(pause, Event::View { who, incarnation, version });
         }
     }
 
@@ -460,37 +466,37 @@
             at: i.at,
             zone: i.zone.clone(),
             ready: self.now >= i.up,
-            lends: i.drains.is_none(),
+            accepts_calls: i.drains.is_none(),
             since: Duration::ZERO,
         };
         there.map(entry).collect()
     }
 
-    fn stacks_change(&mut self) {
+    fn publish_instances(&mut self) {
         let entries = self.entries();
-        self.stacks.push(entries);
-        let version = self.stacks.len() - 1;
+        self.instance_lists.push(entries);
+        let version = self.instance_lists.len() - 1;
         for who in 0..self.hosts.len() {
-            let (life, skew) = (self.hosts[who].life, self.skew);
+            let (incarnation, skew) = (self.hosts[who].incarnation, self.skew);
             let pause = self.span(Duration::ZERO, skew);
-            self.later(pause, Event::Stacks { who, life, version });
+            self.later(pause, Event::Instances { who, incarnation, version });
         }
     }
 
     pub fn run(mut self) -> Outcome {
         // Long enough after the last call that all loans are over.
-        let stop = self.end + self.longest.max(Duration::from_secs(9)) + RETURNED;
+        let stop = self.end + self.longest.max(Duration::from_secs(9)) + RETURN_BOUND;
         while let Some(((at, _), event)) = self.queue.pop_first() {
             if at > stop {
                 break;
             }
             // Nothing is left to happen but ticks.
-            if at > self.end + RETURNED && self.at_rest() {
+            if at > self.end + RETURN_BOUND && self.at_rest() {
                 break;
             }
             self.now = at;
-            self.happen(event);
-            self.look();
+            self.handle(event);
+            self.check_invariants();
         }
         self.close();
         self.out.calls = self.calls.len();
@@ -502,30 +508,32 @@
             && self
                 .hosts
                 .iter()
-                .filter_map(|h| h.lending.as_ref())
-                .all(|l| l.calls() == 0 && l.shelves().all(|s| s.queue.is_empty() && s.lent() == 0))
+                .filter_map(|h| h.allocator.as_ref())
+                .all(|l| l.calls() == 0 && l.pools().all(|s| s.queue.is_empty() && s.granted() == 0))
     }
 
     fn addressee(&self, event: &Event) -> Option<(usize, u32)> {
         match event {
-            Event::Tick { who, life }
-            | Event::View { who, life, .. }
-            | Event::Stacks { who, life, .. }
-            | Event::Probed { who, life, .. }
-            | Event::Configuration { who, life, .. }
-            | Event::Dialled { who, life, .. } => Some((*who, *life)),
-            Event::Letter { to, life, .. } => Some((*to, *life)),
-            Event::Told { call, life } | Event::Due { call, life } => Some((self.calls[*call].who, *life)),
+            Event::Tick { who, incarnation }
+            | Event::View { who, incarnation, .. }
+            | Event::Instances { who, incarnation, .. }
+            | Event::Probed { who, incarnation, .. }
+            | Event::Configuration { who, incarnation, .. }
+            | Event::Dialled { who, incarnation, .. } => Some((*who, *incarnation)),
+            Event::Datagram { to, incarnation, .. } => Some((*to, *incarnation)),
+            Event::CallEnded { call, incarnation } | Event::Due { call, incarnation } => {
+                Some((self.calls[*call].who, *incarnation))
+            }
             _ => None,
         }
     }
 
-    fn happen(&mut self, event: Event) {
-        if let Some((who, life)) = self.addressee(&event) {
+    fn handle(&mut self, event: Event) {
+        if let Some((who, incarnation)) = self.addressee(&event) {
             let host = &mut self.hosts[who];
             // Views and letters are for an address, the rest for a process.
-            let any = matches!(event, Event::View { .. } | Event::Stacks { .. } | Event::Letter { .. });
-            if host.lending.is_none() || (!any && host.life != life) {
+            let any = matches!(event, Event::View { .. } | Event::Instances { .. } | Event::Datagram { .. });
+            if host.allocator.is_none() || (!any && host.incarnation != incarnation) {
                 return;
             }
             if let Some(backlog) = &mut host.frozen {
@@ -536,22 +544,22 @@
             }
         }
         match event {
-            Event::Tick { who, life } => {
-                let now = self.local(who);
-                if let Some(lending) = &mut self.hosts[who].lending {
-                    lending.tick(now);
+            Event::Tick { who, incarnation } => {
+                let now = self.local_time(who);
+                if let Some(allocator) = &mut self.hosts[who].allocator {
+                    allocator.tick(now);
                 }
                 self.pump(who);
-                self.later(25 * MS, Event::Tick { who, life });
+                self.later(25 * MS, Event::Tick { who, incarnation });
             }
-            Event::Letter { to, from, bytes, .. } => {
-                self.tell(|| format!("  {to} hears {from}: {:?}", Letter::read(&bytes)));
-                let now = self.local(to);
-                let before = self.lent_to(to, from);
-                if let Some(lending) = &mut self.hosts[to].lending {
-                    lending.hear(now, from, &bytes);
+            Event::Datagram { to, from, bytes, .. } => {
+                self.log(|| format!("  {to} hears {from}: {:?}", Datagram::decode(&bytes)));
+                let now = self.local_time(to);
+                let before = self.granted_to(to, from);
+                if let Some(allocator) = &mut self.hosts[to].allocator {
+                    allocator.receive(now, from, &bytes);
                 }
-                self.look_at_letter(to, from, &bytes, &before);
+                self.check_datagram(to, from, &bytes, &before);
                 self.pump(to);
             }
             Event::Arrival { who } => self.arrival(who),
@@ -560,57 +568,57 @@
                     self.instances[n].runs.remove(&call);
                 }
             }
-            Event::Told { call, .. } | Event::Due { call, .. } => self.settle(call, Ended::Done),
+            Event::CallEnded { call, .. } | Event::Due { call, .. } => self.settle(call, Ended::Done),
             Event::View { who, version, .. } => self.view(who, version),
-            Event::Stacks { who, version, .. } => self.told_stacks(who, version),
+            Event::Instances { who, version, .. } => self.receive_instances(who, version),
             Event::Dialled { who, instance, taken, .. } => {
-                let now = self.local(who);
-                if let Some(lending) = &mut self.hosts[who].lending {
-                    lending.dialled(now, &instance, taken);
+                let now = self.local_time(who);
+                if let Some(allocator) = &mut self.hosts[who].allocator {
+                    allocator.dialled(now, &instance, taken);
                 }
                 self.pump(who);
             }
             Event::Probed { who, owner, .. } => {
-                let now = self.local(who);
-                if let Some(lending) = &mut self.hosts[who].lending {
-                    lending.has_ended(now, owner);
+                let now = self.local_time(who);
+                if let Some(allocator) = &mut self.hosts[who].allocator {
+                    allocator.connection_refused(now, owner);
                 }
                 self.pump(who);
             }
             Event::Configuration { who, version, .. } => self.configured(who, version),
-            Event::Left { who, life, back } => {
-                if self.hosts[who].life == life && self.hosts[who].lending.is_some() {
+            Event::Left { who, incarnation, back } => {
+                if self.hosts[who].incarnation == incarnation && self.hosts[who].allocator.is_some() {
                     self.end(who, false);
                     if let Some(back) = back {
                         self.later(back, Event::Start { who });
                     }
                 }
             }
-            Event::Act => {
-                self.act();
+            Event::Disturb => {
+                self.disturb();
                 let pause = self.span(100 * MS, 1500 * MS);
                 if self.now + pause + 1500 * MS < self.end {
-                    self.later(pause, Event::Act);
+                    self.later(pause, Event::Disturb);
                 }
             }
             Event::Start { who } => {
-                if self.hosts[who].lending.is_none() {
+                if self.hosts[who].allocator.is_none() {
                     self.start(who);
-                    self.views_change();
-                    self.stacks_change();
+                    self.publish_view();
+                    self.publish_instances();
                 }
             }
-            Event::Thaw { who } => {
+            Event::Unfreeze { who } => {
                 // What it was granted before comes to light only now.
                 self.differed = self.now + UNDERWAY;
-                self.hosts[who].thawed = self.now;
+                self.hosts[who].unfrozen_at = self.now;
                 let backlog = self.hosts[who].frozen.take().unwrap_or_default();
                 for event in backlog {
-                    self.happen(event);
+                    self.handle(event);
                 }
-                self.views_change();
+                self.publish_view();
             }
-            Event::Mend { a, b } => {
+            Event::HealCut { a, b } => {
                 self.cuts.remove(&(a, b));
             }
         }
@@ -618,52 +626,57 @@
 
     /// Lives and numbers of the calls that this one has lent slots to there, or was told of, just now. A loan that was kept
     /// aside and comes back with its instance was given long before.
-    fn lent_to(&self, who: usize, to: SocketAddr) -> BTreeSet<(u32, u32)> {
-        let now = self.local(who);
-        let shelves = self.hosts[who].lending.iter().flat_map(|lending| lending.shelves());
-        let loans = shelves.flat_map(|shelf| &shelf.books).flat_map(|book| &book.loans);
-        let given = loans.filter(|loan| loan.to == to && loan.since >= now);
-        given.map(|loan| (loan.life, loan.seq)).collect()
+    fn granted_to(&self, who: usize, to: SocketAddr) -> BTreeSet<(u32, u32)> {
+        let now = self.local_time(who);
+        let pools = self.hosts[who].allocator.iter().flat_map(|allocator| allocator.pools());
+        let grants = pools.flat_map(|pool| &pool.ledgers).flat_map(|ledger| &ledger.grants);
+        let given = grants.filter(|grant| grant.to == to && grant.since >= now);
+        given.map(|grant| (grant.incarnation, grant.seq)).collect()
     }
 
     /// What a letter must not have done: lent a slot to a life that is over, or for a call that has come back.
-    fn look_at_letter(&mut self, to: usize, from: SocketAddr, bytes: &[u8], before: &BTreeSet<(u32, u32)>) {
-        let Some(letter) = Letter::read(bytes) else { return };
-        let order = |life: u32| self.lives.iter().position(|other| *other == life).unwrap_or(0);
+    fn check_datagram(&mut self, to: usize, from: SocketAddr, bytes: &[u8], before: &BTreeSet<(u32, u32)>) {
+        let Some(datagram) = Datagram::decode(bytes) else { return };
+        let start_order =
+            |incarnation: u32| self.incarnations.iter().position(|other| *other == incarnation).unwrap_or(0);
         let host = &self.hosts[to];
-        let newest = host.heard.get(&from).copied().unwrap_or(0);
+        let newest = host.received.get(&from).copied().unwrap_or(0);
         let mut found = Vec::new();
-        let handed = |line: &Line| match line {
-            Line::HandsOver { loans, .. } => loans.iter().map(|slot| (slot.life, slot.seq)).collect(),
+        let handed = |message: &Message| match message {
+            Message::Handover { grants, .. } => {
+                grants.iter().map(|slot| (slot.incarnation, slot.seq)).collect()
+            }
             _ => Vec::new(),
         };
         // What is handed over was lent before.
-        let handed: BTreeSet<(u32, u32)> = letter.lines.iter().flat_map(handed).collect();
-        for (life, seq) in self.lent_to(to, from).difference(before).filter(|call| !handed.contains(call)) {
-            if order(*life) < newest {
-                found.push((Rule::Life, format!("{to} lends to life {life} of {from}")));
+        let handed: BTreeSet<(u32, u32)> = datagram.messages.iter().flat_map(handed).collect();
+        for (incarnation, seq) in
+            self.granted_to(to, from).difference(before).filter(|call| !handed.contains(call))
+        {
+            if start_order(*incarnation) < newest {
+                found.push((Rule::Incarnation, format!("{to} lends to life {incarnation} of {from}")));
             }
-            let back = host.returned.get(&(from, *life, *seq));
+            let back = host.returned.get(&(from, *incarnation, *seq));
             if back.is_some_and(|back| self.now < *back + 2800 * MS) {
-                found.push((Rule::Again, format!("{to} lends to call {seq} of {from} again")));
+                found.push((Rule::Repeated, format!("{to} lends to call {seq} of {from} again")));
             }
         }
-        let spoke = order(letter.life);
-        let returned: Vec<u32> = letter
-            .lines
+        let has_sent = start_order(datagram.incarnation);
+        let returned: Vec<u32> = datagram
+            .messages
             .iter()
-            .filter_map(|line| match line {
-                Line::Return { seq, .. } => Some(*seq),
+            .filter_map(|message| match message {
+                Message::Return { seq, .. } => Some(*seq),
                 _ => None,
             })
             .collect();
         let host = &mut self.hosts[to];
-        host.heard.insert(from, newest.max(spoke));
+        host.received.insert(from, newest.max(has_sent));
         for seq in returned {
-            host.returned.entry((from, letter.life, seq)).or_insert(self.now);
+            host.returned.entry((from, datagram.incarnation, seq)).or_insert(self.now);
         }
         for (rule, what) in found {
-            self.find(rule, what);
+            self.record_violation(rule, what);
         }
     }
 
@@ -671,45 +684,45 @@
         if self.hosts[who].view >= version {
             return;
         }
-        let now = self.local(who);
+        let now = self.local_time(who);
         let members = self.views[version].clone();
         let host = &mut self.hosts[who];
         host.view = version;
-        host.sees = members.iter().map(|m| (m.at, m.life)).collect();
-        if let Some(lending) = &mut host.lending {
-            lending.members(now, members);
+        host.known_members = members.iter().map(|m| (m.at, m.incarnation)).collect();
+        if let Some(allocator) = &mut host.allocator {
+            allocator.set_members(now, members);
         }
         self.differed = self.differed.max(self.now);
-        self.tell(|| format!("{who} has view {version} of {:?}", self.hosts[who].sees));
+        self.log(|| format!("{who} has view {version} of {:?}", self.hosts[who].known_members));
         self.pump(who);
     }
 
-    fn told_stacks(&mut self, who: usize, version: usize) {
-        if self.hosts[who].stacks >= version {
+    fn receive_instances(&mut self, who: usize, version: usize) {
+        if self.hosts[who].instance_lists >= version {
             return;
         }
-        let (now, born) = (self.local(who), self.hosts[who].born);
-        let first = self.hosts[who].stacks == 0;
-        let mut entries = self.stacks[version].clone();
+        let (now, started_at) = (self.local_time(who), self.hosts[who].started_at);
+        let first = self.hosts[who].instance_lists == 0;
+        let mut entries = self.instance_lists[version].clone();
         for entry in &mut entries {
             let since = self.instances[self.by_id[&entry.instance]].since;
-            entry.since = since.saturating_sub(born);
+            entry.since = since.saturating_sub(started_at);
         }
         let known: BTreeSet<&str> = entries.iter().map(|e| e.instance.as_str()).collect();
         let gone: Vec<String> = self.gone.iter().filter(|id| !known.contains(id.as_str())).cloned().collect();
-        let functions = self.functions_but(None);
+        let functions = self.functions_without(None);
         let host = &mut self.hosts[who];
-        host.stacks = version;
-        if let Some(lending) = &mut host.lending {
+        host.instance_lists = version;
+        if let Some(allocator) = &mut host.allocator {
             if first {
-                lending.functions(now, functions);
+                allocator.set_functions(now, functions);
             }
-            lending.stacks(now, entries, &gone);
+            allocator.update_instances(now, entries, &gone);
         }
         self.pump(who);
     }
 
-    fn functions_but(&self, lacks: Option<usize>) -> Vec<Function> {
+    fn functions_without(&self, lacks: Option<usize>) -> Vec<Function> {
         let there = self.kinds.iter().enumerate().filter(|(n, _)| Some(*n) != lacks);
         let function = |(_, (name, slots, _)): (usize, &(String, usize, f64))| Function {
             kind: kind(name),
@@ -721,15 +734,15 @@
     }
 
     fn configured(&mut self, who: usize, version: usize) {
-        if self.hosts[who].configuration >= version || self.hosts[who].stacks == 0 {
+        if self.hosts[who].configuration >= version || self.hosts[who].instance_lists == 0 {
             return;
         }
-        let now = self.local(who);
-        let functions = self.functions_but(self.configurations[version]);
+        let now = self.local_time(who);
+        let functions = self.functions_without(self.configurations[version]);
         let host = &mut self.hosts[who];
         host.configuration = version;
-        if let Some(lending) = &mut host.lending {
-            lending.functions(now, functions);
+        if let Some(allocator) = &mut host.allocator {
+            allocator.set_functions(now, functions);
         }
         self.pump(who);
     }
@@ -739,33 +752,33 @@
         self.configurations.push(lacks);
         let version = self.configurations.len() - 1;
         for who in 0..self.hosts.len() {
-            let (life, skew) = (self.hosts[who].life, self.skew);
+            let (incarnation, skew) = (self.hosts[who].incarnation, self.skew);
             let pause = after + self.span(Duration::ZERO, skew);
-            self.later(pause, Event::Configuration { who, life, version });
+            self.later(pause, Event::Configuration { who, incarnation, version });
         }
     }
 
     /// A member is to end: the others know at once that it is none any more, it goes on for a while.
     fn leave(&mut self, who: usize, back: Option<Duration>) {
         self.hosts[who].leaving = true;
-        self.views_change();
-        let life = self.hosts[who].life;
-        self.later(3000 * MS, Event::Left { who, life, back });
+        self.publish_view();
+        let incarnation = self.hosts[who].incarnation;
+        self.later(3000 * MS, Event::Left { who, incarnation, back });
     }
 
-    fn act_planned(&mut self, who: usize) {
-        let members = self.hosts.iter().filter(|h| h.lending.is_some() && !h.leaving).count();
+    fn disturb_planned(&mut self, who: usize) {
+        let members = self.hosts.iter().filter(|h| h.allocator.is_some() && !h.leaving).count();
         let host = &self.hosts[who];
-        let (runs, leaving) = (host.lending.is_some(), host.leaving);
-        match self.below(6) {
+        let (runs, leaving) = (host.allocator.is_some(), host.leaving);
+        match self.random_below(6) {
             0 | 1 if runs && !leaving && members > 1 => {
-                let back = (self.below(2) == 0).then_some(300 * MS);
+                let back = (self.random_below(2) == 0).then_some(300 * MS);
                 self.leave(who, back);
             }
-            0..=2 if !runs => self.happen(Event::Start { who }),
+            0..=2 if !runs => self.handle(Event::Start { who }),
             3 => {
                 let kinds = self.kinds.len();
-                let lacks = self.below(kinds);
+                let lacks = self.random_below(kinds);
                 let pause = self.span(50 * MS, 400 * MS);
                 self.configure(Some(lacks), Duration::ZERO);
                 self.configure(None, pause);
@@ -782,7 +795,7 @@
             return;
         }
         let kinds = self.kinds.len();
-        let n = self.below(kinds);
+        let n = self.random_below(kinds);
         let (name, slots, work) = self.kinds[n].clone();
         // Quiet runs use a fifth of what there is; others press now and then.
         let there = self.instances.iter().filter(|i| i.kind == n && i.drains.is_none()).count().max(1);
@@ -792,40 +805,40 @@
             _ => 1.6,
         };
         let rate = (there * slots) as f64 / work * 1000.0 * press / self.hosts.len() as f64 * kinds as f64;
-        let pause = -(1.0 - self.share()).ln() / rate.clamp(0.5, 60.0);
+        let pause = -(1.0 - self.random_share()).ln() / rate.clamp(0.5, 60.0);
         self.later(Duration::from_secs_f64(pause), Event::Arrival { who });
-        let priority = self.below(4) as u8;
-        let deadline = [800, 2000, 7000][self.below(3)];
+        let priority = self.random_below(4) as u8;
+        let deadline = [800, 2000, 7000][self.random_below(3)];
         let aim = Duration::from_millis(if self.class == Class::Quiet {
             400
         } else {
-            [200, 400, 600][self.below(3)]
+            [200, 400, 600][self.random_below(3)]
         });
         let deadline = if self.class == Class::Quiet { 4000 } else { deadline };
-        let work = Duration::from_secs_f64(work / 1000.0 * (0.4 + 1.2 * self.share()));
+        let work = Duration::from_secs_f64(work / 1000.0 * (0.4 + 1.2 * self.random_share()));
         let host = &self.hosts[who];
-        let away = host.lending.is_none() || host.frozen.is_some() || host.leaving;
-        if away || host.view == 0 || host.stacks == 0 {
+        let away = host.allocator.is_none() || host.frozen.is_some() || host.leaving;
+        if away || host.view == 0 || host.instance_lists == 0 {
             return;
         }
-        let now = self.local(who);
+        let now = self.local_time(who);
         let end = now + Duration::from_millis(deadline);
         self.longest = self.longest.max(Duration::from_millis(deadline));
         let host = &mut self.hosts[who];
-        let Some(lending) = &mut host.lending else { return };
-        let seq = lending.want(now, kind(&name), priority, now + aim, end, "");
+        let Some(allocator) = &mut host.allocator else { return };
+        let seq = allocator.request_slot(now, kind(&name), priority, now + aim, end, "");
         let call = self.calls.len();
         host.calls.insert(seq, call);
         self.calls.push(Call {
             who,
-            life: host.life,
+            incarnation: host.incarnation,
             seq,
             kind: n,
-            came: self.now,
+            arrived: self.now,
             aim: self.now + aim,
             end,
             work,
-            went: None,
+            dispatched: None,
             refused: false,
             over: None,
             instance: None,
@@ -833,29 +846,29 @@
         self.pump(who);
     }
 
-    fn lost(&mut self, a: usize, b: usize) -> bool {
+    fn is_lost(&mut self, a: usize, b: usize) -> bool {
         let pair = (a.min(b), a.max(b));
-        self.cuts.contains(&pair) || (self.loss > 0.0 && self.share() < self.loss)
+        self.cuts.contains(&pair) || (self.loss > 0.0 && self.random_share() < self.loss)
     }
 
     fn pump(&mut self, who: usize) {
         loop {
-            let Some(lending) = &mut self.hosts[who].lending else { return };
-            let Some(order) = lending.pull() else { return };
-            let life = self.hosts[who].life;
-            match order {
-                Order::Send { to, bytes } => self.send(who, to, bytes),
-                Order::Go { call, instance, at } => self.go(who, call, &instance, at),
-                Order::No { call, .. } => self.no(who, call),
-                Order::Dial { instance, .. } => {
+            let Some(allocator) = &mut self.hosts[who].allocator else { return };
+            let Some(action) = allocator.pull() else { return };
+            let incarnation = self.hosts[who].incarnation;
+            match action {
+                Action::Send { to, bytes } => self.send(who, to, bytes),
+                Action::Dispatch { call, instance, at } => self.go(who, call, &instance, at),
+                Action::Reject { call, .. } => self.no(who, call),
+                Action::Dial { instance, .. } => {
                     let n = self.by_id[&instance];
                     let taken = self.now >= self.instances[n].up && self.instances[n].ended.is_none();
-                    self.later(MS, Event::Dialled { who, life, instance, taken });
+                    self.later(MS, Event::Dialled { who, incarnation, instance, taken });
                 }
-                Order::Probe { owner } => self.probe(who, owner),
-                Order::Gone { .. } | Order::Ready { .. } | Order::Wanted(_) => {}
+                Action::Probe { owner } => self.probe(who, owner),
+                Action::InstanceGone { .. } | Action::InstanceReady { .. } | Action::InstanceWanted(_) => {}
                 // Until it is asked again, this one has a view of its own.
-                Order::PassedOver { .. } => self.differed = self.differed.max(self.now + MS),
+                Action::Suspected { .. } => self.differed = self.differed.max(self.now + MS),
             }
         }
     }
@@ -865,132 +878,139 @@
         let Some(&other) = self.by_at.get(&owner) else { return };
         let pair = (who.min(other), who.max(other));
         let host = &self.hosts[other];
-        if host.lending.is_none() && !host.dark && !self.cuts.contains(&pair) {
-            let life = self.hosts[who].life;
-            self.later(MS, Event::Probed { who, life, owner });
+        if host.allocator.is_none() && !host.without_power && !self.cuts.contains(&pair) {
+            let incarnation = self.hosts[who].incarnation;
+            self.later(MS, Event::Probed { who, incarnation, owner });
         }
     }
 
     fn send(&mut self, who: usize, to: SocketAddr, bytes: Vec<u8>) {
-        self.tell(|| format!("  {who} to {to}: {:?}", tindock_lending::words::Letter::read(&bytes)));
-        self.look_at_grants(&bytes);
+        self.log(|| format!("  {who} to {to}: {:?}", tindock_lending::messages::Datagram::decode(&bytes)));
+        self.check_grants(&bytes);
         let Some(&other) = self.by_at.get(&to) else { return };
         self.out.bytes += bytes.len() + 28;
-        self.out.letters += 1;
-        let times = 1 + usize::from(self.doubled > 0.0 && self.share() < self.doubled);
+        self.out.datagrams += 1;
+        let times = 1 + usize::from(self.duplicated > 0.0 && self.random_share() < self.duplicated);
         for _ in 0..times {
-            if self.lost(who, other) {
+            if self.is_lost(who, other) {
                 continue;
             }
             let near = self.hosts[who].zone == self.hosts[other].zone;
-            let way = if near { MS / 4 } else { 8 * MS };
-            let mut pause = self.span(way, way + way / 5);
+            let latency = if near { MS / 4 } else { 8 * MS };
+            let mut pause = self.span(latency, latency + latency / 5);
             if self.class == Class::Tidy {
-                pause = way;
+                pause = latency;
             }
             if self.now < self.hosts[who].slow {
-                if self.share() < 0.2 {
+                if self.random_share() < 0.2 {
                     continue;
                 }
                 pause += self.span(100 * MS, 600 * MS);
             }
-            if self.late > 0.0 && self.share() < self.late {
+            if self.delayed > 0.0 && self.random_share() < self.delayed {
                 pause = self.span(20 * MS, 1500 * MS);
             }
-            let (from, life) = (self.hosts[who].at, self.hosts[other].life);
-            self.later(pause, Event::Letter { to: other, life, from, bytes: bytes.clone() });
+            let (from, incarnation) = (self.hosts[who].at, self.hosts[other].incarnation);
+            self.later(pause, Event::Datagram { to: other, incarnation, from, bytes: bytes.clone() });
         }
     }
 
     fn go(&mut self, who: usize, seq: u32, instance: &str, at: SocketAddr) {
-        let now = self.local(who);
+        let now = self.local_time(who);
         let Some(&call) = self.hosts[who].calls.get(&seq) else {
-            return self.find(Rule::Once, format!("a slot for call {seq} of {who}, which it does not have"));
+            return self.record_violation(
+                Rule::Once,
+                format!("a slot for call {seq} of {who}, which it does not have"),
+            );
         };
         let n = self.by_id[instance];
         let (kind_of, ended) = {
             let i = &self.instances[n];
             (i.kind, i.ended)
         };
-        if self.calls[call].went.is_some() || self.calls[call].refused {
-            self.find(Rule::Once, format!("call {call} was answered twice"));
+        if self.calls[call].dispatched.is_some() || self.calls[call].refused {
+            self.record_violation(Rule::Once, format!("call {call} was answered twice"));
         }
         if kind_of != self.calls[call].kind || self.instances[n].at != at {
-            self.find(Rule::Once, format!("call {call} goes to {instance} of another function"));
+            self.record_violation(Rule::Once, format!("call {call} goes to {instance} of another function"));
         }
         self.in_time(who, call);
-        self.lent_in_time(n);
+        self.granted_in_time(n);
         if self.knows_it_leaves(who, n) {
-            self.find(
+            self.record_violation(
                 Rule::KnownToLeave,
                 format!("{who} sends to {instance}, of which it knows that it leaves"),
             );
         }
-        self.tell(|| format!("call {call} of {who} ({seq}) has {instance}"));
-        self.calls[call].went = Some(self.now);
+        self.log(|| format!("call {call} of {who} ({seq}) has {instance}"));
+        self.calls[call].dispatched = Some(self.now);
         self.calls[call].instance = Some(n);
         let left = self.calls[call].end.saturating_sub(now);
         if left.is_zero() || ended.is_some() {
             let how = if ended.is_some() { Ended::Gone } else { Ended::Idle };
             return self.settle(call, how);
         }
-        let life = self.hosts[who].life;
+        let incarnation = self.hosts[who].incarnation;
         let work = self.calls[call].work;
         self.instances[n].runs.insert(call);
         self.over(n);
         // The worker is done with it at the end of its work, or when the desk hangs up at the end of the call.
         let runs = work.min(left);
         self.later(runs, Event::Ran { call });
-        let event = if runs < left { Event::Told { call, life } } else { Event::Due { call, life } };
+        let event = if runs < left {
+            Event::CallEnded { call, incarnation }
+        } else {
+            Event::Due { call, incarnation }
+        };
         self.later(runs + MS / 5, event);
     }
 
     /// What no lender may grant any more; that its requester would not use it is no excuse.
-    fn look_at_grants(&mut self, bytes: &[u8]) {
-        let lines = Letter::read(bytes).map(|letter| letter.lines).unwrap_or_default();
-        for line in lines {
-            if let Line::Grant { instance, .. } = line {
-                self.lent_in_time(self.by_id[&instance]);
+    fn check_grants(&mut self, bytes: &[u8]) {
+        let messages = Datagram::decode(bytes).map(|datagram| datagram.messages).unwrap_or_default();
+        for message in messages {
+            if let Message::Grant { instance, .. } = message {
+                self.granted_in_time(self.by_id[&instance]);
             }
         }
     }
 
     /// All learn of a drain within the skew of views; a queue on it is served elsewhere.
-    fn lent_in_time(&mut self, n: usize) {
+    fn granted_in_time(&mut self, n: usize) {
         let frozen = self.hosts.iter().any(|h| h.frozen.is_some());
         let Some(since) = self.instances[n].drains.filter(|_| !frozen && self.differed < self.now) else {
             return;
         };
         if self.now > since + self.skew + UNDERWAY {
             let what = format!("{} is lent {:?} after its drain", self.instances[n].id, self.now - since);
-            self.find(Rule::Drain, what);
+            self.record_violation(Rule::Drain, what);
         }
     }
 
     /// By the last list that this host was told.
     fn knows_it_leaves(&self, who: usize, n: usize) -> bool {
-        let version = self.hosts[who].stacks;
+        let version = self.hosts[who].instance_lists;
         let is_it = |entry: &&Entry| entry.instance == self.instances[n].id;
-        match self.stacks[version].iter().find(is_it) {
-            Some(entry) => !entry.lends,
-            None => self.stacks[..version].iter().flatten().any(|entry| is_it(&entry)),
+        match self.instance_lists[version].iter().find(is_it) {
+            Some(entry) => !entry.accepts_calls,
+            None => self.instance_lists[..version].iter().flatten().any(|entry| is_it(&entry)),
         }
     }
 
     /// Calls are answered by their end, but for a sweep; one that was frozen answers as it wakes.
     fn in_time(&mut self, who: usize, call: usize) {
-        let (now, end) = (self.local(who), self.calls[call].end);
-        if now > end + 60 * MS && self.now > self.hosts[who].thawed + 100 * MS {
+        let (now, end) = (self.local_time(who), self.calls[call].end);
+        if now > end + 60 * MS && self.now > self.hosts[who].unfrozen_at + 100 * MS {
             let what = format!("call {call} of {who} is answered {:?} after its end", now - end);
-            self.find(Rule::Answer, what);
+            self.record_violation(Rule::Answer, what);
         }
     }
 
     fn no(&mut self, who: usize, seq: u32) {
         // A call that is turned away within `want` has no number here yet.
         let Some(&call) = self.hosts[who].calls.get(&seq) else { return };
-        if self.calls[call].went.is_some() || self.calls[call].refused {
-            self.find(Rule::Once, format!("call {call} was answered twice"));
+        if self.calls[call].dispatched.is_some() || self.calls[call].refused {
+            self.record_violation(Rule::Once, format!("call {call} was answered twice"));
         }
         self.in_time(who, call);
         self.calls[call].refused = true;
@@ -1000,41 +1020,41 @@
 
     fn settle(&mut self, call: usize, ended: Ended) {
         let (who, seq) = (self.calls[call].who, self.calls[call].seq);
-        if self.calls[call].over.is_some() || self.hosts[who].life != self.calls[call].life {
+        if self.calls[call].over.is_some() || self.hosts[who].incarnation != self.calls[call].incarnation {
             return;
         }
         self.calls[call].over = Some(self.now);
-        self.tell(|| format!("call {call} of {who} is over"));
-        let now = self.local(who);
-        if let Some(lending) = &mut self.hosts[who].lending {
-            lending.settle(now, seq, ended);
+        self.log(|| format!("call {call} of {who} is over"));
+        let now = self.local_time(who);
+        if let Some(allocator) = &mut self.hosts[who].allocator {
+            allocator.settle(now, seq, ended);
         }
         self.pump(who);
     }
 
-    fn act(&mut self) {
+    fn disturb(&mut self) {
         let hosts = self.hosts.len();
-        let who = self.below(hosts);
-        let up = self.hosts.iter().filter(|h| h.lending.is_some() && h.frozen.is_none()).count();
-        let draw = self.below(if self.class == Class::Rough { 8 } else { 5 });
-        if self.class == Class::Planned && draw > 1 {
-            return self.act_planned(who);
+        let who = self.random_below(hosts);
+        let up = self.hosts.iter().filter(|h| h.allocator.is_some() && h.frozen.is_none()).count();
+        let choice = self.random_below(if self.class == Class::Rough { 8 } else { 5 });
+        if self.class == Class::Planned && choice > 1 {
+            return self.disturb_planned(who);
         }
-        self.tell(|| format!("act {draw} on {who}"));
-        match draw {
+        self.log(|| format!("act {choice} on {who}"));
+        match choice {
             0 => {
                 let kinds = self.kinds.len();
-                let kind = self.below(kinds);
+                let kind = self.random_below(kinds);
                 self.begin(kind, false);
-                self.stacks_change();
+                self.publish_instances();
             }
             1 => {
-                let lends: Vec<usize> =
+                let accepts_calls: Vec<usize> =
                     (0..self.instances.len()).filter(|n| self.instances[*n].drains.is_none()).collect();
-                if lends.len() > 1 {
-                    let n = lends[self.below(lends.len())];
+                if accepts_calls.len() > 1 {
+                    let n = accepts_calls[self.random_below(accepts_calls.len())];
                     self.instances[n].drains = Some(self.now);
-                    self.stacks_change();
+                    self.publish_instances();
                 }
             }
             2 => {
@@ -1051,40 +1071,40 @@
                     i.runs.clear();
                     let id = i.id.clone();
                     self.gone.push(id);
-                    self.stacks_change();
+                    self.publish_instances();
                 }
             }
-            3 if self.hosts[who].lending.is_none() => self.happen(Event::Start { who }),
+            3 if self.hosts[who].allocator.is_none() => self.handle(Event::Start { who }),
             // A kill in a tidy run: its connections are reset and its runs end. Otherwise now and then the power goes.
-            3 | 4 if up > 1 && self.hosts[who].lending.is_some() => {
-                let power = self.class == Class::Rough && self.below(2) == 0;
+            3 | 4 if up > 1 && self.hosts[who].allocator.is_some() => {
+                let power = self.class == Class::Rough && self.random_below(2) == 0;
                 self.kill(who, power);
             }
-            5 if self.hosts[who].lending.is_some() && self.hosts[who].frozen.is_none() => {
+            5 if self.hosts[who].allocator.is_some() && self.hosts[who].frozen.is_none() => {
                 self.hosts[who].frozen = Some(Vec::new());
                 let lasts = self.span(100 * MS, 4000 * MS);
-                self.later(lasts, Event::Thaw { who });
+                self.later(lasts, Event::Unfreeze { who });
             }
             6 => {
-                let other = self.below(hosts);
+                let other = self.random_below(hosts);
                 if other != who {
                     let (a, b) = (who.min(other), who.max(other));
                     self.cuts.insert((a, b));
                     let lasts = self.span(100 * MS, 3000 * MS);
-                    self.later(lasts, Event::Mend { a, b });
+                    self.later(lasts, Event::HealCut { a, b });
                 }
             }
             // A view without one that is there, and the true one soon after.
             7 => {
                 let mut view = self.views.last().cloned().unwrap_or_default();
                 if view.len() > 1 {
-                    let n = self.below(view.len());
+                    let n = self.random_below(view.len());
                     view.remove(n);
                     self.views.push(view);
                     let version = self.views.len() - 1;
-                    let life = self.hosts[who].life;
-                    self.later(MS, Event::View { who, life, version });
-                    self.views_change();
+                    let incarnation = self.hosts[who].incarnation;
+                    self.later(MS, Event::View { who, incarnation, version });
+                    self.publish_view();
                 }
             }
             _ => {}
@@ -1093,20 +1113,20 @@
 
     fn kill(&mut self, who: usize, power: bool) {
         self.end(who, power);
-        self.views_change();
+        self.publish_view();
         let back = self.span(50 * MS, 2500 * MS);
         self.later(back, Event::Start { who });
     }
 
     /// The process ends, with what it has in hand.
     fn end(&mut self, who: usize, power: bool) {
-        let life = self.hosts[who].life;
-        self.hosts[who].lending = None;
-        self.hosts[who].dark = power;
+        let incarnation = self.hosts[who].incarnation;
+        self.hosts[who].allocator = None;
+        self.hosts[who].without_power = power;
         self.hosts[who].frozen = None;
         let now = self.now;
         for (n, call) in self.calls.iter_mut().enumerate() {
-            if call.who == who && call.life == life && call.over.is_none() {
+            if call.who == who && call.incarnation == incarnation && call.over.is_none() {
                 call.over = Some(now);
                 if let Some(i) = call.instance.filter(|_| !power) {
                     self.instances[i].runs.remove(&n);
@@ -1127,28 +1147,28 @@
         self.over_since.get_or_insert(self.now);
         let id = self.instances[n].id.clone();
         // Loans given while views differed are over after the longest term.
-        let calm = self.now > self.differed + self.longest + TERM_SLACK && self.cuts.is_empty();
+        let calm = self.now > self.differed + self.longest + EXPIRY_SLACK && self.cuts.is_empty();
         if calm || self.class != Class::Rough {
-            self.find(Rule::Slots, format!("{id} has {runs} calls in {slots} slots"));
+            self.record_violation(Rule::Slots, format!("{id} has {runs} calls in {slots} slots"));
         }
-        let lenders = self.lenders.get(&n).map_or(1, |l| l.len()).max(1);
-        if runs > slots * lenders {
-            let what = format!("{id} has {runs} calls in {slots} slots of {lenders} lenders lately");
-            self.find(Rule::Bound, what);
+        let owners = self.owners.get(&n).map_or(1, |l| l.len()).max(1);
+        if runs > slots * owners {
+            let what = format!("{id} has {runs} calls in {slots} slots of {owners} lenders lately");
+            self.record_violation(Rule::Bound, what);
         }
     }
 
     fn calm_views(&self) -> bool {
         let newest = self.views.len() - 1;
-        let there = self.hosts.iter().filter(|h| h.lending.is_some());
-        let sees = |h: &Host| h.lending.as_ref().is_some_and(|l| l.passed_over().next().is_none());
-        there.clone().all(|h| h.frozen.is_none() && h.view == newest && sees(h))
+        let there = self.hosts.iter().filter(|h| h.allocator.is_some());
+        let known_members = |h: &Host| h.allocator.as_ref().is_some_and(|l| l.suspects().next().is_none());
+        there.clone().all(|h| h.frozen.is_none() && h.view == newest && known_members(h))
             && self.cuts.is_empty()
             && self.now > self.differed
     }
 
     /// What must hold after each step.
-    fn look(&mut self) {
+    fn check_invariants(&mut self) {
         if let Some(since) = self.over_since {
             let slots = |i: &Instance| self.kinds[i.kind].1;
             if self.instances.iter().all(|i| i.runs.len() <= slots(i)) {
@@ -1157,13 +1177,13 @@
             }
         }
         // The books are read ten times more often than anything can outlive its bound by.
-        if self.now < self.looked + 5 * MS {
+        if self.now < self.last_check + 5 * MS {
             return;
         }
-        self.looked = self.now;
+        self.last_check = self.now;
         // While somebody passes a lender over it has a view of its own.
-        let mut living = self.hosts.iter().filter_map(|h| h.lending.as_ref());
-        if living.any(|lending| lending.passed_over().next().is_some()) {
+        let mut living = self.hosts.iter().filter_map(|h| h.allocator.as_ref());
+        if living.any(|allocator| allocator.suspects().next().is_some()) {
             self.differed = self.differed.max(self.now);
         }
         let calm = self.calm_views();
@@ -1171,35 +1191,35 @@
         let mut seen = Vec::new();
         let mut open: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         for (who, host) in self.hosts.iter().enumerate() {
-            let Some(lending) = host.lending.as_ref().filter(|_| host.frozen.is_none()) else {
+            let Some(allocator) = host.allocator.as_ref().filter(|_| host.frozen.is_none()) else {
                 self.idle.retain(|(other, _), _| *other != who);
                 continue;
             };
-            let local = self.now.saturating_sub(host.born).mul_f64(1.0 + host.fast);
-            for shelf in lending.shelves() {
-                let key = |w: &tindock_lending::lender::Wish| (w.late, w.priority, w.aim);
-                if shelf.queue.windows(2).any(|pair| key(&pair[0]) > key(&pair[1])) {
-                    found.push((Rule::Order, format!("the queue of {who} is out of order")));
+            let local_time = self.now.saturating_sub(host.started_at).mul_f64(1.0 + host.clock_rate);
+            for pool in allocator.pools() {
+                let key = |w: &tindock_lending::pool::SlotRequest| (w.late, w.priority, w.aim);
+                if pool.queue.windows(2).any(|pair| key(&pair[0]) > key(&pair[1])) {
+                    found.push((Rule::ServiceOrder, format!("the queue of {who} is out of order")));
                 }
-                let idle = (who, shelf.function.kind);
-                if !shelf.queue.is_empty() && shelf.free(local) > 0 {
+                let idle = (who, pool.function.kind);
+                if !pool.queue.is_empty() && pool.free(local_time) > 0 {
                     let since = *self.idle.entry(idle).or_insert(self.now);
                     if self.now > since + IDLE_SLOT {
-                        let what = format!("{who} has {} waiting beside a free slot", shelf.queue.len());
+                        let what = format!("{who} has {} waiting beside a free slot", pool.queue.len());
                         found.push((Rule::Starved, what));
                     }
                 } else {
                     self.idle.remove(&idle);
                 }
-                for book in &shelf.books {
-                    let n = self.by_id[&book.entry.instance];
-                    if book.open(local) {
+                for ledger in &pool.ledgers {
+                    let n = self.by_id[&ledger.entry.instance];
+                    if ledger.can_grant(local_time) {
                         open.entry(n).or_default().push(who);
                     }
-                    let lately = self.lenders.entry(n).or_default();
-                    lately.insert((who, host.life), self.now);
-                    for loan in &book.loans {
-                        seen.push((who, host.life, n, loan.to, loan.seq));
+                    let lately = self.owners.entry(n).or_default();
+                    lately.insert((who, host.incarnation), self.now);
+                    for grant in &ledger.grants {
+                        seen.push((who, host.incarnation, n, grant.to, grant.seq));
                     }
                 }
             }
@@ -1209,10 +1229,10 @@
                 found.push((Rule::TwoOwners, format!("{} is lent by {owners:?}", self.instances[n].id)));
             }
         }
-        let old = self.longest + TERM_SLACK;
+        let old = self.longest + EXPIRY_SLACK;
         let mut kept = HashMap::with_capacity(seen.len());
         for key in seen {
-            let since = self.loans.get(&key).copied().unwrap_or(self.now);
+            let since = self.grants.get(&key).copied().unwrap_or(self.now);
             kept.insert(key, since);
             let (who, _, n, to, seq) = key;
             let held = self.now - since;
@@ -1231,22 +1251,22 @@
                 None => None,
             };
             if let Some(over) = over {
-                let quiet = over.max(since).max(self.differed);
+                let since_change = over.max(since).max(self.differed);
                 let slow = matches!(self.class, Class::Planned | Class::Rough);
-                let bound = if slow { ASKED } else { RETURNED };
-                if self.now > quiet + bound {
+                let bound = if slow { CHECK_BOUND } else { RETURN_BOUND };
+                if self.now > since_change + bound {
                     let id = &self.instances[n].id;
                     found
                         .push((Rule::Returned, format!("{who} has {to} down for {id}: over since {over:?}")));
                 }
             }
         }
-        self.loans = kept;
-        for lately in self.lenders.values_mut() {
+        self.grants = kept;
+        for lately in self.owners.values_mut() {
             lately.retain(|_, at| *at + old > self.now);
         }
         for (rule, what) in found {
-            self.find(rule, what);
+            self.record_violation(rule, what);
         }
     }
 
@@ -1254,34 +1274,38 @@
         let mut found = Vec::new();
         for (n, call) in self.calls.iter().enumerate() {
             let host = &self.hosts[call.who];
-            if call.went.is_some() {
-                self.out.went += 1;
-                let took = call.went.map_or(Duration::ZERO, |at| at - call.came);
+            if call.dispatched.is_some() {
+                self.out.dispatched += 1;
+                let took = call.dispatched.map_or(Duration::ZERO, |at| at - call.arrived);
                 self.out.slowest = self.out.slowest.max(took);
-                if call.went.is_some_and(|at| at <= call.aim) {
+                if call.dispatched.is_some_and(|at| at <= call.aim) {
                     self.out.in_aim += 1;
                 }
             }
-            if call.went.is_none() && !call.refused && call.over.is_none() && host.life == call.life {
+            if call.dispatched.is_none()
+                && !call.refused
+                && call.over.is_none()
+                && host.incarnation == call.incarnation
+            {
                 found.push((Rule::Answer, format!("call {n} of {} was not answered", call.who)));
             }
-            if self.class == Class::Quiet && call.went.is_none_or(|at| at > call.aim) {
+            if self.class == Class::Quiet && call.dispatched.is_none_or(|at| at > call.aim) {
                 found.push((Rule::Starved, format!("call {n} is past its aim though there is room")));
             }
         }
         for (who, host) in self.hosts.iter().enumerate() {
-            let Some(lending) = &host.lending else { continue };
-            if lending.shelves().any(|s| s.lent() > 0) {
+            let Some(allocator) = &host.allocator else { continue };
+            if allocator.pools().any(|s| s.granted() > 0) {
                 found.push((Rule::Term, format!("{who} has loans down after all is over")));
             }
         }
         for (rule, what) in found {
-            self.find(rule, what);
+            self.record_violation(rule, what);
         }
     }
 }
 
 /// Plays one seed.
-pub fn play(class: Class, seed: u64) -> Outcome {
+pub fn simulate(class: Class, seed: u64) -> Outcome {
     World::new(class, seed).run()
 }
--- a/crates/lending/tests/refusing_cut.rs
+++ b/crates/lending/tests/resetting_partition.rs
@@ -5,52 +5,52 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_lending::planted::{Defect, PLANTED};
-use tindock_lending::words::{kind, Ended};
-use tindock_lending::{Entry, Function, Lending, Member, Order};
+use tindock_lending::defects::{Defect, INJECTED};
+use tindock_lending::messages::{kind, Ended};
+use tindock_lending::{Action, Allocator, Entry, Function, Member};
 
 const MS: Duration = Duration::from_millis(1);
 const ZONES: u8 = 4;
 const SLOTS: usize = 2;
 /// A call's run, and the pause between two calls of one scheduler.
 const RUN: Duration = Duration::from_millis(80);
-const EVERY: u64 = 30;
+const PERIOD_MS: u64 = 30;
 /// From the cut until the agents behind it miss the controllers, and until the holder's list lacks them.
-const CONTACT_LOST: Duration = Duration::from_millis(1000);
-const LIST_CHANGED: Duration = Duration::from_millis(2300);
+const CONTACT_LOST_AFTER: Duration = Duration::from_millis(1000);
+const LIST_CHANGED_AFTER: Duration = Duration::from_millis(2300);
 const CUT_AT: Duration = Duration::from_secs(3);
 const HEALED_AT: Duration = Duration::from_secs(10);
 /// From the cut's beginning and end on both sides agree on who lends after so long, a call's run among it.
-const SETTLED: Duration = Duration::from_millis(2500);
+const SETTLE_TIME: Duration = Duration::from_millis(2500);
 
-fn port(n: u8) -> SocketAddr {
+fn address(n: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, n], 7301))
 }
 
 /// Calls too many until then, of some 600 in that time.
-const FIRST: usize = 60;
+const MAX_EXCESS: usize = 60;
 
 enum Event {
-    Letter { to: u8, from: u8, bytes: Vec<u8> },
+    Datagram { to: u8, from: u8, bytes: Vec<u8> },
     Refused { to: u8, owner: u8 },
-    Over { at: u8, call: u32, instance: String },
+    Finished { at: u8, call: u32, instance: String },
 }
 
 struct Fleet {
     now: Duration,
-    lending: BTreeMap<u8, Lending>,
+    allocator: BTreeMap<u8, Allocator>,
     /// Those behind the cut.
-    behind: BTreeSet<u8>,
+    cut_off: BTreeSet<u8>,
     due: BTreeMap<Duration, VecDeque<Event>>,
     /// Calls that run on each instance, and the times at which one had more than its slots.
     runs: BTreeMap<String, usize>,
-    over: Vec<Duration>,
+    excess: Vec<Duration>,
     served: BTreeMap<u8, usize>,
 }
 
 impl Fleet {
     /// So many schedulers in turn over the zones, an instance in each zone; the last ones come behind the cut.
-    fn new(schedulers: u8, behind: u8) -> Fleet {
+    fn new(schedulers: u8, cut_off: u8) -> Fleet {
         let ids: Vec<u8> = (1..=schedulers).collect();
         let members: Vec<Member> = ids.iter().map(|n| member(*n)).collect();
         let function =
@@ -61,67 +61,68 @@
             at: SocketAddr::from(([10, 2, 0, zone], 80)),
             zone: format!("z{zone}"),
             ready: true,
-            lends: true,
+            accepts_calls: true,
             since: Duration::ZERO,
         };
-        let lending = ids.iter().map(|n| {
+        let allocator = ids.iter().map(|n| {
             let own = member(*n);
-            let mut lending = Lending::new(own.at, own.zone.clone(), own.life, (*n).into(), Duration::ZERO);
-            lending.contact(MS, true);
-            lending.functions(MS, vec![function.clone()]);
-            lending.members(MS, members.clone());
-            lending.stacks(MS, (0..ZONES).map(entry).collect(), &[]);
-            (*n, lending)
+            let mut allocator =
+                Allocator::new(own.at, own.zone.clone(), own.incarnation, (*n).into(), Duration::ZERO);
+            allocator.set_controllers_reachable(MS, true);
+            allocator.set_functions(MS, vec![function.clone()]);
+            allocator.set_members(MS, members.clone());
+            allocator.update_instances(MS, (0..ZONES).map(entry).collect(), &[]);
+            (*n, allocator)
         });
         Fleet {
             now: MS,
-            lending: lending.collect(),
-            behind: (schedulers - behind + 1..=schedulers).collect(),
+            allocator: allocator.collect(),
+            cut_off: (schedulers - cut_off + 1..=schedulers).collect(),
             due: BTreeMap::new(),
             runs: BTreeMap::new(),
-            over: Vec::new(),
+            excess: Vec::new(),
             served: BTreeMap::new(),
         }
     }
 
     fn is_cut(&self, a: u8, b: u8) -> bool {
         let cut = (CUT_AT..HEALED_AT).contains(&self.now);
-        cut && self.behind.contains(&a) != self.behind.contains(&b)
+        cut && self.cut_off.contains(&a) != self.cut_off.contains(&b)
     }
 
     fn later(&mut self, pause: Duration, event: Event) {
         self.due.entry(self.now + pause).or_default().push_back(event);
     }
 
-    fn with(&mut self, n: u8, input: impl FnOnce(&mut Lending, Duration)) {
+    fn with(&mut self, n: u8, input: impl FnOnce(&mut Allocator, Duration)) {
         let now = self.now;
-        let lending = self.lending.get_mut(&n).expect("a scheduler");
-        input(lending, now);
-        while let Some(order) = self.lending.get_mut(&n).expect("a scheduler").pull() {
-            self.carry_out(n, order);
+        let allocator = self.allocator.get_mut(&n).expect("a scheduler");
+        input(allocator, now);
+        while let Some(action) = self.allocator.get_mut(&n).expect("a scheduler").pull() {
+            self.execute(n, action);
         }
     }
 
-    fn carry_out(&mut self, n: u8, order: Order) {
+    fn execute(&mut self, n: u8, action: Action) {
         let number = |at: SocketAddr| match at {
             SocketAddr::V4(at) => at.ip().octets()[3],
             SocketAddr::V6(_) => unreachable!("all addresses are of version 4"),
         };
-        match order {
-            Order::Send { to, bytes } if !self.is_cut(n, number(to)) => {
-                self.later(MS, Event::Letter { to: number(to), from: n, bytes });
+        match action {
+            Action::Send { to, bytes } if !self.is_cut(n, number(to)) => {
+                self.later(MS, Event::Datagram { to: number(to), from: n, bytes });
             }
-            Order::Probe { owner } if self.is_cut(n, number(owner)) => {
+            Action::Probe { owner } if self.is_cut(n, number(owner)) => {
                 self.later(MS, Event::Refused { to: n, owner: number(owner) });
             }
-            Order::Go { call, instance, .. } => {
+            Action::Dispatch { call, instance, .. } => {
                 let runs = self.runs.entry(instance.clone()).or_default();
                 *runs += 1;
                 if *runs > SLOTS {
-                    self.over.push(self.now);
+                    self.excess.push(self.now);
                 }
                 *self.served.entry(n).or_default() += 1;
-                self.later(RUN, Event::Over { at: n, call, instance });
+                self.later(RUN, Event::Finished { at: n, call, instance });
             }
             _ => {}
         }
@@ -132,70 +133,79 @@
             self.now += MS;
             while self.due.first_key_value().is_some_and(|(at, _)| *at <= self.now) {
                 let (_, events) = self.due.pop_first().expect("events");
-                events.into_iter().for_each(|event| self.happen(event));
+                events.into_iter().for_each(|event| self.handle(event));
             }
             self.controllers();
-            let ids: Vec<u8> = self.lending.keys().copied().collect();
+            let ids: Vec<u8> = self.allocator.keys().copied().collect();
             for n in ids {
                 let at = self.now.as_millis() as u64;
-                if (at + u64::from(n) * 7).is_multiple_of(EVERY) {
-                    self.with(n, |lending, now| {
-                        lending.want(now, kind("f"), 1, now + 400 * MS, now + 2000 * MS, "");
+                if (at + u64::from(n) * 7).is_multiple_of(PERIOD_MS) {
+                    self.with(n, |allocator, now| {
+                        allocator.request_slot(now, kind("f"), 1, now + 400 * MS, now + 2000 * MS, "");
                     });
                 }
                 if at.is_multiple_of(25) {
-                    self.with(n, |lending, now| lending.tick(now));
+                    self.with(n, |allocator, now| allocator.tick(now));
                 }
             }
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Letter { to, from, bytes } => {
-                self.with(to, |lending, now| {
-                    lending.hear(now, port(from), &bytes);
+            Event::Datagram { to, from, bytes } => {
+                self.with(to, |allocator, now| {
+                    allocator.receive(now, address(from), &bytes);
                 });
             }
             Event::Refused { to, owner } => {
-                self.with(to, |lending, now| lending.has_ended(now, port(owner)));
+                self.with(to, |allocator, now| allocator.connection_refused(now, address(owner)));
             }
-            Event::Over { at, call, instance } => {
+            Event::Finished { at, call, instance } => {
                 *self.runs.entry(instance).or_default() -= 1;
-                self.with(at, |lending, now| lending.settle(now, call, Ended::Done));
+                self.with(at, |allocator, now| allocator.settle(now, call, Ended::Done));
             }
         }
     }
 
     /// What agents and the holder of the lease tell.
     fn controllers(&mut self) {
-        let behind: Vec<u8> = self.behind.iter().copied().collect();
-        let before: Vec<u8> = self.lending.keys().copied().filter(|n| !self.behind.contains(n)).collect();
-        let all: Vec<Member> = self.lending.keys().map(|n| member(*n)).collect();
-        if self.now == CUT_AT + CONTACT_LOST {
-            behind.iter().for_each(|n| self.with(*n, |lending, now| lending.contact(now, false)));
+        let cut_off: Vec<u8> = self.cut_off.iter().copied().collect();
+        let before: Vec<u8> = self.allocator.keys().copied().filter(|n| !self.cut_off.contains(n)).collect();
+        let all: Vec<Member> = self.allocator.keys().map(|n| member(*n)).collect();
+        if self.now == CUT_AT + CONTACT_LOST_AFTER {
+            cut_off.iter().for_each(|n| {
+                self.with(*n, |allocator, now| allocator.set_controllers_reachable(now, false))
+            });
         }
-        if self.now == CUT_AT + LIST_CHANGED {
+        if self.now == CUT_AT + LIST_CHANGED_AFTER {
             let list: Vec<Member> = before.iter().map(|n| member(*n)).collect();
-            before.iter().for_each(|n| self.with(*n, |lending, now| lending.members(now, list.clone())));
+            before
+                .iter()
+                .for_each(|n| self.with(*n, |allocator, now| allocator.set_members(now, list.clone())));
         }
         if self.now == HEALED_AT + 500 * MS {
-            for n in behind.iter().chain(&before) {
-                self.with(*n, |lending, now| {
-                    lending.contact(now, true);
-                    lending.members(now, all.clone());
+            for n in cut_off.iter().chain(&before) {
+                self.with(*n, |allocator, now| {
+                    allocator.set_controllers_reachable(now, true);
+                    allocator.set_members(now, all.clone());
                 });
             }
         }
     }
 
-    fn over_within(&self, from: Duration, to: Duration) -> usize {
-        self.over.iter().filter(|at| (from..to).contains(*at)).count()
+    fn excess_within(&self, from: Duration, to: Duration) -> usize {
+        self.excess.iter().filter(|at| (from..to).contains(*at)).count()
     }
 }
 
 fn member(n: u8) -> Member {
-    Member { at: port(n), zone: format!("z{}", n % ZONES), region: "r".into(), life: u32::from(n) * 2 + 9 }
+    Member {
+        at: address(n),
+        zone: format!("z{}", n % ZONES),
+        region: "r".into(),
+        incarnation: u32::from(n) * 2 + 9,
+    }
 }
 
 /// Guards against a refused connection that passes for the end of a process: behind a firewall that resets, both sides
@@ -206,43 +216,43 @@
 #[case::one_of_eight(8, 1)]
 #[case::half_of_six(6, 3)]
 #[case::five_of_eight(8, 5)]
-fn two_sides_of_a_cut_that_resets_do_not_both_lend(#[case] schedulers: u8, #[case] behind: u8) {
-    let mut fleet = Fleet::new(schedulers, behind);
+fn two_sides_of_a_cut_that_resets_do_not_both_lend(#[case] schedulers: u8, #[case] cut_off: u8) {
+    let mut fleet = Fleet::new(schedulers, cut_off);
     fleet.run(Duration::from_secs(13));
-    assert_eq!(fleet.over_within(Duration::ZERO, CUT_AT), 0);
-    let first = fleet.over_within(CUT_AT, CUT_AT + SETTLED);
-    assert!(first <= FIRST, "{first} at first");
-    assert_eq!(fleet.over_within(CUT_AT + SETTLED, HEALED_AT), 0, "while it is cut");
-    assert_eq!(fleet.over_within(HEALED_AT + SETTLED, Duration::MAX), 0, "after it");
+    assert_eq!(fleet.excess_within(Duration::ZERO, CUT_AT), 0);
+    let first = fleet.excess_within(CUT_AT, CUT_AT + SETTLE_TIME);
+    assert!(first <= MAX_EXCESS, "{first} at first");
+    assert_eq!(fleet.excess_within(CUT_AT + SETTLE_TIME, HEALED_AT), 0, "while it is cut");
+    assert_eq!(fleet.excess_within(HEALED_AT + SETTLE_TIME, Duration::MAX), 0, "after it");
 }
 
 /// The side of the holder goes on with all instances, however few are on it, and all serve again after the cut.
 #[test]
 fn the_side_of_the_holder_serves() {
     let mut fleet = Fleet::new(8, 6);
-    fleet.run(CUT_AT + SETTLED);
+    fleet.run(CUT_AT + SETTLE_TIME);
     let served = |fleet: &Fleet| fleet.served.values().sum::<usize>();
     let (before, own) = (served(&fleet), fleet.served[&1]);
     fleet.run(HEALED_AT);
     assert!(fleet.served[&1] > own, "{:?}", fleet.served);
     let cut = served(&fleet) - before;
-    fleet.run(HEALED_AT + SETTLED);
+    fleet.run(HEALED_AT + SETTLE_TIME);
     let healed = served(&fleet);
-    fleet.run(HEALED_AT + SETTLED + Duration::from_secs(2));
+    fleet.run(HEALED_AT + SETTLE_TIME + Duration::from_secs(2));
     assert!(served(&fleet) > healed + 50, "{cut}, {healed}");
 }
 
 #[rstest]
 #[case(Defect::RefusalIsProof)]
-#[case(Defect::IsolatedLends)]
+#[case(Defect::IsolatedGrants)]
 fn a_side_that_lends_on_is_found(#[case] defect: Defect) {
-    let over = |defect: Option<Defect>| {
-        PLANTED.set(defect);
+    let excess = |defect: Option<Defect>| {
+        INJECTED.set(defect);
         let mut fleet = Fleet::new(8, 4);
         fleet.run(HEALED_AT);
-        PLANTED.set(None);
-        fleet.over_within(CUT_AT, HEALED_AT)
+        INJECTED.set(None);
+        fleet.excess_within(CUT_AT, HEALED_AT)
     };
-    let (sound, planted) = (over(None), over(Some(defect)));
-    assert!(planted > 2 * sound, "{planted} calls too many, and {sound} without it");
+    let (sound, injected) = (excess(None), excess(Some(defect)));
+    assert!(injected > 2 * sound, "{injected} calls too many, and {sound} without it");
 }
--- a/crates/lending/tests/seeds.rs
+++ b/crates/lending/tests/seeds.rs
@@ -3,7 +3,7 @@
 
 mod harness;
 
-use harness::{play, Class, Rule};
+use harness::{simulate, Class, Rule};
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,27 +21,27 @@
     #[values(0, 1, 2, 3)] part: u64,
 ) {
     let (mut worst, mut over, mut calls, mut slowest) = (0.0f64, Duration::ZERO, 0, Duration::ZERO);
-    let (mut went, mut in_aim) = (0, 0);
-    let mut broken: BTreeMap<Rule, (usize, String)> = BTreeMap::new();
+    let (mut dispatched, mut in_aim) = (0, 0);
+    let mut violations: BTreeMap<Rule, (usize, String)> = BTreeMap::new();
     let all = match number("LENDING_SEED") {
         Some(seed) => seed..seed + 1,
         None => 0..number("LENDING_SEEDS").unwrap_or(800),
     };
     for seed in all.filter(|seed| seed % PARTS == part) {
-        let out = play(class, seed);
-        if let Some(first) = out.broken.first() {
-            let said = format!("seed {seed}, {:?}: {}", first.at, first.what);
-            broken.entry(first.rule).or_insert((0, said)).0 += 1;
+        let out = simulate(class, seed);
+        if let Some(first) = out.violations.first() {
+            let description = format!("seed {seed}, {:?}: {}", first.at, first.what);
+            violations.entry(first.rule).or_insert((0, description)).0 += 1;
         }
         worst = worst.max(out.worst);
         over = over.max(out.over);
         slowest = slowest.max(out.slowest);
         calls += out.calls;
-        (went, in_aim) = (went + out.went, in_aim + out.in_aim);
+        (dispatched, in_aim) = (dispatched + out.dispatched, in_aim + out.in_aim);
     }
     println!(
-        "{class:?}: {calls} calls, {went} had a slot, {in_aim} in their aim, the slowest after {slowest:?}; \
+        "{class:?}: {calls} calls, {dispatched} had a slot, {in_aim} in their aim, the slowest after {slowest:?}; \
          at worst {worst:.2} times the slots in use, for {over:?}"
     );
-    assert!(broken.is_empty(), "{class:?}: {broken:#?}");
+    assert!(violations.is_empty(), "{class:?}: {violations:#?}");
 }
--- a/crates/lending/tests/picks.rs
+++ b/crates/lending/tests/selection.rs
@@ -3,9 +3,9 @@
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_lending::lender::{Book, Function, Shelf, Verdict, Wish};
-use tindock_lending::pick::{index, Energy, Seen, IDLE};
-use tindock_lending::words::{kind, Ended};
+use tindock_lending::messages::{kind, Ended};
+use tindock_lending::pool::{Function, InstanceLedger, SlotPool, SlotRequest, Verdict};
+use tindock_lending::selection::{index, Energy, IndexInputs, OFF_AFTER};
 use tindock_lending::Entry;
 use Energy::{Busy, Off, Setup};
 
@@ -16,22 +16,22 @@
 }
 
 /// A shelf of started instances, and what happens to it.
-struct Desk {
-    shelf: Shelf,
+struct Pool {
+    pool: SlotPool,
     now: Duration,
     seq: u32,
-    drawn: u32,
+    random_state: u32,
 }
 
-impl Desk {
-    fn new(instances: usize, slots: usize, boot: u64) -> Desk {
+impl Pool {
+    fn new(instances: usize, slots: usize, boot: u64) -> Pool {
         let function = Function { kind: 7, name: "dock".into(), slots, boot: ms(boot) };
         let now = Duration::from_secs(100);
-        let mut desk = Desk { shelf: Shelf::new(function, now), now, seq: 0, drawn: 0 };
+        let mut pool = Pool { pool: SlotPool::new(function, now), now, seq: 0, random_state: 0 };
         for n in 0..instances {
-            desk.add(n);
+            pool.add(n);
         }
-        desk
+        pool
     }
 
     fn add(&mut self, n: usize) {
@@ -41,20 +41,20 @@
             at: SocketAddr::from(([10, 0, 0, n as u8], 80)),
             zone: "a".into(),
             ready: true,
-            lends: true,
+            accepts_calls: true,
             since: ms(1),
         };
-        self.shelf.books.push(Book::new(entry, Duration::ZERO, Vec::new()));
+        self.pool.ledgers.push(InstanceLedger::new(entry, Duration::ZERO, Vec::new()));
     }
 
-    fn wish(&mut self, avoid: Option<usize>) -> Wish {
+    fn request(&mut self, avoid: Option<usize>) -> SlotRequest {
         self.seq += 1;
-        Wish {
+        SlotRequest {
             from: SocketAddr::from(([10, 1, 0, 1], 9)),
-            life: 1,
+            incarnation: 1,
             seq: self.seq,
             priority: 2,
-            came: self.now,
+            arrived: self.now,
             aim: self.now + ms(5000),
             end: self.now + ms(60_000),
             avoid: avoid.map_or(0, |n| kind(&format!("i-{n}"))),
@@ -64,46 +64,46 @@
     }
 
     /// Lends a slot of this instance, and gives the number of the call.
-    fn lend(&mut self, n: usize) -> u32 {
-        let wish = self.wish(None);
-        self.shelf.lend(self.now, n, &wish);
-        wish.seq
+    fn grant(&mut self, n: usize) -> u32 {
+        let request = self.request(None);
+        self.pool.grant(self.now, n, &request);
+        request.seq
     }
 
-    fn back(&mut self, seq: u32, ended: Ended) {
-        self.shelf.back(self.now, SocketAddr::from(([10, 1, 0, 1], 9)), 1, seq, ended);
+    fn give_back(&mut self, seq: u32, ended: Ended) {
+        self.pool.return_slot(self.now, SocketAddr::from(([10, 1, 0, 1], 9)), 1, seq, ended);
     }
 
     fn run(&mut self, n: usize, takes: u64) {
-        let seq = self.lend(n);
+        let seq = self.grant(n);
         self.now += ms(takes);
-        self.back(seq, Ended::Done);
+        self.give_back(seq, Ended::Done);
     }
 
     /// Calls come at this rate for some seconds.
     fn rate(&mut self, rate: u64) {
         for _ in 0..8 * rate {
             self.now += Duration::from_nanos(1_000_000_000 / rate);
-            self.shelf.counted(self.now, 0);
+            self.pool.count_arrival(self.now, 0);
         }
     }
 
     /// The pick of one call that gives its slot back unused.
     fn pick(&mut self, avoid: Option<usize>) -> Option<usize> {
-        let wish = self.wish(avoid);
-        let seq = wish.seq;
-        let drawn = &mut self.drawn;
-        let mut chance = |n: usize| {
-            *drawn = drawn.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
-            (*drawn >> 16) as usize % n
+        let request = self.request(avoid);
+        let seq = request.seq;
+        let random_state = &mut self.random_state;
+        let mut random_below = |n: usize| {
+            *random_state = random_state.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
+            (*random_state >> 16) as usize % n
         };
-        let verdict = self.shelf.ask(self.now, wish, &mut chance);
+        let verdict = self.pool.request(self.now, request, &mut random_below);
         let Verdict::Granted(i) = verdict else {
-            self.shelf.queue.clear();
+            self.pool.queue.clear();
             return None;
         };
-        let at = self.shelf.books[i].loans.iter().position(|loan| loan.seq == seq).unwrap();
-        self.shelf.books[i].loans.swap_remove(at); // without a word: the sight stays as it is
+        let at = self.pool.ledgers[i].grants.iter().position(|grant| grant.seq == seq).unwrap();
+        self.pool.ledgers[i].grants.swap_remove(at); // without a word: the sight stays as it is
         Some(i)
     }
 
@@ -135,7 +135,7 @@
     #[case] (lambda, mu, delta): (f64, f64, f64),
     #[case] expected: f64,
 ) {
-    let found = index(&Seen { n, energy, lambda, mu, delta, among: 1 });
+    let found = index(&IndexInputs { n, energy, lambda, mu, delta, instances: 1 });
     assert!((found - expected).abs() < 1e-9, "{found} instead of {expected}");
 }
 
@@ -145,7 +145,7 @@
     #[values(0.05, 1.0, 19.9999, 20.0, 20.0001, 200.0)] lambda: f64,
     #[values(0.7, 19.0, 20.0, 21.0, 22.0, 400.0)] delta: f64,
 ) {
-    let of = |n, energy| index(&Seen { n, energy, lambda, mu: 20.0, delta, among: 3 });
+    let of = |n, energy| index(&IndexInputs { n, energy, lambda, mu: 20.0, delta, instances: 3 });
     let order = [(0, Busy), (0, Off), (1, Busy), (2, Busy), (3, Busy), (8, Busy)];
     let order: Vec<f64> = order.map(|(n, energy)| of(n, energy)).to_vec();
     assert!(order.iter().all(|index| index.is_finite() && *index > 0.0), "{order:?}");
@@ -191,46 +191,46 @@
     #[values(2, 20_000)] boot: u64,
     #[values(1, 30, 300)] rate: u64,
 ) {
-    let mut desk = Desk::new(were.len(), 4, boot);
+    let mut pool = Pool::new(were.len(), 4, boot);
     for (n, was) in were.iter().enumerate() {
         if !matches!(was, New | Returning) {
-            desk.run(n, RUN);
+            pool.run(n, RUN);
         }
     }
     for n in were.iter().enumerate().filter(|(_, was)| matches!(was, Returning)).map(|(n, _)| n) {
-        desk.run(n, RUN);
-        let seq = desk.lend(n);
-        desk.back(seq, Ended::Silent);
+        pool.run(n, RUN);
+        let seq = pool.grant(n);
+        pool.give_back(seq, Ended::Silent);
     }
-    desk.now += IDLE;
-    desk.rate(rate);
+    pool.now += OFF_AFTER;
+    pool.rate(rate);
     for (n, was) in were.iter().enumerate() {
         let Known(holds) = was else { continue };
-        let seq = desk.lend(n);
-        desk.back(seq, Ended::Done);
+        let seq = pool.grant(n);
+        pool.give_back(seq, Ended::Done);
         for _ in 0..*holds {
-            desk.lend(n);
+            pool.grant(n);
         }
     }
-    assert_eq!(desk.picks(avoid), expected);
+    assert_eq!(pool.picks(avoid), expected);
 }
 
 /// One that was off and has not answered yet stands behind one as full that answers.
 #[rstest]
 fn busy_before_setup(#[values(1, 30)] rate: u64) {
-    let mut desk = Desk::new(2, 4, 1400);
-    (0..2).for_each(|n| desk.run(n, RUN));
-    desk.now += IDLE;
-    desk.rate(rate);
-    desk.run(1, RUN);
+    let mut pool = Pool::new(2, 4, 1400);
+    (0..2).for_each(|n| pool.run(n, RUN));
+    pool.now += OFF_AFTER;
+    pool.rate(rate);
+    pool.run(1, RUN);
     for n in 0..2 {
-        desk.lend(n);
+        pool.grant(n);
     }
-    assert_eq!(desk.picks(None), [1]);
+    assert_eq!(pool.picks(None), [1]);
     // It has answered: both are alike.
-    let seq = desk.lend(0);
-    desk.back(seq, Ended::Done);
-    assert_eq!(desk.picks(None), [0, 1]);
+    let seq = pool.grant(0);
+    pool.give_back(seq, Ended::Done);
+    assert_eq!(pool.picks(None), [0, 1]);
 }
 
 /// An instance's own pace counts once it differs clearly over many runs, and not before; failures teach nothing.
@@ -242,46 +242,46 @@
 #[case::slow_failures(60, 300, Ended::Idle, &[0, 1])]
 #[case::slow_refusals(60, 300, Ended::Full, &[0, 1])]
 fn own_pace(#[case] runs: usize, #[case] takes: u64, #[case] ended: Ended, #[case] expected: &[usize]) {
-    let mut desk = Desk::new(2, 4, 1400);
-    (0..40).for_each(|_| desk.run(0, RUN));
-    desk.run(1, RUN);
+    let mut pool = Pool::new(2, 4, 1400);
+    (0..40).for_each(|_| pool.run(0, RUN));
+    pool.run(1, RUN);
     for _ in 0..runs {
-        desk.run(0, RUN);
-        let seq = desk.lend(1);
-        desk.now += ms(takes);
-        desk.back(seq, ended);
+        pool.run(0, RUN);
+        let seq = pool.grant(1);
+        pool.now += ms(takes);
+        pool.give_back(seq, ended);
     }
-    desk.now += ms(100);
+    pool.now += ms(100);
     for n in [0, 1] {
-        let seq = desk.lend(n);
-        desk.back(seq, Ended::Idle);
-        desk.lend(n);
+        let seq = pool.grant(n);
+        pool.give_back(seq, Ended::Idle);
+        pool.grant(n);
     }
-    assert_eq!(desk.picks(None), expected);
+    assert_eq!(pool.picks(None), expected);
 }
 
 /// The index grows as b^n: no addend keeps a second try away from where the first one was.
 #[rstest]
 fn avoided_under_load() {
-    let mut desk = Desk::new(2, 8, 1400);
-    (0..2).for_each(|n| desk.run(n, 2000));
-    desk.rate(200);
+    let mut pool = Pool::new(2, 8, 1400);
+    (0..2).for_each(|n| pool.run(n, 2000));
+    pool.rate(200);
     for _ in 0..7 {
-        desk.lend(1);
+        pool.grant(1);
     }
-    let seen = Seen { n: 7, energy: Busy, lambda: 200.0, mu: 4.0, delta: 0.7, among: 2 };
-    assert!(index(&seen) > 1e6);
-    assert_eq!(desk.picks(Some(0)), [1]);
+    let inputs = IndexInputs { n: 7, energy: Busy, lambda: 200.0, mu: 4.0, delta: 0.7, instances: 2 };
+    assert!(index(&inputs) > 1e6);
+    assert_eq!(pool.picks(Some(0)), [1]);
 }
 
 /// Starts seen move delta: one that boots quicker than it runs has the source's own index, and off comes before busy.
 #[rstest]
 fn starts_seen_refine_delta() {
-    let slow = Seen { n: 0, energy: Off, lambda: 3.0, mu: 2.0, delta: 1.0, among: 1 };
-    let mut boots = tindock_lending::pick::Boots::default();
+    let slow = IndexInputs { n: 0, energy: Off, lambda: 3.0, mu: 2.0, delta: 1.0, instances: 1 };
+    let mut boots = tindock_lending::selection::BootTimes::default();
     assert!((boots.delta(ms(1000)) - slow.delta).abs() < 1e-9);
-    (0..40).for_each(|_| boots.seen(ms(250), ms(1000)));
+    (0..40).for_each(|_| boots.observe(ms(250), ms(1000)));
     assert!((boots.delta(ms(1000)) - 4.0).abs() < 0.01);
     assert!((boots.delta(ms(500)) - 8.0).abs() < 0.02);
-    assert!(index(&Seen { delta: boots.delta(ms(1000)), ..slow }) < index(&slow));
+    assert!(index(&IndexInputs { delta: boots.delta(ms(1000)), ..slow }) < index(&slow));
 }
--- a/crates/rehearsal/src/baselines.rs
+++ b/crates/rehearsal/src/baselines.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use std::time::Duration;
-use tindock_lending::pick::{self, Energy, Score, Seen};
+use tindock_lending::selection::{self, Energy, IndexInputs, Score};
 use tindock_stacks::Demand;
 
 /// How desks share the slots of instances.
@@ -69,27 +69,29 @@
 
     pub fn score(self) -> Score {
         match self {
-            Ranking::Limit => pick::index,
+            Ranking::Limit => selection::index,
             Ranking::OneStep => |seen| below(seen, one_step),
-            Ranking::NoSetup => |seen| below(seen, |seen| pick::index(&Seen { delta: 1e9, ..*seen })),
+            Ranking::NoSetup => {
+                |seen| below(seen, |seen| selection::index(&IndexInputs { delta: 1e9, ..*seen }))
+            }
             Ranking::Fewest => |seen| below(seen, |seen| seen.n as f64),
             Ranking::Random => |seen| below(seen, |_| 0.0),
         }
     }
 }
 
-fn below(seen: &Seen, otherwise: Score) -> f64 {
+fn below(seen: &IndexInputs, otherwise: Score) -> f64 {
     if seen.delta < seen.mu {
         otherwise(seen)
     } else {
-        pick::index(seen)
+        selection::index(seen)
     }
 }
 
 /// One step of policy iteration from an even split, for a queue that sleeps when empty and wakes for 1/delta: v(n, setup) =
 /// n/delta + n(n+1)/2(mu-l) and v(n, busy) = n(n+1)/2(mu-l) - n l/(delta(mu-l)), l the queue's own part of lambda.
-fn one_step(seen: &Seen) -> f64 {
-    let own = (seen.lambda / seen.among.max(1) as f64).min(0.95 * seen.mu);
+fn one_step(seen: &IndexInputs) -> f64 {
+    let own = (seen.lambda / seen.instances.max(1) as f64).min(0.95 * seen.mu);
     let (wait, up, n) = (1.0 / (seen.mu - own), 1.0 / seen.delta, seen.n as f64 + 1.0);
     let added = match seen.energy {
         Energy::Off => up + wait,
--- a/crates/rehearsal/src/desk.rs
+++ b/crates/rehearsal/src/desk.rs
@@ -12,8 +12,8 @@
     answer_head, request_head, write_answer, write_own, write_request, AnswerHead, Body, Framing, Read,
     RequestHead,
 };
-use tindock_lending::words::{kind, Ended, Kind};
-use tindock_lending::{Entry, Function, Lending, Member, Order, Told};
+use tindock_lending::messages::{kind, Ended, Kind};
+use tindock_lending::{Action, Allocator, Entry, Function, LoadReport, Member};
 use tindock_lifecycle::{GracePeriod, Lifecycle, Phase, RunTimes};
 use tindock_stacks::Demand;
 
@@ -177,7 +177,7 @@
 }
 
 pub struct Desk {
-    pub lending: Lending,
+    pub lending: Allocator,
     regions: Vec<(String, String)>,
     zone: String,
     catalogue: Option<Rc<(Rc<Catalogue>, Finder)>>,
@@ -221,7 +221,8 @@
     ) -> Desk {
         let me = SocketAddr::new(ip, LEND_PORT);
         Desk {
-            lending: Lending::new(me, zone.to_string(), life, seed, Duration::ZERO).scored(ranking.score()),
+            lending: Allocator::new(me, zone.to_string(), life, seed, Duration::ZERO)
+                .with_score(ranking.score()),
             regions: regions.to_vec(),
             zone: zone.to_string(),
             catalogue: None,
@@ -303,7 +304,7 @@
             },
             boot: Duration::from_millis(s.boot_ms.into()),
         });
-        self.lending.functions(now, functions.collect());
+        self.lending.set_functions(now, functions.collect());
     }
 
     /// Those that the agent hears of; they own only until the holder of the lease has told who does.
@@ -311,7 +312,7 @@
         self.desks = desks.len().max(1);
         if self.owners.is_none() {
             let members = self.members_of(now, desks);
-            self.lending.provisional_members(now, members);
+            self.lending.set_provisional_members(now, members);
             self.pump(now);
         }
     }
@@ -320,13 +321,13 @@
     pub fn owners(&mut self, now: Duration, desks: &[(IpAddr, String, u32)]) {
         self.owners = Some(desks.len().max(1));
         let members = self.members_of(now, desks);
-        self.lending.members(now, members);
+        self.lending.set_members(now, members);
         self.pump(now);
     }
 
     /// A process at an owner's address refuses connections.
     pub fn refused(&mut self, now: Duration, owner: SocketAddr) {
-        self.lending.has_ended(now, owner);
+        self.lending.connection_refused(now, owner);
         self.pump(now);
     }
 
@@ -353,7 +354,7 @@
                 at: SocketAddr::new(*ip, LEND_PORT),
                 zone: zone.clone(),
                 region: region(zone),
-                life: *life,
+                incarnation: *life,
             })
             .collect();
         if self.planted == Some(Planted::LendersDoubled) || self.sharing.single() {
@@ -374,10 +375,10 @@
             at: listed.at,
             zone: listed.zone.clone(),
             ready: listed.ready,
-            lends: listed.lends && self.may_use(listed),
+            accepts_calls: listed.lends && self.may_use(listed),
             since: now.saturating_sub(Duration::from_millis(listed.age.into())),
         });
-        self.lending.stacks(now, entries.collect(), ended);
+        self.lending.update_instances(now, entries.collect(), ended);
         for id in ended {
             self.kept.remove(id);
         }
@@ -389,7 +390,7 @@
     }
 
     pub fn contact(&mut self, now: Duration, in_touch: bool) {
-        self.lending.contact(now, in_touch);
+        self.lending.set_controllers_reachable(now, in_touch);
         self.pump(now);
     }
 
@@ -401,7 +402,7 @@
         self.sharing.has(listed, slots.unwrap_or(1), self.me.ip(), &self.others)
     }
 
-    fn demand(&self, told: Told) -> Option<Demand> {
+    fn demand(&self, told: LoadReport) -> Option<Demand> {
         Some(Demand {
             service: self.lending.name(told.kind)?.to_string(),
             zone: self.zone.clone(),
@@ -423,26 +424,26 @@
     fn pump(&mut self, now: Duration) {
         while let Some(order) = self.lending.pull() {
             match order {
-                Order::Send { to, bytes } => self.out.push_back(Out::Lend { to, bytes }),
-                Order::Go { call, instance, at } => match self.by_seq.remove(&call) {
+                Action::Send { to, bytes } => self.out.push_back(Out::Lend { to, bytes }),
+                Action::Dispatch { call, instance, at } => match self.by_seq.remove(&call) {
                     Some(id) => self.go(now, id, instance, at),
                     None => self.lending.settle(now, call, Ended::Idle),
                 },
-                Order::No { call, after } => {
+                Action::Reject { call, after } => {
                     if let Some(id) = self.by_seq.remove(&call) {
                         let late = self.hands.get(&id).is_some_and(|hand| now >= hand.end);
                         self.give_up(id, after, late);
                     }
                 }
-                Order::Dial { instance, at } => self.out.push_back(Out::Dial { instance, at }),
-                Order::Gone { instance } => {
+                Action::Dial { instance, at } => self.out.push_back(Out::Dial { instance, at }),
+                Action::InstanceGone { instance } => {
                     self.kept.remove(&instance);
                     self.out.push_back(Out::Gone(instance));
                 }
-                Order::PassedOver { lender } => self.out.push_back(Out::PassedOver(lender)),
-                Order::Probe { owner } => self.out.push_back(Out::Probe(owner)),
-                Order::Ready { instance } => self.out.push_back(Out::Ready(instance)),
-                Order::Wanted(told) => {
+                Action::Suspected { owner: lender } => self.out.push_back(Out::PassedOver(lender)),
+                Action::Probe { owner } => self.out.push_back(Out::Probe(owner)),
+                Action::InstanceReady { instance } => self.out.push_back(Out::Ready(instance)),
+                Action::InstanceWanted(told) => {
                     let demand = self.demand(told);
                     self.out.extend(demand.map(|demand| Out::Demand(vec![demand])));
                 }
@@ -451,7 +452,7 @@
     }
 
     pub fn hear(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) {
-        self.lending.hear(now, from, bytes);
+        self.lending.receive(now, from, bytes);
         self.pump(now);
     }
 
@@ -466,7 +467,7 @@
         self.lending.tick(now);
         if now >= self.told + TELL {
             self.told = now;
-            let told = self.lending.told(now, TELL);
+            let told = self.lending.load_reports(now, TELL);
             let demand: Vec<Demand> = told.into_iter().filter_map(|told| self.demand(told)).collect();
             if !demand.is_empty() {
                 self.out.push_back(Out::Demand(demand));
@@ -581,7 +582,7 @@
             return self.give_up(id, pause, false);
         }
         hand.stage = Stage::Waits;
-        let seq = self.lending.want(now, hand.kind, hand.priority, hand.aim, hand.end, &hand.avoid);
+        let seq = self.lending.request_slot(now, hand.kind, hand.priority, hand.aim, hand.end, &hand.avoid);
         (hand.seq, hand.asked) = (seq, now);
         self.by_seq.insert(seq, id);
         self.due = self.due.min(now + Duration::from_millis(1));
--- a/crates/scale-run/src/slots.rs
+++ b/crates/scale-run/src/slots.rs
@@ -8,8 +8,8 @@
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use tindock_lending::words::{kind, Ended};
-use tindock_lending::{Entry, Function, Lending, Member, Order};
+use tindock_lending::messages::{kind, Ended};
+use tindock_lending::{Action, Allocator, Entry, Function, Member};
 
 /// What UDP and IP add to a datagram.
 const DATAGRAM_HEADERS: usize = 28;
@@ -27,7 +27,7 @@
         at: SocketAddr::new(Ipv4Addr::from(0x0a00_0000 + number as u32).into(), PORT),
         zone: zone.to_string(),
         region: region.to_string(),
-        life: 7,
+        incarnation: 7,
     }
 }
 
@@ -48,19 +48,19 @@
         at: listed.at,
         zone: listed.zone,
         ready: true,
-        lends: true,
+        accepts_calls: true,
         since: Duration::ZERO,
     }
 }
 
 /// The books of the proxy of this number, with everything known.
-fn proxy(number: usize, size: Size) -> Lending {
+fn proxy(number: usize, size: Size) -> Allocator {
     let me = member(number);
-    let mut lending = Lending::new(me.at, me.zone, me.life, number as u64, Duration::ZERO);
-    lending.functions(Duration::ZERO, (0..size.functions).map(function).collect());
-    lending.members(Duration::ZERO, members(size));
+    let mut lending = Allocator::new(me.at, me.zone, me.incarnation, number as u64, Duration::ZERO);
+    lending.set_functions(Duration::ZERO, (0..size.functions).map(function).collect());
+    lending.set_members(Duration::ZERO, members(size));
     let entries = (0..size.instances).map(|n| entry(n, size)).collect();
-    lending.stacks(Duration::ZERO, entries, &[]);
+    lending.update_instances(Duration::ZERO, entries, &[]);
     lending
 }
 
@@ -78,17 +78,17 @@
     let size = Size { schedulers: 2, functions: 1, instances: 1 };
     let zoned = |n: usize| Member { zone: Size::zone(0).to_string(), region: "east".into(), ..member(n) };
     let all = vec![zoned(0), zoned(1)];
-    let mut proxies: Vec<Lending> = all
+    let mut proxies: Vec<Allocator> = all
         .iter()
         .map(|me| {
-            let mut lending = Lending::new(me.at, me.zone.clone(), me.life, 1, Duration::ZERO);
-            lending.functions(Duration::ZERO, vec![function(0)]);
-            lending.members(Duration::ZERO, all.clone());
-            lending.stacks(Duration::ZERO, vec![entry(0, size)], &[]);
+            let mut lending = Allocator::new(me.at, me.zone.clone(), me.incarnation, 1, Duration::ZERO);
+            lending.set_functions(Duration::ZERO, vec![function(0)]);
+            lending.set_members(Duration::ZERO, all.clone());
+            lending.update_instances(Duration::ZERO, vec![entry(0, size)], &[]);
             lending
         })
         .collect();
-    let owner = usize::from(proxies[1].shelves().next().is_some());
+    let owner = usize::from(proxies[1].pools().next().is_some());
     let requester = 1 - owner;
     let mut traffic = Traffic::default();
     let mut now = Duration::from_secs(10);
@@ -97,7 +97,7 @@
     let (_, spent) = timed(|| {
         for _ in 0..CALLS {
             let end = now + Duration::from_secs(4);
-            proxies[requester].want(
+            proxies[requester].request_slot(
                 now,
                 kind(&Size::function(0)),
                 2,
@@ -114,7 +114,7 @@
             exchange(&mut proxies, &all, now, &mut traffic);
             for lending in &mut proxies {
                 lending.tick(now);
-                traffic.words += lending.told(now, TELL).len();
+                traffic.words += lending.load_reports(now, TELL).len();
             }
             exchange(&mut proxies, &all, now, &mut traffic);
         }
@@ -124,7 +124,7 @@
 
 /// Carries datagrams until there are none; the calls that got a slot, by proxy.
 fn exchange(
-    proxies: &mut [Lending],
+    proxies: &mut [Allocator],
     all: &[Member],
     now: Duration,
     traffic: &mut Traffic,
@@ -135,8 +135,8 @@
         for (number, lending) in proxies.iter_mut().enumerate() {
             while let Some(order) = lending.pull() {
                 match order {
-                    Order::Send { to, bytes } => waiting.push_back((number, to, bytes)),
-                    Order::Go { call, .. } => granted.push((number, call)),
+                    Action::Send { to, bytes } => waiting.push_back((number, to, bytes)),
+                    Action::Dispatch { call, .. } => granted.push((number, call)),
                     _ => {}
                 }
             }
@@ -145,7 +145,7 @@
         traffic.datagrams += 1;
         traffic.bytes += bytes.len() + DATAGRAM_HEADERS;
         if let Some(to) = all.iter().position(|member| member.at == to) {
-            proxies[to].hear(now, all[from].at, &bytes);
+            proxies[to].receive(now, all[from].at, &bytes);
         }
     }
 }
@@ -155,17 +155,17 @@
     let size = Size { schedulers: 1, functions: 1, instances: 1 };
     let mut lending = proxy(0, size);
     let mut now = Duration::from_secs(10);
-    lending.want(now, kind(&Size::function(0)), 2, now + RUN, now + Duration::from_secs(4), "");
+    lending.request_slot(now, kind(&Size::function(0)), 2, now + RUN, now + Duration::from_secs(4), "");
     let mut words = 0;
     let end = now + QUIET;
     while now < end {
         while let Some(order) = lending.pull() {
-            if let Order::Go { call, .. } = order {
+            if let Action::Dispatch { call, .. } = order {
                 lending.settle(now, call, Ended::Done);
             }
         }
         lending.tick(now);
-        words += lending.told(now, TELL).len();
+        words += lending.load_reports(now, TELL).len();
         now += TELL;
     }
     words
@@ -176,15 +176,15 @@
     let memory = own_memory();
     let (mut lending, learning) = timed(|| proxy(0, size));
     let held = own_memory() - memory;
-    let owned: usize = lending.shelves().map(|shelf| shelf.books.len()).sum();
+    let owned: usize = lending.pools().map(|shelf| shelf.ledgers.len()).sum();
     while lending.pull().is_some() {}
 
     let mut without = members(size);
     without.pop();
     let mut now = Duration::from_secs(10);
-    let (_, leaving) = timed(|| lending.members(now, without));
+    let (_, leaving) = timed(|| lending.set_members(now, without));
     while lending.pull().is_some() {}
-    let (_, returning) = timed(|| lending.members(now, members(size)));
+    let (_, returning) = timed(|| lending.set_members(now, members(size)));
     while lending.pull().is_some() {}
 
     let (ticks, mut resting) = (100, Duration::ZERO);
@@ -198,7 +198,7 @@
         .1;
         while lending.pull().is_some() {}
     }
-    let (_, telling) = timed(|| lending.told(now, TELL));
+    let (_, telling) = timed(|| lending.load_reports(now, TELL));
     let (traffic, calling) = calls();
     let ms = |span: Duration| span.as_secs_f64() * 1e3;
     let served = f64::from(traffic.served.max(1));
