--- a/crates/rebinding/src/lib.rs
+++ b/crates/rebinding/src/lib.rs
@@ -1,29 +1,31 @@
-//! Rebinding: instances moved from host to host under load, so that memory and slices of accelerators are packed again.
+//! Rebinding: moves instances between hosts under load, to defragment memory and accelerator slices.
 //!
-//! Three deciders without I/O, each useful alone; times come in on the caller's steady clock, chance is seeded.
+//! Three independent parts without I/O. Times are on the caller's monotonic clock; the random generators are
+//! seeded.
 //!
-//! - [`plan`] makes an ordered [`Plan`] of moves from a [`Fleet`]; [`check`] plays a plan and says what it breaks.
-//! - [`Mover`] carries a plan out: begin the new one, wait until it serves, let the lenders move over, let the old one
-//!   end what it holds, stop it. What it knows beyond the plan it reads from what is seen at each look, so that the
-//!   next holder of the lease goes on where this one was.
-//! - [`Judge`] says whether now is a time to do it.
+//! - [`plan`] makes an ordered [`Plan`] of moves from a [`Fleet`]; [`check`] simulates a plan and reports
+//!   what it violates.
+//! - [`Mover`] executes a plan: start the new instance, wait until it serves, stop allocating slots of the
+//!   old one, let its calls end, stop it. Beyond the plan it relies only on the fleet as seen at each update,
+//!   so that the next lease holder can continue the moves.
+//! - [`MovePolicy`] decides whether a plan may run now.
 //!
-//! Why it is built so: `docs/design/rebinding.md`; for those on call: `docs/operating/rebinding.md`.
+//! Design: `docs/design/rebinding.md`; operation: `docs/operating/rebinding.md`.
 
 mod check;
-mod ground;
-mod judge;
 mod mover;
+mod placement;
 mod plan;
+mod policy;
 mod sample;
-mod words;
+mod types;
 
 pub use check::{check, Violation};
-pub use judge::{Conditions, MovePolicy, Obstacle};
 pub use mover::{
     nonce, FleetView, InjectedDefect, InstanceState, InstanceView, Mover, MoverSettings, Order, Outcome,
     Phase, Progress, ServiceNeed, Serving, StartOutcome,
 };
 pub use plan::{best_known, lower_bound, plan, plan_with, Strategy};
+pub use policy::{Conditions, MovePolicy, Obstacle};
 pub use sample::sample_fleet;
-pub use words::*;
+pub use types::*;
--- a/crates/rebinding/src/mover.rs
+++ b/crates/rebinding/src/mover.rs
@@ -1,18 +1,18 @@
-//! The mover: carries a plan out from what is seen at each look.
+//! The mover: executes a plan, based on the fleet as seen at each update.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use crate::words::{Host, Mode, Move, MoveReason, Plan, Resources};
+use crate::types::{Host, Mode, Move, MoveReason, Plan, Resources};
 
-/// Where an instance is in its life, as the stacks tell it.
+/// State in the life cycle of an instance, as the autoscaler announces it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceState {
     Starting,
     Ready,
-    /// The platform takes it away.
+    /// The platform is removing it.
     Draining,
-    /// Lends no more.
+    /// Its slots are no longer allocated.
     Ending,
 }
 
@@ -20,13 +20,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Serving {
     No,
-    /// A connection was accepted, or the list names it.
+    /// It accepted a connection, or the platform's list shows it.
     Accepts,
-    /// A call was answered.
+    /// It answered a call.
     Answered,
 }
 
-/// An instance as the holder sees it.
+/// An instance as the lease holder sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceView {
     pub instance: String,
@@ -34,73 +34,77 @@
     pub host: String,
     pub state: InstanceState,
     pub serving: Serving,
-    /// Slots lent of it; `None` if its lender has not said lately.
+    /// Its slots in use; `None` if its slot allocator has not reported lately.
     pub slots_in_use: Option<u16>,
-    /// The instance it is to stand in for, told with its entry; a next holder goes on from there.
+    /// The instance that it replaces, announced with its entry; the next lease holder continues the move from
+    /// this.
     pub replaces: Option<String>,
 }
 
-/// What a function needs now.
+/// Current need of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceNeed {
     pub service: String,
     pub urgent: bool,
-    /// Serving instances without which it would be late.
+    /// Serving instances that it needs to meet its latency target.
     pub required: u32,
-    /// Instances that are to be kept; `None` while its demand has not been told to this holder.
+    /// Instances to keep; `None` while this lease holder does not know the demand.
     pub desired: Option<u32>,
-    /// Mean start.
+    /// Mean duration of a start.
     pub boot: Duration,
     pub size: Resources,
-    /// No calls: then a connection accepted is all that can be asked of a new instance.
+    /// It has no calls, so that a new instance can prove itself only by accepting a connection.
     pub idle: bool,
 }
 
-/// All that is seen at one look.
+/// The fleet at one update.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetView<'a> {
-    pub seen: &'a [InstanceView],
-    /// With what is free after all starts under way.
+    pub instances: &'a [InstanceView],
+    /// Their free capacity takes all pending starts into account.
     pub hosts: &'a [Host],
     pub needs: &'a [ServiceNeed],
-    /// The instances are known to be all there are. Until then nothing is ordered.
+    /// The instances are known to be complete. Until then the mover gives no orders.
     pub complete: bool,
 }
 
-/// What is to be done, under the number of the lease. Each may be carried out again without harm.
+/// An action to take, under the number of the lease. Each is idempotent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Begin one under this nonce until it is answered with [`Mover::start_answered`]; tell `replaces` with its entry.
-    Begin { number: u64, service: String, host: String, nonce: String, replaces: String },
-    /// Tell it as ending: lenders lend no more of it.
-    StopAllocating { number: u64, instance: String },
-    /// Tell it as ready again.
-    ResumeAllocating { number: u64, instance: String },
-    /// Stop it; answered with [`Mover::instance_ended`], or by its absence.
-    Stop { number: u64, instance: String },
+    /// Start an instance under this nonce, repeatedly until [`Mover::start_answered`] is called; announce
+    /// `replaces` with its entry.
+    Begin { lease_number: u64, service: String, host: String, nonce: String, replaces: String },
+    /// Announce it as ending, so that its slots are no longer allocated.
+    StopAllocating { lease_number: u64, instance: String },
+    /// Announce it as ready again.
+    ResumeAllocating { lease_number: u64, instance: String },
+    /// Stop it; confirmed by [`Mover::instance_ended`], or by its absence from the fleet.
+    Stop { lease_number: u64, instance: String },
 }
 
-/// How a begin was answered.
+/// The result of a start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartOutcome {
     Started {
         instance: String,
     },
-    /// No room, no such host or service: nothing was begun. (Not for 429 or silence: ask again with the same nonce.)
+    /// No free capacity, or no such host or service: nothing was started. (Not for 429 or a missing response:
+    /// repeat those with the same nonce.)
     Refused,
 }
 
-/// Where a move is.
+/// Phase of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Begun, not answered.
+    /// The start is requested, but not answered.
     Begun,
-    /// There, and not known to serve.
+    /// The new instance exists, but is not known to serve.
     Coming,
-    /// One of the two lends no more, and ends what it holds.
+    /// The old instance (when undoing, the new one) is released: its slots are no longer allocated, and its
+    /// calls end.
     Letting,
     Stopping,
-    /// Stopped before its new one begins: waits for the room.
+    /// The old instance is stopped before the new one starts; waits for free capacity.
     Out,
 }
 
@@ -108,21 +112,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Moved,
-    /// The new one did not come up or was given up; it was stopped, and the old one lends as before.
+    /// The new instance did not come up or was cancelled; it was stopped, and the old one serves as before.
     Undone,
     /// The platform refused the start.
     Refused,
-    /// No room at its target within the wait.
+    /// The target had no free capacity within [`MoverSettings::capacity_wait`].
     NoRoom,
-    /// The old one went by itself.
+    /// The old instance ended by itself.
     Gone,
-    /// The function needs both by now.
+    /// The function now needs both instances.
     Kept,
-    /// Stopped first, and the new one did not come in time: the scaler starts one when it is wanted.
+    /// The old instance was stopped first and the new one did not come in time: the autoscaler starts one
+    /// when needed.
     LeftToScaler,
 }
 
-/// A move as it is told to staff.
+/// A move as reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Progress {
     pub instance: String,
@@ -134,169 +139,173 @@
     pub undoing: bool,
 }
 
-/// Bounds.
+/// Limits and delays.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MoverSettings {
-    /// Moves at once.
-    pub at_once: usize,
-    /// Functions that can wait and are without an instance because of a move, at once.
-    pub yielding: usize,
-    /// Such an instance is out for so long at most before its start is left to the scaler.
-    pub yield_most: Duration,
-    /// An order that shows no effect is given again after this.
-    pub again: Duration,
-    /// A new one has this many mean starts ...
-    pub boots: u32,
-    /// ... and this to come up.
+    /// Maximum concurrent moves.
+    pub max_concurrent: usize,
+    /// Maximum concurrent moves that stop the old instance first.
+    pub max_stopped_first: usize,
+    /// Base of the time such an instance may be out of service, after which its start is left to the
+    /// autoscaler.
+    pub max_out_time: Duration,
+    /// An order without a visible effect is repeated after this.
+    pub repeat_after: Duration,
+    /// A new instance must come up within this many mean start times ...
+    pub boot_factor: u32,
+    /// ... plus this.
     pub boot_slack: Duration,
-    /// A quiet function's new instance accepts for so long before it counts as serving.
-    pub quiet: Duration,
-    /// Between the end of lending and the stop at least: what was lent just before is not told yet.
-    pub ending_least: Duration,
-    /// At most, if calls are still held: longer than any call may take.
-    pub ending_most: Duration,
-    /// The head of the plan waits so long for its room.
-    pub room_wait: Duration,
-    /// An urgent function that needs both keeps both after this.
-    pub kept_after: Duration,
-    /// A new holder lets go what is beyond `wanted` from this ...
-    pub resume_from: Duration,
-    /// ... to this after it began, one of a function at a time.
-    pub resume_to: Duration,
-    /// For tests: a defect planted.
+    /// The new instance of a function without calls counts as serving after accepting connections for this
+    /// long.
+    pub idle_ready_after: Duration,
+    /// Minimum time between the end of allocation and the stop, as slots allocated just before are not
+    /// reported yet.
+    pub min_stop_delay: Duration,
+    /// Maximum time, if calls are still open; longer than any call may take.
+    pub max_stop_delay: Duration,
+    /// How long the next move of the plan waits for free capacity.
+    pub capacity_wait: Duration,
+    /// After this long an urgent function that needs both instances keeps both.
+    pub keep_after: Duration,
+    /// A new lease holder stops surplus instances from this ...
+    pub surplus_from: Duration,
+    /// ... to this time after its first update, one of a function at a time.
+    pub surplus_to: Duration,
+    /// For tests: an injected defect.
     #[doc(hidden)]
-    pub flaw: Option<InjectedDefect>,
+    pub defect: Option<InjectedDefect>,
 }
 
 impl Default for MoverSettings {
     fn default() -> MoverSettings {
         let ms = Duration::from_millis;
         MoverSettings {
-            at_once: 3,
-            yielding: 2,
-            yield_most: ms(6000),
-            again: ms(1500),
-            boots: 3,
+            max_concurrent: 3,
+            max_stopped_first: 2,
+            max_out_time: ms(6000),
+            repeat_after: ms(1500),
+            boot_factor: 3,
             boot_slack: ms(3000),
-            quiet: ms(1000),
-            ending_least: ms(600),
-            ending_most: ms(9000),
-            room_wait: ms(10_000),
-            kept_after: ms(8000),
-            resume_from: ms(3000),
-            resume_to: ms(30_000),
-            flaw: None,
+            idle_ready_after: ms(1000),
+            min_stop_delay: ms(600),
+            max_stop_delay: ms(9000),
+            capacity_wait: ms(10_000),
+            keep_after: ms(8000),
+            surplus_from: ms(3000),
+            surplus_to: ms(30_000),
+            defect: None,
         }
     }
 }
 
-/// Defects that the tests plant and find.
+/// Defects that the tests inject and must detect.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedDefect {
-    /// The old one lends no more as soon as the new one is begun.
-    HandsOverEarly,
-    /// Stops without waiting for what is held.
-    CutsCalls,
-    /// The nonce has the number of the lease in it.
-    NonceOfHolder,
-    /// What is needed is not looked at again at the hand-over.
-    ForgetsNeed,
-    /// A new one that does not come up is left where it is.
-    LeavesNew,
-    /// An old one is not lent again when the new one is lost.
-    LeavesOld,
-    /// Orders after the end of the lease.
-    Outlives,
-    /// All moves at once.
-    Crowds,
-    /// Urgent ones are stopped first too.
-    BreaksUrgent,
+    /// The old instance is released as soon as the new one is started.
+    EarlyHandover,
+    /// Stops without waiting for open calls.
+    StopsWithOpenCalls,
+    /// The nonce contains the number of the lease.
+    LeaseNumberInNonce,
+    /// The required instances are not checked again at the handover.
+    SkipsRequiredCheck,
+    /// A new instance that does not come up is not stopped.
+    AbandonsNewInstance,
+    /// Allocation of the old instance does not resume when the new one is lost.
+    SkipsResume,
+    /// Gives orders after the end of the lease.
+    OrdersAfterLeaseEnd,
+    /// Begins all moves at once.
+    UnlimitedMoves,
+    /// Releases the old instance of urgent functions first, too.
+    ReleasesUrgentFirst,
 }
 
 #[derive(Clone, Debug)]
-struct Active {
+struct ActiveMove {
     old: String,
     service: String,
     to: Option<String>,
     mode: Mode,
     phase: Phase,
     since: Duration,
-    /// When the old one was first told to lend no more.
-    let_since: Option<Duration>,
-    /// When the present phase's order was last given.
-    told: Option<Duration>,
+    /// When allocation of the instance to be stopped ended.
+    released_since: Option<Duration>,
+    /// When the order of the current phase was last given.
+    ordered_at: Option<Duration>,
     new: Option<String>,
     nonce: String,
-    /// Backwards: what is let go and stopped is the new one.
+    /// The move is being reverted: the new instance is released and stopped.
     undoing: bool,
-    /// Since when the new one has accepted.
-    accepts: Option<Duration>,
-    /// Looks in a row without the one that is waited for.
-    missing: u8,
-    /// The new one was seen as started. Before that its absence says nothing: whoever tells the entries forgets a start
-    /// that is not listed in time, and the platform may still have it.
-    met: bool,
+    /// Since when the new instance accepts connections.
+    accepting_since: Option<Duration>,
+    /// Consecutive updates in which the awaited instance was missing.
+    missed_updates: u8,
+    /// The new instance was seen as started. Before that its absence means nothing: the autoscaler drops a
+    /// start that is not listed in time, although the platform may still execute it.
+    seen_started: bool,
     reason: MoveReason,
 }
 
-/// Carries plans out; see the crate's page.
+/// Executes plans; see the crate documentation.
 #[derive(Debug)]
 pub struct Mover {
-    number: u64,
-    until: Duration,
-    born: Option<Duration>,
-    picked_up: bool,
-    pub habits: MoverSettings,
+    lease_number: u64,
+    lease_until: Duration,
+    first_update: Option<Duration>,
+    resumed: bool,
+    pub settings: MoverSettings,
     queue: VecDeque<Move>,
     head_since: Option<Duration>,
-    active: Vec<Active>,
-    /// Starts given up for an instance and host: the next has another nonce.
-    tries: BTreeMap<(String, String), u32>,
+    active: Vec<ActiveMove>,
+    /// Finished attempts by old instance and target; each further attempt gets another nonce.
+    attempts: BTreeMap<(String, String), u32>,
     outcomes: Vec<(String, Outcome)>,
     ended: BTreeSet<String>,
     paused: bool,
 }
 
-/// At most 64 bytes. Of the old instance and the target alone, so that whoever holds the lease asks for the same start
-/// and gets the same instance.
-pub fn nonce(old: &str, host: &str, again: u32) -> String {
+/// Idempotency key of a start, at most 64 bytes. Depends only on the old instance, the target and the
+/// attempt, so that every lease holder requests the same start and gets the same instance.
+pub fn nonce(old: &str, host: &str, attempt: u32) -> String {
     let digest = |basis: u64| {
         old.bytes()
             .chain([0])
             .chain(host.bytes())
             .fold(basis, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
     };
-    format!("rb.{:x}{:x}.{again}", digest(0xcbf2_9ce4_8422_2325), digest(0x9e37_79b9_7f4a_7c15))
+    format!("rb.{:x}{:x}.{attempt}", digest(0xcbf2_9ce4_8422_2325), digest(0x9e37_79b9_7f4a_7c15))
 }
 
 impl Mover {
-    /// `number` of the lease, which ends at `until` unless [`Mover::extend_lease`] says more.
-    pub fn new(number: u64, until: Duration, habits: MoverSettings) -> Mover {
+    /// `lease_number` is the number of the lease, which ends at `lease_until` unless [`Mover::extend_lease`]
+    /// extends it.
+    pub fn new(lease_number: u64, lease_until: Duration, settings: MoverSettings) -> Mover {
         Mover {
-            number,
-            until,
-            born: None,
-            picked_up: false,
-            habits,
+            lease_number,
+            lease_until,
+            first_update: None,
+            resumed: false,
+            settings,
             queue: VecDeque::new(),
             head_since: None,
             active: Vec::new(),
-            tries: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             outcomes: Vec::new(),
             ended: BTreeSet::new(),
             paused: false,
         }
     }
 
-    /// The lease lasts until then, on the own clock.
-    pub fn extend_lease(&mut self, until: Duration) {
-        self.until = self.until.max(until);
+    /// Extends the lease to `lease_until` on the local clock.
+    pub fn extend_lease(&mut self, lease_until: Duration) {
+        self.lease_until = self.lease_until.max(lease_until);
     }
 
-    /// Takes a plan on; false while an earlier one is under way or before the first whole look.
+    /// Accepts a plan; false while an earlier one is in progress or before the first complete update.
     pub fn accept_plan(&mut self, plan: &Plan) -> bool {
-        if !self.idle() || !self.picked_up {
+        if !self.idle() || !self.resumed {
             return false;
         }
         self.queue = plan.moves.iter().cloned().collect();
@@ -307,24 +316,24 @@
         self.queue.is_empty() && self.active.is_empty()
     }
 
-    /// No move begins; those under way go to their end.
+    /// While paused no move begins; those in progress are finished.
     pub fn pause(&mut self, paused: bool) {
         self.paused = paused;
     }
 
-    /// Gives the rest of the plan up: new ones that do not serve yet are stopped, hand-overs are ended.
+    /// Cancels the rest of the plan: new instances that do not serve yet are stopped, handovers are finished.
     pub fn cancel(&mut self, now: Duration) {
         self.queue.clear();
         let Mover { active, .. } = self;
         for a in active.iter_mut().filter(|a| matches!(a.phase, Phase::Begun | Phase::Coming)) {
             if a.mode == Mode::MakeBeforeBreak {
-                undo(a, now);
+                revert(a, now);
             }
         }
     }
 
     pub fn progress(&self) -> Vec<Progress> {
-        let tell = |a: &Active| Progress {
+        let report = |a: &ActiveMove| Progress {
             instance: a.old.clone(),
             new: a.new.clone(),
             service: a.service.clone(),
@@ -333,35 +342,36 @@
             phase: a.phase,
             undoing: a.undoing,
         };
-        self.active.iter().map(tell).collect()
+        self.active.iter().map(report).collect()
     }
 
-    /// Moves that have not begun.
+    /// Number of moves that have not begun.
     pub fn pending_moves(&self) -> usize {
         self.queue.len()
     }
 
-    /// What ended since the last call, by the old instance.
+    /// Moves that ended since the last call, by their old instance.
     pub fn take_outcomes(&mut self) -> Vec<(String, Outcome)> {
         std::mem::take(&mut self.outcomes)
     }
 
-    /// Whether the mover has this instance in hand: nobody else should end, revive or count it as surplus.
+    /// Whether the instance is part of a move; then nothing else may end it, revive it or count it as
+    /// surplus.
     pub fn manages(&self, instance: &str) -> bool {
         self.active.iter().any(|a| a.old == instance || a.new.as_deref() == Some(instance))
     }
 
-    /// The answer to [`Order::Begin`].
-    pub fn start_answered(&mut self, now: Duration, nonce: &str, came: StartOutcome) {
+    /// Takes the response to [`Order::Begin`].
+    pub fn start_answered(&mut self, now: Duration, nonce: &str, outcome: StartOutcome) {
         let Some(at) = self.active.iter().position(|a| a.nonce == nonce && a.phase == Phase::Begun) else {
             return;
         };
         let a = &mut self.active[at];
-        match came {
+        match outcome {
             StartOutcome::Started { instance } => {
                 a.new = Some(instance);
                 a.phase = if a.undoing { Phase::Letting } else { Phase::Coming };
-                (a.since, a.told, a.missing) = (now, None, 0);
+                (a.since, a.ordered_at, a.missed_updates) = (now, None, 0);
             }
             StartOutcome::Refused => {
                 let outcome = match (a.undoing, a.mode) {
@@ -374,7 +384,7 @@
         }
     }
 
-    /// The platform has ended it, or knows no such instance.
+    /// The platform has ended the instance, or does not know it.
     pub fn instance_ended(&mut self, instance: &str) {
         if self.manages(instance) {
             self.ended.insert(instance.to_string());
@@ -383,10 +393,11 @@
 
     fn end(&mut self, at: usize, outcome: Outcome) {
         let a = self.active.remove(at);
-        // Also where both were kept: the same start asked for again would be answered with that new one, gone or not.
+        // Also if both instances were kept: with the same nonce a further start would be answered with the
+        // earlier new instance, whether or not it still exists.
         if matches!(outcome, Outcome::Undone) || a.new.is_some() {
             if let Some(to) = &a.to {
-                *self.tries.entry((a.old.clone(), to.clone())).or_default() += 1;
+                *self.attempts.entry((a.old.clone(), to.clone())).or_default() += 1;
             }
         }
         for id in [Some(&a.old), a.new.as_ref()].into_iter().flatten() {
@@ -395,46 +406,47 @@
         self.outcomes.push((a.old, outcome));
     }
 
-    fn flaw(&self, flaw: InjectedDefect) -> bool {
-        self.habits.flaw == Some(flaw)
+    fn defect(&self, defect: InjectedDefect) -> bool {
+        self.settings.defect == Some(defect)
     }
 
-    /// One look, and what is to be done. To be called several times a second.
-    pub fn update(&mut self, now: Duration, ground: &FleetView) -> Vec<Order> {
+    /// Takes the current fleet and returns the orders to execute. To be called several times a second.
+    pub fn update(&mut self, now: Duration, view: &FleetView) -> Vec<Order> {
         let mut orders = Vec::new();
-        if !ground.complete || now >= self.until && !self.flaw(InjectedDefect::Outlives) {
+        if !view.complete || now >= self.lease_until && !self.defect(InjectedDefect::OrdersAfterLeaseEnd) {
             return orders;
         }
-        let born = *self.born.get_or_insert(now);
-        let look = Look::new(ground);
-        if !self.picked_up {
-            self.picked_up = true;
-            self.pick_up(now, &look);
+        let first_update = *self.first_update.get_or_insert(now);
+        let snapshot = Snapshot::new(view);
+        if !self.resumed {
+            self.resumed = true;
+            self.resume_moves(now, &snapshot);
         }
-        if now >= born + self.habits.resume_from && now < born + self.habits.resume_to {
-            self.surplus(now, &look);
+        if now >= first_update + self.settings.surplus_from && now < first_update + self.settings.surplus_to {
+            self.stop_surplus(now, &snapshot);
         }
         let mut at = 0;
         while at < self.active.len() {
-            match self.step(now, at, &look, &mut orders) {
+            match self.advance(now, at, &snapshot, &mut orders) {
                 Some(outcome) => self.end(at, outcome),
                 None => at += 1,
             }
         }
-        self.begin(now, &look, &mut orders);
+        self.begin_moves(now, &snapshot, &mut orders);
         orders
     }
 
-    /// A new holder: moves that an earlier one had under way.
-    fn pick_up(&mut self, now: Duration, look: &Look) {
-        for s in look.ground.seen {
+    /// For a new lease holder: continues the moves of the previous one.
+    fn resume_moves(&mut self, now: Duration, snapshot: &Snapshot) {
+        for s in snapshot.view.instances {
             let Some(old) = &s.replaces else { continue };
-            let Some(o) = look.get(old) else { continue };
-            // The new one itself is on its way out: an undoing, which the list of endings below goes on with.
+            let Some(o) = snapshot.get(old) else { continue };
+            // An ending new instance belongs to a move that is being reverted; the loop below continues with
+            // it.
             if s.state == InstanceState::Ending || self.manages(old) {
                 continue;
             }
-            let mut a = active(
+            let mut a = active_move(
                 now,
                 old,
                 &s.service,
@@ -445,60 +457,75 @@
             a.new = Some(s.instance.clone());
             a.phase = Phase::Coming;
             if o.state == InstanceState::Ending {
-                (a.phase, a.let_since) = (Phase::Letting, Some(now));
+                (a.phase, a.released_since) = (Phase::Letting, Some(now));
             }
             self.active.push(a);
         }
-        for s in look.ground.seen {
+        for s in snapshot.view.instances {
             if s.state == InstanceState::Ending && !self.manages(&s.instance) {
-                let mut a =
-                    active(now, &s.instance, &s.service, None, Mode::MakeBeforeBreak, MoveReason::Surplus);
-                (a.phase, a.let_since) = (Phase::Letting, Some(now));
+                let mut a = active_move(
+                    now,
+                    &s.instance,
+                    &s.service,
+                    None,
+                    Mode::MakeBeforeBreak,
+                    MoveReason::Surplus,
+                );
+                (a.phase, a.released_since) = (Phase::Letting, Some(now));
                 self.active.push(a);
             }
         }
     }
 
-    /// A start of an earlier holder that nobody told of shows as one more than wanted.
-    fn surplus(&mut self, now: Duration, look: &Look) {
-        for need in look.ground.needs {
+    /// Stops surplus instances, which may come from a start of the previous lease holder that was never
+    /// announced.
+    fn stop_surplus(&mut self, now: Duration, snapshot: &Snapshot) {
+        for need in snapshot.view.needs {
             let Some(desired) = need.desired else { continue };
-            let of = || {
-                look.ground.seen.iter().filter(|s| {
+            let of_service = || {
+                snapshot.view.instances.iter().filter(|s| {
                     s.service == need.service
                         && matches!(s.state, InstanceState::Starting | InstanceState::Ready)
                 })
             };
-            let taken = self.active.iter().any(|a| a.service == need.service);
-            if taken
-                || self.active.len() >= self.habits.at_once
-                || of().count() as u32 <= desired.max(need.required)
+            let already_moving = self.active.iter().any(|a| a.service == need.service);
+            if already_moving
+                || self.active.len() >= self.settings.max_concurrent
+                || of_service().count() as u32 <= desired.max(need.required)
             {
                 continue;
             }
-            // Where it drains, else where least is in use: that is where a plan would have taken one from.
-            let victim = of().filter(|s| s.state == InstanceState::Ready).min_by_key(|s| {
-                let h = look.hosts.get(s.host.as_str());
+            // On a draining host, else on the least used one: a plan would have moved an instance away from
+            // there.
+            let candidate = of_service().filter(|s| s.state == InstanceState::Ready).min_by_key(|s| {
+                let h = snapshot.hosts.get(s.host.as_str());
                 let used = h.map_or(0, |h| h.total.memory_mb.saturating_sub(h.free.memory_mb));
                 (h.is_some_and(|h| h.up), used, s.instance.clone())
             });
-            if let Some(v) = victim {
-                let mut a =
-                    active(now, &v.instance, &v.service, None, Mode::MakeBeforeBreak, MoveReason::Surplus);
+            if let Some(v) = candidate {
+                let mut a = active_move(
+                    now,
+                    &v.instance,
+                    &v.service,
+                    None,
+                    Mode::MakeBeforeBreak,
+                    MoveReason::Surplus,
+                );
                 a.phase = Phase::Coming;
                 self.active.push(a);
             }
         }
     }
 
-    /// Whether `service` holds its need without `old`, and without others that are on their way out.
-    fn enough(&self, look: &Look, a: &Active) -> bool {
-        if self.flaw(InjectedDefect::ForgetsNeed) {
+    /// Whether the service of `a` has its required instances without the old one and without others being
+    /// stopped.
+    fn has_required_without(&self, snapshot: &Snapshot, a: &ActiveMove) -> bool {
+        if self.defect(InjectedDefect::SkipsRequiredCheck) {
             return true;
         }
-        let Some(need) = look.needs.get(a.service.as_str()) else { return true };
-        // One that drains serves no new calls: nothing is lost with it.
-        let old = look.get(&a.old);
+        let Some(need) = snapshot.needs.get(a.service.as_str()) else { return true };
+        // A draining instance takes no new calls, so nothing is lost with it.
+        let old = snapshot.get(&a.old);
         if old.is_some_and(|o| o.state == InstanceState::Draining) {
             return true;
         }
@@ -508,166 +535,180 @@
                 matches!(x.phase, Phase::Letting | Phase::Stopping) && subject == Some(id)
             })
         };
-        let others = look.ground.seen.iter().filter(|s| {
+        let others = snapshot.view.instances.iter().filter(|s| {
             s.service == a.service
                 && s.instance != a.old
                 && !out(&s.instance)
                 && s.state == InstanceState::Ready
-                && look.hosts.get(s.host.as_str()).is_some_and(|h| h.up)
+                && snapshot.hosts.get(s.host.as_str()).is_some_and(|h| h.up)
                 && serves(s, need)
         });
         others.count() as u32 >= need.required
     }
 
-    /// One move, one look; its end if it has come.
-    fn step(&mut self, now: Duration, at: usize, look: &Look, orders: &mut Vec<Order>) -> Option<Outcome> {
-        let number = self.number;
+    /// Advances one move; returns its outcome if it has ended.
+    fn advance(
+        &mut self,
+        now: Duration,
+        at: usize,
+        snapshot: &Snapshot,
+        orders: &mut Vec<Order>,
+    ) -> Option<Outcome> {
+        let lease_number = self.lease_number;
         let mut a = self.active[at].clone();
-        let h = self.habits.clone();
-        let due = |a: &Active| a.told.is_none_or(|t| t + h.again <= now);
-        let need = look.needs.get(a.service.as_str()).copied();
+        let h = self.settings.clone();
+        let due = |a: &ActiveMove| a.ordered_at.is_none_or(|t| t + h.repeat_after <= now);
+        let need = snapshot.needs.get(a.service.as_str()).copied();
         let boot = need.map_or(Duration::from_secs(1), |n| n.boot);
-        let bound = boot * h.boots + h.boot_slack;
-        let lost = |a: &mut Active, id: &str| {
-            // Twice unseen, if it was seen before; or on a host that leaves; or taken away.
-            match look.get(id) {
+        let deadline = boot * h.boot_factor + h.boot_slack;
+        let lost = |a: &mut ActiveMove, id: &str| {
+            // Missing from two updates if it was seen before, on a host that is leaving, or being removed by
+            // the platform.
+            match snapshot.get(id) {
                 Some(s) => {
-                    a.missing = 0;
-                    a.met |= s.state != InstanceState::Starting;
+                    a.missed_updates = 0;
+                    a.seen_started |= s.state != InstanceState::Starting;
                     matches!(s.state, InstanceState::Draining)
-                        || !look.hosts.get(s.host.as_str()).is_some_and(|h| h.up)
+                        || !snapshot.hosts.get(s.host.as_str()).is_some_and(|h| h.up)
                 }
                 None => {
-                    a.missing = a.missing.saturating_add(1);
-                    a.met && a.missing >= 2
+                    a.missed_updates = a.missed_updates.saturating_add(1);
+                    a.seen_started && a.missed_updates >= 2
                 }
             }
         };
         let mut outcome = None;
         match a.phase {
             Phase::Begun => {
-                let gone = !self.flaw(InjectedDefect::LeavesNew)
-                    && (now >= a.since + bound
-                        || a.mode == Mode::MakeBeforeBreak && look.get(&a.old).is_none());
+                let gone = !self.defect(InjectedDefect::AbandonsNewInstance)
+                    && (now >= a.since + deadline
+                        || a.mode == Mode::MakeBeforeBreak && snapshot.get(&a.old).is_none());
                 if gone && !a.undoing {
-                    // Whether it was begun is not known until the answer: it is asked for on, and stopped then.
+                    // It is unknown whether the start was executed: it is repeated until answered, then the
+                    // instance is stopped.
                     a.undoing = true;
                 }
                 if due(&a) {
-                    a.told = Some(now);
+                    a.ordered_at = Some(now);
                     orders.push(Order::Begin {
-                        number,
+                        lease_number,
                         service: a.service.clone(),
                         host: a.to.clone().unwrap_or_default(),
                         nonce: a.nonce.clone(),
                         replaces: a.old.clone(),
                     });
                 }
-                if self.flaw(InjectedDefect::LeavesNew) && now >= a.since + bound {
+                if self.defect(InjectedDefect::AbandonsNewInstance) && now >= a.since + deadline {
                     outcome = Some(Outcome::Undone);
                 }
             }
             Phase::Coming => {
                 let new = a.new.clone();
                 let gone = new.as_deref().is_some_and(|id| lost(&mut a, id) || self.ended.contains(id));
-                let seen = new.as_deref().and_then(|id| look.get(id));
+                let seen = new.as_deref().and_then(|id| snapshot.get(id));
                 let up = match (seen, need) {
                     (Some(s), Some(n))
                         if s.state == InstanceState::Ready && s.serving >= Serving::Accepts =>
                     {
-                        let accepts = *a.accepts.get_or_insert(now);
-                        let quiet = n.idle && now >= accepts + h.quiet;
-                        !n.urgent || s.serving == Serving::Answered || quiet
+                        let accepting_since = *a.accepting_since.get_or_insert(now);
+                        let idle_long_enough = n.idle && now >= accepting_since + h.idle_ready_after;
+                        !n.urgent || s.serving == Serving::Answered || idle_long_enough
                     }
                     (_, None) => true,
                     _ => new.is_none(),
                 };
-                let early = self.flaw(InjectedDefect::HandsOverEarly);
-                if look.get(&a.old).is_none() && a.mode == Mode::MakeBeforeBreak && (up || gone) {
-                    // The old one went by itself: the new one stands in for it, once it is up.
+                let early = self.defect(InjectedDefect::EarlyHandover);
+                if snapshot.get(&a.old).is_none() && a.mode == Mode::MakeBeforeBreak && (up || gone) {
+                    // The old instance ended by itself: the new one replaces it once it is up.
                     outcome = Some(Outcome::Gone);
-                } else if gone || !up && !early && now >= a.since + bound {
-                    if self.flaw(InjectedDefect::LeavesNew) {
+                } else if gone || !up && !early && now >= a.since + deadline {
+                    if self.defect(InjectedDefect::AbandonsNewInstance) {
                         outcome = Some(Outcome::Undone);
                     } else if matches!(a.mode, Mode::BreakBeforeMake { .. }) && gone {
                         outcome = Some(Outcome::LeftToScaler);
                     } else {
-                        undo(&mut a, now);
+                        revert(&mut a, now);
                     }
                 } else if (up || early) && matches!(a.mode, Mode::BreakBeforeMake { .. }) {
                     outcome = Some(Outcome::Moved);
-                } else if early || up && self.enough(look, &a) {
-                    (a.phase, a.since, a.told, a.let_since) = (Phase::Letting, now, None, Some(now));
-                    a.missing = 0;
-                } else if up && now >= a.since + bound + h.kept_after {
+                } else if early || up && self.has_required_without(snapshot, &a) {
+                    (a.phase, a.since, a.ordered_at, a.released_since) =
+                        (Phase::Letting, now, None, Some(now));
+                    a.missed_updates = 0;
+                } else if up && now >= a.since + deadline + h.keep_after {
                     outcome = Some(Outcome::Kept);
                 }
             }
             Phase::Letting => {
                 let subject = if a.undoing { a.new.clone().unwrap_or_default() } else { a.old.clone() };
-                let seen = look.get(&subject);
+                let seen = snapshot.get(&subject);
                 let new_lost = !a.undoing
                     && a.mode == Mode::MakeBeforeBreak
                     && a.new.clone().is_some_and(|id| lost(&mut a, &id) || self.ended.contains(&id));
-                let met_gone = seen.is_none() && (!a.undoing || a.met || self.ended.contains(&subject));
-                if met_gone {
+                let has_ended =
+                    seen.is_none() && (!a.undoing || a.seen_started || self.ended.contains(&subject));
+                if has_ended {
                     outcome = self.after_stop(&mut a, now);
                 } else if (new_lost
-                    || !a.undoing && a.mode == Mode::MakeBeforeBreak && !self.enough(look, &a))
+                    || !a.undoing
+                        && a.mode == Mode::MakeBeforeBreak
+                        && !self.has_required_without(snapshot, &a))
                     && !seen.is_some_and(|s| s.state == InstanceState::Draining)
-                    && !self.flaw(InjectedDefect::HandsOverEarly)
+                    && !self.defect(InjectedDefect::EarlyHandover)
                 {
-                    // The function needs the old one after all.
-                    if !self.flaw(InjectedDefect::LeavesOld) {
-                        orders.push(Order::ResumeAllocating { number, instance: a.old.clone() });
+                    // The function needs the old instance after all.
+                    if !self.defect(InjectedDefect::SkipsResume) {
+                        orders.push(Order::ResumeAllocating { lease_number, instance: a.old.clone() });
                     }
                     if new_lost {
-                        undo(&mut a, now);
+                        revert(&mut a, now);
                     } else {
                         outcome = Some(Outcome::Kept);
                     }
                 } else {
                     if seen.is_some_and(|s| s.state != InstanceState::Ending) && due(&a) {
-                        a.told = Some(now);
-                        orders.push(Order::StopAllocating { number, instance: subject.clone() });
+                        a.ordered_at = Some(now);
+                        orders.push(Order::StopAllocating { lease_number, instance: subject.clone() });
                     }
-                    let since = *a.let_since.get_or_insert(now);
+                    let since = *a.released_since.get_or_insert(now);
                     let ending = seen.is_none_or(|s| s.state == InstanceState::Ending);
                     let empty = seen.is_none_or(|s| s.slots_in_use == Some(0)) && ending;
-                    let over = now >= since + h.ending_least && empty
-                        || now >= since + h.ending_most
-                        || self.flaw(InjectedDefect::CutsCalls) && ending;
+                    let over = now >= since + h.min_stop_delay && empty
+                        || now >= since + h.max_stop_delay
+                        || self.defect(InjectedDefect::StopsWithOpenCalls) && ending;
                     if over {
-                        (a.phase, a.since, a.told) = (Phase::Stopping, now, Some(now));
-                        orders.push(Order::Stop { number, instance: subject });
+                        (a.phase, a.since, a.ordered_at) = (Phase::Stopping, now, Some(now));
+                        orders.push(Order::Stop { lease_number, instance: subject });
                     }
                 }
             }
             Phase::Stopping => {
                 let subject = if a.undoing { a.new.clone().unwrap_or_default() } else { a.old.clone() };
-                let unseen = look.get(&subject).is_none();
-                if self.ended.contains(&subject) || unseen && (!a.undoing || a.met) {
+                let unseen = snapshot.get(&subject).is_none();
+                if self.ended.contains(&subject) || unseen && (!a.undoing || a.seen_started) {
                     outcome = self.after_stop(&mut a, now);
                 } else if due(&a) {
-                    a.told = Some(now);
-                    orders.push(Order::Stop { number, instance: subject });
+                    a.ordered_at = Some(now);
+                    orders.push(Order::Stop { lease_number, instance: subject });
                 }
             }
             Phase::Out => {
-                let out = a.let_since.unwrap_or(a.since) + h.yield_most + h.ending_most.min(h.yield_most);
-                let room = match (&a.to, need) {
-                    (Some(to), Some(n)) => look.room(to, &n.size, orders),
+                let out = a.released_since.unwrap_or(a.since)
+                    + h.max_out_time
+                    + h.max_stop_delay.min(h.max_out_time);
+                let has_capacity = match (&a.to, need) {
+                    (Some(to), Some(n)) => snapshot.has_capacity(to, &n.size, orders),
                     _ => false,
                 };
-                // Once begun it counts as begun: what follows is bounded by the start.
+                // Once the start is requested, the limit for starts applies instead.
                 if now >= out {
                     outcome = Some(Outcome::LeftToScaler);
-                } else if room {
+                } else if has_capacity {
                     let to = a.to.clone().unwrap_or_default();
-                    (a.phase, a.since, a.told) = (Phase::Begun, now, Some(now));
+                    (a.phase, a.since, a.ordered_at) = (Phase::Begun, now, Some(now));
                     a.nonce = self.nonce(&a.old, &to);
                     orders.push(Order::Begin {
-                        number,
+                        lease_number,
                         service: a.service.clone(),
                         host: to,
                         nonce: a.nonce.clone(),
@@ -680,35 +721,39 @@
         outcome
     }
 
-    /// What was to be stopped is gone.
-    fn after_stop(&self, a: &mut Active, now: Duration) -> Option<Outcome> {
+    /// The instance to be stopped has ended.
+    fn after_stop(&self, a: &mut ActiveMove, now: Duration) -> Option<Outcome> {
         if a.undoing {
             return Some(Outcome::Undone);
         }
         match a.mode {
             Mode::MakeBeforeBreak => Some(Outcome::Moved),
             Mode::BreakBeforeMake { .. } => {
-                (a.phase, a.since, a.told) = (Phase::Out, now, None);
+                (a.phase, a.since, a.ordered_at) = (Phase::Out, now, None);
                 None
             }
         }
     }
 
     fn nonce(&self, old: &str, to: &str) -> String {
-        let tries = self.tries.get(&(old.to_string(), to.to_string())).copied().unwrap_or(0);
-        let mut n = nonce(old, to, tries);
-        if self.flaw(InjectedDefect::NonceOfHolder) {
-            n = format!("{n}.{}", self.number);
+        let attempts = self.attempts.get(&(old.to_string(), to.to_string())).copied().unwrap_or(0);
+        let mut n = nonce(old, to, attempts);
+        if self.defect(InjectedDefect::LeaseNumberInNonce) {
+            n = format!("{n}.{}", self.lease_number);
         }
         n
     }
 
-    /// Begins moves in the order of the plan, as room and bounds allow. A later one never overtakes: it might take the
-    /// room that the earlier one waits for.
-    fn begin(&mut self, now: Duration, look: &Look, orders: &mut Vec<Order>) {
+    /// Begins moves in the order of the plan, as free capacity and limits allow. A later move never overtakes
+    /// an earlier one, as it might take the capacity that the earlier one waits for.
+    fn begin_moves(&mut self, now: Duration, snapshot: &Snapshot, orders: &mut Vec<Order>) {
         while let Some(m) = self.queue.front().cloned() {
-            let most = if self.flaw(InjectedDefect::Crowds) { usize::MAX } else { self.habits.at_once };
-            if self.paused || self.active.len() >= most {
+            let limit = if self.defect(InjectedDefect::UnlimitedMoves) {
+                usize::MAX
+            } else {
+                self.settings.max_concurrent
+            };
+            if self.paused || self.active.len() >= limit {
                 self.head_since = None;
                 return;
             }
@@ -718,11 +763,11 @@
                 me.head_since = None;
                 me.outcomes.push((m.instance.clone(), outcome));
             };
-            let old = look.get(&m.instance);
-            let there = old.is_some_and(|o| {
+            let old = snapshot.get(&m.instance);
+            let unchanged = old.is_some_and(|o| {
                 o.host == m.from && matches!(o.state, InstanceState::Ready | InstanceState::Draining)
             });
-            let Some(need) = look.needs.get(m.function.as_str()).filter(|_| there) else {
+            let Some(need) = snapshot.needs.get(m.function.as_str()).filter(|_| unchanged) else {
                 drop(self, Outcome::Gone);
                 continue;
             };
@@ -730,46 +775,46 @@
                 drop(self, Outcome::Gone);
                 continue;
             }
-            let mut a = active(now, &m.instance, &m.function, m.to.clone(), m.mode, m.reason);
+            let mut a = active_move(now, &m.instance, &m.function, m.to.clone(), m.mode, m.reason);
             match (&m.to, m.mode) {
-                // Let go: the same way from where a new one serves.
+                // Stopped as surplus: continues like a move whose new instance already serves.
                 (None, _) => a.phase = Phase::Coming,
                 (Some(to), Mode::MakeBeforeBreak) => {
-                    let up = look.hosts.get(to.as_str()).is_some_and(|h| h.up);
-                    if !up || !look.room(to, &need.size, orders) {
-                        if up && now < since + self.habits.room_wait {
+                    let up = snapshot.hosts.get(to.as_str()).is_some_and(|h| h.up);
+                    if !up || !snapshot.has_capacity(to, &need.size, orders) {
+                        if up && now < since + self.settings.capacity_wait {
                             return;
                         }
                         drop(self, Outcome::NoRoom);
                         continue;
                     }
                     a.nonce = self.nonce(&m.instance, to);
-                    a.told = Some(now);
+                    a.ordered_at = Some(now);
                     orders.push(Order::Begin {
-                        number: self.number,
+                        lease_number: self.lease_number,
                         service: m.function.clone(),
                         host: to.clone(),
                         nonce: a.nonce.clone(),
                         replaces: m.instance.clone(),
                     });
-                    if self.flaw(InjectedDefect::BreaksUrgent) {
+                    if self.defect(InjectedDefect::ReleasesUrgentFirst) {
                         orders.push(Order::StopAllocating {
-                            number: self.number,
+                            lease_number: self.lease_number,
                             instance: m.instance.clone(),
                         });
                     }
                 }
                 (Some(_), Mode::BreakBeforeMake { .. }) => {
                     if need.urgent {
-                        // It has become urgent since: never.
+                        // The function has become urgent since: its instance must not be stopped first.
                         drop(self, Outcome::Kept);
                         continue;
                     }
-                    let yields = |a: &&Active| matches!(a.mode, Mode::BreakBeforeMake { .. });
-                    if self.active.iter().filter(yields).count() >= self.habits.yielding {
+                    let stops_first = |a: &&ActiveMove| matches!(a.mode, Mode::BreakBeforeMake { .. });
+                    if self.active.iter().filter(stops_first).count() >= self.settings.max_stopped_first {
                         return;
                     }
-                    (a.phase, a.let_since) = (Phase::Letting, Some(now));
+                    (a.phase, a.released_since) = (Phase::Letting, Some(now));
                 }
             }
             self.queue.pop_front();
@@ -779,38 +824,39 @@
     }
 }
 
-fn active(
+fn active_move(
     now: Duration,
     old: &str,
     service: &str,
     to: Option<String>,
     mode: Mode,
     reason: MoveReason,
-) -> Active {
-    Active {
+) -> ActiveMove {
+    ActiveMove {
         old: old.to_string(),
         service: service.to_string(),
         to,
         mode,
         phase: Phase::Begun,
         since: now,
-        let_since: None,
-        told: None,
+        released_since: None,
+        ordered_at: None,
         new: None,
         nonce: String::new(),
         undoing: false,
-        accepts: None,
-        missing: 0,
-        met: false,
+        accepting_since: None,
+        missed_updates: 0,
+        seen_started: false,
         reason,
     }
 }
 
-/// Turns a move round: the new one is let go. Without an answer yet it is asked for first.
-fn undo(a: &mut Active, now: Duration) {
+/// Reverts a move: the new instance is released. If the start is not answered yet, it is repeated first.
+fn revert(a: &mut ActiveMove, now: Duration) {
     a.undoing = true;
     if a.new.is_some() {
-        (a.phase, a.since, a.told, a.let_since, a.missing) = (Phase::Letting, now, None, Some(now), 0);
+        (a.phase, a.since, a.ordered_at, a.released_since, a.missed_updates) =
+            (Phase::Letting, now, None, Some(now), 0);
     }
 }
 
@@ -818,39 +864,39 @@
     s.serving == Serving::Answered || s.serving == Serving::Accepts && (need.idle || !need.urgent)
 }
 
-/// A look by names.
-struct Look<'a> {
-    ground: &'a FleetView<'a>,
-    seen: BTreeMap<&'a str, &'a InstanceView>,
+/// One update, indexed by name.
+struct Snapshot<'a> {
+    view: &'a FleetView<'a>,
+    instances: BTreeMap<&'a str, &'a InstanceView>,
     hosts: BTreeMap<&'a str, &'a Host>,
     needs: BTreeMap<&'a str, &'a ServiceNeed>,
 }
 
-impl<'a> Look<'a> {
-    fn new(ground: &'a FleetView<'a>) -> Look<'a> {
-        Look {
-            ground,
-            seen: ground.seen.iter().map(|s| (s.instance.as_str(), s)).collect(),
-            hosts: ground.hosts.iter().map(|h| (h.name.as_str(), h)).collect(),
-            needs: ground.needs.iter().map(|n| (n.service.as_str(), n)).collect(),
+impl<'a> Snapshot<'a> {
+    fn new(view: &'a FleetView<'a>) -> Snapshot<'a> {
+        Snapshot {
+            view,
+            instances: view.instances.iter().map(|s| (s.instance.as_str(), s)).collect(),
+            hosts: view.hosts.iter().map(|h| (h.name.as_str(), h)).collect(),
+            needs: view.needs.iter().map(|n| (n.service.as_str(), n)).collect(),
         }
     }
 
     fn get(&self, instance: &str) -> Option<&'a InstanceView> {
-        self.seen.get(instance).copied()
+        self.instances.get(instance).copied()
     }
 
-    /// Whether `host` has room, with what is ordered in this look.
-    fn room(&self, host: &str, size: &Resources, orders: &[Order]) -> bool {
+    /// Whether `host` has free capacity after the starts ordered in this update.
+    fn has_capacity(&self, host: &str, size: &Resources, orders: &[Order]) -> bool {
         let Some(h) = self.hosts.get(host) else { return false };
         let mut free = h.free;
         for o in orders {
             if let Order::Begin { service, host: at, .. } = o {
                 if at == host {
-                    free = free.less(&self.needs.get(service.as_str()).map(|n| n.size).unwrap_or_default());
+                    free = free.minus(&self.needs.get(service.as_str()).map(|n| n.size).unwrap_or_default());
                 }
             }
         }
-        h.up && size.fits(&free)
+        h.up && size.fits_in(&free)
     }
 }
--- a/crates/rebinding/src/words.rs
+++ b/crates/rebinding/src/types.rs
@@ -1,14 +1,13 @@
-//! What goes into the planner and what comes out.
+//! Types of the planner's input and output.
 
 use std::time::Duration;
 
 use bitflags::bitflags;
 
-/// Kinds of accelerator slices that a fleet may name; the caller gives each kind a place.
+/// Number of kinds of accelerator slices; the caller assigns an index to each kind.
 pub const SLICE_KINDS: usize = 3;
 
-/// A vector of resources: memory in MB, and whole slices of accelerators by kind. A platform without accelerators
-/// leaves the slices at 0 everywhere.
+/// Resource vector: memory in MB and accelerator slices by kind. Without accelerators all slices are 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Resources {
     pub memory_mb: u32,
@@ -20,8 +19,8 @@
         Resources { memory_mb, slices: [0; SLICE_KINDS] }
     }
 
-    /// Whether `other` has at least this much of everything.
-    pub fn fits(&self, other: &Resources) -> bool {
+    /// Whether `other` has at least this much of every resource.
+    pub fn fits_in(&self, other: &Resources) -> bool {
         self.memory_mb <= other.memory_mb && self.slices.iter().zip(&other.slices).all(|(a, b)| a <= b)
     }
 
@@ -34,8 +33,8 @@
         m
     }
 
-    /// Never below 0: reports of hosts may contradict what is known to run there.
-    pub fn less(&self, other: &Resources) -> Resources {
+    /// Saturates at 0, since a host's report may contradict the instances known to run there.
+    pub fn minus(&self, other: &Resources) -> Resources {
         let mut m = *self;
         m.memory_mb = m.memory_mb.saturating_sub(other.memory_mb);
         for (a, b) in m.slices.iter_mut().zip(&other.slices) {
@@ -44,8 +43,8 @@
         m
     }
 
-    /// Of each the smaller.
-    pub fn least(&self, other: &Resources) -> Resources {
+    /// The minimum of each resource.
+    pub fn component_min(&self, other: &Resources) -> Resources {
         let mut m = *self;
         m.memory_mb = m.memory_mb.min(other.memory_mb);
         for (a, b) in m.slices.iter_mut().zip(&other.slices) {
@@ -58,11 +57,11 @@
         *self == Resources::default()
     }
 
-    /// Of the scarcest resource, the share of `whole` that this is: the size by which instances are ordered.
-    pub fn share_of(&self, whole: &Resources) -> f64 {
+    /// The largest share of `total` over all resources; instances are ordered by this.
+    pub fn share_of(&self, total: &Resources) -> f64 {
         let part = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
-        let slices = self.slices.iter().zip(&whole.slices).map(|(a, b)| part(f64::from(*a), f64::from(*b)));
-        slices.fold(part(f64::from(self.memory_mb), f64::from(whole.memory_mb)), f64::max)
+        let slices = self.slices.iter().zip(&total.slices).map(|(a, b)| part(f64::from(*a), f64::from(*b)));
+        slices.fold(part(f64::from(self.memory_mb), f64::from(total.memory_mb)), f64::max)
     }
 
     pub(crate) fn gb(&self) -> f64 {
@@ -71,12 +70,12 @@
 }
 
 bitflags! {
-    /// What the instances of a function are kept apart by.
+    /// How the instances of a function are kept separate.
     #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
     pub struct Separation: u8 {
-        /// No two on one host while there are hosts enough.
+        /// No two on one host while there are enough hosts.
         const HOST = 1;
-        /// No zone with more than its even part.
+        /// No zone with more than its even share.
         const ZONE = 2;
     }
 }
@@ -87,9 +86,10 @@
     pub name: String,
     pub zone: String,
     pub total: Resources,
-    /// As the host reports it. Believed only where it is less than `whole` without what is known to run there.
+    /// As reported by the host. Used only where it is less than `total` minus the instances known to run
+    /// there.
     pub free: Resources,
-    /// False while it drains: nothing goes there, and what is there should leave.
+    /// False while it drains: no instance is placed there, and its instances should leave.
     pub up: bool,
 }
 
@@ -97,13 +97,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Function {
     pub name: String,
-    /// What one instance takes.
+    /// Resources of one instance.
     pub size: Resources,
-    /// Its calls cannot wait: it is never under its need, and moves within the zone of its lender.
+    /// Its calls cannot wait: it never falls below `required`, and it moves within its home zone.
     pub urgent: bool,
-    /// Instances without which it would be late, now.
+    /// Instances that it needs now to meet its latency target.
     pub required: u32,
-    /// Instances the scaler wants to keep; those beyond are let go instead of moved.
+    /// Instances that the autoscaler wants to keep; surplus ones are stopped instead of moved.
     pub desired: u32,
     /// Mean duration of a start, ms.
     pub boot_ms: u32,
@@ -116,48 +116,51 @@
     pub id: String,
     pub function: String,
     pub host: String,
-    /// Slots lent, smoothed.
+    /// Slots in use, smoothed.
     pub load: f32,
-    /// Since its start; the youngest are moved last, as their start was paid just now.
+    /// Time since its start; young instances are not moved, as the cost of their start was paid only
+    /// recently.
     pub age: Duration,
-    /// Where the calls come from that it mostly serves.
+    /// The zone from which most of its calls come.
     pub home_zone: String,
-    /// It may be moved: false while it starts, ends, or is moved already.
+    /// False while it starts, ends or is already being moved.
     pub movable: bool,
 }
 
-/// All that is planned from.
+/// Input of the planner.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fleet {
     pub hosts: Vec<Host>,
     pub functions: Vec<Function>,
     pub instances: Vec<Instance>,
-    /// Starts to be expected soon, each of which should find a hole of its own.
+    /// Starts that are expected soon; each should find free capacity of this size on one host.
     pub expected_starts: Vec<Resources>,
 }
 
-/// Prices and bounds.
+/// Costs, in units of the value of one call, and limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanSettings {
-    /// A GB of an instance for a second, in the worth of a call. Old and new are both paid during a move.
+    /// Cost of a GB of an instance for a second. During a move both instances are paid for.
     pub instance_cost_gb_s: f64,
-    /// A GB of a host that holds anything, for a second. 0 where hosts cost nothing: then no host is emptied to save.
+    /// Cost of a GB of a host that is in use, for a second. 0 where hosts cost nothing: then no host is
+    /// emptied to save cost.
     pub host_cost_gb_s: f64,
-    /// A start.
+    /// Cost of a start.
     pub start_cost: f64,
-    /// A second for which one more busy slot crosses zones.
+    /// Cost of one busy slot whose calls cross zones, for a second.
     pub crossing_cost_s: f64,
-    /// Savings count for so long.
+    /// Time over which savings count.
     pub horizon: Duration,
-    /// The old one's time between the end of lending and its stop, for the price of a move.
+    /// Time between the end of the old instance's allocation and its stop, for the cost of a move.
     pub stop_delay: Duration,
-    /// Moves in one plan, at most.
+    /// Maximum moves of one plan.
     pub max_moves: usize,
-    /// Instances younger than this stay, unless their host drains.
+    /// Instances younger than this are not moved, unless their host drains.
     pub min_age: Duration,
-    /// Functions that can wait may be stopped before the new one begins where there is no room for both.
+    /// Instances of functions whose calls can wait may be stopped before the new one starts, where there is
+    /// no free capacity for both.
     pub allow_break_before_make: bool,
-    /// Placements that the search's restarts may look at, after one run of each of the other ways.
+    /// Placements that the restarts of the search may examine, after one run of each of the other strategies.
     pub max_probes: u64,
 }
 
@@ -183,68 +186,71 @@
 pub enum MoveReason {
     /// Its host drains.
     Drain,
-    /// Too many of an urgent function together.
+    /// Too many instances of an urgent function on one host or in one zone.
     Apart,
-    /// A hole for a start that is expected.
+    /// To make room for an expected start.
     Hole,
     /// To empty its host.
     Empty,
-    /// More than wanted.
+    /// More instances than desired.
     Surplus,
 }
 
-/// How the old and the new one follow each other.
+/// Order of the old and the new instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// The new one serves before the old one lends no more. Urgent functions have no other.
+    /// The new instance serves before the old one is released. The only mode for urgent functions.
     MakeBeforeBreak,
-    /// Stopped first, begun after the move with this number has ended: two that need each other's room.
+    /// The old instance is stopped first; the new one starts after the move with this index has ended. Used
+    /// where two instances need each other's capacity.
     BreakBeforeMake { begin_after: usize },
 }
 
-/// One instance, one way.
+/// The move of one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Move {
     pub instance: String,
     pub function: String,
     pub from: String,
-    /// `None`: let go, as there are more than wanted.
+    /// `None`: the instance is surplus and is stopped.
     pub to: Option<String>,
-    /// Room that the new one takes at `to`, on top of what is there, while the old one still has its own at `from`.
+    /// Resources that the new instance needs at `to` while the old one still occupies its own at `from`.
     pub reserved: Resources,
     pub mode: Mode,
     pub reason: MoveReason,
     pub urgent: bool,
 }
 
-/// What a fleet amounts to.
+/// Quality of a placement.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetMetrics {
     /// Instances of urgent functions on draining hosts.
     pub exposed: u32,
-    /// Instances of urgent functions beyond what [`Apart`] allows.
+    /// Instances of urgent functions beyond what [`Separation`] allows.
     pub colocated: u32,
-    /// Expected starts without a hole.
+    /// Expected starts for which no host has enough free capacity.
     pub unplaced_starts: u32,
-    /// Memory of hosts that hold anything, MB.
+    /// Memory of the hosts that are in use, MB.
     pub open_mb: u64,
-    /// Memory of instances, MB.
+    /// Memory of the instances, MB.
     pub used_mb: u64,
     pub open_hosts: u32,
 }
 
-/// Moves in the order in which they begin. Each begins when its room is there; none needs room that a later one leaves.
+/// Moves in the order in which they begin. Each begins once its capacity is free; none needs capacity that is
+/// released by a later one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     pub moves: Vec<Move>,
     pub before: FleetMetrics,
     pub after: FleetMetrics,
-    /// MB·s for which old and new both run, by the functions' mean starts.
+    /// Memory occupied by both instances during the moves, MB·s, estimated from the functions' mean start
+    /// times.
     pub overlap_mb_s: u64,
     pub starts: u32,
-    /// What is saved within the horizon, less what the moves cost, in the worth of a call. Holes, drains and apartness
-    /// are not in it.
+    /// Savings within the horizon minus the cost of the moves, in units of the value of one call. The value
+    /// of room for starts, of leaving draining hosts and of separation is not included.
     pub saving: f64,
-    /// The greatest room taken meanwhile on one host, MB.
+    /// The most memory reserved for new instances on one host, MB.
     pub peak_reserved_mb: u32,
 }
--- a/crates/rebinding/tests/planner.rs
+++ b/crates/rebinding/tests/planner.rs
@@ -1,9 +1,9 @@
-//! Properties of plans over seeded fleets, and planted defects of plans that `check` finds.
+//! Properties of plans for random fleets, and defective plans that `check` must detect.
 
 use rstest::rstest;
 use tindock_rebinding::*;
 
-fn terms(seed: u64) -> PlanSettings {
+fn settings(seed: u64) -> PlanSettings {
     PlanSettings {
         host_cost_gb_s: if seed.is_multiple_of(3) { 0.0 } else { 1.1 },
         max_moves: [4, 12, 60][(seed % 3) as usize],
@@ -12,7 +12,8 @@
     }
 }
 
-/// A fleet with drains, hosts that others use too or that report too much, more wanted, larger expected.
+/// A fleet with a draining host, a host partly used by others or reporting too much free memory, or surplus
+/// instances, and with an additional expected start.
 fn fleet(seed: u64) -> Fleet {
     let mut f = sample_fleet(seed, 20 + (seed % 30) as usize, 0.45 + 0.5 * ((seed % 11) as f64 / 11.0));
     let hosts = f.hosts.len();
@@ -34,39 +35,41 @@
 #[case(Strategy::Cheapest, 5000..10_000)]
 #[case(Strategy::Search, 0..750)]
 #[case(Strategy::Search, 750..1500)]
-fn plans_hold_what_they_promise(#[case] way: Strategy, #[case] seeds: std::ops::Range<u64>) {
-    let (mut moves, mut breaks, mut holes, mut exposed) = (0, 0, 0, 0);
+fn plans_violate_no_constraint(#[case] strategy: Strategy, #[case] seeds: std::ops::Range<u64>) {
+    let (mut moves, mut stopped_first, mut made_room, mut exposed) = (0, 0, 0, 0);
     for seed in seeds {
-        let (fleet, terms) = (fleet(seed), terms(seed));
-        let plan = plan_with(&fleet, &terms, way, seed);
-        assert_eq!(check(&fleet, &plan, terms.max_moves), Ok(()), "seed {seed}: {plan:#?}");
+        let (fleet, settings) = (fleet(seed), settings(seed));
+        let plan = plan_with(&fleet, &settings, strategy, seed);
+        assert_eq!(check(&fleet, &plan, settings.max_moves), Ok(()), "seed {seed}: {plan:#?}");
         moves += plan.moves.len();
-        breaks += plan.moves.iter().filter(|m| matches!(m.mode, Mode::BreakBeforeMake { .. })).count();
-        holes += plan.before.unplaced_starts.saturating_sub(plan.after.unplaced_starts);
+        stopped_first += plan.moves.iter().filter(|m| matches!(m.mode, Mode::BreakBeforeMake { .. })).count();
+        made_room += plan.before.unplaced_starts.saturating_sub(plan.after.unplaced_starts);
         exposed += plan.before.exposed - plan.after.exposed;
     }
-    // The fleets give each part of the planner something to do.
-    assert!(moves > 1000 && holes > 1 && exposed > 100, "{moves} {breaks} {holes} {exposed}");
-    println!("{way:?}: {moves} moves, {breaks} stopped first, {holes} holes, {exposed} off draining hosts");
+    // The fleets exercise each part of the planner.
+    assert!(moves > 1000 && made_room > 1 && exposed > 100, "{moves} {stopped_first} {made_room} {exposed}");
+    println!(
+        "{strategy:?}: {moves} moves, {stopped_first} stopped first, {made_room} starts, {exposed} drained"
+    );
 }
 
 #[test]
-fn the_same_seed_gives_the_same_plan() {
+fn same_seed_gives_the_same_plan() {
     let f = fleet(7);
-    assert_eq!(plan(&f, &terms(7), 3), plan(&f, &terms(7), 3));
+    assert_eq!(plan(&f, &settings(7), 3), plan(&f, &settings(7), 3));
 }
 
 #[test]
-fn the_search_is_never_behind_first_fit() {
+fn search_is_never_worse_than_first_fit() {
     for seed in 0..200 {
-        let (f, t) = (fleet(seed), terms(seed));
+        let (f, t) = (fleet(seed), settings(seed));
         let (a, b) = (plan_with(&f, &t, Strategy::FirstFit, seed), plan_with(&f, &t, Strategy::Search, seed));
         let key = |p: &Plan| (p.after.exposed, p.after.colocated, p.after.unplaced_starts);
         assert!(key(&b) < key(&a) || key(&b) == key(&a) && b.saving >= a.saving - 1e-9, "seed {seed}");
     }
 }
 
-fn small(hosts: &[(&str, u32)], functions: &[(&str, u32, bool)], at: &[(&str, &str)]) -> Fleet {
+fn small_fleet(hosts: &[(&str, u32)], functions: &[(&str, u32, bool)], at: &[(&str, &str)]) -> Fleet {
     let zone = |n: &str| n[..1].to_string();
     let mut fleet = Fleet {
         hosts: hosts
@@ -108,9 +111,10 @@
 }
 
 #[test]
-fn two_that_need_each_others_room_swap_if_one_can_wait() {
-    // `a1` needs 600 for `big`; `book` fits on `a2` only when `batch` leaves, which fits only where `book` was.
-    let mut fleet = small(
+fn instances_swap_only_if_one_can_be_stopped_first() {
+    // The expected start needs `book` to leave `a1`. It fits on `a2` only without `batch`, which fits only
+    // where `book` was.
+    let mut fleet = small_fleet(
         &[("a1", 1024), ("a2", 700)],
         &[("book", 512, true), ("batch", 400, false)],
         &[("book", "a1"), ("batch", "a2")],
@@ -134,14 +138,15 @@
     );
     assert_eq!(p.moves[0].mode, Mode::BreakBeforeMake { begin_after: 1 });
     assert!(!p.moves[0].urgent && p.moves[1].urgent && p.moves[1].mode == Mode::MakeBeforeBreak);
-    let mut never = PlanSettings { allow_break_before_make: false, ..PlanSettings::default() };
-    never.max_moves = 10;
-    assert!(plan(&fleet, &never, 1).moves.is_empty());
+    let mut without_swaps = PlanSettings { allow_break_before_make: false, ..PlanSettings::default() };
+    without_swaps.max_moves = 10;
+    assert!(plan(&fleet, &without_swaps, 1).moves.is_empty());
 }
 
 #[test]
-fn a_slice_is_a_resource_like_memory() {
-    let mut fleet = small(&[("a1", 4096), ("a2", 4096), ("a3", 4096)], &[("f", 512, true)], &[("f", "a1")]);
+fn slices_limit_placement_like_memory() {
+    let mut fleet =
+        small_fleet(&[("a1", 4096), ("a2", 4096), ("a3", 4096)], &[("f", 512, true)], &[("f", "a1")]);
     fleet.functions[0].size.slices[0] = 2;
     for (h, n) in [(0, 4), (1, 1), (2, 2)] {
         fleet.hosts[h].total.slices[0] = n;
@@ -154,7 +159,7 @@
 }
 
 #[test]
-fn where_hosts_cost_nothing_nothing_moves_to_save() {
+fn no_move_to_save_where_hosts_cost_nothing() {
     let fleet = sample_fleet(3, 100, 0.4);
     let mut calm = fleet.clone();
     calm.expected_starts.clear();
@@ -162,16 +167,16 @@
     assert!(plan(&calm, &PlanSettings::default(), 1).moves.is_empty());
 }
 
-/// Defects planted in good plans: each is found.
+/// Guards against `check` accepting a plan with an injected defect.
 #[rstest]
-#[case::out_of_order(0)]
-#[case::twice(1)]
+#[case::swapped_order(0)]
+#[case::moved_twice(1)]
 #[case::into_a_draining_host(2)]
 #[case::urgent_stopped_first(3)]
-#[case::urgent_let_go(4)]
+#[case::urgent_without_target(4)]
 #[case::onto_a_full_host(5)]
-fn planted_defects_of_plans_are_found(#[case] defect: usize) {
-    let (mut found, mut planted) = (0, 0);
+fn defective_plans_are_rejected(#[case] defect: usize) {
+    let (mut found, mut injected) = (0, 0);
     for seed in 0..400 {
         let (mut f, t) = (
             fleet(seed),
@@ -209,9 +214,9 @@
                     .for_each(|h| h.free = Resources::mb(100));
             }
         }
-        planted += 1;
+        injected += 1;
         found += u32::from(check(&f, &p, 60 + 1).is_err());
     }
-    // Two that follow each other need not depend on each other.
-    assert!(planted > 5 && (found == planted || defect == 0 && found > 0), "{found} of {planted}");
+    // Two consecutive moves need not depend on each other.
+    assert!(injected > 5 && (found == injected || defect == 0 && found > 0), "{found} of {injected}");
 }
--- a/crates/stacks/src/rebind.rs
+++ b/crates/stacks/src/rebind.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunRefusal {
     Off,
-    /// Moves are under way.
+    /// Moves are in progress.
     Busy,
     /// More instances than a plan is searched for.
     TooLarge,
@@ -112,7 +112,7 @@
 pub(crate) struct Rebind {
     mode: Rebinding,
     mover: Mover,
-    judge: MovePolicy,
+    policy: MovePolicy,
     observed: bool,
     seed: u64,
     /// Functions whose starts found no free capacity, with the first and the last time.
@@ -172,7 +172,7 @@
             Box::new(Rebind {
                 mode,
                 mover: Mover::new(self.tag, now, moving::MoverSettings::default()),
-                judge: MovePolicy::new(now),
+                policy: MovePolicy::new(now),
                 observed: false,
                 seed: self.tag,
                 blocked_starts: BTreeMap::new(),
@@ -235,15 +235,15 @@
             r.observed = true;
             self.step_moves(now, &mut r);
         }
-        let moment = self.conditions(now, &mut r);
-        let no = r.judge.observe(now, &moment);
+        let conditions = self.conditions(now, &mut r);
+        let obstacle = r.policy.observe(now, &conditions);
         let wants = match r.mode {
             Rebinding::Off | Rebinding::Plan => false,
             Rebinding::Holes => self.blocked_starts_that_fit(now, &r).next().is_some(),
             Rebinding::All => true,
         };
         let due = r.last_plan.is_none_or(|p| p + PLAN_INTERVAL <= now);
-        if wants && due && no.is_none() {
+        if wants && due && obstacle.is_none() {
             r.last_plan = Some(now);
             let _ = self.run_plan(now, &mut r);
         }
@@ -359,14 +359,14 @@
             })
         };
         let seen: Vec<InstanceView> = self.registry.all().filter_map(seen).collect();
-        let sight = FleetView { seen: &seen, hosts: &hosts, needs: &needs, complete: true };
-        let orders = r.mover.update(now, &sight);
+        let view = FleetView { instances: &seen, hosts: &hosts, needs: &needs, complete: true };
+        let orders = r.mover.update(now, &view);
         for order in orders {
             self.apply_move_order(now, r, order);
         }
         for (instance, outcome) in r.mover.take_outcomes() {
             if matches!(outcome, Outcome::Kept | Outcome::NoRoom) {
-                r.judge.run_incomplete(now);
+                r.policy.run_incomplete(now);
             }
             r.finished.push_back((now, instance, outcome));
             while r.finished.len() > MAX_FINISHED {
@@ -501,7 +501,7 @@
                 movable: serving_now && !incomplete && !blocked && !r.mover.manages(&e.instance),
             });
         }
-        let terms = moving::PlanSettings {
+        let settings = moving::PlanSettings {
             instance_cost_gb_s: self.tuning.memory_cost_gb_s,
             start_cost: self.tuning.start_cost,
             crossing_cost_s: self.tuning.cross_zone_cost,
@@ -511,16 +511,17 @@
             max_probes: PROBES,
             ..moving::PlanSettings::default()
         };
-        Some(moving::plan(&fleet, &terms, r.seed))
+        Some(moving::plan(&fleet, &settings, r.seed))
     }
 
     /// The plan that would be run now, and whether it may run.
     pub fn rebinding_plan(&mut self, now: Duration) -> Result<(Plan, Result<(), Obstacle>), RunRefusal> {
         let mut r = self.rebind.take().ok_or(RunRefusal::Off)?;
-        let moment = self.conditions(now, &mut r);
+        let conditions = self.conditions(now, &mut r);
         let plan = self.make_plan(now, &r);
-        let may =
-            plan.as_ref().map(|plan| r.judge.clone().approve(now, &moment, plan, double_memory_cost(plan)));
+        let may = plan
+            .as_ref()
+            .map(|plan| r.policy.clone().approve(now, &conditions, plan, double_memory_cost(plan)));
         self.rebind = Some(r);
         plan.zip(may).ok_or(RunRefusal::TooLarge)
     }
@@ -537,13 +538,13 @@
         if !r.mover.idle() {
             return Err(RunRefusal::Busy);
         }
-        let moment = self.conditions(now, r);
+        let conditions = self.conditions(now, r);
         // Saves the search for a plan that would not be run.
-        if let Some(no) = r.judge.observe(now, &moment).or(r.judge.may_plan(now).err()) {
-            return Err(RunRefusal::Blocked(no));
+        if let Some(obstacle) = r.policy.observe(now, &conditions).or(r.policy.may_plan(now).err()) {
+            return Err(RunRefusal::Blocked(obstacle));
         }
         let plan = self.make_plan(now, r).ok_or(RunRefusal::TooLarge)?;
-        r.judge.approve(now, &moment, &plan, double_memory_cost(&plan)).map_err(RunRefusal::Blocked)?;
+        r.policy.approve(now, &conditions, &plan, double_memory_cost(&plan)).map_err(RunRefusal::Blocked)?;
         if !r.mover.accept_plan(&plan) {
             return Err(RunRefusal::Blocked(Obstacle::Unsettled));
         }
@@ -555,7 +556,7 @@
     /// No move begins while paused; `undo` also cancels those whose new instance does not serve yet.
     pub fn rebinding_pause(&mut self, now: Duration, paused: bool, undo: bool) -> Result<(), RunRefusal> {
         let r = self.rebind.as_mut().ok_or(RunRefusal::Off)?;
-        r.judge.paused = paused;
+        r.policy.paused = paused;
         r.mover.pause(paused);
         if undo {
             r.mover.cancel(now);
@@ -565,12 +566,12 @@
 
     pub fn rebinding_status(&mut self, now: Duration) -> RebindingStatus {
         let Some(mut r) = self.rebind.take() else { return RebindingStatus::default() };
-        let moment = self.conditions(now, &mut r);
+        let conditions = self.conditions(now, &mut r);
         let ago = |e: &(Duration, String, Outcome)| (now.saturating_sub(e.0), e.1.clone(), e.2);
         let status = RebindingStatus {
             mode: r.mode,
-            paused: r.judge.paused,
-            blocked_by: r.judge.observe(now, &moment).or(r.judge.may_plan(now).err()),
+            paused: r.policy.paused,
+            blocked_by: r.policy.observe(now, &conditions).or(r.policy.may_plan(now).err()),
             moves: r.mover.progress(),
             waiting: r.mover.pending_moves(),
             blocked_functions: r.recently_blocked(now).cloned().collect(),
