--- a/crates/accord/examples/ways.rs
+++ b/crates/accord/examples/ways.rs
@@ -79,7 +79,7 @@
         Fault::None => {
             RunResult { at: Some(prepared + announced), mixed_ms: announced, messages, forced: false }
         }
-        // It cannot be left out, and nobody can tell whether it serves.
+        // It cannot be left out, and it is unknown whether it serves.
         Fault::Down => RunResult {
             at: Some(FAULT_MS + prepared + announced),
             mixed_ms: announced,
--- a/crates/rollout/src/comparison.rs
+++ b/crates/rollout/src/comparison.rs
@@ -141,7 +141,7 @@
         self.squares += weight * difference * difference;
         self.weight_ratios.0 += weight / changed_tasks;
         self.weight_ratios.1 += weight / unchanged_tasks;
-        // Corrects the bias of the within-sample variance, which is underestimated by one task's share.
+        // Bessel's correction: with so few tasks in a sample its variance is underestimated.
         self.null_variance += weight * binomial(both) * all / (all - 1.0);
     }
 
--- a/crates/roster/src/list_client.rs
+++ b/crates/roster/src/list_client.rs
@@ -16,8 +16,8 @@
     /// `max_wait` (long polling).
     Agent { max_wait: Duration },
     /// A service shared and paid for by all schedulers: one call subscribes until the connection breaks and
-    /// is repeated with growing back-off of at most half of `max_staleness`. After that much silence the list
-    /// counts as complete.
+    /// is repeated with growing back-off of at most half of `max_staleness`. After `max_staleness` without a
+    /// message all changes count as delivered.
     Shared { max_staleness: Duration },
 }
 
