--- a/crates/catalogue/src/change.rs
+++ b/crates/catalogue/src/change.rs
@@ -40,7 +40,7 @@
 
 impl Catalogue {
     /// What leads from `old` to this one.
-    pub fn since(&self, old: &Catalogue) -> Change {
+    pub fn diff_from(&self, old: &Catalogue) -> Change {
         let before: BTreeMap<_, &Route> = old.routes.iter().map(|route| (key(route), route)).collect();
         let after: BTreeMap<_, &Route> = self.routes.iter().map(|route| (key(route), route)).collect();
         // Routes name services by their place: where places moved, all routes may mean others.
@@ -59,7 +59,7 @@
     }
 
     /// The configuration that the change leads to; None if it is not one of this revision, or leads elsewhere.
-    pub fn changed(&self, change: &Change) -> Option<Catalogue> {
+    pub fn apply(&self, change: &Change) -> Option<Catalogue> {
         if change.from != self.revision {
             return None;
         }
@@ -127,17 +127,17 @@
     ) {
         let old = read(3, &[("/a/", "s", 1), ("/b/", "t", 2)], &["s", "t"]);
         let new = read(8, routes, services);
-        let change = new.since(&old);
+        let change = new.diff_from(&old);
         assert_eq!(change.set.len(), set);
-        assert_eq!(old.changed(&change).map(sorted), Some(sorted(new)));
+        assert_eq!(old.apply(&change).map(sorted), Some(sorted(new)));
     }
 
     #[rstest]
     fn a_change_of_another_revision_or_to_elsewhere_is_not_applied() {
         let old = read(3, &[("/a/", "s", 1)], &["s"]);
         let other = read(3, &[("/a/", "s", 1), ("/b/", "s", 1)], &["s"]);
-        let change = read(8, &[("/a/", "s", 2)], &["s"]).since(&old);
-        assert!(read(4, &[("/a/", "s", 1)], &["s"]).changed(&change).is_none());
-        assert!(other.changed(&change).is_none());
+        let change = read(8, &[("/a/", "s", 2)], &["s"]).diff_from(&old);
+        assert!(read(4, &[("/a/", "s", 1)], &["s"]).apply(&change).is_none());
+        assert!(other.apply(&change).is_none());
     }
 }
--- a/crates/catalogue/src/json.rs
+++ b/crates/catalogue/src/json.rs
@@ -7,16 +7,16 @@
 
 use nanoserde::{DeJsonErr, DeJsonState, DeJsonTok};
 
-use crate::fault::{clipped, Fault, Unreadable};
+use crate::error::{clipped, ReadError, SyntaxError};
 
 /// Longest text that is read, in bytes: some thirty thousand routes.
-pub const LONGEST_TEXT: usize = 8 << 20;
+pub const MAX_TEXT_BYTES: usize = 8 << 20;
 
 /// How deep arrays and objects may stand in one another.
-pub const DEEPEST: usize = 32;
+pub const MAX_DEPTH: usize = 32;
 
 /// Most values in a text, so that `[0,0,0,...` cannot become a tree many times its length.
-pub const MOST_VALUES: usize = 400_000;
+pub const MAX_VALUES: usize = 400_000;
 
 pub(crate) enum Value {
     Null,
@@ -29,11 +29,11 @@
     Object(Vec<(String, Value)>),
 }
 
-pub(crate) fn read(text: &[u8]) -> Result<Value, Fault> {
-    if text.len() > LONGEST_TEXT {
-        return Err(Fault::TooLong { bytes: text.len() as u64 });
+pub(crate) fn read(text: &[u8]) -> Result<Value, ReadError> {
+    if text.len() > MAX_TEXT_BYTES {
+        return Err(ReadError::TooLong { bytes: text.len() as u64 });
     }
-    let text = std::str::from_utf8(text).map_err(|e| Fault::NotUtf8 { at: e.valid_up_to() as u64 })?;
+    let text = std::str::from_utf8(text).map_err(|e| ReadError::NotUtf8 { at: e.valid_up_to() as u64 })?;
     let text = screened(text)?;
     let mut reader = Reader { state: DeJsonState::default(), rest: text.chars(), values: 0 };
     reader.state.next(&mut reader.rest);
@@ -41,20 +41,20 @@
     let value = reader.value(0)?;
     match reader.state.tok {
         DeJsonTok::Eof => Ok(value),
-        _ => Err(reader.fault(Unreadable::Trailing)),
+        _ => Err(reader.fault(SyntaxError::Trailing)),
     }
 }
 
 /// Refuses what the lexer would take although it is not JSON, as far as single characters tell; and drops the
 /// plus of `1e+5`, which it would not take.
-fn screened(text: &str) -> Result<Cow<'_, str>, Fault> {
+fn screened(text: &str) -> Result<Cow<'_, str>, ReadError> {
     let bytes = text.as_bytes();
     let at = |i: usize| bytes.get(i).copied().unwrap_or(0);
     let fault = |i: usize, wrong| {
         let before = &bytes[..i];
         let line_start = before.iter().rposition(|&b| b == b'\n').map_or(0, |n| n + 1);
         let line = before.iter().filter(|&&b| b == b'\n').count() as u64 + 1;
-        Err(Fault::Unreadable { line, column: (i - line_start) as u64 + 1, wrong })
+        Err(ReadError::Unreadable { line, column: (i - line_start) as u64 + 1, wrong })
     };
     let (mut inside, mut pluses, mut i) = (false, Vec::new(), 0);
     while i < bytes.len() {
@@ -65,16 +65,16 @@
                 if !matches!(at(i + 1), b'"' | b'\\' | b'/' | b'b' | b'f' | b'n' | b'r' | b't' | b'u')
                     && i + 1 < bytes.len()
                 {
-                    return fault(i, Unreadable::Escape);
+                    return fault(i, SyntaxError::Escape);
                 }
                 i += 1;
             }
-            (true, 0..=0x1f) | (false, 0) => return fault(i, Unreadable::Control),
-            (false, b'/') => return fault(i, Unreadable::Comment),
+            (true, 0..=0x1f) | (false, 0) => return fault(i, SyntaxError::Control),
+            (false, b'/') => return fault(i, SyntaxError::Comment),
             (false, b'+') => {
                 let number = i > 1 && matches!(at(i - 1), b'e' | b'E') && at(i - 2).is_ascii_digit();
                 if !number || !at(i + 1).is_ascii_digit() {
-                    return fault(i, Unreadable::Number);
+                    return fault(i, SyntaxError::Number);
                 }
                 pluses.push(i);
             }
@@ -101,30 +101,30 @@
 }
 
 impl Reader<'_> {
-    fn fault(&self, wrong: Unreadable) -> Fault {
+    fn fault(&self, wrong: SyntaxError) -> ReadError {
         // After `screened` there is no NUL in the text, so here it can only be the lexer's mark of the end.
         let cut = self.state.cur == '\0' && self.rest.as_str().is_empty();
-        let wrong = if cut && wrong == Unreadable::Token { Unreadable::CutShort } else { wrong };
+        let wrong = if cut && wrong == SyntaxError::Token { SyntaxError::CutShort } else { wrong };
         let column = self.state.col.max(1) as u64;
-        Fault::Unreadable { line: self.state.line as u64 + 1, column, wrong }
+        ReadError::Unreadable { line: self.state.line as u64 + 1, column, wrong }
     }
 
-    fn step(&mut self) -> Result<(), Fault> {
+    fn step(&mut self) -> Result<(), ReadError> {
         let stepped: Result<(), DeJsonErr> = self.state.next_tok(&mut self.rest);
-        stepped.map_err(|_| self.fault(Unreadable::Token))?;
+        stepped.map_err(|_| self.fault(SyntaxError::Token))?;
         match self.state.tok {
             DeJsonTok::U64(_) | DeJsonTok::I64(_) | DeJsonTok::F64(_) if !strict(&self.state.numbuf) => {
-                Err(self.fault(Unreadable::Number))
+                Err(self.fault(SyntaxError::Number))
             }
             _ => Ok(()),
         }
     }
 
     /// Reads the value that begins with the present token, and steps behind it.
-    fn value(&mut self, depth: usize) -> Result<Value, Fault> {
+    fn value(&mut self, depth: usize) -> Result<Value, ReadError> {
         self.values += 1;
-        if self.values > MOST_VALUES {
-            return Err(self.fault(Unreadable::TooMany));
+        if self.values > MAX_VALUES {
+            return Err(self.fault(SyntaxError::TooMany));
         }
         let value = match &self.state.tok {
             DeJsonTok::Null => Value::Null,
@@ -134,18 +134,18 @@
             DeJsonTok::F64(number) => Value::Number(*number),
             DeJsonTok::Str => Value::String(std::mem::take(&mut self.state.strbuf)),
             // The depth keeps the stack bounded.
-            DeJsonTok::BlockOpen | DeJsonTok::CurlyOpen if depth == DEEPEST => {
-                return Err(self.fault(Unreadable::TooDeep))
+            DeJsonTok::BlockOpen | DeJsonTok::CurlyOpen if depth == MAX_DEPTH => {
+                return Err(self.fault(SyntaxError::TooDeep))
             }
             DeJsonTok::BlockOpen => return self.array(depth + 1),
             DeJsonTok::CurlyOpen => return self.object(depth + 1),
-            _ => return Err(self.fault(Unreadable::Token)),
+            _ => return Err(self.fault(SyntaxError::Token)),
         };
         self.step()?;
         Ok(value)
     }
 
-    fn array(&mut self, depth: usize) -> Result<Value, Fault> {
+    fn array(&mut self, depth: usize) -> Result<Value, ReadError> {
         let mut values = Vec::new();
         self.step()?;
         if self.state.tok != DeJsonTok::BlockClose {
@@ -154,7 +154,7 @@
                 match self.state.tok {
                     DeJsonTok::Comma => self.step()?,
                     DeJsonTok::BlockClose => break,
-                    _ => return Err(self.fault(Unreadable::Token)),
+                    _ => return Err(self.fault(SyntaxError::Token)),
                 }
             }
         }
@@ -162,25 +162,25 @@
         Ok(Value::Array(values))
     }
 
-    fn object(&mut self, depth: usize) -> Result<Value, Fault> {
+    fn object(&mut self, depth: usize) -> Result<Value, ReadError> {
         let mut fields = Vec::new();
         self.step()?;
         if self.state.tok != DeJsonTok::CurlyClose {
             loop {
                 if self.state.tok != DeJsonTok::Str {
-                    return Err(self.fault(Unreadable::Token));
+                    return Err(self.fault(SyntaxError::Token));
                 }
                 let key = std::mem::take(&mut self.state.strbuf);
                 self.step()?;
                 if self.state.tok != DeJsonTok::Colon {
-                    return Err(self.fault(Unreadable::Token));
+                    return Err(self.fault(SyntaxError::Token));
                 }
                 self.step()?;
                 fields.push((key, self.value(depth)?));
                 match self.state.tok {
                     DeJsonTok::Comma => self.step()?,
                     DeJsonTok::CurlyClose => break,
-                    _ => return Err(self.fault(Unreadable::Token)),
+                    _ => return Err(self.fault(SyntaxError::Token)),
                 }
             }
         }
@@ -188,7 +188,7 @@
         let mut keys: Vec<&str> = fields.iter().map(|(key, _)| key.as_str()).collect();
         keys.sort_unstable();
         if let Some(twice) = keys.windows(2).find(|pair| pair[0] == pair[1]) {
-            return Err(self.fault(Unreadable::KeyTwice(clipped(twice[0]))));
+            return Err(self.fault(SyntaxError::KeyTwice(clipped(twice[0]))));
         }
         self.step()?;
         Ok(Value::Object(fields))
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -6,23 +6,23 @@
 //! `_bytes` in bytes; weights are relative to the others of their route. A number above the range of its
 //! field is read as the largest that fits, since none of them means anything different up there.
 //!
-//! Errors: [`Catalogue::read`] takes the text whole or answers with a [`Fault`] that names the place. It
-//! never panics, and is bounded by [`LONGEST_TEXT`], [`DEEPEST`] and [`MOST_VALUES`] whatever it is given.
+//! Errors: [`Catalogue::read`] takes the text whole or answers with a [`ReadError`] that names the place. It
+//! never panics, and is bounded by [`MAX_TEXT_BYTES`], [`MAX_DEPTH`] and [`MAX_VALUES`] whatever it is given.
 //! Fields that are unknown here are passed over, `null` counts as absent, and a key that stands twice in an
 //! object is a fault, as two readers might choose differently.
 
 mod change;
-mod checking;
-mod fault;
+mod error;
 mod finder;
 mod json;
 #[cfg(test)]
 mod tests;
+mod validation;
 
 pub use change::Change;
-pub use fault::{Fault, Place, Unreadable, Wrong};
+pub use error::{FieldError, Location, ReadError, SyntaxError};
 pub use finder::Finder;
-pub use json::{DEEPEST, LONGEST_TEXT, MOST_VALUES};
+pub use json::{MAX_DEPTH, MAX_TEXT_BYTES, MAX_VALUES};
 
 use serde::{Deserialize, Serialize};
 
@@ -38,8 +38,8 @@
 
 impl Catalogue {
     /// Reads a configuration. The fault is the first one met, in the order services, routes, limits.
-    pub fn read(text: &[u8]) -> Result<Catalogue, Fault> {
-        checking::catalogue(&json::read(text)?)
+    pub fn read(text: &[u8]) -> Result<Catalogue, ReadError> {
+        validation::catalogue(&json::read(text)?)
     }
 }
 
--- a/crates/catalogue/src/tests.rs
+++ b/crates/catalogue/src/tests.rs
@@ -15,7 +15,7 @@
     format!(r#"{{"revision":7,"routes":[{{{route}}}],"services":{SERVICES}}}"#)
 }
 
-fn read(text: &str) -> Result<Catalogue, Fault> {
+fn read(text: &str) -> Result<Catalogue, ReadError> {
     Catalogue::read(text.as_bytes())
 }
 
@@ -174,16 +174,16 @@
 fn is_bounded() {
     let deep = |n: usize| format!(r#"{{"a":{}{}}}"#, "[".repeat(n), "]".repeat(n));
     let wrong = |text: &str| match read(text) {
-        Err(Fault::Unreadable { wrong, .. }) => Some(wrong),
+        Err(ReadError::Unreadable { wrong, .. }) => Some(wrong),
         _ => None,
     };
-    assert_eq!(wrong(&deep(DEEPEST - 1)), None);
-    assert_eq!(wrong(&deep(DEEPEST)), Some(Unreadable::TooDeep));
-    assert_eq!(wrong(&"[".repeat(1 << 20)), Some(Unreadable::TooDeep));
-    assert_eq!(wrong(&"//\n".repeat(1 << 20)), Some(Unreadable::Comment));
-    assert_eq!(wrong(&format!("[{}0]", "0,".repeat(MOST_VALUES))), Some(Unreadable::TooMany));
-    assert!(matches!(read(&" ".repeat(LONGEST_TEXT + 1)), Err(Fault::TooLong { .. })));
-    assert_eq!(Catalogue::read(b"{\"a\":\"\xff\"}"), Err(Fault::NotUtf8 { at: 6 }));
+    assert_eq!(wrong(&deep(MAX_DEPTH - 1)), None);
+    assert_eq!(wrong(&deep(MAX_DEPTH)), Some(SyntaxError::TooDeep));
+    assert_eq!(wrong(&"[".repeat(1 << 20)), Some(SyntaxError::TooDeep));
+    assert_eq!(wrong(&"//\n".repeat(1 << 20)), Some(SyntaxError::Comment));
+    assert_eq!(wrong(&format!("[{}0]", "0,".repeat(MAX_VALUES))), Some(SyntaxError::TooMany));
+    assert!(matches!(read(&" ".repeat(MAX_TEXT_BYTES + 1)), Err(ReadError::TooLong { .. })));
+    assert_eq!(Catalogue::read(b"{\"a\":\"\xff\"}"), Err(ReadError::NotUtf8 { at: 6 }));
 }
 
 #[test]
--- a/crates/house/src/controller/agents.rs
+++ b/crates/house/src/controller/agents.rs
@@ -116,7 +116,7 @@
         for (ip, has) in behind {
             let (whole, bytes) = frames.entry(has).or_insert_with(|| {
                 match self.older.iter().find(|old| old.revision == has) {
-                    Some(old) => (false, frame(&Note::Change(configuration.since(old)))),
+                    Some(old) => (false, frame(&Note::Change(configuration.diff_from(old)))),
                     None => (true, frame(&Note::Word(configuration.clone()))),
                 }
             });
--- a/crates/house/src/desk.rs
+++ b/crates/house/src/desk.rs
@@ -355,7 +355,7 @@
             Told::Change(change) => {
                 // The page has applied the same change to the same word; a desk that has another is told the whole one when
                 // it comes back, so its link ends here.
-                match self.catalogue.as_ref().and_then(|own| own.0.changed(&change)) {
+                match self.catalogue.as_ref().and_then(|own| own.0.apply(&change)) {
                     Some(catalogue) => self.in_force(now, catalogue),
                     None => return false,
                 }
--- a/crates/house/src/page.rs
+++ b/crates/house/src/page.rs
@@ -609,7 +609,7 @@
                 let Some(own) = self.catalogue.as_ref().filter(|own| own.revision < change.revision) else {
                     return;
                 };
-                match own.changed(&change) {
+                match own.apply(&change) {
                     Some(catalogue) => {
                         info!("revision {} in force", catalogue.revision);
                         self.tell(&Told::Change(change));
--- a/crates/scale-run/src/configuration.rs
+++ b/crates/scale-run/src/configuration.rs
@@ -59,8 +59,8 @@
     let (finder, finding) = timed(|| Finder::new(&old));
     let held = own_memory() - memory;
     let new = Catalogue::read(second.as_bytes()).ok()?;
-    let (change, comparing) = timed(|| new.since(&old));
-    let (applied, applying) = timed(|| old.changed(&change));
+    let (change, comparing) = timed(|| new.diff_from(&old));
+    let (applied, applying) = timed(|| old.apply(&change));
     let whole = frame(&Note::Word(new.clone())).len();
     let (changed, framing) = timed(|| frame(&Note::Change(change.clone())).len());
     // Routes come back in another order, which means nothing.
