--- a/crates/catalogue/src/change.rs
+++ b/crates/catalogue/src/change.rs
@@ -1,24 +1,24 @@
-//! What differs between two configurations: small where an operator changed one route of a thousand, so that thin links
-//! carry only that. Applied whole or not at all.
+//! The difference between two configurations: small when an operator changed one route of a thousand, so that
+//! slow links carry only that. Applied completely or not at all.
 
 use crate::{Catalogue, Limits, Route, Service};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// From one revision to a later one.
+/// The change from one revision to a later one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// The revision it is applied to.
     pub from: u64,
     pub revision: u64,
-    /// All services, where they differ; routes name them by their place.
+    /// All services, if they differ; routes refer to them by index.
     services: Option<Vec<Service>>,
     limits: Limits,
-    /// Routes that are gone, by host and prefix.
+    /// Removed routes, by host and prefix.
     gone: Vec<(String, String)>,
-    /// Routes that are new or differ.
+    /// New and modified routes.
     set: Vec<Route>,
-    /// Of the result: a change that does not lead there is not applied.
+    /// The number of routes in the result, and its digest: a change with another result is not applied.
     routes: u32,
     digest: u64,
 }
@@ -27,7 +27,7 @@
     (route.hostname.clone(), route.path_prefix.clone())
 }
 
-/// FNV-1a over all routes and services, whatever their order.
+/// FNV-1a over all routes and services, independent of the order of the routes.
 fn digest(catalogue: &Catalogue) -> u64 {
     let hash = |text: String| {
         text.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
@@ -39,17 +39,18 @@
 }
 
 impl Catalogue {
-    /// What leads from `old` to this one.
+    /// The change that leads from `old` to this configuration.
     pub fn diff_from(&self, old: &Catalogue) -> Change {
         let before: BTreeMap<_, &Route> = old.routes.iter().map(|route| (key(route), route)).collect();
         let after: BTreeMap<_, &Route> = self.routes.iter().map(|route| (key(route), route)).collect();
-        // Routes name services by their place: where places moved, all routes may mean others.
-        let moved = old.services != self.services;
-        let set = after.iter().filter(|(key, route)| moved || before.get(*key) != Some(*route));
+        // Routes refer to services by index: if the services differ, an unchanged route may refer to another
+        // one.
+        let services_differ = old.services != self.services;
+        let set = after.iter().filter(|(key, route)| services_differ || before.get(*key) != Some(*route));
         Change {
             from: old.revision,
             revision: self.revision,
-            services: moved.then(|| self.services.clone()),
+            services: services_differ.then(|| self.services.clone()),
             limits: self.limits,
             gone: before.keys().filter(|key| !after.contains_key(*key)).cloned().collect(),
             set: set.map(|(_, route)| (*route).clone()).collect(),
@@ -58,7 +59,8 @@
         }
     }
 
-    /// The configuration that the change leads to; None if it is not one of this revision, or leads elsewhere.
+    /// The configuration after the change; None if this is not the revision it applies to, or if the result
+    /// does not match.
     pub fn apply(&self, change: &Change) -> Option<Catalogue> {
         if change.from != self.revision {
             return None;
@@ -75,10 +77,10 @@
             services: change.services.clone().unwrap_or_else(|| self.services.clone()),
             limits: change.limits,
         };
-        let there = next.routes.len() == change.routes as usize && digest(&next) == change.digest;
-        let places =
+        let matches = next.routes.len() == change.routes as usize && digest(&next) == change.digest;
+        let valid_indexes =
             |route: &Route| route.shares.iter().all(|share| (share.service as usize) < next.services.len());
-        (there && next.routes.iter().all(places)).then_some(next)
+        (matches && next.routes.iter().all(valid_indexes)).then_some(next)
     }
 }
 
@@ -120,7 +122,7 @@
     #[case::added(&[("/a/", "s", 1), ("/b/", "t", 2), ("/c/", "t", 2)], &["s", "t"], 1)]
     #[case::moved(&[("/a/", "t", 1), ("/b/", "t", 2)], &["s", "t"], 1)]
     #[case::services_in_another_order(&[("/a/", "s", 1), ("/b/", "t", 2)], &["t", "s"], 2)]
-    fn a_change_leads_to_the_new_one_and_says_only_what_differs(
+    fn a_change_leads_to_the_new_configuration_and_contains_only_differences(
         #[case] routes: &[(&str, &str, u32)],
         #[case] services: &[&str],
         #[case] set: usize,
@@ -133,7 +135,7 @@
     }
 
     #[rstest]
-    fn a_change_of_another_revision_or_to_elsewhere_is_not_applied() {
+    fn a_change_from_another_configuration_is_not_applied() {
         let old = read(3, &[("/a/", "s", 1)], &["s"]);
         let other = read(3, &[("/a/", "s", 1), ("/b/", "s", 1)], &["s"]);
         let change = read(8, &[("/a/", "s", 2)], &["s"]).diff_from(&old);
--- a/crates/catalogue/src/error.rs
+++ b/crates/catalogue/src/error.rs
@@ -1,22 +1,22 @@
-//! What can be wrong with a configuration, and where.
+//! Errors in a configuration, with their location.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Characters of a name that a fault repeats at most, so that a fault is one short line.
-const LONGEST_NAME: usize = 80;
+/// Maximum number of characters of a name repeated in an error, so that an error is one short line.
+const MAX_NAME_CHARS: usize = 80;
 
-/// Why a configuration was not taken.
+/// Why a configuration was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReadError {
     /// Longer than [`crate::MAX_TEXT_BYTES`].
     TooLong { bytes: u64 },
-    /// The first byte that is no UTF-8, from 0.
+    /// The offset of the first byte that is not UTF-8, from 0.
     NotUtf8 { at: u64 },
-    /// Not JSON, or more of it than is read; line and column count from 1.
+    /// Not JSON, or beyond the limits; line and column count from 1.
     Unreadable { line: u64, column: u64, wrong: SyntaxError },
-    /// JSON, but no valid configuration.
+    /// JSON, but not a valid configuration.
     Invalid { place: Location, field: String, wrong: FieldError },
 }
 
@@ -34,7 +34,7 @@
     TooMany,
 }
 
-/// The object that a fault lies in; indexes count from 0.
+/// The object that contains the error; indexes count from 0.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Location {
     Whole,
@@ -43,7 +43,7 @@
     Limits,
 }
 
-/// What is wrong with a field.
+/// The error in a field.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FieldError {
     Missing,
@@ -54,19 +54,19 @@
     NotWhole,
     Empty,
     Zero,
-    /// A path that lacks the slash at its beginning (or, for a prefix, its end).
+    /// A path without the slash at its beginning (or, for a prefix, at its end).
     NotPath(String),
     UnknownKind(String),
     UnknownService(String),
-    /// The service at `other` has this name already.
+    /// The service at index `other` already has this name.
     SameName {
         other: u64,
     },
-    /// The route at `other` has this host and prefix already.
+    /// The route at index `other` already has this host and prefix.
     SameTarget {
         other: u64,
     },
-    /// A weight that is negative, infinite, or no number.
+    /// A weight that is negative, infinite, or not a number.
     BadWeight {
         service: String,
     },
@@ -77,8 +77,8 @@
     NoWeight,
 }
 
-pub(crate) fn clipped(name: &str) -> String {
-    name.chars().take(LONGEST_NAME).collect()
+pub(crate) fn truncate_name(name: &str) -> String {
+    name.chars().take(MAX_NAME_CHARS).collect()
 }
 
 impl std::error::Error for ReadError {}
@@ -108,12 +108,12 @@
         match self {
             SyntaxError::CutShort => f.write_str("the text ends too early"),
             SyntaxError::Token => f.write_str("this is not JSON"),
-            SyntaxError::Trailing => f.write_str("something follows the configuration"),
+            SyntaxError::Trailing => f.write_str("unexpected text after the configuration"),
             SyntaxError::Comment => f.write_str("a slash outside a string; JSON has no comments"),
             SyntaxError::Control => f.write_str("a control character"),
-            SyntaxError::Escape => f.write_str("an escape that JSON does not have"),
-            SyntaxError::Number => f.write_str("a number that is not written as JSON has it"),
-            SyntaxError::KeyTwice(key) => write!(f, "the key {key:?} stands twice in one object"),
+            SyntaxError::Escape => f.write_str("an escape sequence that is not valid in JSON"),
+            SyntaxError::Number => f.write_str("a number that is not valid in JSON"),
+            SyntaxError::KeyTwice(key) => write!(f, "the key {key:?} appears twice in one object"),
             SyntaxError::TooDeep => write!(f, "nested deeper than {}", crate::MAX_DEPTH),
             SyntaxError::TooMany => write!(f, "more than {} values", crate::MAX_VALUES),
         }
@@ -131,7 +131,7 @@
     }
 }
 
-/// Reads on after the name of the field.
+/// Written after the name of the field.
 impl fmt::Display for FieldError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -145,9 +145,9 @@
             FieldError::NotPath(path) => write!(f, "{path:?} lacks a slash at its beginning or end"),
             FieldError::UnknownKind(kind) => write!(f, "{kind:?} is neither idempotent nor non_idempotent"),
             FieldError::UnknownService(name) => write!(f, "{name:?} is not among the services"),
-            FieldError::SameName { other } => write!(f, "is that of services[{other}] too"),
+            FieldError::SameName { other } => write!(f, "is already used by services[{other}]"),
             FieldError::SameTarget { other } => {
-                write!(f, "is, with its hostname, that of routes[{other}] too")
+                write!(f, "is already used, with its hostname, by routes[{other}]")
             }
             FieldError::BadWeight { service } => {
                 write!(f, "gives service {service:?} a weight that is not a number of at least 0")
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -1,15 +1,15 @@
-//! Reads and checks an operator's whole configuration, the JSON body of `POST /v1/Configuration.Replace`:
-//! which routes there are, which services they lead to and what a client may send. No I/O, no clock and no
+//! Reads and validates an operator's whole configuration, the JSON body of `POST /v1/Configuration.Replace`:
+//! the routes, the services they lead to, and the limits for client requests. No I/O, no clock and no
 //! randomness.
 //!
-//! Units: every `_ms` is in milliseconds, every `_mb` in mebibytes as the platform counts them, every
-//! `_bytes` in bytes; weights are relative to the others of their route. A number above the range of its
-//! field is read as the largest that fits, since none of them means anything different up there.
+//! Units: `_ms` is milliseconds, `_mb` is mebibytes as the platform counts them, `_bytes` is bytes; weights
+//! are relative to the other weights of their route. A number above the range of its field is read as the
+//! largest that fits, since higher values have no different effect.
 //!
-//! Errors: [`Catalogue::read`] takes the text whole or answers with a [`ReadError`] that names the place. It
-//! never panics, and is bounded by [`MAX_TEXT_BYTES`], [`MAX_DEPTH`] and [`MAX_VALUES`] whatever it is given.
-//! Fields that are unknown here are passed over, `null` counts as absent, and a key that stands twice in an
-//! object is a fault, as two readers might choose differently.
+//! Errors: [`Catalogue::read`] accepts the complete text or returns a [`ReadError`] with its location. It
+//! never panics, and is bounded by [`MAX_TEXT_BYTES`], [`MAX_DEPTH`] and [`MAX_VALUES`] for any input.
+//! Unknown fields are ignored, `null` counts as absent, and a duplicate key in an object is an error, as two
+//! readers might choose different values.
 
 mod change;
 mod error;
@@ -26,10 +26,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A whole configuration that has been checked.
+/// A complete, validated configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Catalogue {
-    /// The higher of two revisions holds.
+    /// The configuration with the higher revision is in force.
     pub revision: u64,
     pub routes: Vec<Route>,
     pub services: Vec<Service>,
@@ -37,18 +37,18 @@
 }
 
 impl Catalogue {
-    /// Reads a configuration. The fault is the first one met, in the order services, routes, limits.
+    /// Reads a configuration. Returns the first error, in the order services, routes, limits.
     pub fn read(text: &[u8]) -> Result<Catalogue, ReadError> {
         validation::catalogue(&json::read(text)?)
     }
 }
 
-/// What of a route's requests may be repeated.
+/// Whether a route's requests may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// A request may run more than once.
     Idempotent,
-    /// A request may run at most once per try of its client.
+    /// A request may run at most once per attempt of its client.
     NonIdempotent,
 }
 
@@ -56,30 +56,30 @@
 pub struct Route {
     /// Empty if the operator gave none.
     pub name: String,
-    /// As the operator wrote it, never empty; compared without regard to case.
+    /// As the operator wrote it, never empty; compared case-insensitively.
     pub hostname: String,
-    /// Begins and ends with a slash.
+    /// Starts and ends with a slash.
     pub path_prefix: String,
     pub kind: RouteKind,
-    /// How long a request may be held at most; at least 1.
+    /// The maximum time until a request is answered; at least 1.
     pub timeout_ms: u32,
-    /// An answer inside this time earns its full worth; the time-out where the operator gave none.
+    /// An answer within this time has its full value; `timeout_ms` if the operator gave none.
     pub target_latency_ms: u32,
     /// 0 is the highest.
     pub priority: u8,
-    /// To how many workers one try may be sent; at least 1.
+    /// The maximum number of workers that one attempt may be sent to; at least 1.
     pub max_retries: u8,
     /// Never empty, and some weight is above 0.
     pub shares: Vec<Share>,
 }
 
 impl Route {
-    /// The service that a request goes to, as an index into the services, in proportion to the weights.
-    /// `chance` is uniform over all of `u32`.
-    pub fn choose(&self, chance: u32) -> u32 {
+    /// Chooses the service of a request in proportion to the weights; returns an index into the services.
+    /// `random` is uniform over all of `u32`.
+    pub fn choose(&self, random: u32) -> u32 {
         let sum: u128 = self.shares.iter().map(|s| u128::from(s.weight)).sum();
-        // Below the sum, as `chance` is below 2^32.
-        let mut left = (u128::from(chance) * sum) >> 32;
+        // Below the sum, as `random` is below 2^32.
+        let mut left = (u128::from(random) * sum) >> 32;
         for share in &self.shares {
             let weight = u128::from(share.weight);
             if left < weight {
@@ -87,12 +87,12 @@
             }
             left -= weight;
         }
-        // Only a route that was not read here can have no weight at all.
+        // Only a route that was not read by this crate can have no weight at all.
         self.shares.first().map_or(0, |s| s.service)
     }
 }
 
-/// The part of a route's requests that goes to one service.
+/// The share of a route's requests that goes to one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     /// Index into [`Catalogue::services`].
@@ -102,22 +102,22 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Not empty, and no other service's.
+    /// Not empty, and unique among the services.
     pub name: String,
-    /// Begins with a slash.
+    /// Starts with a slash.
     pub health_path: Option<String>,
-    /// Connections that one worker takes from all callers together; 0 if not given.
+    /// Maximum number of connections to one worker from all callers together; 0 if not given.
     pub max_concurrency: u32,
-    /// What one worker takes of its host; 0 if not given.
+    /// Memory that one worker uses on its host; 0 if not given.
     pub memory_mb: u32,
-    /// How long a start takes on average; 0 if not given.
+    /// Average duration of a start; 0 if not given.
     pub boot_ms: u32,
-    /// Requests that one worker may hold at once; `slots` if not given, 0 (no bound) if that is not given
-    /// either.
+    /// Maximum number of concurrent requests of one worker; `slots` if not given, 0 (no limit) if that is not
+    /// given either.
     pub max_inflight: u32,
 }
 
-/// What a client may send, and how long it may take or stay idle.
+/// Limits on what a client may send, and how long it may take or stay idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
     pub max_header_bytes: u32,
--- a/crates/catalogue/src/tests.rs
+++ b/crates/catalogue/src/tests.rs
@@ -7,11 +7,12 @@
 const SERVICES: &str = r#"[{"name":"x","health_path":"/up","max_concurrency":72,"protocol":"h1",
     "memory_mb":512,"boot_ms":1400,"max_inflight":4},{"name":"y","health_path":null,"slots":3}]"#;
 
-/// A configuration with one route, whose fields follow those that each route needs; `$` leaves those out.
+/// A configuration with one route: `fields` follow the required fields, or replace them if they start with
+/// `$`.
 fn with_route(fields: &str) -> String {
-    let usual =
+    let defaults =
         r#""name":"r","hostname":"A.example","path_prefix":"/a/","route_type":"idempotent","timeout_ms":9"#;
-    let route = fields.strip_prefix('$').map_or(format!("{usual},{fields}"), str::to_string);
+    let route = fields.strip_prefix('$').map_or(format!("{defaults},{fields}"), str::to_string);
     format!(r#"{{"revision":7,"routes":[{{{route}}}],"services":{SERVICES}}}"#)
 }
 
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn reads_all_fields_and_defaults() {
+fn all_fields_and_defaults_are_read() {
     let read =
         read(&with_route(r#""service":"y","max_retries":0,"later":{"a":[1e+5,"\u00e9\/",true]}"#)).unwrap();
     let route = Route {
@@ -57,7 +58,7 @@
 #[case(r#""service":"x","split":[{"service":"y","weight":2.0}]"#, &[(1, 2)])]
 #[case(r#""weights":{"x":0.5,"y":0.25}"#, &[(0, 1_000_000_000), (1, 500_000_000)])]
 #[case(r#""weights":{"x":1e300,"y":1e-300}"#, &[(0, 1_000_000_000), (1, 1)])]
-fn reads_splits(#[case] fields: &str, #[case] shares: &[(u32, u32)]) {
+fn all_forms_of_splits_are_read(#[case] fields: &str, #[case] shares: &[(u32, u32)]) {
     let read = read(&with_route(fields)).unwrap();
     let found: Vec<_> = read.routes[0].shares.iter().map(|s| (s.service, s.weight)).collect();
     assert_eq!(found, shares);
@@ -103,9 +104,9 @@
     r#"$"name":"r","hostname":"h","path_prefix":"/","route_type":"idempotent","timeout_ms":"9""#,
     "timeout_ms is not a whole number of at least 0"
 )]
-fn names_what_is_wrong_with_a_route(#[case] fields: &str, #[case] wrong: &str) {
-    let fault = read(&with_route(fields)).unwrap_err();
-    assert_eq!(fault.to_string(), format!(r#"routes[0] "r": {wrong}"#));
+fn invalid_routes_are_reported_by_name_and_field(#[case] fields: &str, #[case] wrong: &str) {
+    let error = read(&with_route(fields)).unwrap_err();
+    assert_eq!(error.to_string(), format!(r#"routes[0] "r": {wrong}"#));
 }
 
 #[rstest]
@@ -128,7 +129,7 @@
 )]
 #[case(
     r#"{"revision":7,"routes":[],"services":[{"name":"x"},{"name":"x"}]}"#,
-    r#"services[1] "x": name is that of services[0] too"#
+    r#"services[1] "x": name is already used by services[0]"#
 )]
 #[case(
     r#"{"revision":7,"routes":[],"services":[],"limits":{"max_body_bytes":-1}}"#,
@@ -140,17 +141,17 @@
 )]
 #[case(
     r#"{"revision":7,"revision":8}"#,
-    r#"line 1, column 27: the key "revision" stands twice in one object"#
+    r#"line 1, column 27: the key "revision" appears twice in one object"#
 )]
 #[case(r#"{"revision":x7}"#, "line 1, column 14: this is not JSON")]
-#[case("{}{}", "line 1, column 4: something follows the configuration")]
+#[case("{}{}", "line 1, column 4: unexpected text after the configuration")]
 #[case("{}\0", "line 1, column 3: a control character")]
 #[case("{\n// no\n}", "line 2, column 1: a slash outside a string; JSON has no comments")]
-#[case(r#"{"a":01}"#, "line 1, column 8: a number that is not written as JSON has it")]
-#[case(r#"{"a":true+1}"#, "line 1, column 10: a number that is not written as JSON has it")]
-#[case(r#"{"a":"\x"}"#, "line 1, column 7: an escape that JSON does not have")]
+#[case(r#"{"a":01}"#, "line 1, column 8: a number that is not valid in JSON")]
+#[case(r#"{"a":true+1}"#, "line 1, column 10: a number that is not valid in JSON")]
+#[case(r#"{"a":"\x"}"#, "line 1, column 7: an escape sequence that is not valid in JSON")]
 #[case(r#"{"a":[1,]}"#, "line 1, column 10: this is not JSON")]
-fn names_what_is_wrong_with_the_rest(#[case] text: &str, #[case] line: &str) {
+fn invalid_configurations_are_reported_with_their_location(#[case] text: &str, #[case] line: &str) {
     assert_eq!(read(text).unwrap_err().to_string(), line);
 }
 
@@ -166,12 +167,12 @@
         read(&format!(r#"{{"revision":7,"routes":[{},{}],"services":{SERVICES}}}"#, route(a), route(b)))
     };
     assert!(of("a.example", "b.example").is_ok());
-    let line = r#"routes[1] "": path_prefix is, with its hostname, that of routes[0] too"#;
+    let line = r#"routes[1] "": path_prefix is already used, with its hostname, by routes[0]"#;
     assert_eq!(of("a.example", "A.Example").unwrap_err().to_string(), line);
 }
 
 #[test]
-fn is_bounded() {
+fn oversized_input_is_rejected() {
     let deep = |n: usize| format!(r#"{{"a":{}{}}}"#, "[".repeat(n), "]".repeat(n));
     let wrong = |text: &str| match read(text) {
         Err(ReadError::Unreadable { wrong, .. }) => Some(wrong),
@@ -187,7 +188,7 @@
 }
 
 #[test]
-fn cut_short_anywhere_is_a_fault() {
+fn a_truncated_text_is_always_rejected() {
     let text = with_route(r#""weights":{"x":3,"y":1.5e0}"#);
     assert!(read(&text).is_ok());
     for cut in 0..text.len() {
@@ -196,25 +197,25 @@
 }
 
 #[test]
-fn changed_bytes_never_panic() {
+fn corrupted_bytes_never_panic() {
     let text =
         with_route(r#""split":[{"service":"x","weight":3}],"a":"\u00e9\ud83d\ude00\n","b":[-1.5e+3,null]"#);
     assert!(read(&text).is_ok());
-    let mut chance = oorandom::Rand32::new(11);
+    let mut rng = oorandom::Rand32::new(11);
     for _ in 0..20_000 {
         let mut bytes = text.clone().into_bytes();
-        for _ in 0..chance.rand_range(1..5) {
-            let at = chance.rand_range(0..bytes.len() as u32) as usize;
-            match chance.rand_range(0..4) {
-                0 => bytes[at] ^= 1 << chance.rand_range(0..8),
-                1 => bytes[at] = br#"{}[]",:\/+-e0"#[chance.rand_range(0..13) as usize],
+        for _ in 0..rng.rand_range(1..5) {
+            let at = rng.rand_range(0..bytes.len() as u32) as usize;
+            match rng.rand_range(0..4) {
+                0 => bytes[at] ^= 1 << rng.rand_range(0..8),
+                1 => bytes[at] = br#"{}[]",:\/+-e0"#[rng.rand_range(0..13) as usize],
                 2 => drop(bytes.remove(at)),
                 _ => bytes.insert(at, bytes[bytes.len() - 1 - at]),
             }
         }
         match Catalogue::read(&bytes) {
             Ok(read) => drop(Finder::new(&read).find("a.example:1", "/a/b")),
-            Err(fault) => assert!(!fault.to_string().contains('\n')),
+            Err(error) => assert!(!error.to_string().contains('\n')),
         }
     }
 }
@@ -233,7 +234,11 @@
 #[case("[::1]:80", "/", Some(3))]
 #[case("[::1]", "/", Some(3))]
 #[case("c.example", "/a/b/", None)]
-fn finds_the_longest_prefix(#[case] host: &str, #[case] path: &str, #[case] index: Option<usize>) {
+fn the_longest_matching_prefix_is_found(
+    #[case] host: &str,
+    #[case] path: &str,
+    #[case] index: Option<usize>,
+) {
     let mut catalogue = read(&with_route(r#""service":"x""#)).unwrap();
     for (host, prefix) in [("a.example", "/a/b/"), ("B.example", "/"), ("[::1]", "/")] {
         let mut route = catalogue.routes[0].clone();
@@ -244,7 +249,7 @@
 }
 
 #[test]
-fn chooses_in_proportion() {
+fn services_are_chosen_in_proportion_to_weights() {
     let route = &read(&with_route(r#""weights":{"x":3,"y":1}"#)).unwrap().routes[0];
     let firsts = (0..4_000u32).filter(|i| route.choose(i * (u32::MAX / 4_000)) == 0).count();
     assert!((2_999..=3_001).contains(&firsts), "{firsts}");
@@ -254,7 +259,7 @@
 }
 
 #[test]
-fn reads_many_routes_quickly() {
+fn reading_time_is_not_quadratic_in_routes() {
     let route = |i: usize| {
         format!(
             r#"{{"name":"r{i}","hostname":"h{}.example","path_prefix":"/p{i}/q/",
@@ -265,11 +270,11 @@
     };
     let routes: Vec<String> = (0..1_030).map(route).collect();
     let text = format!(r#"{{"revision":7,"routes":[{}],"services":{SERVICES}}}"#, routes.join(","));
-    let begun = Instant::now();
+    let started = Instant::now();
     let read = read(&text).unwrap();
     let finder = Finder::new(&read);
     let found = |i: usize| finder.find(&format!("h{}.example", i % 7), &format!("/p{i}/q/z"));
     assert!((0..1_030).all(|i| found(i) == Some(i)));
-    // Far above what it takes (some milliseconds), and far below what a quadratic reader would.
-    assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
+    // Far above the expected time (some milliseconds), and far below that of a quadratic reader.
+    assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
 }
