--- a/crates/control-store/src/bootstrap.rs
+++ b/crates/control-store/src/bootstrap.rs
@@ -112,7 +112,8 @@
     /// Leaves table 0 for the first real table: earlier grants and lease messages become invalid. The
     /// proposer requests the lease first.
     pub(crate) fn bootstrapped(&mut self, now: Duration) {
-        let delay = if self.lease.busy() { Duration::ZERO } else { SEED_INTERVAL + self.random_delay(250) };
+        let delay =
+            if self.lease.has_round() { Duration::ZERO } else { SEED_INTERVAL + self.random_delay(250) };
         self.lease.forget();
         self.lease.try_at = now + delay;
         self.ready = false;
--- a/crates/control-store/src/lease.rs
+++ b/crates/control-store/src/lease.rs
@@ -96,7 +96,7 @@
         Lease { number, on_disk, own_promised: on_disk, grants_from, ..Lease::default() }
     }
 
-    pub fn mine(&self, number: u64) -> bool {
+    pub fn is_own_round(&self, number: u64) -> bool {
         self.round.as_ref().is_some_and(|round| round.number == number)
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// Whether this member has a round in progress or holds the lease.
-    pub fn busy(&self) -> bool {
+    pub fn has_round(&self) -> bool {
         self.round.is_some()
     }
 
@@ -389,8 +389,8 @@
             self.release_lease();
             self.lease.try_at = now + ROUND_TIMEOUT + self.random_delay(250);
         } else {
-            let least = now + Duration::from_millis(u64::from(left_ms)) + self.random_delay(100);
-            self.lease.try_at = self.lease.try_at.max(least);
+            let earliest = now + Duration::from_millis(u64::from(left_ms)) + self.random_delay(100);
+            self.lease.try_at = self.lease.try_at.max(earliest);
         }
     }
 
--- a/crates/control-store/src/lib.rs
+++ b/crates/control-store/src/lib.rs
@@ -776,7 +776,9 @@
         if let Some(until) = self.lost_disk_wait_until.filter(|until| self.joining() && self.now < *until) {
             include(until);
         }
-        if self.lease.busy() || (self.ready && self.is_voting() && !self.leaving && self.incoming.is_none()) {
+        if self.lease.has_round()
+            || (self.ready && self.is_voting() && !self.leaving && self.incoming.is_none())
+        {
             include(self.lease.due());
         }
         self.next_call_due().into_iter().chain(self.next_round_due()).for_each(&mut include);
--- a/crates/control-store/src/tests/sim.rs
+++ b/crates/control-store/src/tests/sim.rs
@@ -65,7 +65,7 @@
     /// Replace: digest of the text that was sent.
     digest: u64,
     show: bool,
-    asked: Duration,
+    sent_at: Duration,
 }
 
 struct Node {
@@ -304,8 +304,8 @@
         let voters = self.voters();
         let majority = voters.len() / 2 + 1;
         let all: Vec<SocketAddr> = self.nodes.keys().copied().collect();
-        let hears = |at: &SocketAddr| voters.iter().filter(|other| !self.is_cut(*at, **other)).count();
-        self.isolated = all.into_iter().filter(|at| hears(at) < majority).collect();
+        let reachable = |at: &SocketAddr| voters.iter().filter(|other| !self.is_cut(*at, **other)).count();
+        self.isolated = all.into_iter().filter(|at| reachable(at) < majority).collect();
     }
 
     fn drain_actions(&mut self, at: SocketAddr) {
@@ -359,14 +359,14 @@
     }
 
     fn handle_answer(&mut self, call: u64, outcome: Outcome) {
-        let Some(Call { at, number, digest, show, asked }) = self.open.remove(&call) else {
+        let Some(Call { at, number, digest, show, sent_at }) = self.open.remove(&call) else {
             return self.record_violation(format!("call {call} answered twice"));
         };
-        if self.now > asked + self.clocks.longest(ANSWER_TIMEOUT) {
-            self.record_violation(format!("call {call} answered after {:?}", self.now - asked));
+        if self.now > sent_at + self.clocks.longest(ANSWER_TIMEOUT) {
+            self.record_violation(format!("call {call} answered after {:?}", self.now - sent_at));
         }
         let states_nothing = matches!(outcome, Outcome::Unavailable { .. } | Outcome::Redirect(_));
-        if self.cut && self.isolated.contains(&at) && asked > self.isolated_since && !states_nothing {
+        if self.cut && self.isolated.contains(&at) && sent_at > self.isolated_since && !states_nothing {
             self.record_violation(format!("{at} is cut off from every majority and answers {outcome:?}"));
         }
         match (show, outcome) {
@@ -567,7 +567,7 @@
             .map(|index| self.unconfirmed[index]);
         let author = self.random_below(AUTHORS);
         let (revision, author) = match again {
-            Some(action) => action,
+            Some(request) => request,
             None if self.random_bool(0.6) || self.revision == 0 => {
                 self.revision += 1 + self.random_below(3);
                 (self.revision, author)
@@ -603,7 +603,7 @@
         let (call, now) = (self.calls, self.now);
         let text = text(revision, author);
         let digest = crate::digest(&text);
-        self.open.insert(call, Call { at, number: revision, digest, show: false, asked: now });
+        self.open.insert(call, Call { at, number: revision, digest, show: false, sent_at: now });
         self.with_store(at, |store, now| store.replace(now, call, revision, text))?;
         // The answer is lost: the operator sends the request again, to any member.
         if may_lose_answer && self.random_bool(0.1) {
@@ -618,8 +618,10 @@
         let at = self.random_node()?;
         self.calls += 1;
         let (call, now) = (self.calls, self.now);
-        self.open
-            .insert(call, Call { at, number: self.highest_acknowledged, digest: 0, show: true, asked: now });
+        self.open.insert(
+            call,
+            Call { at, number: self.highest_acknowledged, digest: 0, show: true, sent_at: now },
+        );
         self.with_store(at, |store, now| store.show(now, call))?;
         Some(call)
     }
@@ -652,7 +654,7 @@
             node.frozen = true;
         }
         for call in self.open.values_mut().filter(|call| call.at == at) {
-            call.asked += MS * ms as u32 * 2; // The member does not run meanwhile, and messages to it wait.
+            call.sent_at += MS * ms as u32 * 2; // The member does not run meanwhile, and messages to it wait.
         }
         self.schedule(MS * ms as u32, Event::Resume { at });
     }
@@ -782,7 +784,7 @@
     fn check_unanswered(&mut self) {
         let (now, handle_answer) = (self.now, self.clocks.longest(ANSWER_TIMEOUT));
         if let Some(id) =
-            self.open.iter().find(|(_, call)| now > call.asked + handle_answer).map(|(id, _)| *id)
+            self.open.iter().find(|(_, call)| now > call.sent_at + handle_answer).map(|(id, _)| *id)
         {
             self.record_violation(format!("call {id} is not answered"));
         }
--- a/crates/control-store/src/tests/sim/cost.rs
+++ b/crates/control-store/src/tests/sim/cost.rs
@@ -25,14 +25,14 @@
     let (messages, bytes, syncs) = (sim.messages, sim.bytes, sim.stores);
     let mut times = Vec::new();
     for _ in 0..ORDERS {
-        let (asked, end, acknowledged) = (sim.now, sim.now + WINDOW, sim.acknowledged);
+        let (sent_at, end, acknowledged) = (sim.now, sim.now + WINDOW, sim.acknowledged);
         let at = sim.random_node().expect("a member");
         sim.revision += 1;
         sim.replace_at(at, sim.revision, 0, false);
         while sim.acknowledged == acknowledged && sim.now < end && sim.violation.is_none() {
             sim.run(sim.now + MS);
         }
-        times.push(sim.now - asked);
+        times.push(sim.now - sent_at);
         sim.run(end);
     }
     assert_eq!(sim.violation, None);
@@ -68,10 +68,10 @@
     let mut times = Vec::new();
     let mut working: BTreeMap<u64, Duration> = BTreeMap::new();
     while sim.now < end && sim.violation.is_none() {
-        working.retain(|call, asked| {
+        working.retain(|call, sent_at| {
             let open = sim.open.contains_key(call);
             if !open {
-                times.push(sim.now - *asked);
+                times.push(sim.now - *sent_at);
             }
             open
         });
--- a/crates/control-store/src/tests/sim/lease.rs
+++ b/crates/control-store/src/tests/sim/lease.rs
@@ -47,7 +47,8 @@
             let (revision, now) = (sim.revision, sim.now);
             let text = text(revision, 0);
             let digest = crate::digest(&text);
-            sim.open.insert(u64::MAX, Call { at: holder, number: revision, digest, show: false, asked: now });
+            sim.open
+                .insert(u64::MAX, Call { at: holder, number: revision, digest, show: false, sent_at: now });
             sim.with_store(holder, |store, now| store.replace(now, u64::MAX, revision, text))
                 .expect("running");
             let delay = sim.random_below(30);
--- a/crates/control-store/src/tests/sim/voters.rs
+++ b/crates/control-store/src/tests/sim/voters.rs
@@ -106,7 +106,7 @@
         let call = self.calls;
         self.open.insert(
             call,
-            Call { at, number: self.highest_acknowledged, digest: 0, show: true, asked: self.now },
+            Call { at, number: self.highest_acknowledged, digest: 0, show: true, sent_at: self.now },
         );
         self.with_store(at, |store, now| store.show(now, call));
     }
@@ -211,7 +211,7 @@
             self.with_store(old, |store, now| store.leave(now));
             replacement.leaving = Some(self.now);
             for call in self.open.values_mut().filter(|call| call.at == old) {
-                call.asked += MAX_EXIT_DELAY;
+                call.sent_at += MAX_EXIT_DELAY;
             }
         }
         replacement
@@ -247,7 +247,7 @@
                     node.frozen = true;
                 }
                 for call in self.open.values_mut().filter(|call| call.at == at) {
-                    call.asked += MS * 60_000; // The member does not run meanwhile.
+                    call.sent_at += MS * 60_000; // The member does not run meanwhile.
                 }
             }
         }
--- a/crates/control-store/src/voters.rs
+++ b/crates/control-store/src/voters.rs
@@ -93,10 +93,10 @@
 
     /// Whether a member can have produced it: tables from the network or the disk may be arbitrary.
     pub fn is_well_formed(&self) -> bool {
-        let well =
+        let valid =
             |voters: &VoterTable| (1..=MAX_VOTERS).contains(&voters.voters.len()) && voters.epoch < u64::MAX;
-        let next = |next: &VoterTable| well(next) && next.epoch == self.base.epoch + 1 && next.number > 0;
-        well(&self.base) && self.next.as_ref().is_none_or(next)
+        let next = |next: &VoterTable| valid(next) && next.epoch == self.base.epoch + 1 && next.number > 0;
+        valid(&self.base) && self.next.as_ref().is_none_or(next)
     }
 }
 
@@ -224,10 +224,10 @@
         let table_version = tables.table_version();
         if peer.table_sent.is_none_or(|(at, sent)| sent != table_version || now >= at + TABLE_RESEND_AFTER) {
             peer.table_sent = Some((now, table_version));
-            let newcomer = self
+            let new_voter = self
                 .proposed
                 .filter(|(epoch, ..)| tables.next.is_some() && *epoch == table_version.epoch + 1);
-            let what = match newcomer {
+            let what = match new_voter {
                 Some((_, at, incarnation)) => Message::Proposal { tables, at, incarnation },
                 None => Message::Table(tables),
             };
@@ -296,13 +296,13 @@
         // A member that took part in bootstrapping, or restarted with table 0, has kept all its earlier
         // statements. A seed that wrote table 0 just now may have lost its state, if its settings are wrong:
         // it reads from others.
-        let bare_seed = |mine: &VoterTables| mine.next.is_none() && mine.base.voter(me).is_some();
-        let took_part = !self.wrote_seed_table || !self.tables.as_ref().is_some_and(bare_seed);
+        let unproposed_seed = |mine: &VoterTables| mine.next.is_none() && mine.base.voter(me).is_some();
+        let took_part = !self.wrote_seed_table || !self.tables.as_ref().is_some_and(unproposed_seed);
         let retained = self
             .on_disk
             .is_some_and(|epoch| voter.since <= epoch || (epoch == 0 && took_part && voter.since == 1));
-        let founding = first && !self.wrote_seed_table && tables.base.epoch == 1 && self.settings.initial;
-        if retained || founding || injected(Defect::CountsWithEmptyDisk) {
+        let first_start = first && !self.wrote_seed_table && tables.base.epoch == 1 && self.settings.initial;
+        if retained || first_start || injected(Defect::CountsWithEmptyDisk) {
             let token = self.store(Stored::Voters(tables.clone()));
             self.incoming = Some((token, tables));
         } else {
@@ -329,7 +329,7 @@
         }
         let epoch = tables.base.epoch;
         let new = self.on_disk.is_none_or(|before| before < epoch) && !self.voting;
-        let founded = self.is_bootstrapping() && epoch > 0;
+        let ends_bootstrap = self.is_bootstrapping() && epoch > 0;
         if new {
             // Its own grants from an earlier incarnation, and grants by others that it has read, have expired
             // by then.
@@ -343,9 +343,9 @@
         let first = self.tables.is_none();
         self.on_disk = Some(epoch);
         self.voting = true;
-        let proposed = tables.next.as_ref().is_some_and(|next| self.lease.mine(next.number));
+        let proposed = tables.next.as_ref().is_some_and(|next| self.lease.is_own_round(next.number));
         self.tables = Some(tables);
-        if founded {
+        if ends_bootstrap {
             self.bootstrapped(now);
         }
         if first || proposed {
@@ -585,8 +585,8 @@
             let timeout = if self.is_leaving(voter.at) { LEAVING_SILENT_AFTER } else { SILENT_AFTER };
             voter.at != self.settings.me && now >= received_at.max(self.started) + timeout
         };
-        let settled_in = self.long_in_touch(now);
-        let gone = base.voters.iter().position(silent).filter(|_| settled_in);
+        let can_judge_silence = self.long_in_touch(now);
+        let gone = base.voters.iter().position(silent).filter(|_| can_judge_silence);
         gone.or_else(|| base.voters.iter().position(|voter| self.is_leaving(voter.at)))
     }
 
