--- a/crates/controller/src/convert.rs
+++ b/crates/controller/src/convert.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 use tindock_catalogue::Catalogue;
-use tindock_circulation::{Listed, Stacks};
+use tindock_circulation::{InstanceUpdate, Listed};
 use tindock_stacks::{self as autoscaler, Entry, InstanceState, Service};
 
 /// The services of the configuration as the autoscaler needs them.
@@ -43,14 +43,14 @@
         host: entry.host.clone(),
         age: u32::try_from(age).unwrap_or(u32::MAX),
         ready: !matches!(entry.state, InstanceState::Starting),
-        lends: matches!(entry.state, InstanceState::Starting | InstanceState::Ready),
+        accepts_calls: matches!(entry.state, InstanceState::Starting | InstanceState::Ready),
         replaces: entry.replaces.clone(),
     }
 }
 
 /// Converts an instance from its wire form to an entry of the autoscaler.
 pub fn entry_from_wire(now: Duration, listed: Listed) -> Entry {
-    let state = match (listed.ready, listed.lends) {
+    let state = match (listed.ready, listed.accepts_calls) {
         (false, _) => InstanceState::Starting,
         (true, true) => InstanceState::Ready,
         (true, false) => InstanceState::Draining,
@@ -69,7 +69,7 @@
 }
 
 /// The platform's list in the form that agents receive while there is no lease holder.
-pub fn platform_instances(listed: Vec<autoscaler::ListedInstance>) -> Stacks {
+pub fn platform_instances(listed: Vec<autoscaler::ListedInstance>) -> InstanceUpdate {
     let entries = listed.into_iter().map(|instance| Listed {
         instance: instance.instance,
         service: instance.service,
@@ -78,8 +78,8 @@
         host: instance.host,
         age: 0,
         ready: true,
-        lends: !instance.draining,
+        accepts_calls: !instance.draining,
         replaces: None,
     });
-    Stacks { entries: entries.collect(), ..Stacks::default() }
+    InstanceUpdate { entries: entries.collect(), ..InstanceUpdate::default() }
 }
--- a/crates/controller/src/lease_holder.rs
+++ b/crates/controller/src/lease_holder.rs
@@ -6,7 +6,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 use tindock_catalogue::Catalogue;
-use tindock_circulation::{Listed, Mark, Proxy, Replica, Source, Stacks};
+use tindock_circulation::{InstanceUpdate, Listed, Mark, Proxy, Replica, Source};
 use tindock_stacks::{self as autoscaler, Entry, Host, Order, Rebinding, Scaler};
 
 /// The platform's list may not contain instances younger than this (ms) yet.
@@ -197,7 +197,7 @@
     }
 
     /// The changes of the instances after a version.
-    pub fn changes_since(&self, now: Duration, version: u64) -> Stacks {
+    pub fn changes_since(&self, now: Duration, version: u64) -> InstanceUpdate {
         let changes = self.scaler.changes_since(version);
         let (mut numbers, tag) = self.scaler.start_numbers();
         if !changes.complete {
@@ -207,7 +207,7 @@
         let published = self.proxies.published();
         let newer = |mark: Mark| mark > Mark { number: self.number, version };
         let owners = published.filter(|owners| changes.complete || newer(owners.mark)).cloned();
-        Stacks {
+        InstanceUpdate {
             number: self.number,
             from: version,
             whole: changes.complete,
--- a/crates/controller/src/proxies.rs
+++ b/crates/controller/src/proxies.rs
@@ -53,7 +53,7 @@
 
     /// An agent reports the proxy process beside it: none (`life` 0) if it is leaving or has not started.
     pub fn record(&mut self, now: Duration, proxy: Proxy) {
-        if proxy.life == 0 {
+        if proxy.incarnation == 0 {
             self.known.remove(&proxy.ip);
             return;
         }
--- a/crates/rehearsal/src/desk.rs
+++ b/crates/rehearsal/src/desk.rs
@@ -263,7 +263,7 @@
     /// A look at what is due after SIGTERM; whether the process may end.
     pub fn leave(&mut self, now: Duration) -> bool {
         self.turn_away_what_does_not_fit(now);
-        if self.lifecycle.phase(now) >= Phase::BreakingOff {
+        if self.lifecycle.phase(now) >= Phase::Aborting {
             self.break_off(now);
         }
         self.lifecycle.may_end(now, self.hands.len())
@@ -375,7 +375,7 @@
             at: listed.at,
             zone: listed.zone.clone(),
             ready: listed.ready,
-            accepts_calls: listed.lends && self.may_use(listed),
+            accepts_calls: listed.accepts_calls && self.may_use(listed),
             since: now.saturating_sub(Duration::from_millis(listed.age.into())),
         });
         self.lending.update_instances(now, entries.collect(), ended);
