--- a/crates/lending/src/capacity.rs
+++ b/crates/lending/src/capacity.rs
@@ -1,4 +1,5 @@
-//! Free slots and waiting calls as owners tell them to one another, and calls that go where there is room.
+//! Free slots and queued calls as owners announce them to one another, and redirects of queued calls to zones
+//! with free slots.
 
 use crate::messages::{kind as hash, Kind, Message, MAX_MESSAGES};
 use crate::pool::{self, SlotRequest};
@@ -11,7 +12,7 @@
 use std::time::Duration;
 
 impl Allocator {
-    /// What was heard of the lender of a zone lately.
+    /// The capacity that the owner in a zone recently announced.
     pub(crate) fn capacity_at(&self, kind: Kind, zone: &str) -> Option<Capacity> {
         let owner = self.owner_of(kind, zone)?;
         self.capacities
@@ -20,7 +21,7 @@
             .filter(|capacity| capacity.received + CAPACITY_VALID_FOR > self.now)
     }
 
-    /// The nearest other zone whose lender said lately that it has free slots and that nobody waits there.
+    /// The nearest other zone whose owner recently announced free slots and an empty queue.
     pub(crate) fn zone_with_capacity(&self, kind: Kind) -> Option<(String, SocketAddr, u8)> {
         if !self.capacities.keys().any(|(k, _)| *k == kind) {
             return None;
@@ -35,7 +36,7 @@
         open.min().map(|(_, taken, zone, owner)| (zone, owner, u8::MAX - taken))
     }
 
-    /// Lenders of this function's other instances.
+    /// The owners of this function's other instances.
     pub(crate) fn peers(&self, kind: Kind) -> BTreeSet<SocketAddr> {
         let mut zones: Vec<&str> = self.zones_of(kind).into_keys().collect();
         zones.sort_by_key(|zone| self.redirect_cost(zone));
@@ -43,7 +44,7 @@
         owners.filter(|at| *at != self.me).take(MAX_CAPACITY_PEERS).collect()
     }
 
-    /// Tells another lender what there is here, if it has not been told just now.
+    /// Sends this process's capacity to another owner, unless it was sent very recently.
     pub(crate) fn send_capacity(&mut self, kind: Kind, to: SocketAddr, pause: Duration) {
         let now = self.now;
         let Some(message) = self.capacity_message(kind) else { return };
@@ -65,8 +66,8 @@
         Some(Message::Capacity { kind, free, waiting, run })
     }
 
-    /// Calls wait here: the lenders of the function elsewhere are told, and told again when none waits any more. Who has
-    /// room tells those that said so.
+    /// Announces to the other owners of the function that calls are queued here, and again when none is any
+    /// more. Free slots are announced to the owners that reported queued calls.
     pub(crate) fn announce_capacity(&mut self, kind: Kind) {
         let now = self.now;
         let Some(pool) = self.pools.get(&kind) else { return };
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Waiting calls go where there is room, if that is better for them.
+    /// Redirects queued calls to a zone with free slots if they gain by that.
     pub(crate) fn redirect_waiting(&mut self, kind: Kind) {
         let now = self.now;
         if self.pools.get(&kind).is_none_or(|pool| pool.queue.is_empty()) {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// What is known of others' room: function, lender, and what it said when.
+    /// The known capacity of others: function, owner, and what it announced when.
     pub fn capacities(&self) -> impl Iterator<Item = (Kind, SocketAddr, &Capacity)> {
         self.capacities.iter().map(|((kind, at), capacity)| (*kind, *at, capacity))
     }
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The zone with room in which a call that would wait here does better, if there is one.
+    /// The zone with free slots in which a call that would be queued here gains, if there is one.
     pub(crate) fn better_zone(&mut self, kind: Kind, request: &SlotRequest) -> Option<String> {
         let now = self.now;
         let (zone, owner, _) = self.zone_with_capacity(kind)?;
@@ -140,7 +141,7 @@
         Some(zone)
     }
 
-    /// A letter that goes anyway takes along what its reader asked for lately.
+    /// Adds the capacity that the receiver is interested in to a datagram that is sent anyway.
     pub(crate) fn piggyback_capacities(&mut self, to: SocketAddr, part: &mut Vec<Message>) {
         let now = self.now;
         let interested: Vec<Kind> =
--- a/crates/lending/src/defects.rs
+++ b/crates/lending/src/defects.rs
@@ -1,52 +1,53 @@
-//! Defects that tests plant, to show that the harness finds them. In the programs there are none.
+//! Defects that tests inject to show that the test harness detects them. The programs contain none.
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// An instance lends one slot more than it has.
+    /// An instance grants one slot more than it has.
     OneTooMany,
-    /// A waiting call is granted a slot that is not written down.
+    /// A queued call is granted a slot that is not recorded.
     GrantNotRecorded,
-    /// A new lender lends before it has heard what is out.
+    /// A new owner grants slots before it knows which are held.
     GrantsBeforeHandover,
-    /// What borrowers tell of loans by a former lender is not written down.
+    /// Requesters' reports of slots granted by a former owner are not recorded.
     HoldsIgnored,
-    /// Loans whose borrower vanished are never taken back.
+    /// Grants whose requester vanished never expire.
     NoExpiry,
-    /// Borrowers are not asked after loans that are out for long.
+    /// Requesters are not queried about grants that are held for long.
     NeverChecked,
-    /// Calls that nobody answers are forgotten.
+    /// Calls that nobody answers are not rejected at their end.
     DeadlineIgnored,
-    /// Calls are served in the order in which they came.
+    /// Calls are served in order of arrival.
     ArrivalOrder,
-    /// Slots that come back wait for the next ask.
+    /// Returned slots are not granted until the next request.
     QueueNotServed,
-    /// What drains is still lent.
+    /// Slots of draining instances are granted.
     DrainingGranted,
     /// A slot of an instance that the requester knows to leave is used all the same.
     LeavingUsed,
-    /// A new life numbers its calls like the one before, and takes what comes for them.
+    /// A new incarnation reuses the call numbers of the one before, and accepts replies to those.
     NumbersReused,
-    /// Loans are forgotten when their instance goes to another lender for a while.
+    /// Grants are forgotten when another process owns their instance for a while.
     LedgerForgotten,
-    /// A new owner doesn't wait for what the former one hands over.
+    /// A new owner doesn't wait for the handover of the former one.
     HandoverNotAwaited,
     /// A former owner hands nothing over.
     NothingHandedOver,
-    /// Whoever says nothing for a while is taken for ended.
+    /// A process that is silent for a while is taken for ended.
     SilenceCountsAsEnd,
-    /// An owner that hears nobody goes on lending.
+    /// An isolated owner goes on granting slots.
     IsolatedGrants,
-    /// A former owner that has not learned of a change lends on while another claims what it owns.
+    /// A former owner that has not learned of a change grants slots of an instance that another claims.
     ClaimsIgnored,
-    /// Before the holder has published any members, one that knows nobody in a zone owns its instances.
+    /// Before the holder of the leadership lease publishes members, a process that knows of none in a zone
+    /// owns its instances.
     FirstKnownOwns,
-    /// A refused connection proves the end of a process, on whichever side of a cut this one is.
+    /// A refused connection counts as proof that a process has ended, on either side of a network partition.
     RefusalIsProof,
-    /// A slot that comes back is freed twice.
+    /// A returned slot is freed twice.
     FreedTwice,
-    /// Letters of a life that another has followed are taken for the present one's.
+    /// Datagrams of a former incarnation are handled like those of the present one.
     FormerAccepted,
-    /// Copies of asks and of loans told of are served after their call is over.
+    /// Late copies of requests and of reported grants are served after their call is over.
     CopiesServed,
 }
 
--- a/crates/lending/src/departed.rs
+++ b/crates/lending/src/departed.rs
@@ -1,14 +1,14 @@
-//! Instances that were told to have ended. The platform may go on serving on one for a while, and a lender that was cut
-//! off may still hand it out: nothing is sent there on its word.
+//! Instances that were reported as ended. The platform may keep one serving for a while, and an owner that
+//! was cut off may still grant slots on it: requests are not sent to them whoever grants the slot.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// A lender that is cut off for longer has lost its place among the members long before.
+/// Longer than it takes until an owner that is cut off is no longer a member.
 const REMEMBERED: Duration = Duration::from_secs(60);
 const MAX_INSTANCES: usize = 16_384;
 
-/// The instances that ended lately.
+/// The instances that ended recently.
 #[derive(Default)]
 pub struct Departed {
     ended: HashMap<String, Duration>,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// It is listed again: its end was a mistake.
+    /// The instance is listed again: the report of its end was wrong.
     pub fn is_back(&mut self, instance: &str) {
         self.ended.remove(instance);
     }
@@ -53,7 +53,7 @@
     use super::*;
 
     #[test]
-    fn the_ended_are_remembered_for_a_while_and_in_bounds() {
+    fn ended_instances_are_remembered_for_a_bounded_time() {
         let mut departed = Departed::default();
         departed.note(Duration::ZERO, "first");
         assert!(departed.contains("first") && !departed.contains("second"));
--- a/crates/lending/src/finished_calls.rs
+++ b/crates/lending/src/finished_calls.rs
@@ -1,27 +1,28 @@
-//! Calls of other processes that are over here: an ask or a loan told of that comes after that is a late copy.
+//! Calls of other processes that are over here: a request or a reported grant that arrives later is a late
+//! copy.
 
 use crate::defects::{injected, Defect};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Returns are said for three seconds, asks for less; no copy is later than that.
+/// Returns are resent for three seconds, requests for less; no copy arrives later than that.
 const REMEMBERED: Duration = Duration::from_secs(3);
 const MAX_CALLS: usize = 16_384;
 
-/// A call, by the process that has it and the life of that.
+/// A call: the address and the incarnation of the process that has it, and its number.
 pub type Key = (SocketAddr, u32, u32);
 
-/// What has been said of a call.
+/// How a call ended here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finish {
-    /// Its slot came back: it asks for nothing and holds nothing.
+    /// Its slot was returned: it requests nothing and holds nothing.
     Returned,
-    /// Another lender was quicker: it asks for nothing here, and may hold a slot that it tells of.
+    /// Another owner was quicker: the call requests nothing here, and may hold a slot that it reports.
     Served,
 }
 
-/// The calls that were over lately.
+/// The calls that recently ended.
 #[derive(Default)]
 pub struct FinishedCalls {
     calls: HashMap<Key, Finish>,
@@ -49,12 +50,12 @@
         }
     }
 
-    /// An ask for this call is a copy.
+    /// Whether a request for this call is a late copy.
     pub fn is_finished(&self, key: &Key) -> bool {
         self.calls.contains_key(key)
     }
 
-    /// It holds nothing either.
+    /// Whether the call holds no slot either.
     pub fn is_returned(&self, key: &Key) -> bool {
         self.calls.get(key) == Some(&Finish::Returned)
     }
--- a/crates/lending/src/granting.rs
+++ b/crates/lending/src/granting.rs
@@ -1,4 +1,5 @@
-//! The owner's side: who gets a slot that is free, who waits, and who is sent elsewhere.
+//! The owner's side: which call is granted a free slot, which is queued, and which is redirected to another
+//! zone.
 
 use crate::messages::{kind as hash, Kind, Message};
 use crate::owners::weight;
@@ -24,7 +25,7 @@
         let score = self.score;
         let pool = self.pools.entry(kind).or_insert_with(|| SlotPool::new(function, now).with_score(score));
         let (free, waiting) = advertised_capacity(pool, now);
-        // Said again: the grant or the place it has.
+        // A repeated request is answered with the grant or the place in the queue that it has.
         if let Some(ledger) = pool.ledgers.iter().find(|b| {
             b.grants
                 .iter()
@@ -75,7 +76,7 @@
         if !granted {
             self.announce_capacity(kind);
         }
-        // A start takes a second: what lacks slots is told now, not with the next round.
+        // Starting an instance takes a second: a shortage is reported now, not with the next periodic report.
         if !granted {
             let pause = if accepts_calls { SHORTAGE_INTERVAL } else { SHORTAGE_INTERVAL / 2 };
             let report = self
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Slots that are free go to who waits.
+    /// Grants free slots to queued requests.
     pub(crate) fn serve(&mut self, kind: Kind) {
         let now = self.now;
         if self.is_fenced() {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Another zone that has instances which lend.
+    /// Another zone that has instances that accept calls.
     pub(crate) fn other_zone(&self, kind: Kind) -> Option<String> {
         if let Some((zone, ..)) = self.zone_with_capacity(kind) {
             return Some(zone);
--- a/crates/lending/src/handover.rs
+++ b/crates/lending/src/handover.rs
@@ -1,8 +1,9 @@
-//! A change of owner. The former owner of an instance stops lending it as it learns of the change, and hands its loans over;
-//! the new one waits for that before it lends. A former owner that is silent is not taken for ended: silence of a process
-//! short of processor, or behind a full link, is no end, and two that lend the same slots hand out more than there are.
-//! The new owner asks for it (`Claims`), so that one that has nothing to hand over says so at once. The wait ends with the
-//! handover, with proof that the former process has ended, or after `HANDOVER_TIMEOUT`.
+//! Changes of owner. When the former owner of an instance learns of the change it stops granting slots there
+//! and hands its grants over; the new owner waits for that before it grants any. A former owner that does not
+//! reply is not taken for ended: a process that lacks processor time, or sits behind a congested link, is
+//! silent too, and two owners of one instance grant more slots than it has. The new owner requests the
+//! handover (`Claim`), so that a process that has nothing to hand over replies at once. The wait ends with
+//! the handover, with evidence that the former process has ended, or after `HANDOVER_TIMEOUT`.
 
 use crate::defects::{injected, Defect};
 use crate::messages::{kind as hash, GrantedSlot, Kind, Message, MAX_GRANTED_SLOTS};
@@ -13,45 +14,48 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A new owner waits at most so long for what the former one hands over.
+/// The longest that a new owner waits for the handover of the former one.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Without a former owner to wait for, requesters are given so long to tell what they hold.
+/// Without a former owner to wait for, requesters have this long to report the slots that they hold.
 const REPORT_WAIT: Duration = Duration::from_millis(200);
-/// The same while the members are those that were heard of: those of a zone hear of each other within this.
+/// The same while the members are provisional: the processes of one zone discover each other within this
+/// time.
 const PROVISIONAL_REPORT_WAIT: Duration = Duration::from_millis(400);
-/// A former owner that is claimed from, and has not learned of a change, lends the instance no more for so long. By then it has
-/// learned of it, or the claim was by one that is behind.
+/// For this long a former owner that received a claim, but has not learned of a change, grants no slot of the
+/// instance. After that it has learned of the change, or the claim came from a process that is behind.
 const DISPUTE_PAUSE: Duration = Duration::from_millis(1200);
-/// An instance that is first heard of so soon after a change of owners may have been lent by another.
+/// An instance that is first listed this soon after a change of owners may have had slots granted by another
+/// process.
 const CHANGE_WINDOW: Duration = Duration::from_secs(2);
-/// What was handed over before this process knew that it is the owner is kept so long.
+/// How long a handover is kept that arrives before this process knows that it is the owner.
 const EARLY_KEPT: Duration = Duration::from_secs(1);
-/// To whom an instance was handed over is remembered so long, for one that learns of two changes as one.
+/// How long the process that received an instance is remembered. This serves processes that learn of two
+/// changes as one.
 const HANDED_KEPT: Duration = Duration::from_secs(10);
-/// Bounds of what is kept for that.
+/// Bounds on the state kept for handovers.
 const MAX_EARLY: usize = 16_384;
 const MAX_PENDING: usize = 16_384;
 const MAX_HANDED: usize = 16_384;
 
-/// Why the owners are looked at again.
+/// Why owners are computed again.
 pub(crate) enum Cause<'a> {
     /// Other instances, or another configuration.
     Update,
-    /// Other members; these were the former ones.
+    /// Other members; holds the former ones.
     Members(&'a [Member]),
-    /// A member's process has ended, or speaks again.
+    /// The process of a member has ended, or was heard from again.
     Liveness,
 }
 
-/// How a new owner begins with an instance.
+/// The state in which a new owner begins with an instance.
 pub(crate) struct InitialState {
-    /// It lends nothing before.
+    /// No slots are granted before this time.
     pub paused_until: Duration,
-    /// The former owner whose handover ends the rest.
+    /// The former owner whose handover ends the pause.
     pub awaits: Option<SocketAddr>,
 }
 
-/// A handover that was not acknowledged yet.
+/// A handover that is not acknowledged yet.
 pub(crate) struct Pending {
     to: SocketAddr,
     kind: Kind,
@@ -63,7 +67,7 @@
     began: Duration,
 }
 
-/// Loans that were handed over before this process knew itself to be the owner.
+/// Grants that were handed over before this process knew that it is the owner.
 pub(crate) struct Early {
     arrived: Duration,
     complete: bool,
@@ -71,13 +75,14 @@
 }
 
 impl Allocator {
-    /// How this process begins with an instance that it owns from now on.
+    /// The state in which this process begins with an instance that it owns from now on.
     pub(crate) fn initial_state(&self, entry: &Entry, boot: Duration, cause: &Cause) -> InitialState {
         let now = self.now;
         let at_once = InitialState { paused_until: Duration::ZERO, awaits: None };
         let span = if self.owners.is_provisional() { PROVISIONAL_REPORT_WAIT } else { REPORT_WAIT };
         let after_reports = InitialState { paused_until: now + span, awaits: None };
-        // One that has just begun has been lent by nobody. One that began before this process did may have been.
+        // Nobody has granted slots of an instance that has just started; one that started before this process
+        // did may have grants.
         let young = entry.since > Duration::ZERO;
         let fresh = young && !entry.ready && now < entry.since + boot.mul_f64(0.5);
         if fresh || injected(Defect::GrantsBeforeHandover) {
@@ -100,7 +105,8 @@
         }
     }
 
-    /// Who owned it under the former members. A process that was not among them asks who would without it.
+    /// The owner under the former members. A process that was not among them takes the owner that the members
+    /// without itself would have.
     fn former_owner(&self, former: &[Member], entry: &Entry) -> Option<SocketAddr> {
         let was_member = former.iter().any(|member| member.at == self.me);
         let others = || self.owners.members().iter().filter(|member| member.at != self.me);
@@ -111,13 +117,14 @@
         owner.filter(|at| *at != self.me)
     }
 
-    /// Its process has ended; or it is no member any more, and silent here as well.
+    /// The process has ended; or it is no longer a member and does not reply to this process either.
     fn is_known_ended(&self, at: SocketAddr) -> bool {
         let is_member = self.owners.member(at).is_some();
         self.owners.has_ended(at) || (!is_member && self.suspects.contains_key(&at))
     }
 
-    /// Former owners that are waited for, and are no members any more: if their processes have ended nothing will come.
+    /// Probes former owners that are waited for and are no longer members: if their processes have ended, no
+    /// handover will arrive.
     pub(crate) fn probe_former_owners(&mut self) {
         let awaited: BTreeSet<SocketAddr> =
             self.pools.values().flat_map(|pool| &pool.ledgers).filter_map(|ledger| ledger.awaits).collect();
@@ -147,13 +154,13 @@
         self.pump();
     }
 
-    /// Other members count as ended than before.
+    /// The set of members that count as ended has changed.
     pub(crate) fn owners_changed(&mut self) {
         self.update_all_pools(Cause::Liveness);
         self.report_held_to_new_owners(&Default::default());
     }
 
-    /// A book that another owns from now on.
+    /// Hands over an instance that another process owns from now on.
     pub(crate) fn hand_over(&mut self, ledger: &InstanceLedger) {
         let entry = &ledger.entry;
         let Some(to) = self.owners.owner(entry.kind, &entry.zone).filter(|at| *at != self.me) else { return };
@@ -162,7 +169,8 @@
         }
         self.pending.retain(|pending| pending.instance != entry.instance);
         let complete = self.now >= ledger.complete_from;
-        // One that has waited for it itself has nothing to say but for whom.
+        // A process that still waits for the handover itself has no grants to report; it only remembers where
+        // to refer claims.
         if let Some(former) = ledger.awaits {
             return self.note_handed_to(&entry.instance, former);
         }
@@ -192,15 +200,16 @@
         }
     }
 
-    /// Who may know more of an instance than this process: the one that it was handed to, or that owned it, as far as is known
-    /// here, before the last change. One that has learned of two changes as one never owned what it is asked for.
+    /// Which process may know more about an instance than this one: the one that it was handed over to, or
+    /// its owner before the last change, as far as is known here. A process that learned of two changes as
+    /// one never owned the instance that is claimed from it.
     fn likely_owner(&self, from: SocketAddr, kind: Kind, instance: &str) -> Option<SocketAddr> {
         let given = self.handed_to.get(instance).map(|(owner, _)| *owner);
         let owned = || owner_among(self.former.iter(), kind, &self.entries.get(instance)?.zone);
         given.or_else(owned).filter(|at| *at != from && *at != self.me)
     }
 
-    /// Instances that this process waits for are claimed from their former owners, now and then.
+    /// Claims the instances that this process waits for from their former owners, at intervals.
     pub(crate) fn claim(&mut self) {
         let now = self.now;
         let mut claims = Vec::new();
@@ -221,8 +230,8 @@
         }
     }
 
-    /// Another says that it owns an instance from now on. Who still is its owner, by the members known here, hands it over
-    /// when it learns that it is not.
+    /// Another process claims an instance. If this process still owns it by the members known here, it hands
+    /// the instance over when it learns of the change.
     pub(crate) fn claimed(&mut self, from: SocketAddr, kind: Kind, instance: String) {
         let entry = self.entries.get(&instance);
         if entry.is_some_and(|entry| self.owner_of(kind, &entry.zone) == Some(self.me)) {
@@ -231,14 +240,15 @@
         if let Some(owner) = self.likely_owner(from, kind, &instance) {
             return self.send(from, Message::HandedTo { kind, instance, owner });
         }
-        // What was handed over to this process goes on with it.
+        // Grants handed over to this process go on to the claimer.
         let early = self.early.remove(&instance).map(|early| early.grants).unwrap_or_default();
         let grants = self.parked.get(&instance).into_iter().flatten().chain(&early);
         let grants = grants.take(MAX_GRANTED_SLOTS).map(|grant| grant.as_granted_slot(self.now)).collect();
         self.send(from, Message::Handover { kind, instance, grants, complete: true });
     }
 
-    /// Another claims what this one owns as far as it knows. One of the two is behind, and the claimer lends after its wait.
+    /// Two processes consider themselves the owner. One of them is behind, and the claimer grants slots after
+    /// its wait.
     fn pause_disputed(&mut self, kind: Kind, instance: &str) {
         if injected(Defect::ClaimsIgnored) {
             return;
@@ -249,7 +259,7 @@
         }
     }
 
-    /// The one that is waited for has handed the instance over to another before.
+    /// The process that is waited for has already handed the instance over to another.
     pub(crate) fn redirect_claim(&mut self, from: SocketAddr, kind: Kind, instance: &str, owner: SocketAddr) {
         let Some(pool) = self.pools.get_mut(&kind) else { return };
         let ledger = pool.ledgers.iter_mut().find(|ledger| ledger.entry.instance == instance);
@@ -266,7 +276,7 @@
         Message::Handover { kind, instance, grants, complete }
     }
 
-    /// Handovers that were not acknowledged are sent again.
+    /// Resends handovers that were not acknowledged.
     pub(crate) fn resend_handovers(&mut self) {
         let now = self.now;
         self.pending.retain(|pending| now <= pending.began + RESEND_FOR);
@@ -286,8 +296,8 @@
         self.handed_to.retain(|_, (_, at)| now <= *at + HANDED_KEPT);
     }
 
-    /// A former owner says what it has lent, and that it lends no more. Where that is not all (`complete`), since it was not the
-    /// owner for long, requesters are given time to tell the rest.
+    /// A former owner reports its grants and that it grants no more. If the report is not `complete`, since
+    /// the process was not the owner for long, requesters have time to report the rest.
     pub(crate) fn take_over(
         &mut self,
         from: SocketAddr,
--- a/crates/lending/src/incarnations.rs
+++ b/crates/lending/src/incarnations.rs
@@ -1,48 +1,49 @@
-//! Which life of another process speaks. Datagrams come late: what a process said before it began anew may arrive after
-//! what it has said since, and must not be taken for its present word.
+//! The incarnations of other processes. Datagrams may be late: one that a process sent before a restart may
+//! arrive after those that it has sent since, and must not be taken for its present state.
 
 use crate::defects::{injected, Defect};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Processes that are remembered.
+/// The most processes that are remembered.
 const MAX_PEERS: usize = 4096;
-/// Succeeded lives of one process that are remembered.
+/// Former incarnations that are remembered of one process.
 const MAX_FORMER: usize = 4;
-/// A succeeded life is not heard until its successor has been silent for so long: longer than datagrams are late. If the
-/// order of the two was mistaken, the one that goes on speaking is heard after this.
+/// A former incarnation is ignored until its successor has sent nothing for this long: longer than datagrams
+/// are delayed. If the order of the two was mistaken, the one that goes on sending is accepted after this.
 const FORMER_SILENCE: Duration = Duration::from_secs(2);
-/// A process that has run for less than this may be sent late letters of lives that ended before it began: a life that
-/// it doesn't know may be older than the one that speaks.
+/// A process that has run for less than this may receive late datagrams of incarnations that ended before it
+/// started: an incarnation that it doesn't know may be older than the present one.
 const YOUNG: Duration = Duration::from_secs(3);
 
-/// In the place of the life that comes next; programs draw odd numbers.
+/// Stands for the incarnation that comes next; programs use odd numbers.
 const NO_INCARNATION: u32 = 0;
 
-/// Who a letter is from.
+/// The sender of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sender {
-    /// The process has never been heard, in any life.
+    /// The process has not been heard from in any incarnation.
     Unknown,
-    /// The life that spoke last; when that was, if it has spoken at all.
+    /// The present incarnation; `last` is when the process was last heard from, if at all.
     Same { last: Option<Duration> },
-    /// A life that follows the one that spoke last; when that was.
+    /// An incarnation that follows the present one; `last` as above.
     New { last: Option<Duration> },
-    /// A life that another has followed.
+    /// An incarnation that another has followed.
     Former,
-    /// Another life than the one that spoke last, of which this process is too young to know which follows which.
+    /// Another incarnation than the present one, where this process has run too briefly to know which follows
+    /// which.
     Disputed,
 }
 
 struct Peer {
     incarnation: u32,
-    /// When any of its lives was last heard.
+    /// When the process was last heard from, in any incarnation.
     received: Option<Duration>,
-    /// When the present life was last heard, or first named, in time in which this process ran: while it is frozen,
-    /// letters wait for it.
+    /// When the present incarnation was last heard from, or first named by the members, measured in time in
+    /// which this process ran: while it is frozen, datagrams wait for it.
     present: Duration,
-    /// The present life has been heard, not named alone.
+    /// The present incarnation has sent a datagram; otherwise it is known from the members alone.
     has_sent: bool,
     former: VecDeque<u32>,
 }
@@ -62,14 +63,14 @@
     }
 }
 
-/// The lives of the processes around this one.
+/// The incarnations of the other processes.
 #[derive(Default)]
 pub struct Incarnations {
     peers: HashMap<SocketAddr, Peer>,
 }
 
 impl Incarnations {
-    /// A letter has come.
+    /// A datagram was received.
     pub fn receive(&mut self, now: Duration, awake: Duration, from: SocketAddr, incarnation: u32) -> Sender {
         let Some(peer) = self.peers.get_mut(&from) else {
             self.insert(from, Peer::new(awake, incarnation, Some(now)));
@@ -94,14 +95,14 @@
         Sender::New { last }
     }
 
-    /// The members name this life of a process. It counts as the present one, unless it is known to be succeeded.
-    /// True if it follows another.
+    /// The members name this incarnation of a process. It counts as the present one, unless it is known to be
+    /// a former one. Returns true if it follows another.
     pub fn named(&mut self, awake: Duration, at: SocketAddr, incarnation: u32) -> bool {
         let Some(peer) = self.peers.get_mut(&at) else {
             self.insert(at, Peer::new(awake, incarnation, None));
             return false;
         };
-        // One that was named and has never spoken may itself have been named late.
+        // A present incarnation that has sent nothing may itself be from an outdated list of members.
         let follows =
             peer.incarnation != incarnation && !(peer.has_sent && peer.former.contains(&incarnation));
         if follows {
@@ -110,7 +111,7 @@
         follows
     }
 
-    /// This life has answered a question that was just asked: it is the present one.
+    /// This incarnation has answered a recent query: it is the present one.
     pub fn answered(&mut self, now: Duration, awake: Duration, at: SocketAddr, incarnation: u32) {
         if let Some(peer) = self.peers.get_mut(&at).filter(|peer| peer.incarnation != incarnation) {
             peer.succeed(awake, incarnation, true);
@@ -118,14 +119,14 @@
         }
     }
 
-    /// The process that spoke there last has ended: whatever other life speaks follows it.
+    /// The process that last sent from this address has ended: any other incarnation follows it.
     pub fn ended(&mut self, awake: Duration, at: SocketAddr) {
         if let Some(peer) = self.peers.get_mut(&at).filter(|peer| peer.incarnation != NO_INCARNATION) {
             peer.succeed(awake, NO_INCARNATION, false);
         }
     }
 
-    /// When this process was last heard, in any life.
+    /// When this process was last heard from, in any incarnation.
     pub fn last_received(&self, at: &SocketAddr) -> Option<Duration> {
         self.peers.get(at)?.received
     }
--- a/crates/lending/src/instances.rs
+++ b/crates/lending/src/instances.rs
@@ -1,4 +1,5 @@
-//! The instances that this process owns, on their shelves: what comes, what goes to another, what is kept aside.
+//! The ledgers of the instances that this process owns: added instances, handed over instances, and parked
+//! grants.
 
 use crate::defects::{injected, Defect};
 use crate::handover::Cause;
@@ -9,7 +10,8 @@
 use std::time::Duration;
 
 impl Allocator {
-    /// Puts the instances in this one's care on its shelves. Those that another may have lent until now rest first.
+    /// Updates the ledgers of all functions. Instances that another process may have granted slots of until
+    /// now are paused first.
     pub(crate) fn update_all_pools(&mut self, cause: Cause) {
         let mut kinds: BTreeSet<Kind> = self.pools.keys().copied().collect();
         kinds.extend(self.by_kind.keys().copied());
@@ -39,8 +41,8 @@
         mine.map(|entry| (entry.instance.clone(), entry.clone())).collect()
     }
 
-    /// Guards calls of a function that left the configuration: they are answered, not forgotten. Nor are its loans: a later
-    /// change may bring it back while they are out.
+    /// Rejects the queued calls of a function that was removed from the configuration, so that none goes
+    /// unanswered, and keeps its grants: a later change may restore the function while they are held.
     pub(crate) fn close_pool(&mut self, kind: Kind) {
         let Some(pool) = self.pools.remove(&kind) else { return };
         for request in pool.queue {
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Loans are kept for their terms: the instance may come back to this one's care.
+    /// Grants are kept until they expire: this process may own the instance again.
     pub(crate) fn park(&mut self, ledger: InstanceLedger) {
         if !ledger.grants.is_empty() && !injected(Defect::LedgerForgotten) {
             self.parked.entry(ledger.entry.instance).or_default().extend(ledger.grants);
--- a/crates/lending/src/lib.rs
+++ b/crates/lending/src/lib.rs
@@ -1,14 +1,21 @@
-//! Slots of instances on loan between schedulers, without I/O: inputs carry the time, orders are pulled until there is none.
+//! Allocation of instance slots among schedulers, without I/O: inputs carry the time, and actions are pulled
+//! until there is none.
 //!
-//! Every instance has one owner among the schedulers: by highest random weight over the members of its zone that the holder
-//! of the lease published. A scheduler that has a call asks the owner in the nearest zone that has instances; a slot is lent
-//! for one call, and comes back with the way it ended. The sum of slots lent of an instance is at most its function's
-//! `max_inflight`. A new owner waits for what the former one hands over, or hears from the requesters what is out.
+//! Every instance has one owner among the schedulers: the one with the highest random weight among the
+//! members of its zone, as published by the holder of the leadership lease. A scheduler that has a call
+//! requests a slot from the owner in the nearest zone that has instances. A slot is granted for one call and
+//! returned with the way in which the call ended. At most `max_inflight` slots of an instance's function are
+//! granted at once. A new owner waits for the handover of the former one, or until the requesters have
+//! reported the slots that they hold.
 //!
-//! - `asking`, `granting`: a call at its requester, and at the owner; `lender`, `pick` are the owner's books and choice;
-//! - `membership`, `owners`, `handover`, `reach`: who owns what, changes of owner, and who is in reach;
-//! - `letters`, `words`, `lives`, `over`: what is said, by which life, and what is over;
-//! - `rooms`: which other zone has free slots; `shelving`, `departed`: instances that come and go.
+//! - `requests`, `granting`: a call at its requester, and at the owner; `pool`, `selection`: the owner's
+//!   ledgers, and the choice of an instance;
+//! - `membership`, `owners`, `handover`, `reachability`: who owns which instance, changes of owner, and who
+//!   can be reached;
+//! - `receive`, `messages`, `incarnations`, `finished_calls`: the protocol, the incarnation of a sender, and
+//!   late copies;
+//! - `capacity`: which other zone has free slots; `instances`, `departed`: instances that are added and
+//!   removed.
 
 mod capacity;
 pub mod defects;
@@ -41,58 +48,62 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An ask or a return is said again after this, and then after twice as long each time: a few round trips across regions.
+/// An unanswered request or return is resent after this, then after twice as long each time: a few round
+/// trips across regions.
 const RESEND_AFTER: Duration = Duration::from_millis(60);
-/// The same for an ask that is known to wait.
+/// The same for a request that is known to be queued.
 const RESEND_QUEUED_AFTER: Duration = Duration::from_millis(400);
-/// Tries without any word before a lender is passed over.
+/// Attempts without a reply before an owner is suspected.
 const MAX_ATTEMPTS: u32 = 3;
-/// Who has been heard so lately is not passed over.
+/// A process heard from this recently is not suspected.
 const RESPONSIVE_FOR: Duration = Duration::from_millis(250);
-/// One that is passed over is asked for a word this often, and lends again once it is heard.
+/// Interval at which a suspected process is pinged; once it replies it receives requests again.
 pub const SUSPECT_RETRY: Duration = Duration::from_millis(500);
-/// A member that was heard so lately is in reach.
+/// A member heard from this recently is reachable.
 const REACHABLE_FOR: Duration = Duration::from_millis(1000);
-/// Who is in one part of a cut network for so long, and out of touch with the controllers, turns its calls away,
+/// A process that has been isolated for this long, and whose agent does not reach the controllers, rejects
+/// its calls.
 const REJECT_AFTER: Duration = Duration::from_millis(600);
-/// and lends no more after so long: the others may have new owners by then. (They are passed over 0.4 s before this counts.)
+/// After this long it grants no slots either: the others may have new owners by then. (They are suspected
+/// 0.4 s before this counts.)
 const FENCED_AFTER: Duration = Duration::from_millis(900);
-/// So many unreachable members make a cut likely, if they are one in so many,
+/// The process counts as isolated if at least this many members, and at least one in so many, are
+/// unreachable.
 const MIN_UNREACHABLE: usize = 2;
 const UNREACHABLE_SHARE: usize = 3;
-/// and so many others are asked for a word then.
+/// The number of members of unknown state that are pinged at once.
 const MAX_PINGS: usize = 8;
-/// Its clients are told to come back after this.
+/// Clients of an isolated process are asked to retry after this.
 const ISOLATED_RETRY: Duration = Duration::from_millis(300);
-/// A call that only silent owners could serve is given up after so long.
+/// A call that only unresponsive owners could serve is given up after this.
 const UNANSWERED_LIMIT: Duration = Duration::from_millis(800);
-/// An owner that was heard so lately is not probed.
+/// An owner heard from this recently is not probed.
 const PROBE_AFTER_SILENCE: Duration = Duration::from_millis(250);
-/// What a lender said of its room is believed so long.
+/// How long the capacity that an owner announced is considered valid.
 const CAPACITY_VALID_FOR: Duration = Duration::from_millis(400);
-/// A lender whose calls wait says so to the lenders of the function elsewhere, at most this often.
+/// Shortest interval between announcements of a full queue to the other owners of the function.
 const FULL_INTERVAL: Duration = Duration::from_millis(150);
-/// Who has room tells those that wait, at most this often.
+/// Shortest interval between announcements of free slots to owners that have calls queued.
 const FREE_INTERVAL: Duration = Duration::from_millis(40);
-/// Lenders that are told: those whose zones come first from here.
+/// The most owners that capacity is announced to: those of the nearest zones.
 const MAX_CAPACITY_PEERS: usize = 8;
-/// What handing on costs a call: the word back, the ask, the grant and the longer way to the worker.
+/// What a redirect costs a call: the reply, the new request, the grant and the longer path to the worker.
 const SAME_REGION_COST: Duration = Duration::from_millis(6);
 const CROSS_REGION_COST: Duration = Duration::from_millis(45);
-/// An ask is sent on at most so often before it stays where it is.
+/// A request is redirected at most this often.
 const MAX_HOPS: u8 = 3;
-/// Returns are said again for so long.
+/// Returns are resent for this long.
 const RESEND_FOR: Duration = Duration::from_secs(3);
-/// Calls in hand; more are turned away at once.
+/// The most calls in progress; more are rejected at once.
 const MAX_CALLS: usize = 20_000;
-/// A shortage is told this often.
+/// Shortest interval between reports of a shortage.
 const SHORTAGE_INTERVAL: Duration = Duration::from_millis(80);
-/// A starting instance is tried this often once half of its usual start has passed.
+/// Interval at which a starting instance is dialled once half of its usual start time has passed.
 const DIAL_INTERVAL: Duration = Duration::from_millis(50);
-/// A longer pause between two ticks is one in which this process did not run.
+/// After a longer gap between two ticks this process is assumed not to have run.
 const MAX_TICK_GAP: Duration = Duration::from_millis(250);
 
-/// A scheduler that lends and borrows.
+/// A scheduler that grants and requests slots.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
     pub at: SocketAddr,
@@ -107,37 +118,38 @@
         to: SocketAddr,
         bytes: Vec<u8>,
     },
-    /// The call may go to this instance.
+    /// The call may be sent to this instance.
     Dispatch {
         call: u32,
         instance: String,
         at: SocketAddr,
     },
-    /// It cannot be served in time; worth another try after so long.
+    /// The call cannot be served in time; the client may retry after `after`.
     Reject {
         call: u32,
         after: Duration,
     },
-    /// See whether a starting instance takes connections; answer with `dialled`.
+    /// Check whether a starting instance accepts connections; report the result with `dialled`.
     Dial {
         instance: String,
         at: SocketAddr,
     },
-    /// For the scaler, at once: the address serves no more.
+    /// For the autoscaler, at once: the address serves no more.
     InstanceGone {
         instance: String,
     },
-    /// For the scaler: it has been reached for the first time.
+    /// For the autoscaler: a connection to the instance succeeded for the first time.
     InstanceReady {
         instance: String,
     },
-    /// For the scaler, at once: a call has found no instance.
+    /// For the autoscaler, at once: a call has found no instance.
     InstanceWanted(LoadReport),
-    /// Whether a process runs there: if its connections are refused, answer with `has_ended`.
+    /// Check whether a process runs there: if its connections are refused, report it with
+    /// `connection_refused`.
     Probe {
         owner: SocketAddr,
     },
-    /// For the log: this lender has said nothing, and another is asked for a while.
+    /// For the log: this owner does not reply, and requests go to others for a while.
     Suspected {
         owner: SocketAddr,
     },
@@ -152,8 +164,8 @@
         waits: bool,
         hops: u8,
     },
-    /// `gave`: who granted it, and may be taken for its lender by others. `told`: a new lender has been told of it, and has
-    /// not said yet that it heard; when and how often.
+    /// `granted_by`: the process that granted the slot, which others may take for its owner. `reported`: when
+    /// and how often the slot was reported to a new owner that has not acknowledged it.
     Holding {
         owner: SocketAddr,
         granted_by: SocketAddr,
@@ -175,6 +187,7 @@
 struct Call {
     kind: Kind,
     priority: u8,
+    /// A call that ends by its aim has its full value; after that it is worth less until its `end`.
     aim: Duration,
     end: Duration,
     arrived: Duration,
@@ -182,17 +195,17 @@
     stage: Stage,
 }
 
-/// What a lender has of a function, as it was heard.
+/// The capacity of a function at an owner, as received.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Capacity {
     pub received: Duration,
     pub free: u8,
     pub waiting: u8,
-    /// ms that a call takes there; 0 where it was not told.
+    /// Duration of a call there in ms; 0 where it was not announced.
     pub run: u16,
 }
 
-/// A slot that came though nobody waited for it: given back until the lender has heard.
+/// A grant that no call awaited: returned until the owner acknowledges it.
 #[derive(Debug, Clone)]
 struct UnusedGrant {
     to: SocketAddr,
@@ -202,7 +215,7 @@
     sent: Duration,
     tries: u32,
     began: Duration,
-    /// This one knows the instance to leave: the lender rests it.
+    /// This process knows that the instance leaves; the owner pauses the instance.
     refused: bool,
 }
 
@@ -222,24 +235,24 @@
     incarnation: u32,
     rng: Rand32,
     owners: Owners,
-    /// The members before these.
+    /// The members before the present ones.
     former: Vec<Member>,
-    /// Lenders that say nothing, and when they are next asked for a word. Others are asked where there are others; that
-    /// changes no owner.
+    /// Owners that do not reply, and when they are next pinged. Requests go to others where there are others;
+    /// ownership does not change.
     suspects: HashMap<SocketAddr, Duration>,
-    /// Since when more members are unreachable than were heard.
+    /// Since when too many members have been unreachable.
     isolated: Option<Duration>,
-    /// The agent reaches the controllers.
+    /// The agent of this process reaches the controllers.
     controllers_reachable: bool,
-    /// Members of which nothing is known, that were asked for a word, since when.
+    /// Members of unknown state that were pinged, and since when.
     pinged: BTreeMap<SocketAddr, Duration>,
-    /// When the last of them were.
+    /// When members of unknown state were last pinged.
     last_ping: Duration,
-    /// When an owner in this one's zone was last probed for a call that came here.
+    /// When an owner in the zone of this process was last probed because a call arrived here.
     probed: HashMap<SocketAddr, Duration>,
     pending: Vec<Pending>,
     early: HashMap<String, Early>,
-    /// To whom this one handed instances over lately.
+    /// The processes to which instances were recently handed over.
     handed_to: HashMap<String, (SocketAddr, Duration)>,
     functions: HashMap<Kind, Function>,
     entries: BTreeMap<String, Entry>, // all instances, by id
@@ -248,31 +261,33 @@
     pools: BTreeMap<Kind, SlotPool>,
     score: selection::Score,
     calls: BTreeMap<u32, Call>,
-    /// Numbers of calls: each life has its own, so that no letter for the one before it fits a call of this one.
+    /// Call numbers: each incarnation has its own range, so that no message for the one before matches a call
+    /// of this one.
     first: u32,
     next: u32,
     unused_grants: Vec<UnusedGrant>,
-    /// Loans of instances that another lends now: it may come back.
+    /// Grants of instances that another process owns now; the instances may come back.
     parked: HashMap<String, Vec<SlotGrant>>,
-    /// What lenders said of their room, by function.
+    /// The capacity that owners announced, by function.
     capacities: HashMap<(Kind, SocketAddr), Capacity>,
-    /// Lenders of a function that had calls waiting, and when they said so.
+    /// Owners of a function that had calls queued, and when they reported it.
     short_peers: BTreeMap<(Kind, SocketAddr), Duration>,
-    /// When this one told another of its room, and whether it had any.
+    /// When capacity was last sent to another owner, and whether slots were free.
     capacity_sent: HashMap<(Kind, SocketAddr), (Duration, bool)>,
-    /// Functions that were told as full.
+    /// Functions that were announced as full.
     announced_full: BTreeSet<Kind>,
-    /// Who has been heard, and in which life.
+    /// When each process was last heard from, and in which incarnation.
     incarnations: Incarnations,
-    /// Asked of addresses where two lives have spoken: the number of the question, and when.
+    /// Queries to addresses where two incarnations have sent: the number of the query, and when it was sent.
     incarnation_queries: HashMap<SocketAddr, (u32, Duration)>,
-    /// Calls of others that are over here.
+    /// Calls of other processes that are over here.
     finished: FinishedCalls,
     outgoing: BTreeMap<SocketAddr, Vec<Message>>,
     local_queue: VecDeque<Message>,
     actions: VecDeque<Action>,
     now: Duration,
-    /// Time in which this process ran, as its ticks show: what came while it was frozen is no older than it was then.
+    /// The time in which this process ran, by its ticks: messages that arrive while it is frozen are as old
+    /// as they were then.
     awake: Duration,
     ticked: Duration,
     swept: Duration,
@@ -281,7 +296,7 @@
     changed: Duration,
 }
 
-/// Before all addresses.
+/// Sorts before all other addresses.
 const LOWEST: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
 fn ms(span: Duration) -> u32 {
@@ -340,13 +355,13 @@
         }
     }
 
-    /// Another way to score instances, to be compared with the index; programs leave it.
+    /// Replaces the scoring of instances, to compare it with the index; the programs don't use it.
     pub fn with_score(mut self, score: selection::Score) -> Self {
         self.score = score;
         self
     }
 
-    /// A slot that nobody waits for, or (instance 0) a place in a queue that is not wanted any more.
+    /// Returns a grant that no call awaits, or (instance 0) withdraws a queued request.
     fn return_unused(&mut self, to: SocketAddr, seq: u32, kind: Kind, instance: u32) {
         self.give_back(to, seq, kind, instance, false);
     }
@@ -364,8 +379,9 @@
         self.send(to, message);
     }
 
-    /// Whether a request may be sent there, by this one's own word. One that it hasn't heard of may be new; a lender that
-    /// was cut off, or stood still, hands out what it doesn't know to leave.
+    /// Whether a request may be sent to the instance, by the list of this process. An instance that is not
+    /// listed yet may be new. An owner that was cut off, or did not run, may grant slots of instances that it
+    /// doesn't know to leave.
     pub fn may_send_to(&self, instance: &str) -> bool {
         let leaves = match self.entries.get(instance) {
             Some(entry) => !entry.accepts_calls,
@@ -374,10 +390,10 @@
         !leaves || injected(Defect::LeavingUsed)
     }
 
-    /// Instances that are new or have changed, and ids that have ended.
+    /// Instances that are new or have changed, and the ids of those that have ended.
     pub fn update_instances(&mut self, now: Duration, changed: Vec<Entry>, ended: &[String]) {
         self.now = now;
-        // Only these are looked at: a large fleet changes many times a second.
+        // Only the functions affected are updated: a large fleet changes many times a second.
         let mut kinds = BTreeSet::new();
         for id in ended {
             self.departed.note(now, id);
@@ -404,13 +420,13 @@
         self.pump();
     }
 
-    /// The ids of known instances that a whole list lacks.
+    /// The ids of known instances that a complete list lacks.
     pub fn entries_missing_from<T>(&self, list: &[T], id: impl Fn(&T) -> &str) -> Vec<String> {
         let listed: HashSet<&str> = list.iter().map(id).collect();
         self.entries.keys().filter(|known| !listed.contains(known.as_str())).cloned().collect()
     }
 
-    /// Who lends the instances of this function in this zone.
+    /// The owner of the instances of this function in this zone.
     fn owner_of(&self, kind: Kind, zone: &str) -> Option<SocketAddr> {
         self.owners.owner(kind, zone)
     }
@@ -419,7 +435,7 @@
         self.owners.region(zone)
     }
 
-    /// The call is over at this scheduler, with or without a slot in hand.
+    /// The call is over at this scheduler, whether or not it held a slot.
     pub fn settle(&mut self, now: Duration, seq: u32, ended: Ended) {
         self.now = now;
         let Some(call) = self.calls.get_mut(&seq) else { return };
@@ -442,7 +458,7 @@
         self.pump();
     }
 
-    /// Whether a starting instance took a connection.
+    /// Whether a starting instance accepted a connection.
     pub fn dialled(&mut self, now: Duration, instance: &str, taken: bool) {
         self.now = now;
         if !taken {
@@ -454,7 +470,7 @@
         let ledger =
             pool.as_mut().and_then(|pool| pool.ledgers.iter_mut().find(|b| b.entry.instance == instance));
         let first = !std::mem::replace(&mut entry.ready, true);
-        // Dialled in vain before and taken now: its start has ended just now.
+        // It refused connections before and accepts one now: its start has just ended.
         let started = ledger.is_some_and(|ledger| {
             ledger.entry.ready = true;
             first && ledger.refused
@@ -478,7 +494,7 @@
         }
     }
 
-    /// What this one says to itself, until nothing is left.
+    /// Handles the messages that this process sent to itself, until none is left.
     fn pump(&mut self) {
         while let Some(message) = self.local_queue.pop_front() {
             self.handle_message(self.me, self.incarnation, message);
@@ -493,7 +509,8 @@
         }
     }
 
-    /// Time passes: asks and returns are said again, queues looked at. Worth calling every 25 ms while calls are in hand.
+    /// Periodic work: resends requests and returns, serves queues. To be called every 25 ms while calls are
+    /// in progress.
     pub fn tick(&mut self, now: Duration) {
         self.now = now;
         self.awake += now.saturating_sub(self.ticked).min(MAX_TICK_GAP);
@@ -521,23 +538,23 @@
         self.pump();
     }
 
-    /// What the scaler is to hear of functions in this one's care.
+    /// The load reports due for functions of which this process owns instances.
     pub fn load_reports(&mut self, now: Duration, at_least: Duration) -> Vec<LoadReport> {
         self.now = now;
         self.pools.values_mut().filter_map(|pool| pool.load_report(now, at_least)).collect()
     }
 
-    /// The functions in this one's care, with what is lent and who waits.
+    /// The functions of which this process owns instances, with their grants and queues.
     pub fn pools(&self) -> impl Iterator<Item = &SlotPool> {
         self.pools.values()
     }
 
-    /// Asks, slots in hand and returns that this one has under way.
+    /// The number of calls in progress: requests, held slots and unacknowledged returns.
     pub fn calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Lenders that say nothing, and are not asked until they do where there are others.
+    /// Owners that do not reply and receive no requests until they do, where there are others.
     pub fn suspects(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.suspects.keys().copied()
     }
@@ -547,17 +564,17 @@
         self.owners.member(at).map(|m| m.zone.as_str())
     }
 
-    /// The zone of this hash, as the members have it.
+    /// The name of the zone with this hash, among those of the members.
     pub fn zone(&self, of: u32) -> Option<&str> {
         self.owners.members().iter().map(|m| m.zone.as_str()).find(|zone| hash(zone) == of)
     }
 
-    /// The name of a function told of.
+    /// The name of a known function.
     pub fn name(&self, kind: Kind) -> Option<&str> {
         self.functions.get(&kind).map(|f| f.name.as_str())
     }
 
-    /// Whether `tick` has anything to do soon.
+    /// Whether `tick` has work to do soon.
     pub fn busy(&self) -> bool {
         !self.calls.is_empty()
             || !self.unused_grants.is_empty()
@@ -568,7 +585,7 @@
             })
     }
 
-    /// The next order, if there is one.
+    /// The next action, if there is one.
     pub fn pull(&mut self) -> Option<Action> {
         self.pump();
         if let Some(action) = self.actions.pop_front() {
@@ -586,7 +603,7 @@
     }
 }
 
-/// Free slots and waiting calls, as they are told: at most 255.
+/// Free slots and queued calls as they are announced: at most 255.
 fn advertised_capacity(pool: &SlotPool, now: Duration) -> (u8, u8) {
     let cut = |n: usize| u8::try_from(n).unwrap_or(u8::MAX);
     (cut(pool.free(now)), cut(pool.queue.len()))
--- a/crates/lending/src/membership.rs
+++ b/crates/lending/src/membership.rs
@@ -1,4 +1,4 @@
-//! Functions and members as they change, and whom loans in hand are told to then.
+//! Changes of functions and members, and the reports of held slots to new owners.
 
 use crate::handover::Cause;
 use crate::messages::{kind as hash, Kind, Message};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl Allocator {
-    /// The functions in force; what is gone lends no more.
+    /// Sets the functions of the configuration; no slots are granted of functions that it lacks.
     pub fn set_functions(&mut self, now: Duration, functions: Vec<Function>) {
         self.now = now;
         self.functions = functions.into_iter().map(|f| (f.kind, f)).collect();
@@ -21,13 +21,14 @@
         self.pump();
     }
 
-    /// Who lends and borrows, as the holder of the lease published it; this one among them if it does.
+    /// Sets the members that allocate slots, as published by the holder of the leadership lease; this process
+    /// is one of them if it is listed.
     pub fn set_members(&mut self, now: Duration, members: Vec<Member>) {
         let published = self.owners.set_provisional(false);
         self.replace_members(now, members, published);
     }
 
-    /// Members that were heard of while the holder of the lease has published none.
+    /// Sets the members that were discovered while the holder of the leadership lease has published none.
     pub fn set_provisional_members(&mut self, now: Duration, members: Vec<Member>) {
         let withdrawn = self.owners.set_provisional(true);
         self.replace_members(now, members, withdrawn);
@@ -45,7 +46,7 @@
         let fresh: HashSet<SocketAddr> = members.iter().filter(|m| !known(m)).map(|m| m.at).collect();
         let former = self.owners.replace(members);
         self.name_incarnations();
-        // One that begins anew may speak again.
+        // A restarted process may reply again.
         self.suspects.retain(|at, _| !fresh.contains(at));
         self.changed = now;
         self.update_all_pools(Cause::Members(&former));
@@ -58,7 +59,7 @@
         self.pump();
     }
 
-    /// A life that the members name is the present one, also before it speaks.
+    /// The incarnation that the members name is the present one, also before it sends anything.
     pub(crate) fn name_incarnations(&mut self) {
         for member in self.owners.members().iter().filter(|member| member.at != self.me) {
             if self.incarnations.named(self.awake, member.at, member.incarnation) {
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Loans held are told to whoever lends their instance now, if that is not who gave them, or lives anew.
+    /// Reports held slots to the present owner of their instance, if that did not grant them, or was
+    /// restarted.
     pub(crate) fn report_held_to_new_owners(&mut self, fresh: &HashSet<SocketAddr>) {
         let mut reported = Vec::new();
         for (&seq, call) in &self.calls {
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Said until the new lender has heard: it may not know the instance yet.
+    /// The report is resent until the new owner acknowledges it: it may not know the instance yet.
     pub(crate) fn report_held(&mut self, seq: u32, new: SocketAddr, kind: Kind, instance: String, left: u32) {
         let now = self.now;
         if let Some(Call { stage: Stage::Holding { owner, reported, .. }, .. }) = self.calls.get_mut(&seq) {
--- a/crates/lending/src/messages.rs
+++ b/crates/lending/src/messages.rs
@@ -1,10 +1,11 @@
-//! What lenders and borrowers say to each other: datagrams of a few lines, in postcard.
-//! Each line may be lost, doubled or late; what matters is said again until it is answered.
+//! The protocol between owners and requesters: datagrams of a few messages, encoded with postcard. A message
+//! may be lost, duplicated or late; important ones are resent until they are acknowledged.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A function's name, as 32 bits of FNV-1a: names are drawn for each deployment and some letters long.
+/// The identifier of a function: the 32-bit FNV-1a hash of its name. Names are random for each deployment and
+/// some characters long.
 pub type Kind = u32;
 
 /// FNV-1a, 32 bits.
@@ -12,24 +13,24 @@
     name.bytes().fold(0x811c_9dc5, |hash: u32, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
-/// How a loan ended, as the borrower saw it.
+/// How the use of a slot ended, as the requester observed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ended {
     /// Answered by the worker, whatever the status.
     Done,
-    /// Never used, or broken off by the client.
+    /// Never used, or aborted by the client.
     Idle,
-    /// Turned away as full: somebody else holds slots there that the lender does not know of.
+    /// Rejected as full: slots are held there that the owner does not know of.
     Full,
     /// The address refuses connections, or another instance has it.
     Gone,
-    /// No answer, no connection, or a broken one.
+    /// No response, no connection, or a broken one.
     Silent,
-    /// Not used: by the requester's own word the instance leaves, or has ended.
+    /// Not used: by the requester's list the instance leaves, or has ended.
     Leaving,
 }
 
-/// A slot that is out, as a former owner tells the new one: whose it is, and for how many ms yet.
+/// A held slot as a former owner reports it to the new one: its requester, and its remaining time in ms.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantedSlot {
     pub to: SocketAddr,
@@ -39,46 +40,48 @@
     pub left: u32,
 }
 
-/// The most that are told of one instance; requesters tell of the rest themselves.
+/// The most that are reported of one instance; requesters report the rest themselves.
 pub const MAX_GRANTED_SLOTS: usize = 32;
 
-/// One line of a letter.
+/// One message of a datagram. The `rename` attributes keep earlier names of variants and fields.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A slot is wanted. Times in ms: `aim` to the end of its full worth, `left` to its end.
+    /// Requests a slot. Times in ms: `aim` until the call's full value ends, `left` until its deadline.
     #[serde(rename = "Ask")]
     Request { seq: u32, kind: Kind, priority: u8, aim: u32, left: u32, avoid: u32, hops: u8 },
-    /// Here is one, with what is still free and who waits behind.
+    /// Grants a slot, with the free slots that remain and the number of queued calls.
     Grant { seq: u32, instance: String, at: SocketAddr, free: u8, waiting: u8 },
-    /// It is known and waits: answers an ask that came again.
+    /// The request is known and queued: the reply to a repeated request.
     #[serde(rename = "Waits")]
     Queued { seq: u32, free: u8, waiting: u8 },
-    /// The zone (its hash) whose lender has instances.
+    /// The zone (its hash) whose owner has instances.
     #[serde(rename = "Elsewhere")]
     Redirect { seq: u32, zone: u32 },
-    /// No room in time; worth another try after so many ms.
+    /// No capacity in time; to be retried after this many ms.
     #[serde(rename = "Later")]
     RetryAfter { seq: u32, after: u32 },
-    /// A slot comes back, or an ask is taken back; `ms` it was held. Without a kind (0) the lender looks for it.
+    /// Returns a slot, or withdraws a request; `ms` is how long it was held. Without a function (0) the owner
+    /// searches for it.
     Return { seq: u32, kind: Kind, ended: Ended, ms: u32 },
-    /// The return was heard.
+    /// Acknowledges a return.
     #[serde(rename = "Noted")]
     ReturnAck { seq: u32 },
-    /// Told to a new lender: this slot is out, for so many ms yet.
+    /// Reports to a new owner: this slot is held, for `left` ms.
     Holds { seq: u32, kind: Kind, instance: String, left: u32 },
-    /// That was written down. Instances are named by their hash here and below.
+    /// Acknowledges `Holds`. Instances are named by their hash here and below.
     #[serde(rename = "Heard")]
     HoldsAck { seq: u32, kind: Kind, instance: u32 },
-    /// A slot nobody waits for any more; 0 for a place in the queue.
+    /// Returns a slot that no call awaits; with instance 0 withdraws a queued request.
     #[serde(rename = "Unwanted")]
     Release { seq: u32, kind: Kind, instance: u32 },
-    /// It was struck out.
+    /// Acknowledges `Release` and `Refused`.
     #[serde(rename = "Dropped")]
     ReleaseAck { seq: u32, instance: u32 },
-    /// What a lender has of a function: free slots, waiting calls, ms that a call takes.
+    /// Capacity of a function at its owner: free slots, queued calls, duration of a call in ms.
     #[serde(rename = "Room")]
     Capacity { kind: Kind, free: u8, waiting: u8, run: u16 },
-    /// Asked of a borrower, of a loan that is out for long or was forgotten for a while: does it have it still?
+    /// Asks a requester whether it still holds a slot, of a grant that is held for long or was not tracked
+    /// for a while.
     #[serde(rename = "Still")]
     CheckGrant {
         seq: u32,
@@ -87,9 +90,10 @@
         #[serde(rename = "life")]
         incarnation: u32,
     },
-    /// A grant that the requester won't use: by its own word the instance leaves, or has ended. Answered with `Dropped`.
+    /// Returns a grant that the requester won't use: by its own list the instance leaves, or has ended.
+    /// Answered with `ReleaseAck`.
     Refused { seq: u32, kind: Kind, instance: u32 },
-    /// To the new owner of an instance: the sender lends it no more, and these slots are out.
+    /// Sent to the new owner of an instance: the sender grants no more slots there, and these are held.
     #[serde(rename = "HandsOver")]
     Handover {
         kind: Kind,
@@ -98,19 +102,19 @@
         grants: Vec<GrantedSlot>,
         complete: bool,
     },
-    /// That was written down.
+    /// Acknowledges `Handover`.
     #[serde(rename = "TookOver")]
     HandoverAck { instance: u32 },
-    /// To the former owner of an instance: the sender owns it from now on, and waits for what is out.
+    /// Sent to the former owner of an instance: the sender owns it from now on, and waits for its handover.
     #[serde(rename = "Claims")]
     Claim { kind: Kind, instance: String },
-    /// The answer of one that has handed it over to another already.
+    /// Reply to `Claim` of a process that has already handed the instance over to another.
     #[serde(rename = "GaveTo")]
     HandedTo { kind: Kind, instance: String, owner: SocketAddr },
 }
 
 impl Message {
-    /// About how many bytes it takes.
+    /// Approximate size in bytes.
     fn size(&self) -> usize {
         match self {
             Message::Handover { instance, grants, .. } => 8 + instance.len() + 20 * grants.len(),
@@ -120,7 +124,7 @@
     }
 }
 
-/// A datagram: who says it (the life of its process) and its lines.
+/// A datagram: the incarnation of the sending process, and its messages.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
     #[serde(rename = "life")]
@@ -129,12 +133,12 @@
     pub messages: Vec<Message>,
 }
 
-/// Lines in one datagram; keeps it under a packet's size.
+/// The most messages in one datagram; keeps it below the size of a packet.
 pub const MAX_MESSAGES: usize = 16;
-/// Bytes of the lines in one datagram, for lines that are longer than most.
+/// The most bytes of messages in one datagram; bounds messages that are longer than most.
 const MAX_MESSAGES_BYTES: usize = 1200;
 
-/// How many of these lines go in the next datagram.
+/// How many of these messages go in the next datagram.
 pub fn messages_that_fit(messages: &[Message]) -> usize {
     let mut size = 0;
     let fit = messages.iter().take(MAX_MESSAGES).take_while(|message| {
@@ -145,7 +149,7 @@
 }
 
 impl Datagram {
-    /// None for what cannot be read: dropped by the reader, never guessed.
+    /// None for a datagram that cannot be decoded; the receiver drops it.
     pub fn decode(bytes: &[u8]) -> Option<Datagram> {
         let (datagram, rest) = postcard::take_from_bytes::<Datagram>(bytes).ok()?;
         (rest.is_empty() && datagram.messages.len() <= MAX_MESSAGES).then_some(datagram)
--- a/crates/lending/src/owners.rs
+++ b/crates/lending/src/owners.rs
@@ -1,8 +1,10 @@
-//! Who owns the slots of an instance: of the members of its zone the one with the highest random weight. All who have the
-//! same members name the same owner. The members are those that the holder of the lease published; a member that is silent
-//! stays one, and only one whose connections are refused is left out here before the next members come. That is evidence
-//! of its process's end and no proof: a firewall refuses as well, for both sides of a cut. So it counts only while this
-//! process may be on the side of the holder, and not for longer than the holder takes to publish an end.
+//! Owners of instances: of the members of an instance's zone the one with the highest random weight.
+//! Processes with the same members compute the same owner. The members are those that the holder of the
+//! leadership lease published. A member that is silent remains one; only a member whose connections are
+//! refused is left out here before the next members arrive. A refusal is evidence that the process has ended
+//! and no proof: a firewall refuses connections as well, on both sides of a network partition. So it counts
+//! only while this process may be on the holder's side, and not for longer than the holder takes to publish
+//! the end of a process.
 
 use crate::defects::{injected, Defect};
 use crate::messages::Kind;
@@ -11,9 +13,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A process that has ended is off the holder's list by then: 2.2 s, a new holder's beginning, and the way.
+/// The holder's list lacks a process that has ended by then: 2.2 s, the start of a new holder, and the
+/// latency.
 const REFUSAL_COUNTS: Duration = Duration::from_secs(5);
-/// One that is still on it is not thought to have ended again before this.
+/// A process still listed after this may be considered ended again.
 const REFUSAL_KEPT: Duration = Duration::from_secs(15);
 
 /// Connections to a member were refused.
@@ -33,10 +36,10 @@
 pub struct Owners {
     members: Vec<Member>,
     refusals: HashMap<SocketAddr, Refusal>,
-    /// This process is likely cut off from the holder, so that refusals prove nothing.
+    /// This process is probably cut off from the holder, so that refusals prove nothing.
     distrusted: bool,
-    /// These are the members that were heard of, and not those that the holder published: who begins hears of those of its own
-    /// zone first, and of the others in an order of chance.
+    /// The members were discovered, and not published by the holder: a starting process discovers those of
+    /// its own zone first, and the others in random order.
     provisional: bool,
     now: Duration,
 }
@@ -50,7 +53,7 @@
         self.members.iter().find(|member| member.at == at)
     }
 
-    /// Other members. Returns the former ones.
+    /// Replaces the members. Returns the former ones.
     pub fn replace(&mut self, members: Vec<Member>) -> Vec<Member> {
         self.refusals.retain(|at, refusal| {
             members.iter().any(|member| member.at == *at && member.incarnation == refusal.incarnation)
@@ -58,7 +61,8 @@
         std::mem::replace(&mut self.members, members)
     }
 
-    /// Time passes, and refusals are doubted or not; true if other members count as ended now.
+    /// Sets the time and whether refusals are distrusted. Returns true if the set of members that count as
+    /// ended has changed.
     pub fn update_refusals(&mut self, now: Duration, distrusted: bool) -> bool {
         let distrusted = distrusted && !injected(Defect::RefusalIsProof);
         let before = self.refusals.keys().filter(|at| self.has_ended(**at)).count();
@@ -68,7 +72,7 @@
         before != after
     }
 
-    /// Connections to it are refused, and it was not heard since.
+    /// Whether connections to it are refused, and nothing was received from it since.
     pub fn refuses(&self, at: SocketAddr) -> bool {
         self.refusals.contains_key(&at)
     }
@@ -77,13 +81,13 @@
         !self.refusals.is_empty()
     }
 
-    /// Its process counts as ended.
+    /// Whether its process counts as ended.
     pub fn has_ended(&self, at: SocketAddr) -> bool {
         let counts = |refusal: &Refusal| refusal.counts(self.now) || injected(Defect::RefusalIsProof);
         !self.distrusted && self.refusals.get(&at).is_some_and(counts)
     }
 
-    /// Connections to a member are refused; true if that is news of the life that it is known by.
+    /// Connections to a member are refused. Returns true if that was not known of its present incarnation.
     pub fn note_refusal(&mut self, now: Duration, at: SocketAddr) -> bool {
         let Some(incarnation) = self.member(at).map(|member| member.incarnation) else { return false };
         if self.refusals.get(&at).is_some_and(|known| known.incarnation == incarnation) {
@@ -93,12 +97,12 @@
         true
     }
 
-    /// A member speaks, whatever was thought of it; true if that is news.
+    /// A member was heard from, so any refusal is void. Returns true if there was one.
     pub fn note_alive(&mut self, at: SocketAddr) -> bool {
         self.refusals.remove(&at).is_some()
     }
 
-    /// Whether the members were heard of, and not published; true if that is another word than before.
+    /// Sets whether the members were discovered, and not published. Returns true if that has changed.
     pub fn set_provisional(&mut self, provisional: bool) -> bool {
         let provisional = provisional && !injected(Defect::FirstKnownOwns);
         std::mem::replace(&mut self.provisional, provisional) != provisional
@@ -108,8 +112,8 @@
         self.provisional
     }
 
-    /// The owner of the instances of this function in this zone. Where the members are provisional, only one of the zone itself:
-    /// that none is known there says nothing.
+    /// The owner of the instances of this function in this zone. While the members are provisional only a
+    /// process of the zone itself: others of the zone may not be discovered yet.
     pub fn owner(&self, kind: Kind, zone: &str) -> Option<SocketAddr> {
         if self.provisional && !self.members.iter().any(|member| member.zone == zone) {
             return None;
@@ -122,7 +126,7 @@
     }
 }
 
-/// The owner among these: of the zone's, or else of the region's, or else of all.
+/// The owner among these members: of the zone's, or else of the region's, or else of all.
 pub fn owner_among<'a>(
     members: impl Iterator<Item = &'a Member> + Clone,
     kind: Kind,
--- a/crates/lending/src/pool.rs
+++ b/crates/lending/src/pool.rs
@@ -1,4 +1,4 @@
-//! The lender's books: slots of the instances in its care, who has them, who waits.
+//! The ledgers of an owner: the slots of its instances, which calls hold them, and which are queued.
 
 use crate::defects::{injected, Defect};
 use crate::messages::{kind as hash, Ended, GrantedSlot, Kind};
@@ -7,38 +7,43 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A loan outlives its call's end by this much: the answer's way, and a clock that runs slow.
+/// A grant expires this long after the end of its call, to allow for the reply's latency and for a slow
+/// clock.
 const EXPIRY_GRACE: Duration = Duration::from_millis(300);
-/// An instance that was full though its books said otherwise lends nothing for so long.
+/// How long an instance grants nothing after it refused a call as full although its ledger showed a free
+/// slot.
 const FULL_PAUSE: Duration = Duration::from_millis(60);
-/// One that a requester knows to leave: this lender's own word is older, and the newer one is on its way.
+/// How long an instance grants nothing after a requester reported it as leaving: the requester's list is
+/// newer than the one here, and the newer one is on its way.
 const LEAVING_PAUSE: Duration = Duration::from_millis(500);
-/// One that kept silent rests longer, doubling up to eight times this.
+/// The pause of an instance that did not respond; doubles up to eight times this.
 const SILENT_PAUSE: Duration = Duration::from_millis(500);
-/// Smooths run times: about twenty runs.
+/// Smoothing factor of run times: an average over about twenty runs.
 const RUN_SMOOTHING: f64 = 0.05;
-/// Runs of a priority after which an instance's own are held against them.
+/// An instance's run times are compared with those of a priority only after this many runs of that priority.
 const MIN_RUNS: u64 = 20;
-/// Seconds a slot is held, before any was.
+/// The assumed time that a slot is held, in seconds, before any was measured.
 const INITIAL_RUN_S: f64 = 0.1;
-/// A call that ends after this share of its aim is not served well: another instance is wanted.
+/// A queued call that would end after this share of its aim counts as a shortage: another instance is needed.
 const SHORTAGE_SHARE: f64 = 0.6;
-/// A call that is late anyway waits at most this share of the time it has left: its client can then still try again.
+/// A call that is late anyway waits at most this share of the time it has left, so that its client can still
+/// retry.
 const LATE_WAIT_SHARE: f64 = 0.5;
-/// A borrower is asked after a loan that is out so long, or so many times as long as usual, whichever is more.
+/// A requester is queried about a grant that is held for this long, or for this many times the mean run time,
+/// whichever is longer.
 const CHECK_AFTER: Duration = Duration::from_millis(1000);
 const CHECK_AFTER_RUNS: f64 = 8.0;
 /// Priorities up to this are urgent.
 pub const URGENT: u8 = 1;
-/// A call is handed on only if it gains so much.
+/// A call is redirected only if it gains more than this.
 const MIN_GAIN: Duration = Duration::from_millis(10);
-/// Seconds over which it is told where calls come from, and the most zones that are told apart.
+/// Window over which the origins of calls are averaged, and the most zones that are tracked.
 const ORIGIN_WINDOW_S: f64 = 4.0;
 const MAX_ORIGINS: usize = 64;
-/// Calls that may wait for one function; more are turned away at once.
+/// The most calls that may be queued for one function; more are rejected at once.
 const MAX_QUEUE: usize = 512;
 
-/// Terms of a function.
+/// The parameters of a function.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Function {
     pub kind: Kind,
@@ -47,31 +52,32 @@
     pub boot: Duration,
 }
 
-/// An instance as the stacks tell it.
+/// An instance as listed by the autoscaler.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
     pub instance: String,
     pub kind: Kind,
     pub at: SocketAddr,
     pub zone: String,
-    /// It has started: the list shows it, or somebody has reached it.
+    /// The instance has started: it is listed as ready, or a connection to it succeeded.
     pub ready: bool,
-    /// It may take calls: neither draining nor about to be stopped.
+    /// The instance is neither draining nor about to be stopped.
     pub accepts_calls: bool,
-    /// When it was begun, by the reader's clock.
+    /// When its start began, by the clock of this process.
     pub since: Duration,
 }
 
 #[derive(Debug, Clone)]
 pub struct SlotGrant {
     pub to: SocketAddr,
-    /// Of the borrower's process: one that begins anew has not got it, but its call may still run.
+    /// The incarnation of the requester's process. A later incarnation does not hold the slot, but the call
+    /// may still run.
     pub incarnation: u32,
     pub seq: u32,
     pub since: Duration,
     pub until: Duration,
     priority: u8,
-    /// The borrower is asked then whether it has it still, and how often it has been.
+    /// When the requester is next asked whether it still holds the slot, and how often it has been asked.
     check_at: Duration,
     checks: u32,
 }
@@ -87,20 +93,20 @@
     pub entry: Entry,
     pub grants: Vec<SlotGrant>,
     paused_until: Duration,
-    /// The former owner whose handover ends the rest.
+    /// The former owner whose handover ends the pause.
     pub awaits: Option<SocketAddr>,
-    /// When its first rest ends: what was out before is known from then on.
+    /// When the first pause ends: grants made before are known from then on.
     pub complete_from: Duration,
-    /// When it is next asked for.
+    /// When the instance is next claimed from its former owner.
     pub claim_due: Duration,
     silent: u32,
     pub dialled: Duration,
-    /// It has been dialled in vain: the first connection it takes tells how long its start took.
+    /// A dial has failed: the first connection that succeeds shows how long the start took.
     pub refused: bool,
     stats: InstanceStats,
 }
 
-/// A call that waits for a slot.
+/// A call that requests a slot.
 #[derive(Debug, Clone)]
 pub struct SlotRequest {
     pub from: SocketAddr,
@@ -111,20 +117,20 @@
     pub aim: Duration,
     pub end: Duration,
     pub avoid: u32,
-    /// It cannot be in time for its full worth any more.
+    /// The call can no longer end within its aim.
     pub late: bool,
-    /// How often it has been sent on.
+    /// How often the request was redirected.
     pub hops: u8,
 }
 
 impl SlotRequest {
-    /// The order of service: those in time, then by rank, then by who must be served first.
+    /// The order of service: calls in time first, then by priority, then by the earliest aim.
     fn key(&self) -> (bool, u8, Duration) {
         (self.late, self.priority, self.aim)
     }
 }
 
-/// What a lender tells the scaler of a function.
+/// The load of a function as its owner reports it to the autoscaler.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadReport {
     pub kind: Kind,
@@ -134,11 +140,11 @@
     pub waiting: usize,
     pub run: Duration,
     pub idle: Duration,
-    /// Zones (their hashes) that the calls came from lately, with their shares.
+    /// Zones (their hashes) from which calls came recently, with their shares.
     pub origins: Vec<(u32, f64)>,
 }
 
-/// Run times of one priority: seconds, and its share of the late runs.
+/// Run times of one priority: the mean in seconds, and the share of recent runs that have this priority.
 #[derive(Debug, Default)]
 struct Run {
     mean: f64,
@@ -146,7 +152,7 @@
     count: u64,
 }
 
-/// One function at one lender.
+/// The slots of one function at one owner.
 #[derive(Debug)]
 pub struct SlotPool {
     pub function: Function,
@@ -157,10 +163,10 @@
     busy: f64,
     smoothed: Duration,
     arrivals: usize,
-    /// Calls by the zone of the desk that has them, fading over `ORIGIN`.
+    /// Calls by the zone of the requesting proxy, decaying over `ORIGIN_WINDOW_S`.
     origins: BTreeMap<u32, f64>,
     peak: usize,
-    rejected: usize, // away since the last telling
+    rejected: usize, // since the last report
     last_arrival: Duration,
     reported: Duration,
     report_interval: Duration,
@@ -169,8 +175,8 @@
     score: Score,
 }
 
-/// Whether a call that would wait here for so long does better `far` away, where there is room: an urgent one if it is
-/// quicker, another only if it is not in time here.
+/// Whether a call that would wait here for `wait` gains by a redirect that costs `far`, to a zone with free
+/// slots: an urgent call if it starts earlier there, another only if it is late here.
 pub fn gains_by_redirect(
     now: Duration,
     request: &SlotRequest,
@@ -182,7 +188,7 @@
     wait > far + MIN_GAIN && (late || request.priority <= URGENT)
 }
 
-/// What an ask comes to.
+/// The result of a request.
 pub enum Verdict {
     Granted(usize),
     Waits,
@@ -212,25 +218,25 @@
         }
     }
 
-    /// Another way to score instances, to be compared with the index.
+    /// Replaces the scoring of instances, to compare it with the index.
     pub fn with_score(mut self, score: Score) -> Self {
         self.score = score;
         self
     }
 
-    /// A start was seen from its beginning to the first connection that was taken.
+    /// A start was observed from its beginning to the first successful connection.
     pub fn started(&mut self, took: Duration) {
         self.boots.observe(took, self.function.boot);
     }
 
-    /// The mean time a slot is held, over all calls.
+    /// The mean time for which a slot is held, over all calls.
     pub fn run(&self) -> Duration {
         let (sum, weight) =
             self.runs.values().fold((0.0, 0.0), |(s, w), run| (s + run.mean * run.share, w + run.share));
         Duration::from_secs_f64(if weight > 0.0 { sum / weight } else { INITIAL_RUN_S })
     }
 
-    /// The same for calls of one priority.
+    /// The same for calls of one priority, in seconds.
     fn run_of(&self, priority: u8) -> f64 {
         self.runs.get(&priority).map_or_else(|| self.run().as_secs_f64(), |run| run.mean)
     }
@@ -252,12 +258,12 @@
         self.ledgers.iter().map(|ledger| ledger.grants.len()).sum()
     }
 
-    /// Calls that one instance may have at once.
+    /// The number of calls that one instance may run at once.
     pub fn slots(&self) -> usize {
         self.function.slots.max(1)
     }
 
-    /// Free slots now, over all that lends.
+    /// The slots that are free now, over all instances that grant slots.
     pub fn free(&self, now: Duration) -> usize {
         let open = self.ledgers.iter().filter(|ledger| ledger.can_grant(now));
         open.map(|ledger| self.slots().saturating_sub(ledger.grants.len())).sum()
@@ -267,7 +273,7 @@
         self.ledgers.iter().any(|ledger| ledger.entry.accepts_calls)
     }
 
-    /// Rates by time: the mean busy slots over half a second, arrivals over one.
+    /// Updates the averages: busy slots over half a second, arrivals over one second.
     fn smooth(&mut self, now: Duration) {
         let span = now.saturating_sub(self.smoothed).as_secs_f64();
         if span < 0.05 {
@@ -285,7 +291,7 @@
         });
     }
 
-    /// Calls a second over about the last one, as it stands now.
+    /// Calls per second, averaged over about the last second.
     pub fn rate(&self, now: Duration) -> f64 {
         let span = now.saturating_sub(self.smoothed).as_secs_f64();
         if span < 0.05 {
@@ -295,7 +301,7 @@
         self.rate * kept + self.arrivals as f64 / span * (1.0 - kept)
     }
 
-    /// A call of a desk in this zone has come; it is counted once.
+    /// Counts a call of a proxy in this zone; each call is counted once.
     pub fn count_arrival(&mut self, now: Duration, origin: u32) {
         self.smooth(now);
         self.arrivals += 1;
@@ -307,7 +313,7 @@
         self.peak = self.peak.max(self.granted() + self.queue.len() + 1);
     }
 
-    /// What the index of an instance is made of.
+    /// The inputs of an instance's index.
     fn index_inputs(&self, now: Duration, ledger: &InstanceLedger, instances: usize) -> IndexInputs {
         let n = ledger.grants.len();
         IndexInputs {
@@ -320,8 +326,9 @@
         }
     }
 
-    /// The instance with the lowest index among those with a free slot, ties by `chance`. One that has completed nothing
-    /// yet stands at the others' mean. What the call wants to avoid comes last.
+    /// The instance with the lowest index among those with a free slot; ties are broken by `random_below`. An
+    /// instance that has completed no call yet is scored with the mean of the others. The instance that the
+    /// call avoids comes last.
     fn lowest(
         &self,
         now: Duration,
@@ -333,7 +340,7 @@
             || self.ledgers.iter().filter(|ledger| ledger.entry.accepts_calls && ledger.entry.ready);
         let instances = started().count();
         let own = |ledger: &InstanceLedger| (self.score)(&self.index_inputs(now, ledger, instances));
-        let mut mean = None; // found once it is wanted
+        let mut mean = None; // computed on first use
         let (mut best, mut lowest, mut ties) = (None, (true, f64::INFINITY), 0);
         for (i, ledger) in self.ledgers.iter().enumerate() {
             if !ledger.can_grant(now) || ledger.grants.len() >= slots {
@@ -350,7 +357,8 @@
                 });
                 mean.unwrap_or_else(|| own(ledger))
             };
-            // A second try goes elsewhere where there is an elsewhere. No addend: the index grows as b^n, beyond any.
+            // A retry goes to another instance where there is one. This can't be an addend to the index,
+            // which grows as b^n without bound.
             let avoided = hash(&ledger.entry.instance) == avoid;
             let close = 1e-9 * (1.0 + lowest.1.abs());
             if (avoided, index) < lowest && !(avoided == lowest.0 && (lowest.1 - index) <= close) {
@@ -365,7 +373,8 @@
         best
     }
 
-    /// When slots come free, soonest first: those of instances that start, and those lent, by what such calls take.
+    /// The times in seconds at which slots become free, soonest first: slots of starting instances, and
+    /// granted slots by the run time of such calls.
     fn slots_free(&self, now: Duration) -> Vec<f64> {
         let mut free = Vec::new();
         for ledger in self.ledgers.iter().filter(|ledger| ledger.entry.accepts_calls) {
@@ -377,7 +386,7 @@
             for grant in &ledger.grants {
                 let run = self.run_of(grant.priority);
                 let held = now.saturating_sub(grant.since).as_secs_f64();
-                // One that runs longer than usual may go on as long again.
+                // A call that runs longer than usual is expected to go on for a share of the mean.
                 free.push((run - held).max(0.3 * run).max(from));
             }
             free.extend(std::iter::repeat_n(from, self.slots().saturating_sub(ledger.grants.len()).min(64)));
@@ -390,7 +399,7 @@
         free
     }
 
-    /// The start of a call's run if it takes the soonest slot, which is then taken for `run` seconds.
+    /// Places a call of `run` seconds in the slot that is free soonest and returns the start of its run.
     fn place(free: &mut [f64], run: f64) -> f64 {
         let Some(first) = free.first_mut() else { return f64::INFINITY };
         let start = *first;
@@ -403,7 +412,7 @@
         start
     }
 
-    /// When this call's run would start, behind those that go before it.
+    /// When the run of this call would start, behind the queued calls that precede it.
     fn estimate(&self, now: Duration, request: &SlotRequest) -> Duration {
         let mut free = self.slots_free(now);
         for other in self.queue.iter().filter(|other| other.key() <= request.key()) {
@@ -412,14 +421,14 @@
         Duration::try_from_secs_f64(Self::place(&mut free, 0.0)).unwrap_or(Duration::from_secs(60))
     }
 
-    /// When a call that comes now would start, if not at once.
+    /// How long a call that arrives now would wait; `None` if it starts at once.
     pub fn wait(&self, now: Duration, request: &SlotRequest) -> Option<Duration> {
         let at_once = self.queue.is_empty() && self.free(now) > 0;
         (!at_once).then(|| self.estimate(now, request))
     }
 
-    /// Waiting calls that would gain by going where there is room, `far` away: those that are not in time here, and urgent
-    /// ones that wait for longer than the way there takes. Urgent ones first, at most `most`.
+    /// Removes queued calls that gain by a redirect that costs `far`: calls that are late here, and urgent
+    /// ones that wait longer than the redirect takes. Urgent calls first, at most `most`.
     pub fn take_redirectable(
         &mut self,
         now: Duration,
@@ -447,12 +456,13 @@
         gone
     }
 
-    /// Mean time a slot is held, for calls of this rank.
+    /// The mean time for which a slot is held by calls of this priority, in seconds.
     pub fn mean_run(&self, priority: u8) -> f64 {
         self.run_of(priority)
     }
 
-    /// Waiting calls that the slots there are, and those that start, do not serve well before their aim.
+    /// The number of queued calls that the slots of running and starting instances don't serve well before
+    /// their aim.
     fn shortage(&self, now: Duration) -> usize {
         if self.queue.is_empty() {
             return 0;
@@ -474,7 +484,7 @@
         self.rejected > 0 || self.shortage(now) > 0
     }
 
-    /// An ask: a slot at once, a place in the queue, or no.
+    /// Handles a request: a slot at once, a place in the queue, or a rejection.
     pub fn request(
         &mut self,
         now: Duration,
@@ -490,8 +500,8 @@
         let run = Duration::from_secs_f64(self.run_of(request.priority));
         let left = request.end.saturating_sub(now);
         let wait = self.estimate(now, &request);
-        // What cannot be in time waits behind all that can, as long as that leaves its client another try; else it is told
-        // so at once.
+        // A call that cannot be in time waits behind all that can, as long as its client can then still
+        // retry; otherwise it is rejected at once.
         if now + wait + run > request.aim {
             request.late = true;
             let wait = self.estimate(now, &request);
@@ -529,7 +539,7 @@
         self.peak = self.peak.max(self.granted() + self.queue.len());
     }
 
-    /// The next waiting call that can have a slot, with the book it is lent from.
+    /// The next queued call that can have a slot, with the position of the ledger that grants it.
     pub fn serve(
         &mut self,
         now: Duration,
@@ -545,8 +555,8 @@
         Some((i, request))
     }
 
-    /// Calls in front that have waited too long to be in time let the others go first: serving them all late would leave
-    /// none in time.
+    /// Calls at the front that have waited too long to be in time are moved behind the others: serving them
+    /// all late would leave none in time.
     fn demote_late(&mut self, now: Duration) {
         for _ in 0..self.queue.len() {
             let Some(first) = self.queue.first().filter(|w| !w.late) else { return };
@@ -561,7 +571,7 @@
         }
     }
 
-    /// Calls that can no longer end in time: out of the queue.
+    /// Removes calls from the queue that can no longer end before their deadline.
     pub fn remove_hopeless(&mut self, now: Duration) -> Vec<SlotRequest> {
         let runs: Vec<f64> = self.queue.iter().map(|request| self.run_of(request.priority)).collect();
         let mut runs = runs.into_iter();
@@ -572,7 +582,8 @@
         gone
     }
 
-    /// A slot comes back. The book of an instance that is to be told of as gone is closed.
+    /// A slot is returned. Returns the ledger of an instance that is to be reported as gone, after removing
+    /// it.
     pub fn return_slot(
         &mut self,
         now: Duration,
@@ -620,8 +631,8 @@
         self.ledgers.swap_remove(i)
     }
 
-    /// A loan that a former lender gave, or one asked after: counted as out until it comes back or its call must be over.
-    /// False if the instance is not in this one's care.
+    /// Records a grant of a former owner, or one that was queried: it counts as held until it is returned or
+    /// its call must be over. False if this process does not own the instance.
     pub fn record_held(&mut self, now: Duration, grant: SlotGrant, instance: &str) -> bool {
         let Some(ledger) = self.ledgers.iter_mut().find(|ledger| ledger.entry.instance == instance) else {
             return false;
@@ -635,7 +646,7 @@
         true
     }
 
-    /// A grant that nobody waits for any more, or (instance 0) a place in the queue.
+    /// Removes a grant that its requester does not need, or (instance 0) a queued request.
     pub fn unwanted(&mut self, from: SocketAddr, incarnation: u32, seq: u32, instance: u32) {
         if instance == 0 {
             self.queue.retain(|request| {
@@ -650,7 +661,7 @@
         }
     }
 
-    /// A grant that its requester won't use, since it knows the instance to leave.
+    /// Removes a grant that its requester refuses because it knows that the instance leaves.
     pub fn refused(&mut self, now: Duration, from: SocketAddr, incarnation: u32, seq: u32, instance: u32) {
         for ledger in self.ledgers.iter_mut().filter(|ledger| hash(&ledger.entry.instance) == instance) {
             if let Some(at) = ledger.grants.iter().position(|grant| grant.is(from, incarnation, seq)) {
@@ -661,12 +672,12 @@
         }
     }
 
-    /// A process that begins anew waits for nothing that the one before asked for.
+    /// Removes queued requests of earlier incarnations of a process.
     pub fn forget_requests(&mut self, from: SocketAddr, incarnation: u32) {
         self.queue.retain(|request| request.from != from || request.incarnation == incarnation);
     }
 
-    /// Loans whose call must be over, and whose borrower never said so.
+    /// Removes grants whose call must be over and that were never returned.
     pub fn expire(&mut self, now: Duration) {
         if injected(Defect::NoExpiry) {
             return;
@@ -676,7 +687,7 @@
         }
     }
 
-    /// This borrower is asked at once after all loans that it has been asked after before.
+    /// Schedules a check of all grants of this requester at once.
     pub fn check_requester(&mut self, now: Duration, from: SocketAddr) {
         let of = self.ledgers.iter_mut().flat_map(|ledger| &mut ledger.grants);
         for grant in of.filter(|grant| grant.to == from && now >= grant.since + CHECK_AFTER / 4) {
@@ -684,7 +695,7 @@
         }
     }
 
-    /// Loans to be asked after now: the borrower, its life, the call and the instance.
+    /// The grants to be checked now: requester, incarnation, call and instance.
     pub fn due_checks(&mut self, now: Duration) -> Vec<(SocketAddr, u32, u32, u32)> {
         let mut all = Vec::new();
         if injected(Defect::NeverChecked) {
@@ -699,7 +710,7 @@
         all
     }
 
-    /// What the scaler is to hear, if anything; said again at growing pauses once nothing happens.
+    /// The report for the autoscaler, if one is due; repeated at growing intervals while nothing happens.
     pub fn load_report(&mut self, now: Duration, at_least: Duration) -> Option<LoadReport> {
         self.smooth(now);
         if !self.queue.is_empty() || self.granted() > 0 {
@@ -736,19 +747,20 @@
 }
 
 impl SlotGrant {
-    /// Told by a borrower that it has it.
+    /// A grant that its requester reports.
     pub fn reported(now: Duration, to: SocketAddr, incarnation: u32, seq: u32, left: Duration) -> SlotGrant {
         let (check_at, until) = (now + CHECK_AFTER, now + left + EXPIRY_GRACE);
         SlotGrant { to, incarnation, seq, since: now, until, priority: 0, check_at, checks: 0 }
     }
 
-    /// As a new owner is told of it.
+    /// The grant as it is handed over to a new owner.
     pub fn as_granted_slot(&self, now: Duration) -> GrantedSlot {
         let left = u32::try_from(self.until.saturating_sub(now).as_millis()).unwrap_or(u32::MAX);
         GrantedSlot { to: self.to, incarnation: self.incarnation, seq: self.seq, left }
     }
 
-    /// The same, told by the former owner: it may have come back there meanwhile, so its borrower is asked soon.
+    /// A grant that a former owner handed over. It may have been returned there meanwhile, so its requester
+    /// is queried soon.
     pub fn from_handover(
         now: Duration,
         to: SocketAddr,
@@ -763,7 +775,7 @@
         }
     }
 
-    /// It is asked after again in a while, each time later.
+    /// Schedules the next check, with a growing interval.
     fn schedule_check(&mut self, now: Duration) {
         self.check_at = now + CHECK_AFTER / 4 * (1 << self.checks.min(2));
         self.checks += 1;
@@ -784,21 +796,21 @@
             refused: false,
             stats: InstanceStats::default(),
         };
-        // What was kept from a time as lender may have come back to another since.
+        // Grants kept from an earlier ownership may have been returned to another owner since.
         for grant in &mut ledger.grants {
             grant.check_at = Duration::ZERO;
         }
         ledger
     }
 
-    /// Nothing is waited for any more; it lends from then on.
+    /// Ends the wait for a handover; slots are granted from `paused_until` on.
     pub fn stop_waiting(&mut self, paused_until: Duration) {
         self.awaits = None;
         self.paused_until = self.paused_until.min(paused_until);
         self.complete_from = self.complete_from.min(paused_until);
     }
 
-    /// Loans that a former owner gave, as far as they are not known.
+    /// Adds grants of a former owner that are not known yet.
     pub fn merge(&mut self, grants: Vec<SlotGrant>) {
         for grant in grants {
             if !self.grants.iter().any(|old| old.is(grant.to, grant.incarnation, grant.seq)) {
@@ -807,7 +819,7 @@
         }
     }
 
-    /// It lends nothing before then.
+    /// No slots are granted before `then`.
     pub fn pause_until(&mut self, then: Duration) {
         self.paused_until = self.paused_until.max(then);
     }
@@ -816,12 +828,12 @@
         self.paused_until
     }
 
-    /// How much longer it lends nothing, though it may.
+    /// For how much longer no slot is granted although the instance accepts calls.
     pub fn pause_left(&self, now: Duration) -> Duration {
         self.paused_until.saturating_sub(now)
     }
 
-    /// It lends now.
+    /// Whether slots can be granted now.
     pub fn can_grant(&self, now: Duration) -> bool {
         (self.entry.accepts_calls || injected(Defect::DrainingGranted))
             && self.entry.ready
--- a/crates/lending/src/reachability.rs
+++ b/crates/lending/src/reachability.rs
@@ -1,5 +1,5 @@
-//! Whom this process reaches: owners that say nothing, whether their processes run at all, and whether it is this one that
-//! is cut off.
+//! Reachability: owners that do not reply, whether their processes run at all, and whether it is this process
+//! that is isolated.
 
 use crate::defects::{injected, Defect};
 use crate::messages::{Kind, Message};
@@ -10,20 +10,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What is known of the other members.
+/// The state of the other members.
 #[derive(Default)]
 struct Reachability {
-    /// They say nothing, or their connections are refused.
+    /// They do not reply, or their connections are refused.
     unreachable: usize,
-    /// Neither heard lately nor asked for a slot; those that are asked for a word in vain are unreachable as well.
+    /// Neither heard from recently nor sent a request; those that do not answer a ping also count as
+    /// unreachable.
     unknown: Vec<SocketAddr>,
-    /// Of these, those that have not been asked for long enough.
+    /// Those of `unknown` that have not had time to answer a ping.
     undecided: usize,
     received: usize,
 }
 
 impl Allocator {
-    /// Members without this process.
+    /// The reachability of all members but this process.
     fn reachability(&self) -> Reachability {
         let mut reachability = Reachability::default();
         for at in self.owners.members().iter().map(|member| member.at).filter(|at| *at != self.me) {
@@ -47,7 +48,7 @@
         reachability
     }
 
-    /// The agent beside this process hears of controllers that are in touch with one another, or does not any more.
+    /// The agent on this host reaches controllers that are connected with one another, or no longer does.
     pub fn set_controllers_reachable(&mut self, now: Duration, controllers_reachable: bool) {
         self.now = now;
         if self.controllers_reachable != controllers_reachable {
@@ -57,10 +58,10 @@
         }
     }
 
-    /// A process that does not reach many of the members is likely in one part of a network that was cut. Where its agent reaches
-    /// the controllers it is on the side of the holder of the lease, who names the owners: then it goes on, however few members
-    /// are with it. Most of the members is no better sign than a third: the list that it has may be an old one, which lacks those
-    /// on the other side.
+    /// A process that does not reach many of the members is probably on one side of a network partition. If
+    /// its agent reaches the controllers, it is on the side of the lease holder, which names the owners: then
+    /// it goes on, however few members it reaches. A majority of the members is no better sign than a third:
+    /// the known list may be an old one that lacks those on the other side.
     pub(crate) fn check_isolation(&mut self) {
         let now = self.now;
         if self.suspects.is_empty() && !self.owners.any_refuses() {
@@ -88,14 +89,14 @@
         }
     }
 
-    /// Members of which nothing is known show by an answer, or by a refused connection, on which side they are.
+    /// An answer, or a refused connection, shows on which side members of unknown state are.
     fn ping_members(&mut self, unknown: Vec<SocketAddr>) {
         if self.now < self.last_ping + SUSPECT_RETRY {
             return;
         }
         self.last_ping = self.now;
         self.pinged.retain(|at, _| unknown.contains(at));
-        // Those that were not asked yet come first.
+        // Those that were not pinged yet come first.
         let (new, old): (Vec<_>, Vec<_>) = unknown.into_iter().partition(|at| !self.pinged.contains_key(at));
         for at in new.into_iter().chain(old).take(MAX_PINGS) {
             self.pinged.entry(at).or_insert(self.now);
@@ -108,13 +109,13 @@
         !self.controllers_reachable && self.isolated.is_some_and(|since| self.now >= since + REJECT_AFTER)
     }
 
-    /// Isolated for so long that the others may have new owners for what this one owns.
+    /// Isolated for so long that the others may have new owners for the instances of this process.
     pub fn is_fenced(&self) -> bool {
         let fenced = self.isolated.is_some_and(|since| self.now >= since + FENCED_AFTER);
         fenced && !self.controllers_reachable && !injected(Defect::IsolatedGrants)
     }
 
-    /// Whoever waits here is told to come back.
+    /// Rejects the queued requests, to be retried later.
     pub(crate) fn reject_waiting(&mut self, kind: Kind) {
         let waiting = self.pools.get_mut(&kind).map(|pool| std::mem::take(&mut pool.queue));
         for request in waiting.unwrap_or_default() {
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Whoever says nothing is asked for nothing while there are others, and it is seen whether its process runs at all. It
-    /// goes on as the owner of what it owns: it may be slow, and lend to all that it hears.
+    /// A suspected owner receives no requests while there are others, and its process is probed. It remains
+    /// the owner of its instances: it may be slow, and grant slots to all from whom it receives requests.
     pub(crate) fn suspect(&mut self, silent: Vec<SocketAddr>) {
         if silent.is_empty() {
             return;
@@ -137,7 +138,7 @@
                 self.connection_refused(self.now, to);
             }
         }
-        // All that was asked of them is asked elsewhere, not each after its own wait.
+        // All requests sent to them are sent elsewhere at once, not each after its own time-out.
         let requests =
             |call: &Call| matches!(call.stage, Stage::Requesting { to, .. } if silent.contains(&to));
         let lost: Vec<u32> =
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Where all that could be asked have been silent for long the client is told to come back: it may find a way.
+    /// If all owners that could serve the call have been unresponsive for long, its client is asked to retry:
+    /// it may reach another process.
     pub(crate) fn request_or_give_up(&mut self, seq: u32) {
         let Some(call) = self.calls.get(&seq) else { return };
         let (kind, waited) = (call.kind, self.now.saturating_sub(call.arrived));
@@ -163,7 +165,8 @@
         self.request(seq, 0);
     }
 
-    /// A call has come for what another owns, as far as is known here: the one that asks may know that its process has ended.
+    /// A call was requested here whose owner, as far as is known, is another process: the requester may know
+    /// that that process has ended.
     pub(crate) fn probe_owner(&mut self, kind: Kind) {
         let now = self.now;
         let Some(owner) = self.owner_of(kind, &self.zone).filter(|at| *at != self.me) else { return };
@@ -180,7 +183,7 @@
         self.actions.push_back(Action::Probe { owner });
     }
 
-    /// Lenders that are passed over are asked for a word, and are asked for slots again once they are heard.
+    /// Pings suspected owners; they receive requests again once they reply.
     pub(crate) fn probe(&mut self) {
         let now = self.now;
         let owners = &self.owners;
--- a/crates/lending/src/receive.rs
+++ b/crates/lending/src/receive.rs
@@ -1,4 +1,4 @@
-//! Letters of other schedulers: which life wrote them, and what each line comes to.
+//! Received datagrams: which incarnation sent them, and how each message is handled.
 
 use crate::defects::{injected, Defect};
 use crate::finished_calls::Finish;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 impl Allocator {
-    /// A datagram. What cannot be read is dropped: false.
+    /// Handles a datagram. Returns false for one that cannot be decoded; it is dropped.
     pub fn receive(&mut self, now: Duration, from: SocketAddr, bytes: &[u8]) -> bool {
         self.now = now;
         let Some(datagram) = Datagram::decode(bytes) else { return false };
@@ -29,7 +29,8 @@
             self.update_all_pools(Cause::Liveness);
             self.report_held_to_new_owners(&HashSet::new());
         }
-        // What it said while it was cut off is lost: it is asked after what it had then.
+        // Messages sent while the process was cut off are lost: it is queried about the grants that it had
+        // then.
         let last = match sender {
             Sender::Same { last } | Sender::New { last } => last,
             Sender::Unknown | Sender::Former | Sender::Disputed => None,
@@ -37,7 +38,8 @@
         if last.is_none_or(|received| received + SUSPECT_RETRY < now) {
             self.pools.values_mut().for_each(|pool| pool.check_requester(now, from));
         }
-        // A process that lives anew has forgotten what it lent, and waits for nothing that the one before asked for.
+        // A new incarnation of a process does not know the grants of the one before, and awaits nothing that
+        // the one before requested.
         if matches!(sender, Sender::New { .. }) {
             self.report_held_to_new_owners(&HashSet::from([from]));
             self.pools.values_mut().for_each(|pool| pool.forget_requests(from, datagram.incarnation));
@@ -49,7 +51,8 @@
         true
     }
 
-    /// Which of two lives is the present one: the one that answers a question of a number that was never used.
+    /// Finds out which of two incarnations is the present one: the one that answers a message with a number
+    /// that was never used.
     pub(crate) fn query_incarnation(&mut self, at: SocketAddr) {
         let now = self.now;
         if self.incarnation_queries.get(&at).is_some_and(|(_, asked)| now < *asked + RESEND_AFTER) {
@@ -61,7 +64,7 @@
         self.send(at, Message::Release { seq: number, kind: 0, instance: 0 });
     }
 
-    /// A late letter of a life that is over can still give back what that life had, and nothing else.
+    /// A late datagram of a former incarnation can still return the slots that it held, and nothing else.
     pub(crate) fn receive_former(&mut self, from: SocketAddr, datagram: Datagram) {
         for message in datagram.messages {
             let answers =
@@ -89,7 +92,8 @@
         waiting: u8,
     ) {
         let now = self.now;
-        // For a process that was here before: the lender holds it back until its call must be over.
+        // Granted to an earlier incarnation of this process: the owner holds the slot until that call must be
+        // over.
         if seq.wrapping_sub(self.first) >= self.next.wrapping_sub(self.first)
             && !injected(Defect::NumbersReused)
         {
@@ -123,12 +127,13 @@
                     reported: None,
                 };
                 let left = ms(call.end.saturating_sub(now));
-                // Another was quicker than the one asked now.
+                // Another process granted a slot before the one that was asked last.
                 if asked != from {
                     self.return_unused(asked, seq, kind, 0);
                 }
                 self.note_capacity(kind, from, free, waiting, 0);
-                // From one that lends it no more: who does now counts it as out until it comes back or its call is over.
+                // Granted by a process that is no longer the owner: the present owner counts the slot as held
+                // until it is returned or its call is over.
                 let zone = self.entries.get(&instance).map(|entry| entry.zone.clone());
                 if let Some(present) =
                     zone.and_then(|zone| self.owner_of(kind, &zone)).filter(|at| *at != from)
@@ -137,9 +142,9 @@
                 }
                 self.actions.push_back(Action::Dispatch { call: seq, instance, at });
             }
-            // The same grant again: the answer to an ask that was said twice.
+            // The same grant again: the reply to a request that was sent twice.
             Some(Call { stage: Stage::Holding { instance: held, .. }, .. }) if *held == instance => {}
-            // Nobody wants it any more, or another lender was quicker.
+            // The call is over, or another owner was quicker.
             other => {
                 let kind = other.map(|call| call.kind);
                 let kind = kind.or_else(|| self.entries.get(&instance).map(|entry| entry.kind));
@@ -172,7 +177,7 @@
                 if from != self.me {
                     self.finished.note(self.awake, (from, incarnation, seq), Finish::Returned);
                 }
-                // Without a kind (of a grant that nobody waits for any more) all shelves are looked at.
+                // Without a function (the return of a grant that nobody awaits) all pools are searched.
                 let kinds: Vec<Kind> = match kind {
                     0 => self.pools.keys().copied().collect(),
                     kind => vec![kind],
@@ -196,7 +201,7 @@
                 if let Some(ledger) = gone {
                     self.forget(&ledger.entry.instance);
                     let instance = ledger.entry.instance;
-                    // The list may show it again while others still have calls there.
+                    // The list may show the instance again while other calls still run there.
                     if !ledger.grants.is_empty() {
                         self.parked.insert(instance.clone(), ledger.grants);
                     }
@@ -228,7 +233,7 @@
                         *reported = None;
                     }
                 }
-                // It came back before it was heard of.
+                // The slot was returned before the report was acknowledged.
                 _ => self.return_unused(from, seq, kind, instance),
             },
             Message::Release { seq, kind, instance } => {
@@ -287,7 +292,7 @@
                         let (instance, left) = (held.clone(), ms(end.saturating_sub(now)));
                         self.send(from, Message::Holds { seq, kind, instance, left });
                     }
-                    // The grant is on its way, or the return.
+                    // The grant or the return is on its way.
                     Some(Call { stage: Stage::Requesting { .. }, .. }) => {}
                     _ => self.send(from, Message::Release { seq, kind, instance }),
                 }
@@ -331,8 +336,10 @@
                 }
             }
             Message::ReturnAck { seq } => {
-                if matches!(self.calls.get(&seq).map(|c| &c.stage), Some(Stage::Returning { owner, .. }) if *owner == from)
-                {
+                if matches!(
+                    self.calls.get(&seq).map(|c| &c.stage),
+                    Some(Stage::Returning { owner, .. }) if *owner == from
+                ) {
                     self.calls.remove(&seq);
                 }
             }
--- a/crates/lending/src/requests.rs
+++ b/crates/lending/src/requests.rs
@@ -1,4 +1,5 @@
-//! The requester's side: in which zone a call asks for a slot, whom, how often, and when it is given up.
+//! The requester's side: in which zone a slot is requested for a call, from which owner, how often the
+//! request is resent, and when the call is given up.
 
 use crate::defects::{injected, Defect};
 use crate::messages::{kind as hash, Kind, Message};
@@ -12,7 +13,8 @@
 use std::time::Duration;
 
 impl Allocator {
-    /// A call wants a slot; its number is what `Go` and `No` name. `aim` and `end` are times by the same clock.
+    /// Requests a slot for a call. The returned number identifies the call in `Dispatch` and `Reject`. `aim`
+    /// and `end` are times by the same clock as `now`.
     pub fn request_slot(
         &mut self,
         now: Duration,
@@ -37,13 +39,15 @@
         seq
     }
 
-    /// Zones with instances of this function that lend; whether one of them has started, and the highest weight.
+    /// The zones that have instances of this function that accept calls; for each whether one of them has
+    /// started, and the highest weight.
     pub(crate) fn zones_of(&self, kind: Kind) -> BTreeMap<&str, (bool, u64)> {
         let mut zones: BTreeMap<&str, (bool, u64)> = BTreeMap::new();
         for id in self.by_kind.get(&kind).into_iter().flatten() {
             let Some(entry) = self.entries.get(id).filter(|entry| entry.accepts_calls) else { continue };
             let (ready, heavy) = zones.entry(&entry.zone).or_default();
-            // The weight is of those that count: started ones where there are any.
+            // The weight is taken over started instances where there are any, else over those that are
+            // starting.
             if entry.ready && !*ready {
                 (*ready, *heavy) = (true, weight(kind, &entry.at));
             } else if entry.ready == *ready {
@@ -53,7 +57,8 @@
         zones
     }
 
-    /// The zone to ask in: the nearest that has instances and room, as far as is known.
+    /// The zone in which to request a slot: the nearest that has instances and, as far as is known, free
+    /// slots.
     pub(crate) fn zone_for(&self, kind: Kind) -> String {
         let local_region = self.region(&self.zone);
         let cost = |zone: &str, ready: bool| {
@@ -71,7 +76,7 @@
         best.map_or_else(|| self.zone.clone(), |(zone, _)| zone.to_string())
     }
 
-    /// What the way to a zone costs a call.
+    /// The time that a redirect to a zone costs a call.
     pub(crate) fn redirect_cost(&self, zone: &str) -> Duration {
         if self.region(zone) == self.region(&self.zone) {
             SAME_REGION_COST
@@ -88,10 +93,10 @@
 
     pub(crate) fn request_in(&mut self, seq: u32, zone: &str, hops: u8) {
         let Some(call) = self.calls.get(&seq) else { return };
-        // Before any owner is known a call waits for one; it is no sign of a lack of instances.
+        // Before any owner is known the call waits for one; this does not indicate a lack of instances.
         let Some(to) = self.owner_of(call.kind, zone) else { return };
         if to != self.me && self.is_isolated() {
-            // No word would come: the client may find one that is not cut off.
+            // No reply would arrive: the client may reach a process that is not cut off.
             self.calls.remove(&seq);
             self.actions.push_back(Action::Reject { call: seq, after: ISOLATED_RETRY });
             return;
@@ -117,7 +122,8 @@
         }
     }
 
-    /// Calls that were asked of one that owns nothing of their function any more are asked of the owners.
+    /// Calls whose request went to a process that no longer owns instances of their function are requested
+    /// from the owners.
     pub(crate) fn retarget_requests(&mut self) {
         let requested = self.calls.values().filter_map(|call| match call.stage {
             Stage::Requesting { to, .. } if to != self.me => Some((call.kind, to)),
@@ -131,7 +137,7 @@
         self.resend_requests(|kind, to| !owners.contains(&(kind, to)));
     }
 
-    /// Calls that came before any owner was known.
+    /// Sends the requests of calls that arrived before any owner was known.
     pub(crate) fn request_without_owner(&mut self) {
         let unasked = |call: &Call| matches!(call.stage, Stage::Requesting { tries: 0, .. });
         let unasked: Vec<u32> =
@@ -139,7 +145,7 @@
         unasked.into_iter().for_each(|seq| self.request(seq, 0));
     }
 
-    /// Calls that wait for a word of others for which this holds are asked anew.
+    /// Repeats the requests of calls that await a reply of another process for which `which` holds.
     pub(crate) fn resend_requests(&mut self, which: impl Fn(Kind, SocketAddr) -> bool) {
         let waits = |(&seq, call): (&u32, &Call)| match call.stage {
             Stage::Requesting { to, .. } if to != self.me && which(call.kind, to) => {
@@ -156,20 +162,20 @@
         }
     }
 
-    /// A call whose grant was refused: the one that gave it rests the instance. Where it has no other, the call is sent on or
-    /// waits there, as any does.
+    /// Called when this process refused a grant; the process that granted it pauses the instance. Where that
+    /// process has no other, it redirects or queues the request, as with any.
     pub(crate) fn request_again_elsewhere(&mut self, seq: u32, granted_by: SocketAddr) {
         let Some(Call { stage: Stage::Requesting { to, hops, .. }, .. }) = self.calls.get(&seq) else {
             return;
         };
-        // Another was asked meanwhile, and answers too.
+        // If another process was asked meanwhile, that one replies too.
         if *to == granted_by {
             let hops = hops.saturating_add(1);
             self.request(seq, hops);
         }
     }
 
-    /// Asks and returns without a word so far are said again; lenders that say nothing are passed over.
+    /// Resends requests and returns that are unanswered. Owners that do not reply are suspected.
     pub(crate) fn resend(&mut self) {
         let now = self.now;
         let (mut messages, mut silent, mut expired, mut ended) =
@@ -188,12 +194,14 @@
                         }
                         continue;
                     }
-                    // What is known to wait is asked after now and then; once that is not answered, as often as any.
+                    // A request that is known to be queued is repeated at long intervals; once one of these
+                    // goes unanswered, as often as any.
                     let known = *waits && *tries == 1;
                     let pause =
                         if known { RESEND_QUEUED_AFTER } else { RESEND_AFTER * (1 << (*tries - 1).min(3)) };
                     if *to != self.me && now >= *sent + pause {
-                        // One that was heard since speaks, and has only missed this: it is asked again.
+                        // An owner heard from since is alive and has only missed this request: it is sent
+                        // again.
                         let responsive = self
                             .incarnations
                             .last_received(to)
--- a/crates/lending/src/selection.rs
+++ b/crates/lending/src/selection.rs
@@ -1,26 +1,29 @@
-//! The index by which a lender picks an instance, and what it is made of: docs/design/index.md.
+//! The index by which an owner selects an instance, and its inputs: docs/design/index.md.
 
 use crate::messages::Ended;
 use std::time::Duration;
 use tindock::index::whittle;
 pub use tindock::terms::Energy;
 
-/// Off after this without a call of this lender's: longer than a lull between two.
+/// An instance without a call of this owner for this long counts as off: longer than a usual lull between two
+/// calls.
 pub const OFF_AFTER: Duration = Duration::from_secs(5);
 /// Keeps a and b above zero when nothing arrives.
 pub const RATE_FLOOR: f64 = 0.05;
-/// The source has no index where delta < mu: there delta counts as this many times mu, the limit from its valid side.
+/// The paper's index is not defined where delta < mu: there delta counts as this many times mu, the limit
+/// from its valid side.
 const DELTA_MARGIN: f64 = 1.05;
-/// Completions after which an instance may have a pace of its own, and how far off that must lie: standard errors, share.
+/// An instance's own run times are used after this many completions, if they deviate by this many standard
+/// errors and by this share.
 const MIN_COMPLETIONS: u32 = 20;
 const MIN_STANDARD_ERRORS: f64 = 3.0;
 const MIN_DEVIATION: f64 = 0.1;
-/// Smooths paces: about fifty runs.
+/// Smoothing factor of run time ratios: an average over about fifty runs.
 const RATIO_SMOOTHING: f64 = 0.02;
-/// Smooths starts seen: about five.
+/// Smoothing factor of observed start times: an average over about five.
 const BOOT_SMOOTHING: f64 = 0.2;
 
-/// What the index of an instance is made of.
+/// The inputs of an instance's index.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct IndexInputs {
     pub n: usize,
@@ -28,20 +31,20 @@
     pub lambda: f64,
     pub mu: f64,
     pub delta: f64,
-    /// Instances that have started and share lambda.
+    /// The started instances, which share lambda.
     pub instances: usize,
 }
 
-/// A way to score an instance; the lowest is picked.
+/// A score of an instance; the lowest is selected.
 pub type Score = fn(&IndexInputs) -> f64;
 
-/// The source's index, with the limit from its valid side where it has none.
+/// The paper's index, with the limit from its valid side where it is not defined.
 pub fn index(inputs: &IndexInputs) -> f64 {
     let delta = inputs.delta.max(DELTA_MARGIN * inputs.mu);
     whittle(inputs.n as f64, inputs.energy, inputs.lambda, inputs.mu, delta)
 }
 
-/// Run times of one instance by those of all, as a ratio.
+/// The ratio of one instance's run times to those of all.
 #[derive(Debug, Clone, Default)]
 struct RunTimeRatio {
     mean: f64,
@@ -58,7 +61,7 @@
         self.variance = (1.0 - step) * (self.variance + step * deviation * deviation);
     }
 
-    /// Its own ratio if that differs clearly over many runs, else the others'.
+    /// The instance's own ratio if it differs clearly over many runs, else 1.
     fn ratio(&self) -> f64 {
         if self.count < MIN_COMPLETIONS {
             return 1.0;
@@ -73,13 +76,13 @@
     }
 }
 
-/// What this lender has seen of an instance in its care.
+/// What the owner has observed of an instance.
 #[derive(Debug, Clone)]
 pub struct InstanceStats {
     used: Duration,
-    /// Sent to since it was off, and unanswered so far.
+    /// A call was sent since the instance was off, and none has been answered so far.
     starting: bool,
-    /// It has completed a call since it came, or came back.
+    /// The instance has completed a call since it was added, or since it last stopped responding.
     known: bool,
     run_time_ratio: RunTimeRatio,
 }
@@ -114,13 +117,13 @@
         self.run_time_ratio.ratio()
     }
 
-    /// A slot is lent; `n` were before.
+    /// A slot is granted; `n` were before.
     pub fn granted(&mut self, now: Duration, n: usize) {
         self.starting = self.energy(now, n) != Energy::Busy;
         self.used = now;
     }
 
-    /// A slot comes back; a call that was answered took `ratio` times the usual, if that is known.
+    /// A slot is returned; a call that was answered took `ratio` times the mean, if that is known.
     pub fn record_return(&mut self, now: Duration, ended: Ended, ratio: Option<f64>) {
         self.used = now;
         match ended {
@@ -130,14 +133,14 @@
                     self.run_time_ratio.update(ratio);
                 }
             }
-            // One that returns from silence is new again.
+            // An instance that responds again counts as new.
             Ended::Silent => (self.starting, self.known) = (true, false),
             Ended::Idle | Ended::Full | Ended::Gone | Ended::Leaving => {}
         }
     }
 }
 
-/// How long starts take by what the configuration says, from those seen.
+/// The ratio of observed start times to the configured one.
 #[derive(Debug, Clone, Copy)]
 pub struct BootTimes(f64);
 
@@ -148,7 +151,7 @@
 }
 
 impl BootTimes {
-    /// From its beginning to the first connection it took.
+    /// Records a start, from its beginning to the first successful connection.
     pub fn observe(&mut self, took: Duration, configured: Duration) {
         let ratio = took.as_secs_f64() / configured.as_secs_f64().max(1e-3);
         self.0 += BOOT_SMOOTHING * (ratio.clamp(0.1, 10.0) - self.0);
--- a/crates/lending/tests/disputes.rs
+++ b/crates/lending/tests/disputes.rs
@@ -1,5 +1,5 @@
-//! Two that own the same instance, each as far as it knows: after a change of the members that one has not heard of, and
-//! before the holder of the lease has published any.
+//! Two processes that both consider themselves the owner of an instance: after a change of members that one
+//! has not received yet, and before the holder of the leadership lease has published any.
 
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 }
 
 /// A function whose instances the second of two members owns.
-fn of_the_second() -> String {
+fn function_owned_by_second() -> String {
     let owned = |name: &String| weight(kind(name), &at(2)) > weight(kind(name), &at(1));
     (0..100).map(|n| format!("f{n}")).find(owned).expect("one of a hundred")
 }
@@ -47,9 +47,10 @@
     allocator.pools().flat_map(|pool| &pool.ledgers).any(|ledger| ledger.can_grant(now))
 }
 
-/// From the second's learning of a change to the first's: how often both lent, and when the second lent first.
+/// Between the change reaching the second process and the first: how often both could grant slots, and after
+/// how long the second one first could.
 fn dispute(first_learns: Duration) -> (usize, Option<Duration>) {
-    let name = of_the_second();
+    let name = function_owned_by_second();
     let mut both = [scheduler(1, &name, HERE), scheduler(2, &name, HERE)];
     both.iter_mut().for_each(|allocator| allocator.set_members(MS, vec![member(1)]));
     let (learns, mut both_grant, mut first_grant) = (Duration::from_secs(5), 0, None);
@@ -78,12 +79,13 @@
     (both_grant, first_grant)
 }
 
-/// Guards against a former owner that lends on until it learns of the change, while the new one lends after its wait.
+/// Guards against a former owner that goes on granting slots until it learns of the change, while the new one
+/// grants them after its wait.
 #[rstest]
 #[case::soon(150 * MS)]
 #[case::late(1500 * MS)]
 #[case::later(2000 * MS)]
-fn who_is_claimed_from_lends_no_more(#[case] first_learns: Duration) {
+fn claimed_instance_is_not_granted_by_former_owner(#[case] first_learns: Duration) {
     let (both_grant, first_grant) = dispute(first_learns);
     assert_eq!(both_grant, 0);
     assert!(
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn one_that_lends_on_is_found() {
+fn owner_that_keeps_granting_is_detected() {
     INJECTED.set(Some(Defect::ClaimsIgnored));
     let (both_grant, _) = dispute(1500 * MS);
     INJECTED.set(None);
@@ -104,12 +106,13 @@
     allocator.pools().map(|pool| pool.ledgers.len()).sum()
 }
 
-/// Guards against what came after a loss of everything: whoever had heard of nobody in a zone yet owned all of its instances.
+/// Guards against a failure after the loss of all processes: one that had not discovered any other process of
+/// a zone yet owned all of its instances.
 #[rstest]
 #[case::own_zone(HERE, None, 1)]
 #[case::another_zone("there", None, 0)]
 #[case::injected("there", Some(Defect::FirstKnownOwns), 1)]
-fn before_the_holder_publishes_a_process_owns_in_its_own_zone_alone(
+fn provisional_members_give_no_ownership_of_other_zones(
     #[case] zone: &str,
     #[case] defect: Option<Defect>,
     #[case] owns: usize,
@@ -118,15 +121,15 @@
     let mut allocator = scheduler(1, "f", zone);
     allocator.set_provisional_members(2 * MS, vec![member(1)]);
     let before = owned(&allocator);
-    // Of a zone without proxies somebody owns the instances, once it is known that there are none.
+    // Once the members are published, another process owns the instances of a zone without proxies.
     allocator.set_members(3 * MS, vec![member(1)]);
     INJECTED.set(None);
     assert_eq!((before, owned(&allocator)), (owns, 1));
 }
 
-/// A call for an instance that nobody is known to own waits, tells no shortage, and is given up after a while.
+/// A call for an instance without known owner waits, reports no shortage, and is given up after a while.
 #[test]
-fn a_call_before_any_owner_waits_and_asks_for_no_instance() {
+fn call_without_known_owner_waits_and_reports_no_shortage() {
     let mut allocator = scheduler(1, "f", "there");
     allocator.set_provisional_members(2 * MS, vec![member(1)]);
     let call = allocator.request_slot(3 * MS, kind("f"), 1, 400 * MS, 4000 * MS, "");
--- a/crates/lending/tests/harness/mod.rs
+++ b/crates/lending/tests/harness/mod.rs
@@ -1,5 +1,6 @@
-//! Schedulers that lend and borrow, on simulated time: one seed decides everything that is drawn. Around the deciders are
-//! workers that count what runs on them, a network of datagrams, views that come late, crashes and freezes.
+//! Schedulers that allocate slots to one another, on simulated time: one seed determines everything that is
+//! random. The simulation adds workers that count their calls, a datagram network, delayed views, crashes and
+//! freezes.
 
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -9,27 +10,28 @@
 use tindock_lending::{Action, Allocator, Entry, Function, Member};
 
 const MS: Duration = Duration::from_millis(1);
-/// A loan outlives its call by the lender's grace and a sweep; clocks are 1% apart.
+/// A grant outlives its call by the owner's grace and a sweep; clocks differ by 1%.
 const EXPIRY_SLACK: Duration = Duration::from_millis(600);
-/// Returns are said for three seconds; what is still out then is asked after each second.
+/// Returns are resent for three seconds; requesters are queried about grants that are held then each second.
 const RETURN_BOUND: Duration = Duration::from_millis(3300);
 const CHECK_BOUND: Duration = Duration::from_millis(6000);
-/// What nobody lends any more may be granted so much later: a datagram was under way.
+/// A grant may arrive this much later although nobody makes it any more: a datagram was in flight.
 const UNDERWAY: Duration = Duration::from_millis(2000);
-/// A free slot beside a waiting call: a sweep, twice.
+/// How long a slot may be free beside a queued call: two sweeps.
 const IDLE_SLOT: Duration = Duration::from_millis(90);
 
-/// What a run is made of.
+/// The faults and changes of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// Nothing goes wrong, and there is room for all.
+    /// No faults, and enough slots for all.
     Quiet,
-    /// Members and instances come and go, datagrams arrive in order, and all learn of it within 40 ms.
+    /// Members and instances are added and removed, datagrams arrive in order, and all processes learn of
+    /// changes within 40 ms.
     Tidy,
-    /// Planned work alone, beside processes that are slow and changes of the configuration: members leave, come and begin
-    /// anew, functions leave the configuration and come back.
+    /// Planned changes alone, beside slow processes and configuration changes: members leave, join and
+    /// restart, functions are removed from the configuration and restored.
     Planned,
-    /// Loss, doubled and late datagrams, crashes, freezes, cuts, views that differ for a while.
+    /// Lost, duplicated and late datagrams, crashes, freezes, partitions, views that differ for a while.
     Rough,
 }
 
@@ -42,31 +44,31 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// More runs on an instance than it has slots.
+    /// More calls run on an instance than it has slots.
     Slots,
-    /// The bound for a time in which views differ.
+    /// The bound on calls of an instance while views differ.
     Bound,
-    /// Two members lend slots of one instance.
+    /// Two members can grant slots of one instance.
     TwoOwners,
     /// A call was not answered by its end.
     Answer,
     /// A call was answered twice, or sent to another function's instance.
     Once,
-    /// A loan outlived its term.
+    /// A grant outlived its expiry.
     Term,
-    /// A loan outlived its call.
+    /// A grant outlived its call.
     Returned,
-    /// Not the order of service.
+    /// The queue is not in the order of service.
     ServiceOrder,
-    /// A free slot beside a waiting call, or a call past its aim though there was room.
+    /// A free slot beside a queued call, or a call past its aim although slots were free.
     Starved,
-    /// A slot lent on an instance that lends no more.
+    /// A slot granted on an instance that accepts no more calls.
     Drain,
     /// A call sent to an instance that its own proxy knows to leave, or to have ended.
     KnownToLeave,
-    /// A slot lent to a life that another has followed, as its lender has heard.
+    /// A slot granted to an incarnation that another has followed, as its owner knows.
     Incarnation,
-    /// A slot lent again, or told of, for a call that has come back.
+    /// A slot granted again, or recorded from a report, for a call that has returned it.
     Repeated,
 }
 
@@ -77,9 +79,9 @@
     pub dispatched: usize,
     pub in_aim: usize,
     pub refused: usize,
-    /// Most that ran on one instance at once, in slots it has.
+    /// The most calls that ran on one instance at once, in multiples of its slots.
     pub worst: f64,
-    /// For so long some instance had more on it than its slots.
+    /// How long some instance had more calls than slots.
     pub over: Duration,
     pub bytes: usize,
     pub datagrams: usize,
@@ -128,13 +130,13 @@
         instance: String,
         taken: bool,
     },
-    /// The functions of the configuration with this number.
+    /// The configuration with this number takes effect.
     Configuration {
         who: usize,
         incarnation: u32,
         version: usize,
     },
-    /// A member that leaves has had its time.
+    /// The grace period of a leaving member has ended.
     Left {
         who: usize,
         incarnation: u32,
@@ -166,14 +168,14 @@
     incarnation: u32,
     incarnations: u32,
     started_at: Duration,
-    /// Its clock runs this much faster.
+    /// How much faster its clock runs.
     clock_rate: f64,
     allocator: Option<Allocator>,
     /// Its machine has no power.
     without_power: bool,
-    /// It is to end, and no member any more.
+    /// The process is about to end, and no longer a member.
     leaving: bool,
-    /// Until then what it says comes late, or not at all.
+    /// Until then its datagrams are delayed or lost.
     slow: Duration,
     configuration: usize,
     frozen: Option<Vec<Event>>,
@@ -181,10 +183,11 @@
     view: usize,
     instance_lists: usize,
     known_members: BTreeSet<(SocketAddr, u32)>,
-    /// Lives of others in the order in which they began, of those that were heard here; and when calls of others came back.
+    /// The newest incarnation of others heard from here, by order of start; and when calls of others returned
+    /// their slots.
     received: HashMap<SocketAddr, usize>,
     returned: HashMap<(SocketAddr, u32, u32), Duration>,
-    /// Number of a call at this one, to that of the world.
+    /// Maps this process's call numbers to indices of `World::calls`.
     calls: HashMap<u32, usize>,
 }
 
@@ -199,7 +202,7 @@
     work: Duration,
     dispatched: Option<Duration>,
     refused: bool,
-    /// The borrower has given the slot back, or never had one.
+    /// When the requester returned the slot, or learned that it gets none.
     over: Option<Duration>,
     instance: Option<usize>,
 }
@@ -228,14 +231,14 @@
     kinds: Vec<(String, usize, f64)>,
     instances: Vec<Instance>,
     by_id: HashMap<String, usize>,
-    /// All lives of hosts, in the order in which they began.
+    /// All incarnations of hosts, in order of start.
     incarnations: Vec<u32>,
     calls: Vec<Call>,
-    /// Members by version, and instances by version with those that have ended.
+    /// Members by version; instances by version, and those that have ended.
     views: Vec<Vec<Member>>,
     instance_lists: Vec<Vec<Entry>>,
     gone: Vec<String>,
-    /// The functions that each configuration lacks.
+    /// The function that each configuration lacks.
     configurations: Vec<Option<usize>>,
     cuts: BTreeSet<(usize, usize)>,
     loss: f64,
@@ -243,9 +246,9 @@
     delayed: f64,
     skew: Duration,
     longest: Duration,
-    /// The last time at which views of lenders differed.
+    /// The last time at which the owners' views differed.
     differed: Duration,
-    /// Lenders that instances had lately.
+    /// Recent owners of each instance.
     owners: HashMap<usize, BTreeMap<(usize, u32), Duration>>,
     grants: HashMap<(usize, u32, usize, SocketAddr, u32), Duration>,
     idle: HashMap<(usize, Kind), Duration>,
@@ -439,7 +442,7 @@
         self.now.saturating_sub(host.started_at).mul_f64(1.0 + host.clock_rate)
     }
 
-    /// All who live hear of the members there are, each in its own time.
+    /// Publishes the present members; each process receives them after its own delay.
     fn publish_view(&mut self) {
         let there = self.hosts.iter().filter(|h| h.allocator.is_some() && !h.leaving);
         let view = there.map(|h| Member {
@@ -484,13 +487,13 @@
     }
 
     pub fn run(mut self) -> Outcome {
-        // Long enough after the last call that all loans are over.
+        // Long enough after the last call for all grants to be over.
         let stop = self.end + self.longest.max(Duration::from_secs(9)) + RETURN_BOUND;
         while let Some(((at, _), event)) = self.queue.pop_first() {
             if at > stop {
                 break;
             }
-            // Nothing is left to happen but ticks.
+            // Only ticks are left.
             if at > self.end + RETURN_BOUND && self.at_rest() {
                 break;
             }
@@ -531,7 +534,7 @@
     fn handle(&mut self, event: Event) {
         if let Some((who, incarnation)) = self.addressee(&event) {
             let host = &mut self.hosts[who];
-            // Views and letters are for an address, the rest for a process.
+            // Views and datagrams are for an address, the rest for a process.
             let any = matches!(event, Event::View { .. } | Event::Instances { .. } | Event::Datagram { .. });
             if host.allocator.is_none() || (!any && host.incarnation != incarnation) {
                 return;
@@ -553,7 +556,7 @@
                 self.later(25 * MS, Event::Tick { who, incarnation });
             }
             Event::Datagram { to, from, bytes, .. } => {
-                self.log(|| format!("  {to} hears {from}: {:?}", Datagram::decode(&bytes)));
+                self.log(|| format!("  {to} receives from {from}: {:?}", Datagram::decode(&bytes)));
                 let now = self.local_time(to);
                 let before = self.granted_to(to, from);
                 if let Some(allocator) = &mut self.hosts[to].allocator {
@@ -609,7 +612,7 @@
                 }
             }
             Event::Unfreeze { who } => {
-                // What it was granted before comes to light only now.
+                // Slots granted to it before the freeze are used only now.
                 self.differed = self.now + UNDERWAY;
                 self.hosts[who].unfrozen_at = self.now;
                 let backlog = self.hosts[who].frozen.take().unwrap_or_default();
@@ -624,8 +627,8 @@
         }
     }
 
-    /// Lives and numbers of the calls that this one has lent slots to there, or was told of, just now. A loan that was kept
-    /// aside and comes back with its instance was given long before.
+    /// Incarnations and numbers of the calls to which this process has just granted slots there, or whose
+    /// grants were just reported. A parked grant that comes back with its instance was made long before.
     fn granted_to(&self, who: usize, to: SocketAddr) -> BTreeSet<(u32, u32)> {
         let now = self.local_time(who);
         let pools = self.hosts[who].allocator.iter().flat_map(|allocator| allocator.pools());
@@ -634,7 +637,8 @@
         given.map(|grant| (grant.incarnation, grant.seq)).collect()
     }
 
-    /// What a letter must not have done: lent a slot to a life that is over, or for a call that has come back.
+    /// Checks that a datagram did not cause a grant to a former incarnation, or for a call that has returned
+    /// its slot.
     fn check_datagram(&mut self, to: usize, from: SocketAddr, bytes: &[u8], before: &BTreeSet<(u32, u32)>) {
         let Some(datagram) = Datagram::decode(bytes) else { return };
         let start_order =
@@ -648,17 +652,20 @@
             }
             _ => Vec::new(),
         };
-        // What is handed over was lent before.
+        // Grants that are handed over were made before.
         let handed: BTreeSet<(u32, u32)> = datagram.messages.iter().flat_map(handed).collect();
         for (incarnation, seq) in
             self.granted_to(to, from).difference(before).filter(|call| !handed.contains(call))
         {
             if start_order(*incarnation) < newest {
-                found.push((Rule::Incarnation, format!("{to} lends to life {incarnation} of {from}")));
+                found.push((
+                    Rule::Incarnation,
+                    format!("{to} grants a slot to the former incarnation {incarnation} of {from}"),
+                ));
             }
             let back = host.returned.get(&(from, *incarnation, *seq));
             if back.is_some_and(|back| self.now < *back + 2800 * MS) {
-                found.push((Rule::Repeated, format!("{to} lends to call {seq} of {from} again")));
+                found.push((Rule::Repeated, format!("{to} grants a slot to call {seq} of {from} again")));
             }
         }
         let has_sent = start_order(datagram.incarnation);
@@ -747,7 +754,7 @@
         self.pump(who);
     }
 
-    /// A configuration for all who live, each in its own time.
+    /// Publishes a configuration; each process receives it after its own delay.
     fn configure(&mut self, lacks: Option<usize>, after: Duration) {
         self.configurations.push(lacks);
         let version = self.configurations.len() - 1;
@@ -758,7 +765,8 @@
         }
     }
 
-    /// A member is to end: the others know at once that it is none any more, it goes on for a while.
+    /// A member is about to end: the others learn at once that it is no longer a member; it goes on for a
+    /// while.
     fn leave(&mut self, who: usize, back: Option<Duration>) {
         self.hosts[who].leaving = true;
         self.publish_view();
@@ -797,7 +805,7 @@
         let kinds = self.kinds.len();
         let n = self.random_below(kinds);
         let (name, slots, work) = self.kinds[n].clone();
-        // Quiet runs use a fifth of what there is; others press now and then.
+        // Quiet runs use a fifth of the slots; others exceed them at times.
         let there = self.instances.iter().filter(|i| i.kind == n && i.drains.is_none()).count().max(1);
         let press = match self.class {
             Class::Quiet => 0.1,
@@ -867,13 +875,14 @@
                 }
                 Action::Probe { owner } => self.probe(who, owner),
                 Action::InstanceGone { .. } | Action::InstanceReady { .. } | Action::InstanceWanted(_) => {}
-                // Until it is asked again, this one has a view of its own.
+                // Until it is requested from again, this process has a view of its own.
                 Action::Suspected { .. } => self.differed = self.differed.max(self.now + MS),
             }
         }
     }
 
-    /// A machine without power, or behind a cut, says nothing; one that runs refuses where no process listens.
+    /// A machine without power, or behind a partition, does not answer; a running one refuses connections
+    /// where no process listens.
     fn probe(&mut self, who: usize, owner: SocketAddr) {
         let Some(&other) = self.by_at.get(&owner) else { return };
         let pair = (who.min(other), who.max(other));
@@ -918,10 +927,7 @@
     fn go(&mut self, who: usize, seq: u32, instance: &str, at: SocketAddr) {
         let now = self.local_time(who);
         let Some(&call) = self.hosts[who].calls.get(&seq) else {
-            return self.record_violation(
-                Rule::Once,
-                format!("a slot for call {seq} of {who}, which it does not have"),
-            );
+            return self.record_violation(Rule::Once, format!("a slot for the unknown call {seq} of {who}"));
         };
         let n = self.by_id[instance];
         let (kind_of, ended) = {
@@ -939,7 +945,7 @@
         if self.knows_it_leaves(who, n) {
             self.record_violation(
                 Rule::KnownToLeave,
-                format!("{who} sends to {instance}, of which it knows that it leaves"),
+                format!("{who} sends to {instance}, which it knows to leave"),
             );
         }
         self.log(|| format!("call {call} of {who} ({seq}) has {instance}"));
@@ -954,7 +960,8 @@
         let work = self.calls[call].work;
         self.instances[n].runs.insert(call);
         self.over(n);
-        // The worker is done with it at the end of its work, or when the desk hangs up at the end of the call.
+        // The worker's call ends with its work, or when the proxy closes the connection at the end of the
+        // call.
         let runs = work.min(left);
         self.later(runs, Event::Ran { call });
         let event = if runs < left {
@@ -965,7 +972,7 @@
         self.later(runs + MS / 5, event);
     }
 
-    /// What no lender may grant any more; that its requester would not use it is no excuse.
+    /// Checks grants that no owner may make any more, also those that the requester would not use.
     fn check_grants(&mut self, bytes: &[u8]) {
         let messages = Datagram::decode(bytes).map(|datagram| datagram.messages).unwrap_or_default();
         for message in messages {
@@ -975,19 +982,23 @@
         }
     }
 
-    /// All learn of a drain within the skew of views; a queue on it is served elsewhere.
+    /// All learn of a drain within the skew of views; a queue for the instance is served elsewhere.
     fn granted_in_time(&mut self, n: usize) {
         let frozen = self.hosts.iter().any(|h| h.frozen.is_some());
         let Some(since) = self.instances[n].drains.filter(|_| !frozen && self.differed < self.now) else {
             return;
         };
         if self.now > since + self.skew + UNDERWAY {
-            let what = format!("{} is lent {:?} after its drain", self.instances[n].id, self.now - since);
+            let what = format!(
+                "a slot of {} is granted {:?} after its drain",
+                self.instances[n].id,
+                self.now - since
+            );
             self.record_violation(Rule::Drain, what);
         }
     }
 
-    /// By the last list that this host was told.
+    /// By the last instance list that this host received.
     fn knows_it_leaves(&self, who: usize, n: usize) -> bool {
         let version = self.hosts[who].instance_lists;
         let is_it = |entry: &&Entry| entry.instance == self.instances[n].id;
@@ -997,7 +1008,8 @@
         }
     }
 
-    /// Calls are answered by their end, but for a sweep; one that was frozen answers as it wakes.
+    /// Calls are answered by their end, give or take a sweep; a process that was frozen answers when it
+    /// resumes.
     fn in_time(&mut self, who: usize, call: usize) {
         let (now, end) = (self.local_time(who), self.calls[call].end);
         if now > end + 60 * MS && self.now > self.hosts[who].unfrozen_at + 100 * MS {
@@ -1007,7 +1019,7 @@
     }
 
     fn no(&mut self, who: usize, seq: u32) {
-        // A call that is turned away within `want` has no number here yet.
+        // A call that is rejected within `request_slot` is not registered here yet.
         let Some(&call) = self.hosts[who].calls.get(&seq) else { return };
         if self.calls[call].dispatched.is_some() || self.calls[call].refused {
             self.record_violation(Rule::Once, format!("call {call} was answered twice"));
@@ -1040,7 +1052,7 @@
         if self.class == Class::Planned && choice > 1 {
             return self.disturb_planned(who);
         }
-        self.log(|| format!("act {choice} on {who}"));
+        self.log(|| format!("disturbance {choice} on {who}"));
         match choice {
             0 => {
                 let kinds = self.kinds.len();
@@ -1075,7 +1087,8 @@
                 }
             }
             3 if self.hosts[who].allocator.is_none() => self.handle(Event::Start { who }),
-            // A kill in a tidy run: its connections are reset and its runs end. Otherwise now and then the power goes.
+            // A kill in a tidy run resets its connections and ends its calls. Otherwise the power fails at
+            // times.
             3 | 4 if up > 1 && self.hosts[who].allocator.is_some() => {
                 let power = self.class == Class::Rough && self.random_below(2) == 0;
                 self.kill(who, power);
@@ -1094,7 +1107,7 @@
                     self.later(lasts, Event::HealCut { a, b });
                 }
             }
-            // A view without one that is there, and the true one soon after.
+            // A view that lacks a member, and the right one soon after.
             7 => {
                 let mut view = self.views.last().cloned().unwrap_or_default();
                 if view.len() > 1 {
@@ -1118,7 +1131,7 @@
         self.later(back, Event::Start { who });
     }
 
-    /// The process ends, with what it has in hand.
+    /// The process ends, with the calls that it has.
     fn end(&mut self, who: usize, power: bool) {
         let incarnation = self.hosts[who].incarnation;
         self.hosts[who].allocator = None;
@@ -1135,7 +1148,7 @@
         }
     }
 
-    /// One instance after a call came to it.
+    /// Checks one instance after a call was sent to it.
     fn over(&mut self, n: usize) {
         let slots = self.kinds[self.instances[n].kind].1;
         let runs = self.instances[n].runs.len();
@@ -1146,14 +1159,14 @@
         }
         self.over_since.get_or_insert(self.now);
         let id = self.instances[n].id.clone();
-        // Loans given while views differed are over after the longest term.
+        // Grants made while views differed are over after the longest expiry.
         let calm = self.now > self.differed + self.longest + EXPIRY_SLACK && self.cuts.is_empty();
         if calm || self.class != Class::Rough {
             self.record_violation(Rule::Slots, format!("{id} has {runs} calls in {slots} slots"));
         }
         let owners = self.owners.get(&n).map_or(1, |l| l.len()).max(1);
         if runs > slots * owners {
-            let what = format!("{id} has {runs} calls in {slots} slots of {owners} lenders lately");
+            let what = format!("{id} has {runs} calls in {slots} slots of {owners} recent owners");
             self.record_violation(Rule::Bound, what);
         }
     }
@@ -1167,7 +1180,7 @@
             && self.now > self.differed
     }
 
-    /// What must hold after each step.
+    /// Checks the invariants that hold after each step.
     fn check_invariants(&mut self) {
         if let Some(since) = self.over_since {
             let slots = |i: &Instance| self.kinds[i.kind].1;
@@ -1176,12 +1189,12 @@
                 self.over_since = None;
             }
         }
-        // The books are read ten times more often than anything can outlive its bound by.
+        // The ledgers are read ten times more often than the smallest bound.
         if self.now < self.last_check + 5 * MS {
             return;
         }
         self.last_check = self.now;
-        // While somebody passes a lender over it has a view of its own.
+        // While a process suspects an owner it has a view of its own.
         let mut living = self.hosts.iter().filter_map(|h| h.allocator.as_ref());
         if living.any(|allocator| allocator.suspects().next().is_some()) {
             self.differed = self.differed.max(self.now);
@@ -1205,7 +1218,7 @@
                 if !pool.queue.is_empty() && pool.free(local_time) > 0 {
                     let since = *self.idle.entry(idle).or_insert(self.now);
                     if self.now > since + IDLE_SLOT {
-                        let what = format!("{who} has {} waiting beside a free slot", pool.queue.len());
+                        let what = format!("{who} has {} calls queued beside a free slot", pool.queue.len());
                         found.push((Rule::Starved, what));
                     }
                 } else {
@@ -1226,7 +1239,10 @@
         }
         for (n, owners) in open.into_iter().filter(|(_, owners)| owners.len() > 1) {
             if self.class == Class::Planned {
-                found.push((Rule::TwoOwners, format!("{} is lent by {owners:?}", self.instances[n].id)));
+                found.push((
+                    Rule::TwoOwners,
+                    format!("slots of {} can be granted by {owners:?}", self.instances[n].id),
+                ));
             }
         }
         let old = self.longest + EXPIRY_SLACK;
@@ -1237,13 +1253,14 @@
             let (who, _, n, to, seq) = key;
             let held = self.now - since;
             if held > old + old.mul_f64(0.02) {
-                let what = format!("{who} has had {to} down for {} for {held:?}", self.instances[n].id);
+                let what =
+                    format!("{who} has recorded a grant of {to} on {} for {held:?}", self.instances[n].id);
                 found.push((Rule::Term, what));
             }
             if !calm {
                 continue;
             }
-            // Whose call is over, or never was, at a borrower that lives: it has had its time to say so.
+            // The call is over, or never was, at a running requester: it has had time to return the slot.
             let Some(&other) = self.by_at.get(&to) else { continue };
             let host = &self.hosts[other];
             let over = match host.calls.get(&seq) {
@@ -1256,8 +1273,10 @@
                 let bound = if slow { CHECK_BOUND } else { RETURN_BOUND };
                 if self.now > since_change + bound {
                     let id = &self.instances[n].id;
-                    found
-                        .push((Rule::Returned, format!("{who} has {to} down for {id}: over since {over:?}")));
+                    found.push((
+                        Rule::Returned,
+                        format!("{who} records a grant of {to} on {id}: over since {over:?}"),
+                    ));
                 }
             }
         }
@@ -1290,13 +1309,13 @@
                 found.push((Rule::Answer, format!("call {n} of {} was not answered", call.who)));
             }
             if self.class == Class::Quiet && call.dispatched.is_none_or(|at| at > call.aim) {
-                found.push((Rule::Starved, format!("call {n} is past its aim though there is room")));
+                found.push((Rule::Starved, format!("call {n} is past its aim although slots are free")));
             }
         }
         for (who, host) in self.hosts.iter().enumerate() {
             let Some(allocator) = &host.allocator else { continue };
             if allocator.pools().any(|s| s.granted() > 0) {
-                found.push((Rule::Term, format!("{who} has loans down after all is over")));
+                found.push((Rule::Term, format!("{who} has grants recorded after all calls are over")));
             }
         }
         for (rule, what) in found {
@@ -1305,7 +1324,7 @@
     }
 }
 
-/// Plays one seed.
+/// Simulates one seed.
 pub fn simulate(class: Class, seed: u64) -> Outcome {
     World::new(class, seed).run()
 }
--- a/crates/lending/tests/incarnations.rs
+++ b/crates/lending/tests/incarnations.rs
@@ -1,5 +1,5 @@
-//! Letters doubled, late, out of order, or from an earlier life of who sent them or of who reads them: nothing is granted,
-//! returned or counted twice by them.
+//! Datagrams that are duplicated, late, out of order, or from an earlier incarnation of the sender or for one
+//! of the receiver: they must not cause anything to be granted, returned or counted twice.
 
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
     SocketAddr::from(([10, 1, 0, n], 7301))
 }
 
-/// One scheduler, with all letters that go to and come from others played by the test.
+/// One scheduler; the test sends and receives all datagrams of its peers.
 struct Driven {
     allocator: Allocator,
     now: Duration,
@@ -39,7 +39,7 @@
 fn driven_for(zone: u8, slots: usize, age: u64) -> Driven {
     let now = Duration::from_secs(10);
     let mut allocator = Allocator::new(at(1), "z1".into(), 11, 5, Duration::ZERO);
-    // First alone: of another that is there first it would wait for a handover.
+    // Begins as the only member: with another member present it would wait for a handover.
     allocator.set_members(now, vec![member(1, 11)]);
     allocator.set_members(now, vec![member(1, 11), member(2, 21)]);
     let function = Function { kind: kind(KIND), name: KIND.into(), slots, boot: ms(300) };
@@ -64,7 +64,7 @@
         while let Some(action) = self.allocator.pull() {
             match action {
                 Action::Send { to, bytes } => {
-                    let datagram = Datagram::decode(&bytes).expect("a letter");
+                    let datagram = Datagram::decode(&bytes).expect("a datagram");
                     self.sent.extend(datagram.messages.into_iter().map(|message| (to, message)));
                 }
                 Action::Dispatch { call, .. } => self.dispatched.push(call),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A letter of scheduler 2, by that life of it; what is said to it, as far as that is no room.
+    /// Delivers a message of this incarnation of scheduler 2; returns the messages sent to it in reply.
     fn receive(&mut self, incarnation: u32, message: Message) -> Vec<Message> {
         self.sent.clear();
         self.now += ms(1);
@@ -130,8 +130,8 @@
     messages.iter().any(|message| matches!(message, Message::Grant { seq: of, .. } if *of == seq))
 }
 
-/// An ask that waits, a late letter of the life before, then a free slot.
-fn a_waiting_ask_outlives_a_late_letter() -> bool {
+/// A queued request, a late datagram of the incarnation before, then a free slot.
+fn queued_request_survives_late_datagram() -> bool {
     let mut owner = driven(1, 1);
     owner.receive(21, CAPACITY);
     let local = owner.request_slot();
@@ -145,8 +145,8 @@
     granted(&messages, 7)
 }
 
-/// An ask of the life before, after a word of this one.
-fn a_late_ask_of_an_earlier_life_has_no_slot() -> bool {
+/// A request of the incarnation before, after a datagram of the present one.
+fn late_request_of_former_incarnation_gets_no_slot() -> bool {
     let mut owner = driven(1, 2);
     owner.receive(21, CAPACITY);
     owner.receive(22, CAPACITY);
@@ -154,8 +154,8 @@
     !granted(&messages, 7) && owner.granted() == 0 && owner.rate() == 0.0
 }
 
-/// The members name the new life before it has spoken.
-fn a_late_ask_of_a_life_that_the_members_have_dropped_has_no_slot() -> bool {
+/// The members name the new incarnation before it has sent anything.
+fn late_request_of_replaced_member_gets_no_slot() -> bool {
     let mut owner = driven(1, 2);
     owner.receive(21, CAPACITY);
     owner.allocator.set_members(owner.now, vec![member(1, 11), member(2, 22)]);
@@ -163,8 +163,8 @@
     !granted(&messages, 7) && owner.granted() == 0
 }
 
-/// What the life before held comes back once, by a late return.
-fn a_late_return_of_an_earlier_life_frees_its_own_slot() -> bool {
+/// A slot that the incarnation before held is returned once, by a late return.
+fn late_return_of_former_incarnation_frees_only_its_own_slot() -> bool {
     let mut owner = driven(1, 2);
     owner.receive(21, request(7));
     owner.receive(22, request(7));
@@ -174,8 +174,8 @@
     owner.granted() == 1
 }
 
-/// A grant of the lender's earlier life: that one's books are gone, and the slot is lent anew.
-fn a_late_grant_of_an_earlier_life_is_not_used() -> bool {
+/// A grant of the owner's earlier incarnation: its ledgers are lost, and the slot is granted again.
+fn late_grant_of_former_incarnation_is_not_used() -> bool {
     let mut requester = driven(2, 1);
     requester.receive(21, CAPACITY);
     let call = requester.request_slot();
@@ -187,8 +187,9 @@
     }
 }
 
-/// A new life of the lender has to hear of a loan by itself; what the life before heard is gone.
-fn a_late_word_that_a_loan_was_heard_of_does_not_count() -> bool {
+/// A new incarnation of the owner must receive the report of a held slot itself; what the one before received
+/// is lost.
+fn late_acknowledgement_of_former_incarnation_does_not_count() -> bool {
     let mut requester = driven(2, 1);
     requester.receive(21, CAPACITY);
     let call = requester.request_slot();
@@ -211,8 +212,8 @@
     resend && !reported(&mut requester)
 }
 
-/// A doubled ask, late: after the slot it had came back.
-fn an_ask_that_comes_again_after_its_return_has_no_slot() -> bool {
+/// A duplicated request that arrives after its slot was returned.
+fn duplicate_request_after_return_gets_no_slot() -> bool {
     let mut owner = driven(1, 2);
     assert!(granted(&owner.receive(21, request(7)), 7));
     owner.receive(21, slot_return(7));
@@ -221,8 +222,8 @@
     !granted(&messages, 7) && owner.granted() == 0 && owner.rate() <= rate
 }
 
-/// The same for an ask that was taken back while it waited.
-fn an_ask_that_comes_again_after_it_was_taken_back_does_not_wait() -> bool {
+/// The same for a request that was withdrawn while it was queued.
+fn duplicate_request_after_withdrawal_is_not_queued() -> bool {
     let mut owner = driven(1, 1);
     let local = owner.request_slot();
     owner.receive(21, request(7));
@@ -233,8 +234,8 @@
     owner.granted() == 0
 }
 
-/// A loan told of late: after it came back.
-fn a_loan_told_of_after_its_return_is_not_written_down() -> bool {
+/// A reported grant that arrives after the slot was returned.
+fn grant_reported_after_return_is_not_recorded() -> bool {
     let mut owner = driven(1, 2);
     owner.receive(21, request(7));
     owner.receive(21, slot_return(7));
@@ -242,7 +243,7 @@
     owner.granted() == 0
 }
 
-fn a_doubled_return_frees_one_slot() -> bool {
+fn duplicate_return_frees_one_slot() -> bool {
     let mut owner = driven(1, 3);
     (7..10).for_each(|seq| drop(owner.receive(21, request(seq))));
     owner.receive(21, slot_return(7));
@@ -250,14 +251,14 @@
     owner.granted() == 2
 }
 
-fn a_doubled_ask_is_one_loan() -> bool {
+fn duplicate_request_is_granted_once() -> bool {
     let mut owner = driven(1, 3);
     owner.receive(21, request(7));
     let messages = owner.receive(21, request(7));
     granted(&messages, 7) && owner.granted() == 1
 }
 
-fn a_doubled_grant_is_used_once() -> bool {
+fn duplicate_grant_is_used_once() -> bool {
     let mut requester = driven(2, 1);
     let call = requester.request_slot();
     requester.receive(21, grant(call));
@@ -266,19 +267,19 @@
         && messages.iter().all(|message| !matches!(message, Message::Release { .. }))
 }
 
-/// Its number is of an earlier life of the reader.
-fn a_grant_for_an_earlier_life_of_the_reader_is_not_used() -> bool {
+/// Its number belongs to an earlier incarnation of the receiver.
+fn grant_for_former_incarnation_of_receiver_is_not_used() -> bool {
     let mut requester = driven(2, 1);
     let call = requester.request_slot();
     requester.receive(21, grant(call.wrapping_sub(1)));
     requester.dispatched.is_empty()
 }
 
-/// A life that was taken for succeeded, and was not, is heard again soon.
-fn a_life_that_speaks_on_is_heard() -> bool {
+/// An incarnation that was wrongly taken for a former one is accepted again soon.
+fn incarnation_mistaken_for_former_is_accepted_again() -> bool {
     let mut owner = driven(1, 2);
     owner.receive(22, CAPACITY);
-    // Late, of a life that this process has never heard of.
+    // Late, of an incarnation that this process does not know.
     owner.receive(21, CAPACITY);
     for _ in 0..12 {
         owner.receive(22, CAPACITY);
@@ -288,8 +289,8 @@
     granted(&messages, 7)
 }
 
-/// It began after the life before ended, whose letters are under way.
-fn a_young_process_hears_the_life_that_speaks() -> bool {
+/// The receiver started after the incarnation before ended, while its datagrams are still in flight.
+fn young_process_accepts_the_present_incarnation() -> bool {
     let mut owner = driven_for(1, 2, 500);
     owner.receive(22, CAPACITY);
     let old = owner.receive(21, request(7));
@@ -297,8 +298,8 @@
     !granted(&old, 7) && granted(&new, 8) && owner.granted() == 1
 }
 
-/// The members name the lives late, one after the other, while the last of them speaks.
-fn lives_that_are_named_late_do_not_silence_the_one_that_speaks() -> bool {
+/// The members name the incarnations late, one after the other, while the last of them sends.
+fn outdated_members_do_not_silence_the_present_incarnation() -> bool {
     let mut owner = driven(1, 2);
     owner.receive(21, CAPACITY);
     owner.receive(23, CAPACITY);
@@ -309,35 +310,35 @@
 }
 
 #[rstest]
-#[case(a_waiting_ask_outlives_a_late_letter)]
-#[case(a_late_ask_of_an_earlier_life_has_no_slot)]
-#[case(a_late_ask_of_a_life_that_the_members_have_dropped_has_no_slot)]
-#[case(a_late_return_of_an_earlier_life_frees_its_own_slot)]
-#[case(a_late_grant_of_an_earlier_life_is_not_used)]
-#[case(a_late_word_that_a_loan_was_heard_of_does_not_count)]
-#[case(an_ask_that_comes_again_after_its_return_has_no_slot)]
-#[case(an_ask_that_comes_again_after_it_was_taken_back_does_not_wait)]
-#[case(a_loan_told_of_after_its_return_is_not_written_down)]
-#[case(a_doubled_return_frees_one_slot)]
-#[case(a_doubled_ask_is_one_loan)]
-#[case(a_doubled_grant_is_used_once)]
-#[case(a_grant_for_an_earlier_life_of_the_reader_is_not_used)]
-#[case(a_life_that_speaks_on_is_heard)]
-#[case(a_young_process_hears_the_life_that_speaks)]
-#[case(lives_that_are_named_late_do_not_silence_the_one_that_speaks)]
-fn holds_for_letters(#[case] case: fn() -> bool) {
+#[case(queued_request_survives_late_datagram)]
+#[case(late_request_of_former_incarnation_gets_no_slot)]
+#[case(late_request_of_replaced_member_gets_no_slot)]
+#[case(late_return_of_former_incarnation_frees_only_its_own_slot)]
+#[case(late_grant_of_former_incarnation_is_not_used)]
+#[case(late_acknowledgement_of_former_incarnation_does_not_count)]
+#[case(duplicate_request_after_return_gets_no_slot)]
+#[case(duplicate_request_after_withdrawal_is_not_queued)]
+#[case(grant_reported_after_return_is_not_recorded)]
+#[case(duplicate_return_frees_one_slot)]
+#[case(duplicate_request_is_granted_once)]
+#[case(duplicate_grant_is_used_once)]
+#[case(grant_for_former_incarnation_of_receiver_is_not_used)]
+#[case(incarnation_mistaken_for_former_is_accepted_again)]
+#[case(young_process_accepts_the_present_incarnation)]
+#[case(outdated_members_do_not_silence_the_present_incarnation)]
+fn late_and_duplicate_datagrams_cause_no_double_effect(#[case] case: fn() -> bool) {
     assert!(case());
 }
 
-/// Each case that shows a planted defect, by itself.
+/// Each case that detects an injected defect.
 #[rstest]
-#[case(Defect::FormerAccepted, a_late_ask_of_an_earlier_life_has_no_slot)]
-#[case(Defect::FormerAccepted, a_late_grant_of_an_earlier_life_is_not_used)]
-#[case(Defect::FormerAccepted, a_late_word_that_a_loan_was_heard_of_does_not_count)]
-#[case(Defect::CopiesServed, an_ask_that_comes_again_after_its_return_has_no_slot)]
-#[case(Defect::CopiesServed, a_loan_told_of_after_its_return_is_not_written_down)]
-#[case(Defect::FreedTwice, a_doubled_return_frees_one_slot)]
-fn a_planted_defect_is_shown(#[case] defect: Defect, #[case] case: fn() -> bool) {
+#[case(Defect::FormerAccepted, late_request_of_former_incarnation_gets_no_slot)]
+#[case(Defect::FormerAccepted, late_grant_of_former_incarnation_is_not_used)]
+#[case(Defect::FormerAccepted, late_acknowledgement_of_former_incarnation_does_not_count)]
+#[case(Defect::CopiesServed, duplicate_request_after_return_gets_no_slot)]
+#[case(Defect::CopiesServed, grant_reported_after_return_is_not_recorded)]
+#[case(Defect::FreedTwice, duplicate_return_frees_one_slot)]
+fn injected_defect_is_detected(#[case] defect: Defect, #[case] case: fn() -> bool) {
     INJECTED.set(Some(defect));
     let holds = case();
     INJECTED.set(None);
--- a/crates/lending/tests/injected_defects.rs
+++ b/crates/lending/tests/injected_defects.rs
@@ -1,4 +1,5 @@
-//! Defects put into the decider on purpose: the harness must find each by the rule it breaks, and nothing without them.
+//! Injected defects: the harness must detect each by the rule that it breaks, and report nothing without
+//! them.
 
 mod harness;
 
@@ -26,12 +27,12 @@
 #[case(Defect::FreedTwice, Class::Quiet, Rule::Slots)]
 #[case(Defect::FormerAccepted, Class::Rough, Rule::Incarnation)]
 #[case(Defect::CopiesServed, Class::Rough, Rule::Repeated)]
-fn is_found(#[case] defect: Defect, #[case] class: Class, #[case] rule: Rule) {
+fn injected_defect_breaks_its_rule(#[case] defect: Defect, #[case] class: Class, #[case] rule: Rule) {
     let breaks = |seed| simulate(class, seed).violations.iter().any(|violations| violations.rule == rule);
     INJECTED.set(Some(defect));
     let found = (0..4000).find(|seed| breaks(*seed));
     INJECTED.set(None);
-    let seed = found.unwrap_or_else(|| panic!("{defect:?} was not found by {rule:?}"));
+    let seed = found.unwrap_or_else(|| panic!("{defect:?} was not detected by {rule:?}"));
     let first = {
         INJECTED.set(Some(defect));
         let out = simulate(class, seed);
--- a/crates/lending/tests/reachability.rs
+++ b/crates/lending/tests/reachability.rs
@@ -1,4 +1,5 @@
-//! A process in the smaller part of a network that was cut: it turns calls away, and lends no more what it owns.
+//! A process in the smaller part of a partitioned network: it rejects calls, and grants no slots of its
+//! instances.
 
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -23,18 +24,18 @@
     Nothing,
 }
 
-/// Scheduler 1 of five in five zones, with an instance of a function of its own in each zone.
-struct Cut {
+/// Scheduler 1 of five in five zones; each zone has an instance of a function of its own.
+struct Partition {
     allocator: Allocator,
     now: Duration,
-    /// Those that answer.
+    /// The members that answer.
     reachable: Vec<u8>,
     probed: Vec<SocketAddr>,
     outcome: Vec<(u32, Outcome)>,
 }
 
-impl Cut {
-    fn new(reachable: &[u8]) -> Cut {
+impl Partition {
+    fn new(reachable: &[u8]) -> Partition {
         let mut allocator = Allocator::new(at(1), "z1".into(), 11, 5, Duration::ZERO);
         let member = |n: u8| Member {
             at: at(n),
@@ -63,9 +64,10 @@
         allocator.set_members(ms(1), (1..=5).map(member).collect());
         allocator.update_instances(ms(1), (1..=5).map(entry).collect(), &[]);
         let reachable = reachable.to_vec();
-        let mut cut = Cut { allocator, now: ms(1), reachable, probed: Vec::new(), outcome: Vec::new() };
-        cut.advance(ms(5000));
-        cut
+        let mut partition =
+            Partition { allocator, now: ms(1), reachable, probed: Vec::new(), outcome: Vec::new() };
+        partition.advance(ms(5000));
+        partition
     }
 
     fn pull(&mut self) {
@@ -108,7 +110,7 @@
     }
 
     /// Calls of functions that others own, one each 100 ms.
-    fn calls_for(&mut self, span: Duration) {
+    fn calls_of_others(&mut self, span: Duration) {
         let end = self.now + span;
         for n in (2..=5).cycle() {
             if self.now >= end {
@@ -119,7 +121,7 @@
         }
     }
 
-    fn call_own(&mut self) -> Outcome {
+    fn call_local(&mut self) -> Outcome {
         let call = self.request_slot("f1");
         let outcome = self.outcome(call);
         if outcome == Outcome::Slot {
@@ -134,117 +136,119 @@
 #[case::alone(&[], Outcome::Refused)]
 #[case::with_one_other(&[5], Outcome::Refused)]
 #[case::with_most(&[3, 4, 5], Outcome::Slot)]
-fn the_smaller_part_lends_no_more(#[case] reachable: &[u8], #[case] outcome: Outcome) {
-    let mut cut = Cut::new(reachable);
-    assert_eq!(cut.call_own(), Outcome::Slot);
-    cut.calls_for(ms(6000));
-    assert_eq!(cut.call_own(), outcome);
-    // At once, and not at its end.
-    let far = cut.request_slot("f2");
-    assert_eq!(cut.outcome(far) == Outcome::Refused, outcome == Outcome::Refused);
-    assert!(!cut.probed.is_empty());
-    cut.reachable = vec![2, 3, 4, 5];
-    cut.advance(ms(1500));
-    assert_eq!(cut.call_own(), Outcome::Slot);
+fn smaller_side_of_partition_stops_granting(#[case] reachable: &[u8], #[case] outcome: Outcome) {
+    let mut partition = Partition::new(reachable);
+    assert_eq!(partition.call_local(), Outcome::Slot);
+    partition.calls_of_others(ms(6000));
+    assert_eq!(partition.call_local(), outcome);
+    // Rejected at once, and not at its deadline.
+    let far = partition.request_slot("f2");
+    assert_eq!(partition.outcome(far) == Outcome::Refused, outcome == Outcome::Refused);
+    assert!(!partition.probed.is_empty());
+    partition.reachable = vec![2, 3, 4, 5];
+    partition.advance(ms(1500));
+    assert_eq!(partition.call_local(), Outcome::Slot);
 }
 
-/// Guards against a part of a network whose calls go to one silent owner alone: the others, whom nobody asks, are asked for a
-/// word, and count as unreachable as well.
+/// Guards against a partition that goes unnoticed because all calls go to one unresponsive owner: members
+/// that receive no request must be pinged, and count as unreachable as well.
 #[test]
-fn members_that_nobody_asked_show_on_which_side_they_are() {
-    let mut cut = Cut::new(&[]);
+fn members_without_requests_are_pinged_during_partition() {
+    let mut partition = Partition::new(&[]);
     for _ in 0..40 {
-        cut.request_slot("f2");
-        cut.advance(ms(100));
+        partition.request_slot("f2");
+        partition.advance(ms(100));
     }
-    assert_eq!(cut.call_own(), Outcome::Refused);
-    cut.reachable = vec![3, 4, 5];
-    cut.advance(ms(1500));
-    assert_eq!(cut.call_own(), Outcome::Slot);
+    assert_eq!(partition.call_local(), Outcome::Refused);
+    partition.reachable = vec![3, 4, 5];
+    partition.advance(ms(1500));
+    assert_eq!(partition.call_local(), Outcome::Slot);
 }
 
 #[test]
-fn one_that_lends_on_is_found() {
+fn owner_that_keeps_granting_is_detected() {
     INJECTED.set(Some(Defect::IsolatedGrants));
-    let mut cut = Cut::new(&[]);
-    cut.calls_for(ms(6000));
-    let outcome = cut.call_own();
+    let mut partition = Partition::new(&[]);
+    partition.calls_of_others(ms(6000));
+    let outcome = partition.call_local();
     INJECTED.set(None);
     assert_eq!(outcome, Outcome::Slot);
 }
 
-fn owned(cut: &Cut) -> usize {
-    cut.allocator.pools().map(|pool| pool.ledgers.len()).sum()
+fn owned(partition: &Partition) -> usize {
+    partition.allocator.pools().map(|pool| pool.ledgers.len()).sum()
 }
 
-/// A member whose instance falls to scheduler 1 as the first thing that it owns beside its own.
-fn heir_of() -> u8 {
+/// A member whose instance scheduler 1 owns first if that member ends.
+fn first_inherited_member() -> u8 {
     let falls = |n: &u8| {
-        let mut cut = Cut::new(&[]);
-        cut.allocator.set_controllers_reachable(cut.now, true);
-        cut.allocator.connection_refused(cut.now, at(*n));
-        owned(&cut) == 2
+        let mut partition = Partition::new(&[]);
+        partition.allocator.set_controllers_reachable(partition.now, true);
+        partition.allocator.connection_refused(partition.now, at(*n));
+        owned(&partition) == 2
     };
     (2..=5).find(falls).expect("one of four")
 }
 
-/// Where the controllers are in reach a refused connection shows that a process has ended: what it owned is another's 0.2 s
-/// later, without other members.
+/// Where the controllers are reachable, a refused connection shows that a process has ended: others own its
+/// instances 0.2 s later, without a change of members.
 #[test]
-fn a_refused_connection_makes_another_the_owner() {
-    let mut cut = Cut::new(&[]);
-    cut.allocator.set_controllers_reachable(cut.now, true);
-    assert_eq!(owned(&cut), 1);
+fn refused_connection_moves_ownership_at_once() {
+    let mut partition = Partition::new(&[]);
+    partition.allocator.set_controllers_reachable(partition.now, true);
+    assert_eq!(owned(&partition), 1);
     for n in 2..=5 {
-        cut.allocator.connection_refused(cut.now, at(n));
+        partition.allocator.connection_refused(partition.now, at(n));
     }
-    assert_eq!(owned(&cut), 5);
-    let call = cut.request_slot("f2");
-    assert_eq!(cut.outcome(call), Outcome::Nothing);
-    cut.advance(ms(250));
-    assert_eq!(cut.outcome(call), Outcome::Slot);
-    // It speaks on: it was no end, and its own are its own. At once that would be a late letter.
-    cut.advance(ms(2100));
+    assert_eq!(owned(&partition), 5);
+    let call = partition.request_slot("f2");
+    assert_eq!(partition.outcome(call), Outcome::Nothing);
+    partition.advance(ms(250));
+    assert_eq!(partition.outcome(call), Outcome::Slot);
+    // The process is heard from again: it has not ended and owns its instances again. Earlier this would
+    // count as a late datagram.
+    partition.advance(ms(2100));
     let datagram =
         Datagram { incarnation: 13, messages: vec![Message::ReleaseAck { seq: 0, instance: 0 }] }.encode();
-    cut.allocator.receive(cut.now, at(2), &datagram);
-    let owns =
-        |name: &str| cut.allocator.pools().any(|pool| pool.function.name == name && !pool.ledgers.is_empty());
+    partition.allocator.receive(partition.now, at(2), &datagram);
+    let owns = |name: &str| {
+        partition.allocator.pools().any(|pool| pool.function.name == name && !pool.ledgers.is_empty())
+    };
     assert!(owns("f1") && !owns("f2"));
 }
 
-/// Where they are not, refused connections may as well be those of a firewall: from a few, most others being in reach, they
-/// count; from most they don't, nor do those that came before.
+/// Where they are not, refused connections may be caused by a firewall: refusals by a few count while most
+/// others are reachable; refusals by most don't, nor do earlier ones.
 #[test]
-fn connections_refused_by_most_are_a_cut() {
-    let first = heir_of();
-    let mut cut = Cut::new(&[2, 3, 4, 5]);
-    cut.allocator.connection_refused(cut.now, at(first));
-    assert_eq!(owned(&cut), 2);
+fn refusals_by_most_members_are_taken_for_a_partition() {
+    let first = first_inherited_member();
+    let mut partition = Partition::new(&[2, 3, 4, 5]);
+    partition.allocator.connection_refused(partition.now, at(first));
+    assert_eq!(owned(&partition), 2);
     for n in (2..=5).filter(|n| *n != first) {
-        cut.allocator.connection_refused(cut.now, at(n));
+        partition.allocator.connection_refused(partition.now, at(n));
     }
-    assert_eq!(owned(&cut), 1);
-    cut.reachable = Vec::new();
-    cut.advance(ms(1000));
-    assert_eq!(cut.call_own(), Outcome::Refused);
-    // In touch with the controllers it is on the side of the holder, and serves.
-    cut.allocator.set_controllers_reachable(cut.now, true);
-    assert_eq!(cut.call_own(), Outcome::Slot);
-    assert_eq!(owned(&cut), 5);
+    assert_eq!(owned(&partition), 1);
+    partition.reachable = Vec::new();
+    partition.advance(ms(1000));
+    assert_eq!(partition.call_local(), Outcome::Refused);
+    // Once it reaches the controllers it is on the holder's side, and serves.
+    partition.allocator.set_controllers_reachable(partition.now, true);
+    assert_eq!(partition.call_local(), Outcome::Slot);
+    assert_eq!(owned(&partition), 5);
 }
 
-/// One that the holder's list goes on to name has not ended, whatever its connections looked like.
+/// A member that the holder's list still names has not ended, even if its connections were refused.
 #[test]
-fn a_refusal_that_the_holder_does_not_confirm_lapses() {
-    let refuses = heir_of();
+fn refusal_not_confirmed_by_holder_lapses() {
+    let refuses = first_inherited_member();
     let others: Vec<u8> = (2..=5).filter(|n| *n != refuses).collect();
-    let mut cut = Cut::new(&others);
-    cut.allocator.set_controllers_reachable(cut.now, true);
-    cut.allocator.connection_refused(cut.now, at(refuses));
-    assert_eq!(owned(&cut), 2);
-    cut.advance(ms(5100));
-    assert_eq!(owned(&cut), 1);
-    cut.allocator.connection_refused(cut.now, at(refuses));
-    assert_eq!(owned(&cut), 1);
+    let mut partition = Partition::new(&others);
+    partition.allocator.set_controllers_reachable(partition.now, true);
+    partition.allocator.connection_refused(partition.now, at(refuses));
+    assert_eq!(owned(&partition), 2);
+    partition.advance(ms(5100));
+    assert_eq!(owned(&partition), 1);
+    partition.allocator.connection_refused(partition.now, at(refuses));
+    assert_eq!(owned(&partition), 1);
 }
--- a/crates/lending/tests/resetting_partition.rs
+++ b/crates/lending/tests/resetting_partition.rs
@@ -1,5 +1,6 @@
-//! Schedulers on both sides of a cut that resets connections: to each side it looks as if the processes of the other had
-//! ended. The holder of the lease is on one side, and its list lacks the others after a while.
+//! Schedulers on both sides of a network partition that resets connections: to each side it looks as if the
+//! processes of the other had ended. The holder of the leadership lease is on one side, and its list lacks
+//! the others after a while.
 
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -12,22 +13,24 @@
 const MS: Duration = Duration::from_millis(1);
 const ZONES: u8 = 4;
 const SLOTS: usize = 2;
-/// A call's run, and the pause between two calls of one scheduler.
+/// The run time of a call, and the interval between two calls of one scheduler.
 const RUN: Duration = Duration::from_millis(80);
 const PERIOD_MS: u64 = 30;
-/// From the cut until the agents behind it miss the controllers, and until the holder's list lacks them.
+/// Time from the partition until the agents behind it lose the controllers, and until the holder's list lacks
+/// them.
 const CONTACT_LOST_AFTER: Duration = Duration::from_millis(1000);
 const LIST_CHANGED_AFTER: Duration = Duration::from_millis(2300);
-const CUT_AT: Duration = Duration::from_secs(3);
+const PARTITION_AT: Duration = Duration::from_secs(3);
 const HEALED_AT: Duration = Duration::from_secs(10);
-/// From the cut's beginning and end on both sides agree on who lends after so long, a call's run among it.
+/// The time after which both sides agree on the owners, from the beginning and from the end of the partition;
+/// includes the run time of a call.
 const SETTLE_TIME: Duration = Duration::from_millis(2500);
 
 fn address(n: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, n], 7301))
 }
 
-/// Calls too many until then, of some 600 in that time.
+/// The most calls beyond an instance's slots until then, of some 600 in that time.
 const MAX_EXCESS: usize = 60;
 
 enum Event {
@@ -39,7 +42,7 @@
 struct Fleet {
     now: Duration,
     allocator: BTreeMap<u8, Allocator>,
-    /// Those behind the cut.
+    /// The schedulers behind the partition.
     cut_off: BTreeSet<u8>,
     due: BTreeMap<Duration, VecDeque<Event>>,
     /// Calls that run on each instance, and the times at which one had more than its slots.
@@ -49,7 +52,8 @@
 }
 
 impl Fleet {
-    /// So many schedulers in turn over the zones, an instance in each zone; the last ones come behind the cut.
+    /// Schedulers distributed in turn over the zones, with an instance in each zone; the last ones are behind
+    /// the partition.
     fn new(schedulers: u8, cut_off: u8) -> Fleet {
         let ids: Vec<u8> = (1..=schedulers).collect();
         let members: Vec<Member> = ids.iter().map(|n| member(*n)).collect();
@@ -85,9 +89,9 @@
         }
     }
 
-    fn is_cut(&self, a: u8, b: u8) -> bool {
-        let cut = (CUT_AT..HEALED_AT).contains(&self.now);
-        cut && self.cut_off.contains(&a) != self.cut_off.contains(&b)
+    fn is_partitioned(&self, a: u8, b: u8) -> bool {
+        let partition = (PARTITION_AT..HEALED_AT).contains(&self.now);
+        partition && self.cut_off.contains(&a) != self.cut_off.contains(&b)
     }
 
     fn later(&mut self, pause: Duration, event: Event) {
@@ -109,10 +113,10 @@
             SocketAddr::V6(_) => unreachable!("all addresses are of version 4"),
         };
         match action {
-            Action::Send { to, bytes } if !self.is_cut(n, number(to)) => {
+            Action::Send { to, bytes } if !self.is_partitioned(n, number(to)) => {
                 self.later(MS, Event::Datagram { to: number(to), from: n, bytes });
             }
-            Action::Probe { owner } if self.is_cut(n, number(owner)) => {
+            Action::Probe { owner } if self.is_partitioned(n, number(owner)) => {
                 self.later(MS, Event::Refused { to: n, owner: number(owner) });
             }
             Action::Dispatch { call, instance, .. } => {
@@ -168,17 +172,17 @@
         }
     }
 
-    /// What agents and the holder of the lease tell.
+    /// The updates from agents and from the lease holder.
     fn controllers(&mut self) {
         let cut_off: Vec<u8> = self.cut_off.iter().copied().collect();
         let before: Vec<u8> = self.allocator.keys().copied().filter(|n| !self.cut_off.contains(n)).collect();
         let all: Vec<Member> = self.allocator.keys().map(|n| member(*n)).collect();
-        if self.now == CUT_AT + CONTACT_LOST_AFTER {
+        if self.now == PARTITION_AT + CONTACT_LOST_AFTER {
             cut_off.iter().for_each(|n| {
                 self.with(*n, |allocator, now| allocator.set_controllers_reachable(now, false))
             });
         }
-        if self.now == CUT_AT + LIST_CHANGED_AFTER {
+        if self.now == PARTITION_AT + LIST_CHANGED_AFTER {
             let list: Vec<Member> = before.iter().map(|n| member(*n)).collect();
             before
                 .iter()
@@ -208,51 +212,53 @@
     }
 }
 
-/// Guards against a refused connection that passes for the end of a process: behind a firewall that resets, both sides
-/// took over what the other owned, and lent all slots twice for as long as the cut lasted.
+/// Guards against refused connections that count as the end of a process: behind a firewall that resets
+/// connections, both sides took over the other's instances and granted all slots twice for as long as the
+/// partition lasted.
 #[rstest]
 #[case::half_of_eight(8, 4)]
 #[case::three_of_eight(8, 3)]
 #[case::one_of_eight(8, 1)]
 #[case::half_of_six(6, 3)]
 #[case::five_of_eight(8, 5)]
-fn two_sides_of_a_cut_that_resets_do_not_both_lend(#[case] schedulers: u8, #[case] cut_off: u8) {
+fn two_sides_of_resetting_partition_do_not_both_grant(#[case] schedulers: u8, #[case] cut_off: u8) {
     let mut fleet = Fleet::new(schedulers, cut_off);
     fleet.run(Duration::from_secs(13));
-    assert_eq!(fleet.excess_within(Duration::ZERO, CUT_AT), 0);
-    let first = fleet.excess_within(CUT_AT, CUT_AT + SETTLE_TIME);
-    assert!(first <= MAX_EXCESS, "{first} at first");
-    assert_eq!(fleet.excess_within(CUT_AT + SETTLE_TIME, HEALED_AT), 0, "while it is cut");
+    assert_eq!(fleet.excess_within(Duration::ZERO, PARTITION_AT), 0);
+    let first = fleet.excess_within(PARTITION_AT, PARTITION_AT + SETTLE_TIME);
+    assert!(first <= MAX_EXCESS, "{first} at the beginning");
+    assert_eq!(fleet.excess_within(PARTITION_AT + SETTLE_TIME, HEALED_AT), 0, "during the partition");
     assert_eq!(fleet.excess_within(HEALED_AT + SETTLE_TIME, Duration::MAX), 0, "after it");
 }
 
-/// The side of the holder goes on with all instances, however few are on it, and all serve again after the cut.
+/// The holder's side goes on with all instances, however few schedulers it has, and all serve again after the
+/// partition.
 #[test]
-fn the_side_of_the_holder_serves() {
+fn holder_side_keeps_serving() {
     let mut fleet = Fleet::new(8, 6);
-    fleet.run(CUT_AT + SETTLE_TIME);
+    fleet.run(PARTITION_AT + SETTLE_TIME);
     let served = |fleet: &Fleet| fleet.served.values().sum::<usize>();
     let (before, own) = (served(&fleet), fleet.served[&1]);
     fleet.run(HEALED_AT);
     assert!(fleet.served[&1] > own, "{:?}", fleet.served);
-    let cut = served(&fleet) - before;
+    let partition = served(&fleet) - before;
     fleet.run(HEALED_AT + SETTLE_TIME);
     let healed = served(&fleet);
     fleet.run(HEALED_AT + SETTLE_TIME + Duration::from_secs(2));
-    assert!(served(&fleet) > healed + 50, "{cut}, {healed}");
+    assert!(served(&fleet) > healed + 50, "{partition}, {healed}");
 }
 
 #[rstest]
 #[case(Defect::RefusalIsProof)]
 #[case(Defect::IsolatedGrants)]
-fn a_side_that_lends_on_is_found(#[case] defect: Defect) {
+fn side_that_keeps_granting_is_detected(#[case] defect: Defect) {
     let excess = |defect: Option<Defect>| {
         INJECTED.set(defect);
         let mut fleet = Fleet::new(8, 4);
         fleet.run(HEALED_AT);
         INJECTED.set(None);
-        fleet.excess_within(CUT_AT, HEALED_AT)
+        fleet.excess_within(PARTITION_AT, HEALED_AT)
     };
     let (sound, injected) = (excess(None), excess(Some(defect)));
-    assert!(injected > 2 * sound, "{injected} calls too many, and {sound} without it");
+    assert!(injected > 2 * sound, "{injected} excess calls, and {sound} without the defect");
 }
--- a/crates/lending/tests/seeds.rs
+++ b/crates/lending/tests/seeds.rs
@@ -1,5 +1,5 @@
-//! Thousands of seeds on simulated time; `LENDING_SEEDS` sets how many of each class, `LENDING_SEED` plays a single one
-//! and `LENDING_TRACE` prints what happens in it.
+//! Thousands of seeds on simulated time; `LENDING_SEEDS` sets how many of each class, `LENDING_SEED` runs a
+//! single one and `LENDING_TRACE` prints its events.
 
 mod harness;
 
@@ -12,11 +12,11 @@
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// Parts of the seeds run beside each other.
+/// The seeds are divided into parts that run in parallel.
 const PARTS: u64 = 4;
 
 #[rstest]
-fn holds(
+fn no_invariant_is_violated(
     #[values(Class::Quiet, Class::Tidy, Class::Planned, Class::Rough)] class: Class,
     #[values(0, 1, 2, 3)] part: u64,
 ) {
@@ -40,8 +40,8 @@
         (dispatched, in_aim) = (dispatched + out.dispatched, in_aim + out.in_aim);
     }
     println!(
-        "{class:?}: {calls} calls, {dispatched} had a slot, {in_aim} in their aim, the slowest after {slowest:?}; \
-         at worst {worst:.2} times the slots in use, for {over:?}"
+        "{class:?}: {calls} calls, {dispatched} had a slot, {in_aim} in their aim, \
+         the slowest after {slowest:?}; at worst {worst:.2} times the slots in use, for {over:?}"
     );
     assert!(violations.is_empty(), "{class:?}: {violations:#?}");
 }
