--- a/crates/lending/tests/selection.rs
+++ b/crates/lending/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Which instance a lender picks: docs/design/index.md.
+//! Which instance an owner selects: docs/design/index.md.
 
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     Duration::from_millis(ms)
 }
 
-/// A shelf of started instances, and what happens to it.
+/// A slot pool of started instances, driven by the test.
 struct Pool {
     pool: SlotPool,
     now: Duration,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Lends a slot of this instance, and gives the number of the call.
+    /// Grants a slot of this instance, and returns the number of the call.
     fn grant(&mut self, n: usize) -> u32 {
         let request = self.request(None);
         self.pool.grant(self.now, n, &request);
@@ -80,7 +80,7 @@
         self.give_back(seq, Ended::Done);
     }
 
-    /// Calls come at this rate for some seconds.
+    /// Calls arrive at this rate for some seconds.
     fn rate(&mut self, rate: u64) {
         for _ in 0..8 * rate {
             self.now += Duration::from_nanos(1_000_000_000 / rate);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The pick of one call that gives its slot back unused.
+    /// The selection for one call whose slot is returned unused.
     fn pick(&mut self, avoid: Option<usize>) -> Option<usize> {
         let request = self.request(avoid);
         let seq = request.seq;
@@ -103,11 +103,11 @@
             return None;
         };
         let at = self.pool.ledgers[i].grants.iter().position(|grant| grant.seq == seq).unwrap();
-        self.pool.ledgers[i].grants.swap_remove(at); // without a word: the sight stays as it is
+        self.pool.ledgers[i].grants.swap_remove(at); // without a return: the statistics stay as they are
         Some(i)
     }
 
-    /// All that are picked in many tries.
+    /// All instances that are selected in many tries.
     fn picks(&mut self, avoid: Option<usize>) -> Vec<usize> {
         let mut all: Vec<usize> = (0..40).filter_map(|_| self.pick(avoid)).collect();
         all.sort_unstable();
@@ -116,7 +116,8 @@
     }
 }
 
-/// By hand from the source's Theorem 1 with beta 0; (lambda, mu, delta) with a = lambda/delta, b = lambda/mu.
+/// Calculated by hand from the paper's Theorem 1 with beta 0; (lambda, mu, delta) with a = lambda/delta, b =
+/// lambda/mu.
 #[rstest]
 #[case::busy_holding_none_scores_b(0, Busy, (3.0, 2.0, 4.0), 1.5)]
 #[case::off(0, Off, (3.0, 2.0, 4.0), 2.25)]
@@ -129,7 +130,7 @@
 #[case::slow_boot_off(0, Off, (3.0, 2.0, 0.1), 1.5 + 3.0 / 2.1)]
 #[case::slow_boot_at_the_limit(0, Off, (3.0, 2.0, 2.05), 1.5 + 3.0 / 2.1)]
 #[case::slow_boot_none(0, Busy, (3.0, 2.0, 0.1), 1.5)]
-fn the_index_by_hand(
+fn index_matches_hand_calculation(
     #[case] n: usize,
     #[case] energy: Energy,
     #[case] (lambda, mu, delta): (f64, f64, f64),
@@ -139,9 +140,9 @@
     assert!((found - expected).abs() < 1e-9, "{found} instead of {expected}");
 }
 
-/// The order of what is not in setup, on both sides of delta = mu and through b = 1.
+/// The order of states without setup, on both sides of delta = mu and through b = 1.
 #[rstest]
-fn the_order_of_states(
+fn index_orders_states(
     #[values(0.05, 1.0, 19.9999, 20.0, 20.0001, 200.0)] lambda: f64,
     #[values(0.7, 19.0, 20.0, 21.0, 22.0, 400.0)] delta: f64,
 ) {
@@ -162,7 +163,7 @@
     Known(usize),
     /// The same, but its last call is longer ago than the window.
     Idle,
-    /// Was silent.
+    /// Stopped responding.
     Returning,
 }
 use Was::{Idle, Known, New, Returning};
@@ -175,16 +176,16 @@
 #[case::all_full(&[Known(4), Known(4)], None, &[])]
 #[case::warm_before_off(&[Idle, Known(0)], None, &[1])]
 #[case::off_before_busy(&[Idle, Known(1)], None, &[0])]
-#[case::new_stands_at_the_mean(&[New, Known(1), Known(3)], None, &[1])]
+#[case::new_is_scored_with_the_mean(&[New, Known(1), Known(3)], None, &[1])]
 #[case::new_ties_with_the_only_other(&[New, Known(2)], None, &[0, 1])]
 #[case::new_when_the_others_are_full(&[New, Known(4)], None, &[0])]
-#[case::only_new_ones_stand_for_themselves(&[New, New], None, &[0, 1])]
-#[case::back_from_silence_is_new(&[Returning, Known(1), Known(3)], None, &[1])]
+#[case::only_new_ones_use_their_own_index(&[New, New], None, &[0, 1])]
+#[case::responding_again_is_new(&[Returning, Known(1), Known(3)], None, &[1])]
 #[case::avoided_though_lowest(&[Known(0), Known(3)], Some(0), &[1])]
 #[case::avoided_alone(&[Known(4), Known(3)], Some(1), &[1])]
 #[case::avoided_before_none(&[Known(0)], Some(0), &[0])]
 #[case::new_before_avoided(&[New, Known(0)], Some(1), &[0])]
-fn the_pick(
+fn selects_instance(
     #[case] were: &[Was],
     #[case] avoid: Option<usize>,
     #[case] expected: &[usize],
@@ -205,19 +206,19 @@
     pool.now += OFF_AFTER;
     pool.rate(rate);
     for (n, was) in were.iter().enumerate() {
-        let Known(holds) = was else { continue };
+        let Known(no_invariant_is_violated) = was else { continue };
         let seq = pool.grant(n);
         pool.give_back(seq, Ended::Done);
-        for _ in 0..*holds {
+        for _ in 0..*no_invariant_is_violated {
             pool.grant(n);
         }
     }
     assert_eq!(pool.picks(avoid), expected);
 }
 
-/// One that was off and has not answered yet stands behind one as full that answers.
+/// An instance that was off and has not answered yet is ranked behind an equally loaded one that answers.
 #[rstest]
-fn busy_before_setup(#[values(1, 30)] rate: u64) {
+fn busy_instance_is_selected_before_setup(#[values(1, 30)] rate: u64) {
     let mut pool = Pool::new(2, 4, 1400);
     (0..2).for_each(|n| pool.run(n, RUN));
     pool.now += OFF_AFTER;
@@ -227,13 +228,14 @@
         pool.grant(n);
     }
     assert_eq!(pool.picks(None), [1]);
-    // It has answered: both are alike.
+    // It has answered: both are equal.
     let seq = pool.grant(0);
     pool.give_back(seq, Ended::Done);
     assert_eq!(pool.picks(None), [0, 1]);
 }
 
-/// An instance's own pace counts once it differs clearly over many runs, and not before; failures teach nothing.
+/// An instance's own run times count once they differ clearly over many runs, and not before; failed calls
+/// don't count.
 #[rstest]
 #[case::few_runs(3, 300, Ended::Done, &[0, 1])]
 #[case::slow_over_many(60, 300, Ended::Done, &[0])]
@@ -241,7 +243,12 @@
 #[case::alike_over_many(60, 100, Ended::Done, &[0, 1])]
 #[case::slow_failures(60, 300, Ended::Idle, &[0, 1])]
 #[case::slow_refusals(60, 300, Ended::Full, &[0, 1])]
-fn own_pace(#[case] runs: usize, #[case] takes: u64, #[case] ended: Ended, #[case] expected: &[usize]) {
+fn run_times_of_one_instance_count_once_clear(
+    #[case] runs: usize,
+    #[case] takes: u64,
+    #[case] ended: Ended,
+    #[case] expected: &[usize],
+) {
     let mut pool = Pool::new(2, 4, 1400);
     (0..40).for_each(|_| pool.run(0, RUN));
     pool.run(1, RUN);
@@ -260,9 +267,9 @@
     assert_eq!(pool.picks(None), expected);
 }
 
-/// The index grows as b^n: no addend keeps a second try away from where the first one was.
+/// The index grows as b^n: no addend keeps a retry away from the instance of the first try.
 #[rstest]
-fn avoided_under_load() {
+fn avoided_instance_comes_last_under_load() {
     let mut pool = Pool::new(2, 8, 1400);
     (0..2).for_each(|n| pool.run(n, 2000));
     pool.rate(200);
@@ -274,9 +281,10 @@
     assert_eq!(pool.picks(Some(0)), [1]);
 }
 
-/// Starts seen move delta: one that boots quicker than it runs has the source's own index, and off comes before busy.
+/// Observed starts adjust delta: an instance that starts faster than it runs has the paper's own index, and
+/// off comes before busy.
 #[rstest]
-fn starts_seen_refine_delta() {
+fn observed_starts_refine_delta() {
     let slow = IndexInputs { n: 0, energy: Off, lambda: 3.0, mu: 2.0, delta: 1.0, instances: 1 };
     let mut boots = tindock_lending::selection::BootTimes::default();
     assert!((boots.delta(ms(1000)) - slow.delta).abs() < 1e-9);
