--- a/crates/house/src/page.rs
+++ b/crates/house/src/page.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use tindock_catalogue::Catalogue;
 use tindock_circulation::{Mark, Proxy, Replica, Stacks, Taken};
-use tindock_gazette::{Letter, Views};
+use tindock_gazette::{Message, PeerSampler};
 use tindock_lifecycle::GracePeriod;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
@@ -47,7 +47,7 @@
 
 enum Event {
     Note(SocketAddr, Note),
-    Letter(IpAddr, Letter),
+    Letter(IpAddr, Message),
     Desk(mpsc::Sender<Vec<u8>>),
     Tells(Tells),
     DeskGone,
@@ -59,7 +59,7 @@
 struct Page {
     settings: Settings,
     me: SocketAddr,
-    views: Views,
+    views: PeerSampler,
     post: Post,
     desk: Option<mpsc::Sender<Vec<u8>>>,
     catalogue: Option<Catalogue>,
@@ -124,7 +124,7 @@
         loop {
             match socket.recv_from(&mut buf).await {
                 Ok((n, from)) => {
-                    if let Some(letter) = Letter::read(&buf[..n]) {
+                    if let Some(letter) = Message::decode(&buf[..n]) {
                         if into.send(Event::Letter(from.ip(), letter)).await.is_err() {
                             return;
                         }
@@ -170,7 +170,7 @@
     let place = settings.place();
     let mut page = Page {
         me,
-        views: Views::new(settings.ip_address, place, life.as_millis() as u64, seed, Duration::ZERO),
+        views: PeerSampler::new(settings.ip_address, place, life.as_millis() as u64, seed, Duration::ZERO),
         post: Post::new(me),
         desk: None,
         catalogue: None,
@@ -205,7 +205,7 @@
             return Ok(());
         }
         for (ip, letter) in page.views.tick(now) {
-            let _ = datagrams.try_send_to(&letter.write(), SocketAddr::new(ip, me.port()));
+            let _ = datagrams.try_send_to(&letter.encode(), SocketAddr::new(ip, me.port()));
         }
         page.tick(now);
         let due = page.views.next_due().min(page.pulled + PULL).min(leaving.unwrap_or(Duration::MAX));
@@ -213,8 +213,8 @@
         match tokio::time::timeout(wait, inbox.recv()).await {
             Ok(Some(Event::Letter(from, letter))) => {
                 page.pass_owners_on(page.start.elapsed(), from, letter.owners);
-                if let Some(answer) = page.views.hear(page.start.elapsed(), &letter) {
-                    let _ = datagrams.try_send_to(&answer.write(), SocketAddr::new(from, me.port()));
+                if let Some(answer) = page.views.receive(page.start.elapsed(), &letter) {
+                    let _ = datagrams.try_send_to(&answer.encode(), SocketAddr::new(from, me.port()));
                 }
             }
             Ok(Some(Event::Leave)) => {
@@ -277,10 +277,10 @@
 
     /// Who serves beside this page has changed: the others and the holder are told at once.
     fn serves(&mut self, now: Duration, life: u32) {
-        if self.views.life() == life {
+        if self.views.incarnation() == life {
             return;
         }
-        self.views.serves(now, life);
+        self.views.set_serving(now, life);
         if let Some((holder, _)) = self.holder {
             self.followed = now;
             let follow = self.follow();
@@ -301,7 +301,7 @@
         self.tell(&Told::Owners(desks));
         if mark != self.owners.0 {
             self.owners = (mark, self.start.elapsed());
-            self.views.know_owners((mark.number, mark.version));
+            self.views.set_owners((mark.number, mark.version));
         }
     }
 
@@ -369,14 +369,14 @@
     fn one_of_few(&self, now: Duration, number: u64) -> bool {
         let weight = |ip: IpAddr| crate::archive::hash(&format!("{ip} {number}"));
         let own = weight(self.me.ip());
-        self.views.there(now).iter().filter(|heard| weight(heard.ip) < own).count() < TELLERS
+        self.views.alive(now).iter().filter(|heard| weight(heard.ip) < own).count() < TELLERS
     }
 
     /// What the holder is asked; once in some follows also for other pages, or two halves of them that began at two archives
     /// would never hear of each other.
     fn follow(&mut self) -> Note {
         self.follows = self.follows.wrapping_add(1);
-        let proxy = Proxy { ip: self.me.ip(), place: self.place, life: self.views.life() };
+        let proxy = Proxy { ip: self.me.ip(), place: self.place, life: self.views.incarnation() };
         Note::Follow { mark: self.stacks.mark(), greets: self.follows % GREETS == 1, proxy: Some(proxy) }
     }
 
@@ -438,12 +438,12 @@
         let places = self.settings.places();
         let desks: Vec<Desk> = self
             .views
-            .there(now)
+            .alive(now)
             .into_iter()
-            .filter(|heard| heard.life != 0)
+            .filter(|heard| heard.incarnation != 0)
             .filter_map(|heard| {
-                let zone = places.get(usize::from(heard.place))?.0.clone();
-                Some(Desk { ip: heard.ip, zone, life: heard.life })
+                let zone = places.get(usize::from(heard.zone_index))?.0.clone();
+                Some(Desk { ip: heard.ip, zone, life: heard.incarnation })
             })
             .collect();
         if desks != self.desks {
@@ -558,7 +558,7 @@
                     self.archive =
                         self.archives.iter().position(|a| Some(*a) == current).unwrap_or(self.archive);
                 }
-                self.views.greet(now, pages);
+                self.views.add_contacts(now, pages);
                 let own = self.catalogue.as_ref().map_or(0, |c| c.revision);
                 // Who knows nothing does not wait for the archives' vote: the one of its zone can show the platform's list.
                 if touch || !self.stacks.is_known() {
--- a/crates/rehearsal/src/page.rs
+++ b/crates/rehearsal/src/page.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tindock_catalogue::Catalogue;
 use tindock_circulation::{Replica, Taken};
-use tindock_gazette::{Letter, Views};
+use tindock_gazette::{Message, PeerSampler};
 
 const PULL: Duration = Duration::from_millis(700);
 const SILENT: Duration = Duration::from_millis(1500);
@@ -33,7 +33,7 @@
 
 pub enum Out {
     Note { to: SocketAddr, note: Note },
-    Letter { to: IpAddr, letter: Letter },
+    Letter { to: IpAddr, letter: Message },
     Told(Told),
 }
 
@@ -43,7 +43,7 @@
     places: Vec<(String, String)>,
     seeds: Vec<SocketAddr>,
     convergence: Duration,
-    pub views: Views,
+    pub views: PeerSampler,
     catalogue: Option<Rc<Catalogue>>,
     archives: Vec<SocketAddr>,
     archive: usize,
@@ -79,7 +79,7 @@
     pub fn new(terms: Terms) -> Page {
         let place = terms.places.iter().position(|(zone, _)| *zone == terms.zone).unwrap_or(0) as u8;
         let mut page = Page {
-            views: Views::new(terms.ip, place, terms.since, terms.seed, Duration::ZERO),
+            views: PeerSampler::new(terms.ip, place, terms.since, terms.seed, Duration::ZERO),
             ip: terms.ip,
             place,
             places: terms.places,
@@ -131,7 +131,7 @@
     fn follow(&mut self, holder: SocketAddr) {
         self.follows = self.follows.wrapping_add(1);
         let greets = self.follows % GREETS == 1;
-        let proxy = Proxy { ip: self.ip, place: self.place, life: self.views.life() };
+        let proxy = Proxy { ip: self.ip, place: self.place, life: self.views.incarnation() };
         self.send(holder, Note::Follow { mark: self.stacks.mark(), greets, proxy: Some(proxy) });
     }
 
@@ -177,12 +177,12 @@
         }
         let desks: Vec<(IpAddr, String, u32)> = self
             .views
-            .there(now)
+            .alive(now)
             .into_iter()
-            .filter(|heard| heard.life != 0)
+            .filter(|heard| heard.incarnation != 0)
             .filter_map(|heard| {
-                let zone = self.places.get(usize::from(heard.place))?.0.clone();
-                Some((heard.ip, zone, heard.life))
+                let zone = self.places.get(usize::from(heard.zone_index))?.0.clone();
+                Some((heard.ip, zone, heard.incarnation))
             })
             .collect();
         if desks != self.desks {
@@ -192,19 +192,19 @@
     }
 
     /// A letter of another page; the answer, if it wants one.
-    pub fn letter(&mut self, now: Duration, from: IpAddr, letter: &Letter) {
+    pub fn letter(&mut self, now: Duration, from: IpAddr, letter: &Message) {
         self.pass_owners_on(now, from, letter.owners);
-        if let Some(answer) = self.views.hear(now, letter) {
+        if let Some(answer) = self.views.receive(now, letter) {
             self.out.push(Out::Letter { to: from, letter: answer });
         }
     }
 
     /// Who serves beside this page has changed.
     pub fn serves(&mut self, now: Duration, life: u32) {
-        if self.views.life() == life {
+        if self.views.incarnation() == life {
             return;
         }
-        self.views.serves(now, life);
+        self.views.set_serving(now, life);
         if let Some((holder, _)) = self.holder {
             self.followed = now;
             self.follow(holder);
@@ -222,7 +222,7 @@
         self.tell(Told::Owners(desks));
         if mark != self.owners.0 {
             self.owners = (mark, now);
-            self.views.know_owners((mark.number, mark.version));
+            self.views.set_owners((mark.number, mark.version));
         }
     }
 
@@ -258,7 +258,7 @@
                     self.archive =
                         self.archives.iter().position(|a| Some(*a) == current).unwrap_or(self.archive);
                 }
-                self.views.greet(now, pages);
+                self.views.add_contacts(now, pages);
                 let own = self.catalogue.as_ref().map_or(0, |c| c.revision);
                 if touch {
                     self.heard = now;
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -25,7 +25,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 use tindock_control_store::{DiskState, MemberSettings, Stored};
-use tindock_gazette::Letter;
+use tindock_gazette::Message;
 use tindock_lifecycle::GracePeriod;
 
 /// Machines' dates at the start, ms: well beyond any life of a process.
@@ -52,7 +52,7 @@
         to: usize,
         life: u64,
         from: IpAddr,
-        letter: Letter,
+        letter: Message,
     },
     Lend {
         to: usize,
@@ -947,7 +947,7 @@
         }
     }
 
-    fn send_letter(&mut self, n: usize, ip: IpAddr, to: IpAddr, letter: Letter) {
+    fn send_letter(&mut self, n: usize, ip: IpAddr, to: IpAddr, letter: Message) {
         let Some(&Node::Edge(other)) = self.by_ip.get(&to) else { return };
         if let Some(takes) = self.net.datagram(&mut self.chance, Node::Edge(n), Node::Edge(other)) {
             let life = self.life(Node::Edge(other));
--- a/crates/scale-run/src/peer_sampling.rs
+++ b/crates/scale-run/src/peer_sampling.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
-use tindock_gazette::{Letter, Views};
+use tindock_gazette::{Message, PeerSampler};
 
 /// What UDP and IP add to a datagram.
 const DATAGRAM_HEADERS: usize = 28;
@@ -39,16 +39,21 @@
 }
 
 struct Network {
-    agents: Vec<Option<Views>>,
+    agents: Vec<Option<PeerSampler>>,
     sent: Sent,
 }
 
 impl Network {
     fn new(schedulers: usize, seed: u64) -> Network {
         let agent = |n: usize| {
-            let mut views =
-                Views::new(address(n), (n % crate::ZONES.len()) as u8, 1, seed + n as u64, Duration::ZERO);
-            views.serves(Duration::ZERO, 7);
+            let mut views = PeerSampler::new(
+                address(n),
+                (n % crate::ZONES.len()) as u8,
+                1,
+                seed + n as u64,
+                Duration::ZERO,
+            );
+            views.set_serving(Duration::ZERO, 7);
             Some(views)
         };
         Network { agents: (0..schedulers).map(agent).collect(), sent: Sent::default() }
@@ -57,7 +62,7 @@
     /// A controller names some agents, always the same ones, to all that ask it.
     fn name(&mut self, now: Duration) {
         for views in self.agents.iter_mut().flatten() {
-            views.greet(now, (0..NAMED).map(address));
+            views.add_contacts(now, (0..NAMED).map(address));
         }
     }
 
@@ -71,15 +76,18 @@
     }
 
     /// A letter and the answers that follow from it.
-    fn carry(&mut self, now: Duration, from: usize, to: IpAddr, letter: Letter) {
+    fn carry(&mut self, now: Duration, from: usize, to: IpAddr, letter: Message) {
         let Some(to) = number(to) else { return };
         let mut waiting = VecDeque::from([(from, to, letter)]);
         let mut answers = 0;
         while let Some((from, to, letter)) = waiting.pop_front() {
             self.sent.letters += 1;
-            self.sent.bytes += letter.write().len() + DATAGRAM_HEADERS;
-            let answer =
-                self.agents.get_mut(to).and_then(Option::as_mut).and_then(|views| views.hear(now, &letter));
+            self.sent.bytes += letter.encode().len() + DATAGRAM_HEADERS;
+            let answer = self
+                .agents
+                .get_mut(to)
+                .and_then(Option::as_mut)
+                .and_then(|views| views.receive(now, &letter));
             answers += 1;
             if let Some(answer) = answer.filter(|_| answers < MOST_ANSWERS) {
                 waiting.push_back((to, from, answer));
@@ -88,7 +96,7 @@
     }
 
     fn known(&self, now: Duration) -> Vec<Vec<IpAddr>> {
-        let there = |views: &Views| views.there(now).iter().map(|heard| heard.ip).collect();
+        let there = |views: &PeerSampler| views.alive(now).iter().map(|heard| heard.ip).collect();
         self.agents.iter().flatten().map(there).collect()
     }
 }
