--- a/crates/gazette/src/lib.rs
+++ b/crates/gazette/src/lib.rs
@@ -1,9 +1,10 @@
-//! Who the other schedulers are, without I/O: each keeps a partial view of a few neighbours, exchanges what it has heard
-//! with one of them at a time, and draws the view anew from that. Each source counts its own beats; the highest beat of a
-//! life holds, and a source whose beat stands still for some rounds has gone.
+//! Peer sampling and failure detection among the agents, without I/O: each keeps a partial view of a few
+//! neighbours, exchanges what it knows with one of them at a time, and fills the view up with a random sample
+//! of the members it knows. Each member increments its own heartbeat; the highest heartbeat of an incarnation
+//! is kept, and a member whose heartbeat has not increased for some rounds is considered gone.
 //!
-//! Source of the way: Jelasity et al., "Gossip-based peer sampling" (2007), in its push-pull form; van Renesse et al.,
-//! "A gossip-style failure detection service" (1998), for the beats.
+//! After Jelasity et al., "Gossip-based peer sampling" (2007), in the push-pull form; heartbeats after van
+//! Renesse et al., "A gossip-style failure detection service" (1998).
 
 use oorandom::Rand32;
 use serde::{Deserialize, Serialize};
@@ -11,23 +12,24 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// One exchange a round.
+/// Interval between exchanges.
 pub const ROUND: Duration = Duration::from_millis(400);
 /// Neighbours in the view.
 const VIEW_SIZE: usize = 8;
-/// A stranger is greeted this often at the most, until somebody names it again.
+/// The most messages sent to a contact that does not reply, until another process names it again.
 const MAX_CONTACT_ATTEMPTS: u8 = 5;
-/// Sources in one letter, in whole: keeps it under a packet's size.
+/// The most full descriptors in one message; keeps it below the size of a packet.
 const MAX_DESCRIPTORS: usize = 80;
-/// And in short, drawn from all that are known: news still reaches all well before a beat counts as still.
+/// The most heartbeats in one message, sampled from all known members: enough that an update reaches all
+/// members well before a heartbeat counts as stopped.
 const MAX_HEARTBEATS: usize = 48;
-/// Sources kept; a deployment has some tens to a thousand.
+/// The most members that are kept; a deployment has some tens to a thousand.
 const MAX_KNOWN: usize = 4096;
-/// A source that has gone is remembered so long, so that an old letter does not bring it back.
+/// How long a member that is gone is remembered, so that a late message does not restore it.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
 
-/// What one source says of itself; `place` is the zone's number in the sorted list that all know, `life` names the
-/// process that serves there (0: none does).
+/// A member as it describes itself. `zone_index` is the zone's index in the sorted list that all members
+/// know, `incarnation` identifies the process that serves there (0: none does).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Descriptor {
     pub ip: IpAddr,
@@ -35,14 +37,14 @@
     pub zone_index: u8,
     #[serde(rename = "life")]
     pub incarnation: u32,
-    /// When the page's process began (ms, its own clock): a later one holds.
+    /// When the member's agent process started (ms, by its own clock); the latest start is the present one.
     pub since: u64,
     #[serde(rename = "beat")]
     pub heartbeat: u32,
 }
 
 impl Descriptor {
-    /// Of what stays the same in a process's life.
+    /// Checksum of what does not change during an incarnation.
     fn check(&self) -> [u8; 2] {
         let incarnation = u64::from(self.incarnation) << 8 | u64::from(self.zone_index);
         let mixed = (incarnation ^ self.since.rotate_left(24)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -50,8 +52,8 @@
     }
 }
 
-/// The same in short, for who has heard the rest of it: half of all bytes between pages were lives and places that both
-/// sides knew.
+/// The short form of a descriptor, for receivers that know the rest of it: half of all bytes between agents
+/// were incarnations and zones that both sides knew.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     pub ip: IpAddr,
@@ -62,24 +64,25 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// An answer to this is wanted.
+    /// The sender wants a reply.
     #[serde(rename = "asks")]
     pub wants_reply: bool,
-    /// How many sources the writer knows.
+    /// The number of members that the sender knows.
     pub known: u16,
     #[serde(rename = "heard")]
     pub descriptors: Vec<Descriptor>,
     #[serde(rename = "beats")]
     pub heartbeats: Vec<Heartbeat>,
-    /// Sources of which a beat came that does not fit what is known: all of it is wanted.
+    /// Members of which the sender received a heartbeat that does not match what it knows; it requests their
+    /// descriptors.
     #[serde(rename = "wants")]
     pub requested: Vec<IpAddr>,
-    /// Up to which number and version the writer knows who owns slots.
+    /// The lease number and version up to which the sender knows the owners of slots.
     pub owners: (u64, u64),
 }
 
 impl Message {
-    /// None for what cannot be read.
+    /// None for bytes that cannot be decoded.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         let (message, rest) = postcard::take_from_bytes::<Message>(bytes).ok()?;
         let fits = message.descriptors.len() <= MAX_DESCRIPTORS
@@ -106,9 +109,9 @@
     contacts: Vec<(IpAddr, u8)>, // and the number of messages sent without a reply
     rng: Rand32,
     due: Duration,
-    /// Who serves here has changed: all are told at once, not one at a time.
+    /// The process that serves here has changed: the next round notifies all members, not one.
     broadcast_due: bool,
-    /// Told in each letter.
+    /// Sent in each message.
     owners: (u64, u64),
 }
 
@@ -127,17 +130,18 @@
         }
     }
 
-    /// Up to which number and version this one knows who owns slots; told in each letter from now on.
+    /// Sets the lease number and version up to which this member knows the owners of slots; sent in each
+    /// message.
     pub fn set_owners(&mut self, owners: (u64, u64)) {
         self.owners = owners;
     }
 
-    /// The life of the process that serves here; 0 if none does.
+    /// The incarnation of the process that serves here; 0 if none does.
     pub fn incarnation(&self) -> u32 {
         self.local.incarnation
     }
 
-    /// The process that serves here; told on at the next exchange, which is due at once.
+    /// Sets the process that serves here; sent with the next exchange, which becomes due at once.
     pub fn set_serving(&mut self, now: Duration, incarnation: u32) {
         if self.local.incarnation != incarnation {
             self.local.incarnation = incarnation;
@@ -147,8 +151,9 @@
         }
     }
 
-    /// Addresses that somebody knows: greeted if nothing is heard of them here. One that has gone by what is heard may only be
-    /// cut off from all who speak here: so two islands join again.
+    /// Adds addresses that another process knows; they are contacted if no recent heartbeat of them is known
+    /// here. A member that seems gone may only be cut off from all that this one exchanges messages with:
+    /// contacting it joins separated groups again.
     pub fn add_contacts(&mut self, now: Duration, ips: impl IntoIterator<Item = IpAddr>) {
         let limit = self.failure_timeout();
         for ip in ips {
@@ -160,14 +165,14 @@
         }
     }
 
-    /// A beat stands still for longer than this many rounds only if its source has gone: news reaches all in about
-    /// log2(n) rounds, and each round may fail.
+    /// A member whose heartbeat has not increased for this long is considered gone: an update reaches all
+    /// members in about log2(n) rounds, and each round may fail.
     fn failure_timeout(&self) -> Duration {
         let rounds = 5.0 + 1.5 * (self.known.len() as f64 + 1.0).log2();
         ROUND.mul_f64(rounds)
     }
 
-    /// Everyone who is there, this one among them, in the order of addresses.
+    /// All members that are alive, this one included, ordered by address.
     pub fn alive(&self, now: Duration) -> Vec<Descriptor> {
         let limit = self.failure_timeout();
         let known = self.known.values().filter(|k| now < k.heartbeat_at + limit).map(|k| k.descriptor);
@@ -176,7 +181,7 @@
         all
     }
 
-    /// Up to `most` of those that are there, drawn by chance.
+    /// A random sample of at most `most` of the members that are alive.
     fn sample(&mut self, now: Duration, most: usize, which: impl Fn(&Descriptor) -> bool) -> Vec<Descriptor> {
         let limit = self.failure_timeout();
         let alive = self.known.values().filter(|k| now < k.heartbeat_at + limit).map(|k| k.descriptor);
@@ -204,7 +209,8 @@
         }
     }
 
-    /// What the writer of a letter lacks, as far as it shows, and what this one lacks of its sources.
+    /// What the sender of a message lacks, as far as the message shows, and a request for the descriptors
+    /// that are missing here.
     fn reply(&mut self, now: Duration, message: &Message, requested: Vec<IpAddr>) -> Option<Message> {
         let answers: Vec<Descriptor> = message
             .requested
@@ -229,7 +235,8 @@
                 ..Message::default()
             });
         }
-        // Who knows few is told of all in whole: until then it lends what others lend.
+        // A sender that knows few members receives full descriptors: until it knows the others it owns
+        // instances that belong to them.
         let newcomer = usize::from(message.known) * 2 < self.known.len();
         let listed_heartbeats: BTreeMap<IpAddr, &Heartbeat> =
             message.heartbeats.iter().map(|heartbeat| (heartbeat.ip, heartbeat)).collect();
@@ -264,7 +271,7 @@
         Some(reply)
     }
 
-    /// Letters that are due now.
+    /// The messages that are due now.
     pub fn tick(&mut self, now: Duration) -> Vec<(IpAddr, Message)> {
         if now < self.due {
             return Vec::new();
@@ -272,7 +279,7 @@
         self.due = now + ROUND;
         self.local.heartbeat = self.local.heartbeat.wrapping_add(1);
         self.known.retain(|_, k| now < k.heartbeat_at + FORGET_AFTER);
-        // A greeting may be lost, and a page that knows nobody would stay alone.
+        // A message to a contact may be lost, and an agent that knows nobody would stay isolated.
         let limit = self.failure_timeout();
         let known = &self.known;
         self.contacts.retain(|(ip, tries)| {
@@ -291,7 +298,8 @@
         let sample = self.sample(now, MAX_HEARTBEATS, |_| true);
         let message = self.message(true, &sample);
         let mut messages: Vec<(IpAddr, Message)> = to.into_iter().map(|ip| (ip, message.clone())).collect();
-        // Lenders change with who serves: two that each lend the same slots until a letter has gone round broke LIMIT.
+        // Owners of slots depend on the serving processes: while an update was still spreading, two processes
+        // granted the same slots, and instances received more calls than they have slots.
         if std::mem::take(&mut self.broadcast_due) {
             let notice = Message { descriptors: vec![self.local], owners: self.owners, ..Message::default() };
             let others: Vec<IpAddr> = self.alive(now).iter().map(|descriptor| descriptor.ip).collect();
@@ -304,7 +312,7 @@
         messages
     }
 
-    /// The view is filled up with a draw from all that are there.
+    /// Fills the view up with a random sample of the members that are alive.
     fn shuffle(&mut self, now: Duration) {
         let limit = self.failure_timeout();
         let alive: Vec<IpAddr> =
@@ -317,7 +325,7 @@
         }
     }
 
-    /// What another says; an answer, if it asks for one.
+    /// Handles a message of another member; returns a reply, if it wants one.
     pub fn receive(&mut self, now: Duration, message: &Message) -> Option<Message> {
         let alone = self.known.is_empty();
         for descriptor in &message.descriptors {
@@ -340,7 +348,7 @@
                 None => {}
             }
         }
-        // A newcomer has now heard who is there: it tells all of them that it serves.
+        // A new member that has just learned of others notifies all of them that it serves.
         if alone && !self.known.is_empty() && self.local.incarnation != 0 {
             (self.broadcast_due, self.due) = (true, now);
         }
@@ -348,8 +356,9 @@
         self.reply(now, message, requested)
     }
 
-    /// What another process said from this address. One that began later by its clock was here before all the same, so
-    /// the clock has been set back: this one goes on after it, or nobody would take its word for newer.
+    /// Handles a descriptor of an earlier process at this address. If that process started later by its clock
+    /// although it was here before, the clock was set back: this process takes a start time after it, or no
+    /// member would accept its updates as newer.
     fn advance_start(&mut self, now: Duration, before: &Descriptor) {
         let Some(since) = before.since.checked_add(1).filter(|_| before.since > self.local.since) else {
             return;
@@ -358,7 +367,8 @@
         (self.broadcast_due, self.due) = (true, now);
     }
 
-    /// Sources of a letter of which this one knows a later beginning: their word is not taken, and they are told so.
+    /// Descriptors of members for which a message carries an earlier start than the one known here: that
+    /// start is not accepted, and the sender is notified.
     fn outdated(&self, message: &Message) -> Vec<Descriptor> {
         let known = message.descriptors.iter().filter_map(|descriptor| {
             let known = self.known.get(&descriptor.ip)?.descriptor;
@@ -367,7 +377,7 @@
         known.collect()
     }
 
-    /// Beats of sources that are known; the others are wanted in whole.
+    /// Applies heartbeats of known members; returns the members whose descriptors are missing.
     fn apply_heartbeats(&mut self, now: Duration, heartbeats: &[Heartbeat]) -> Vec<IpAddr> {
         let mut requested = Vec::new();
         for heartbeat in heartbeats.iter().filter(|heartbeat| heartbeat.ip != self.local.ip) {
@@ -396,7 +406,7 @@
         IpAddr::from([10, 0, 0, n])
     }
 
-    /// A fleet on virtual time: rounds of exchanges, some of them lost.
+    /// Members on simulated time: rounds of exchanges, some of which are lost.
     struct Fleet {
         all: Vec<Option<PeerSampler>>,
         rng: Rand32,
@@ -408,7 +418,7 @@
             let mut all: Vec<_> = (0..n)
                 .map(|i| Some(PeerSampler::new(ip(i), i % 3, 1, seed + u64::from(i), Duration::ZERO)))
                 .collect();
-            // All know the first one alone.
+            // At first all know only the first one.
             for sampler in all.iter_mut().flatten() {
                 sampler.add_contacts(Duration::ZERO, [ip(0)]);
                 sampler.set_serving(Duration::ZERO, 7);
@@ -424,12 +434,14 @@
                     for (to, message) in messages {
                         let IpAddr::V4(v4) = to else { continue };
                         let j = usize::from(v4.octets()[3]);
-                        let Some(message) = Message::decode(&message.encode()) else { panic!("unreadable") };
+                        let Some(message) = Message::decode(&message.encode()) else {
+                            panic!("message cannot be decoded")
+                        };
                         if self.rng.rand_range(0..100) < self.loss_percent {
                             continue;
                         }
                         let mut reply = self.all[j].as_mut().and_then(|v| v.receive(now, &message));
-                        // To and fro until nobody lacks anything.
+                        // Replies go back and forth until neither side lacks anything.
                         let (mut local, mut remote) = (i, j);
                         while let Some(sent) = reply {
                             assert!(sent.encode().len() < 1400, "{} bytes", sent.encode().len());
@@ -489,7 +501,8 @@
         assert!(members.iter().any(|h| h.ip == ip(4) && h.incarnation == 8));
     }
 
-    /// Guards against a life that is taken for the one before it: its beat comes in short to who knows only that one.
+    /// Guards against a new incarnation that is taken for the one before: its heartbeat arrives in short form
+    /// at a member that knows only the former one.
     #[test]
     fn heartbeat_of_unknown_incarnation_is_queried() {
         let mut fleet = Fleet::new(3, 5);
@@ -507,7 +520,8 @@
         assert!(sampler.alive(now).iter().any(|h| h.ip == ip(2) && h.incarnation == 9));
     }
 
-    /// Guards against the growth of what pages say at rest: at 65 of them it was a quarter of all bytes between zones.
+    /// Guards against growth of messages while nothing changes: with 65 agents they made up a quarter of all
+    /// bytes between zones.
     #[test]
     fn messages_stay_short_without_changes() {
         let mut fleet = Fleet::new(64, 1);
@@ -518,8 +532,9 @@
         assert!(sizes.iter().all(|n| *n < 520), "{sizes:?}");
     }
 
-    /// Guards against what broke LIMIT on calm days: pages that had asked two archives knew two halves of each other, each
-    /// half with lenders of its own.
+    /// Guards against separate groups: agents that had asked two different controllers knew two halves of the
+    /// members, each half had its own owners, and instances received more calls than they have slots, without
+    /// any fault.
     #[test]
     fn two_separate_groups_join_after_one_contact() {
         let mut fleet = Fleet::new(8, 11);
--- a/crates/gazette/tests/incarnations.rs
+++ b/crates/gazette/tests/incarnations.rs
@@ -1,4 +1,5 @@
-//! Which life of a source holds: letters late, doubled, and of a process whose clock was set back before it began anew.
+//! Which incarnation of a member counts: messages that are late or duplicated, and a process whose clock was
+//! set back before its restart.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -8,12 +9,12 @@
     IpAddr::from([10, 0, 0, n])
 }
 
-/// The life that `views` has for an address, if it counts as there.
+/// The incarnation that `sampler` has for an address, if it counts as alive.
 fn incarnation(sampler: &PeerSampler, now: Duration, of: IpAddr) -> Option<u32> {
     sampler.alive(now).iter().find(|descriptor| descriptor.ip == of).map(|descriptor| descriptor.incarnation)
 }
 
-/// Exchanges between the two, a round each, until `end`; all letters of the second are kept.
+/// Exchanges between the two, one each round, until `end`; returns all messages of the second.
 fn exchange(
     first: &mut PeerSampler,
     second: &mut PeerSampler,
@@ -46,7 +47,8 @@
     sampler
 }
 
-/// It was not taken in for half a minute: what it had said before had a later beginning.
+/// Guards against ignoring a restarted member for half a minute because its earlier process had a later start
+/// time.
 #[test]
 fn restarted_member_with_clock_set_back_is_accepted() {
     let second = Duration::from_secs(1);
