--- a/crates/circulation/src/lib.rs
+++ b/crates/circulation/src/lib.rs
@@ -12,8 +12,8 @@
 mod source;
 
 pub use relay::Relay;
-pub use replica::{Replica, Taken};
-pub use source::{Source, LAG, PAUSE};
+pub use replica::{Applied, Replica};
+pub use source::{Source, MAX_LAG, MIN_INTERVAL};
 
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
@@ -43,7 +43,8 @@
     pub host: String,
     pub age: u32,
     pub ready: bool,
-    pub lends: bool,
+    #[serde(rename = "lends")]
+    pub accepts_calls: bool,
     /// While it is moved: the instance that it is to stand in for. One byte for all others.
     pub replaces: Option<String>,
 }
@@ -52,8 +53,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proxy {
     pub ip: IpAddr,
-    pub place: u8,
-    pub life: u32,
+    #[serde(rename = "place")]
+    pub zone_index: u8,
+    #[serde(rename = "life")]
+    pub incarnation: u32,
 }
 
 /// All proxies among which owners of slots are chosen, and under which mark the holder of the lease told them: a later one
@@ -67,7 +70,7 @@
 /// What changed after the version `from`; `whole`: this is everything. `tag` and `numbers` name the starts made so far, for
 /// whoever holds the duty next. Under the number 0 it is a reading of the platform's list while nobody holds the duty.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Stacks {
+pub struct InstanceUpdate {
     pub number: u64,
     pub from: u64,
     pub whole: bool,
@@ -80,7 +83,7 @@
     pub owners: Option<Owners>,
 }
 
-impl Stacks {
+impl InstanceUpdate {
     /// Up to where it leads.
     pub fn mark(&self) -> Mark {
         Mark { number: self.number, version: self.version }
--- a/crates/circulation/src/relay.rs
+++ b/crates/circulation/src/relay.rs
@@ -1,40 +1,40 @@
 //! An archive's part: hands on what the source tells, to the pages that ask here.
 
-use crate::replica::{Replica, Taken};
-use crate::{Mark, Stacks};
+use crate::replica::{Applied, Replica};
+use crate::{InstanceUpdate, Mark};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// A page not heard for so long is told nothing more.
-const KEPT: Duration = Duration::from_secs(4);
+const AGENT_TIMEOUT: Duration = Duration::from_secs(4);
 /// Pieces kept for pages that missed one; further back they are told everything.
-const PIECES: usize = 40;
+const MAX_RECENT_UPDATES: usize = 40;
 /// A page is told everything at most this often: it takes a thin link a while.
-const WHOLE_AGAIN: Duration = Duration::from_millis(1500);
-const READERS: usize = 4096;
+const MIN_FULL_INTERVAL: Duration = Duration::from_millis(1500);
+const MAX_AGENTS: usize = 4096;
 
 #[derive(Debug)]
-struct Reader {
+struct AgentState {
     mark: Mark,
     seen: Duration,
-    whole: Option<Duration>,
+    full_sent_at: Option<Duration>,
 }
 
 /// The same piece for some pages.
 #[derive(Debug, PartialEq)]
 pub struct Copies {
     pub to: Vec<IpAddr>,
-    pub news: Rc<Stacks>,
+    pub update: Rc<InstanceUpdate>,
 }
 
 #[derive(Debug, Default)]
 pub struct Relay {
     replica: Replica,
-    pieces: VecDeque<Rc<Stacks>>,
-    readers: BTreeMap<IpAddr, Reader>,
-    out: VecDeque<Copies>,
+    recent_updates: VecDeque<Rc<InstanceUpdate>>,
+    agents: BTreeMap<IpAddr, AgentState>,
+    outgoing: VecDeque<Copies>,
 }
 
 impl Relay {
@@ -43,40 +43,41 @@
     }
 
     /// News of the source. After a gap, ask it from the replica's mark on.
-    pub fn take(&mut self, now: Duration, news: Stacks) -> Taken {
-        let taken = self.replica.take(now, &news);
-        if !matches!(taken, Taken::New { .. }) || news.number == 0 {
-            return taken;
+    pub fn apply(&mut self, now: Duration, update: InstanceUpdate) -> Applied {
+        let applied = self.replica.apply(now, &update);
+        if !matches!(applied, Applied::New { .. }) || update.number == 0 {
+            return applied;
         }
-        let news = Rc::new(news);
-        if news.whole {
-            self.pieces.clear();
+        let update = Rc::new(update);
+        if update.whole {
+            self.recent_updates.clear();
         }
-        self.pieces.push_back(news.clone());
-        while self.pieces.len() > PIECES {
-            self.pieces.pop_front();
+        self.recent_updates.push_back(update.clone());
+        while self.recent_updates.len() > MAX_RECENT_UPDATES {
+            self.recent_updates.pop_front();
         }
-        self.readers.retain(|_, reader| now < reader.seen + KEPT);
+        self.agents.retain(|_, agent_state| now < agent_state.seen + AGENT_TIMEOUT);
         let mut to = Vec::new();
-        for (ip, reader) in &mut self.readers {
-            if fits(reader.mark, &news) {
-                reader.mark = news.mark();
+        for (ip, agent_state) in &mut self.agents {
+            if continues(agent_state.mark, &update) {
+                agent_state.mark = update.mark();
                 to.push(*ip);
             }
         }
         if !to.is_empty() {
-            self.out.push_back(Copies { to, news });
+            self.outgoing.push_back(Copies { to, update });
         }
-        taken
+        applied
     }
 
     /// A page asks, and says how far it is. It is told what it lacks, and from then on what comes.
-    pub fn pulled(&mut self, now: Duration, page: IpAddr, mark: Mark) {
-        if self.readers.len() >= READERS && !self.readers.contains_key(&page) {
+    pub fn handle_pull(&mut self, now: Duration, agent: IpAddr, mark: Mark) {
+        if self.agents.len() >= MAX_AGENTS && !self.agents.contains_key(&agent) {
             return;
         }
-        let reader = self.readers.entry(page).or_insert(Reader { mark, seen: now, whole: None });
-        (reader.mark, reader.seen) = (mark, now);
+        let agent_state =
+            self.agents.entry(agent).or_insert(AgentState { mark, seen: now, full_sent_at: None });
+        (agent_state.mark, agent_state.seen) = (mark, now);
         let newest = self.replica.mark();
         if newest.number == 0 || mark >= newest {
             return;
@@ -84,41 +85,42 @@
         // The pieces that lead on from its mark; each fits the one before.
         let mut chain = Vec::new();
         let mut at = mark;
-        for piece in &self.pieces {
-            if fits(at, piece) {
-                at = piece.mark();
-                chain.push(piece.clone());
+        for update in &self.recent_updates {
+            if continues(at, update) {
+                at = update.mark();
+                chain.push(update.clone());
             }
         }
         if at != newest {
-            if reader.whole.is_some_and(|last| now < last + WHOLE_AGAIN) {
+            if agent_state.full_sent_at.is_some_and(|last| now < last + MIN_FULL_INTERVAL) {
                 return;
             }
-            reader.whole = Some(now);
-            chain = vec![Rc::new(self.replica.whole(now))];
+            agent_state.full_sent_at = Some(now);
+            chain = vec![Rc::new(self.replica.snapshot(now))];
         }
-        reader.mark = newest;
-        self.out.extend(chain.into_iter().map(|news| Copies { to: vec![page], news }));
+        agent_state.mark = newest;
+        self.outgoing.extend(chain.into_iter().map(|update| Copies { to: vec![agent], update }));
     }
 
     /// A page asks another from now on.
-    pub fn left(&mut self, page: IpAddr) {
-        self.readers.remove(&page);
+    pub fn remove_agent(&mut self, agent: IpAddr) {
+        self.agents.remove(&agent);
     }
 
     /// Pages that asked here lately and know nothing.
-    pub fn blank(&self, now: Duration) -> Vec<IpAddr> {
-        let blank = self.readers.iter().filter(|(_, r)| r.mark.is_blank() && now < r.seen + KEPT);
-        blank.map(|(ip, _)| *ip).collect()
+    pub fn agents_without_state(&self, now: Duration) -> Vec<IpAddr> {
+        let without_state =
+            self.agents.iter().filter(|(_, state)| state.mark.is_blank() && now < state.seen + AGENT_TIMEOUT);
+        without_state.map(|(ip, _)| *ip).collect()
     }
 
     /// What is to be sent next.
     pub fn pull(&mut self) -> Option<Copies> {
-        self.out.pop_front()
+        self.outgoing.pop_front()
     }
 }
 
 /// Whether a piece leads on for one who is at this mark.
-fn fits(at: Mark, piece: &Stacks) -> bool {
-    at < piece.mark() && (piece.whole || piece.from <= at.version)
+fn continues(at: Mark, update: &InstanceUpdate) -> bool {
+    at < update.mark() && (update.whole || update.from <= at.version)
 }
--- a/crates/circulation/src/replica.rs
+++ b/crates/circulation/src/replica.rs
@@ -1,12 +1,12 @@
 //! The stacks as one page or archive knows them.
 
-use crate::{Listed, Mark, Owners, Stacks};
+use crate::{InstanceUpdate, Listed, Mark, Owners};
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
 /// What came of a piece of news.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Applied {
     /// Nothing new in it, or of an earlier duty.
     Old,
     /// Something before it is missing: to be asked for from the own mark on.
@@ -46,8 +46,8 @@
     }
 
     /// Owners as the holder told them, whoever passes them on; true if they are newer than those known.
-    pub fn take_owners(&mut self, owners: &Owners) -> bool {
-        let newer = self.owners.as_ref().is_none_or(|own| own.mark < owners.mark);
+    pub fn apply_owners(&mut self, owners: &Owners) -> bool {
+        let newer = self.owners.as_ref().is_none_or(|known| known.mark < owners.mark);
         if newer {
             self.owners = Some(owners.clone());
         }
@@ -60,41 +60,41 @@
     }
 
     /// News comes over two ways, so pieces come twice, late and out of order: nothing goes back to an older mark.
-    pub fn take(&mut self, now: Duration, news: &Stacks) -> Taken {
-        if news.number < self.mark.number || (news.number != 0 && news.mark() <= self.mark) {
-            return Taken::Old;
+    pub fn apply(&mut self, now: Duration, update: &InstanceUpdate) -> Applied {
+        if update.number < self.mark.number || (update.number != 0 && update.mark() <= self.mark) {
+            return Applied::Old;
         }
-        if !news.whole && news.from > self.mark.version {
-            return Taken::Gap;
+        if !update.whole && update.from > self.mark.version {
+            return Applied::Gap;
         }
-        let mut ended = news.ended.clone();
-        if news.whole {
-            let named: HashSet<&str> = news.entries.iter().map(|e| e.instance.as_str()).collect();
+        let mut ended = update.ended.clone();
+        if update.whole {
+            let named: HashSet<&str> = update.entries.iter().map(|e| e.instance.as_str()).collect();
             ended.extend(self.entries.keys().filter(|id| !named.contains(id.as_str())).cloned());
         }
-        (self.mark, self.tag, self.known) = (news.mark(), news.tag, true);
+        (self.mark, self.tag, self.known) = (update.mark(), update.tag, true);
         for id in &ended {
             self.entries.remove(id);
         }
-        for entry in &news.entries {
+        for entry in &update.entries {
             self.entries.insert(entry.instance.clone(), (entry.clone(), now));
         }
-        self.numbers.extend(news.numbers.iter().cloned());
-        if let Some(owners) = &news.owners {
-            self.take_owners(owners);
+        self.numbers.extend(update.numbers.iter().cloned());
+        if let Some(owners) = &update.owners {
+            self.apply_owners(owners);
         }
-        Taken::New { ended }
+        Applied::New { ended }
     }
 
     /// It was reached, before the news says so.
-    pub fn ready(&mut self, instance: &str) {
+    pub fn mark_ready(&mut self, instance: &str) {
         if let Some((listed, _)) = self.entries.get_mut(instance) {
             listed.ready = true;
         }
     }
 
     /// It refuses connections, before the news says so.
-    pub fn gone(&mut self, instance: &str) {
+    pub fn remove(&mut self, instance: &str) {
         self.entries.remove(instance);
     }
 
@@ -108,8 +108,8 @@
     }
 
     /// Everything, for one who knows nothing or too little.
-    pub fn whole(&self, now: Duration) -> Stacks {
-        Stacks {
+    pub fn snapshot(&self, now: Duration) -> InstanceUpdate {
+        InstanceUpdate {
             number: self.mark.number,
             from: 0,
             whole: true,
--- a/crates/controller/src/convert.rs
+++ b/crates/controller/src/convert.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use tindock_catalogue::Catalogue;
-use tindock_circulation::{Listed, Stacks};
+use tindock_circulation::{InstanceUpdate, Listed};
 use tindock_stacks::{self as autoscaler, Entry, Service, Standing};
 
 /// What the autoscaler needs of the configuration.
@@ -42,14 +42,14 @@
         host: entry.host.clone(),
         age: u32::try_from(age).unwrap_or(u32::MAX),
         ready: !matches!(entry.standing, Standing::Starting),
-        lends: matches!(entry.standing, Standing::Starting | Standing::Ready),
+        accepts_calls: matches!(entry.standing, Standing::Starting | Standing::Ready),
         replaces: entry.replaces.clone(),
     }
 }
 
 /// The entry that an instance on the wire stands for.
 pub fn entry_from_wire(now: Duration, listed: Listed) -> Entry {
-    let standing = match (listed.ready, listed.lends) {
+    let standing = match (listed.ready, listed.accepts_calls) {
         (false, _) => Standing::Starting,
         (true, true) => Standing::Ready,
         (true, false) => Standing::Draining,
@@ -68,7 +68,7 @@
 }
 
 /// The platform's list as agents are told it while nobody holds the lease.
-pub fn platform_instances(listed: Vec<autoscaler::Listed>) -> Stacks {
+pub fn platform_instances(listed: Vec<autoscaler::Listed>) -> InstanceUpdate {
     let entries = listed.into_iter().map(|instance| Listed {
         instance: instance.instance,
         service: instance.service,
@@ -77,8 +77,8 @@
         host: instance.host,
         age: 0,
         ready: true,
-        lends: !instance.draining,
+        accepts_calls: !instance.draining,
         replaces: None,
     });
-    Stacks { entries: entries.collect(), ..Stacks::default() }
+    InstanceUpdate { entries: entries.collect(), ..InstanceUpdate::default() }
 }
--- a/crates/controller/src/lease_duties.rs
+++ b/crates/controller/src/lease_duties.rs
@@ -6,7 +6,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 use tindock_catalogue::Catalogue;
-use tindock_circulation::{Listed, Mark, Proxy, Replica, Source, Stacks};
+use tindock_circulation::{InstanceUpdate, Listed, Mark, Proxy, Replica, Source};
 use tindock_stacks::{self as autoscaler, Entry, Host, Order, Rebinding, Scaler};
 
 /// Instances younger than this (ms) a new holder may not find on the platform's list.
@@ -185,7 +185,7 @@
     }
 
     /// What changed in the instances after a version.
-    pub fn changes_since(&self, now: Duration, version: u64) -> Stacks {
+    pub fn changes_since(&self, now: Duration, version: u64) -> InstanceUpdate {
         let news = self.scaler.since(version);
         let (mut numbers, tag) = self.scaler.numbers();
         if !news.whole {
@@ -195,7 +195,7 @@
         let told = self.proxies.told();
         let newer = |mark: Mark| mark > Mark { number: self.number, version };
         let owners = told.filter(|owners| news.whole || newer(owners.mark)).cloned();
-        Stacks {
+        InstanceUpdate {
             number: self.number,
             from: version,
             whole: news.whole,
--- a/crates/controller/src/proxies.rs
+++ b/crates/controller/src/proxies.rs
@@ -51,7 +51,7 @@
 
     /// An agent says which process serves beside it: none (life 0) where it leaves or has not begun.
     pub fn follows(&mut self, now: Duration, proxy: Proxy) {
-        if proxy.life == 0 {
+        if proxy.incarnation == 0 {
             self.known.remove(&proxy.ip);
             return;
         }
--- a/crates/controller/tests/proxies.rs
+++ b/crates/controller/tests/proxies.rs
@@ -10,7 +10,7 @@
 }
 
 fn proxy(n: u8, life: u32) -> Proxy {
-    Proxy { ip: IpAddr::from([10, 0, 0, n]), place: n % 3, life }
+    Proxy { ip: IpAddr::from([10, 0, 0, n]), zone_index: n % 3, incarnation: life }
 }
 
 fn owners(proxies: &[Proxy]) -> Owners {
--- a/crates/house/examples/desk.rs
+++ b/crates/house/examples/desk.rs
@@ -265,7 +265,7 @@
         host: "m".into(),
         age: 60_000,
         ready: true,
-        lends: true,
+        accepts_calls: true,
         replaces: None,
     };
     let desk = Desk { ip: host(2), zone: "a".into(), life: 1 };
--- a/crates/house/src/controller/agents.rs
+++ b/crates/house/src/controller/agents.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
-use tindock_circulation::{Stacks, Taken};
+use tindock_circulation::{Applied, InstanceUpdate};
 use tindock_controller::platform_instances;
 use tindock_stacks as autoscaler;
 
@@ -27,10 +27,10 @@
                 self.post.send(from, &news);
                 if wants {
                     self.send_configuration(now, Some(ip));
-                    self.relay.pulled(now, ip, mark);
+                    self.relay.handle_pull(now, ip, mark);
                     self.hand_on();
                 } else {
-                    self.relay.left(ip);
+                    self.relay.remove_agent(ip);
                 }
                 self.read_first_instances(now);
             }
@@ -146,7 +146,7 @@
         let (Some(instances), None) = (read, self.holder) else { return };
         let bytes = frame(&Note::Stacks(platform_instances(instances)));
         let port = self.settings.peer().port();
-        for ip in self.relay.blank(now) {
+        for ip in self.relay.agents_without_state(now) {
             self.post.send_frame(SocketAddr::new(ip, port), bytes.clone());
         }
     }
@@ -166,8 +166,8 @@
     }
 
     /// News of the instances, taken over and handed on.
-    fn take_instances(&mut self, now: Duration, from: SocketAddr, news: Stacks) {
-        if self.relay.take(now, news) == Taken::Gap {
+    fn take_instances(&mut self, now: Duration, from: SocketAddr, news: InstanceUpdate) {
+        if self.relay.apply(now, news) == Applied::Gap {
             let mark = self.relay.replica().mark();
             self.post.send(from, &Note::Follow { mark, greets: false, proxy: None });
         }
@@ -177,7 +177,7 @@
     fn hand_on(&mut self) {
         let port = self.settings.peer().port();
         while let Some(copies) = self.relay.pull() {
-            let bytes = frame(&Note::Stacks((*copies.news).clone()));
+            let bytes = frame(&Note::Stacks((*copies.update).clone()));
             for ip in copies.to {
                 self.post.send_frame(SocketAddr::new(ip, port), bytes.clone());
             }
@@ -192,7 +192,7 @@
         duties.source.tick(now, duties.scaler.version());
         let me = self.settings.peer();
         // By the version it leads on from: the same piece goes to all controllers.
-        let mut frames: HashMap<u64, (Stacks, Vec<u8>)> = HashMap::new();
+        let mut frames: HashMap<u64, (InstanceUpdate, Vec<u8>)> = HashMap::new();
         let mut own = Vec::new();
         while let Some((ip, from)) = duties.source.pull() {
             let (news, bytes) = frames.entry(from).or_insert_with(|| {
--- a/crates/house/src/desk.rs
+++ b/crates/house/src/desk.rs
@@ -451,7 +451,7 @@
         at: listed.at,
         zone: listed.zone,
         ready: listed.ready,
-        accepts_calls: listed.lends,
+        accepts_calls: listed.accepts_calls,
         since: now.saturating_sub(Duration::from_millis(listed.age.into())),
     }
 }
--- a/crates/house/src/notes.rs
+++ b/crates/house/src/notes.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, SocketAddr};
 use tindock_catalogue::{Catalogue, Change};
 pub use tindock_circulation::Listed;
-use tindock_circulation::{Mark, Owners, Proxy, Stacks};
+use tindock_circulation::{InstanceUpdate, Mark, Owners, Proxy};
 use tindock_control_store::Envelope;
 
 /// Between pages and archives.
@@ -42,7 +42,7 @@
         proxy: Option<Proxy>,
     },
     /// From the holder, and from the archive that is asked: what changed in the stacks.
-    Stacks(Stacks),
+    Stacks(InstanceUpdate),
     /// To the holder: what lenders need and know.
     Demand(Vec<Demand>),
     Gone(String),
--- a/crates/house/src/page.rs
+++ b/crates/house/src/page.rs
@@ -10,7 +10,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::{Duration, Instant};
 use tindock_catalogue::Catalogue;
-use tindock_circulation::{Mark, Proxy, Replica, Stacks, Taken};
+use tindock_circulation::{Applied, InstanceUpdate, Mark, Proxy, Replica};
 use tindock_gazette::{Message, PeerSampler};
 use tindock_lifecycle::GracePeriod;
 use tokio::io::AsyncWriteExt;
@@ -292,8 +292,8 @@
     fn tell_owners(&mut self) {
         let places = self.settings.places();
         let desk = |proxy: &Proxy| {
-            let zone = places.get(usize::from(proxy.place))?.0.clone();
-            Some(Desk { ip: proxy.ip, zone, life: proxy.life })
+            let zone = places.get(usize::from(proxy.zone_index))?.0.clone();
+            Some(Desk { ip: proxy.ip, zone, life: proxy.incarnation })
         };
         let Some(owners) = self.stacks.owners() else { return };
         let mark = owners.mark;
@@ -376,7 +376,7 @@
     /// would never hear of each other.
     fn follow(&mut self) -> Note {
         self.follows = self.follows.wrapping_add(1);
-        let proxy = Proxy { ip: self.me.ip(), place: self.place, life: self.views.incarnation() };
+        let proxy = Proxy { ip: self.me.ip(), zone_index: self.place, incarnation: self.views.incarnation() };
         Note::Follow { mark: self.stacks.mark(), greets: self.follows % GREETS == 1, proxy: Some(proxy) }
     }
 
@@ -503,11 +503,11 @@
                 let note = match tells {
                     Tells::Demand(demand) => Note::Demand(demand),
                     Tells::Gone(instance) => {
-                        self.stacks.gone(&instance);
+                        self.stacks.remove(&instance);
                         Note::Gone(instance)
                     }
                     Tells::Ready(instance) => {
-                        self.stacks.ready(&instance);
+                        self.stacks.mark_ready(&instance);
                         Note::Ready(instance)
                     }
                     Tells::Life(_) | Tells::Leaving => return,
@@ -623,14 +623,14 @@
                     }
                 }
             }
-            Note::Stacks(news) => match self.stacks.take(now, &news) {
-                Taken::Old => {}
-                Taken::Gap => {
+            Note::Stacks(news) => match self.stacks.apply(now, &news) {
+                Applied::Old => {}
+                Applied::Gap => {
                     // What was missed is asked for again, of the one that is asked for all else.
                     self.pull();
                 }
-                Taken::New { ended } => {
-                    let Stacks { entries, whole, owners, .. } = news;
+                Applied::New { ended } => {
+                    let InstanceUpdate { entries, whole, owners, .. } = news;
                     self.tell(&Told::Stacks { entries, ended, whole });
                     if owners.is_some() {
                         self.tell_owners();
@@ -638,7 +638,7 @@
                 }
             },
             Note::Owners(owners) => {
-                if self.stacks.take_owners(&owners) {
+                if self.stacks.apply_owners(&owners) {
                     self.tell_owners();
                 }
             }
--- a/crates/house/tests/answers.rs
+++ b/crates/house/tests/answers.rs
@@ -119,7 +119,7 @@
         host: "m".into(),
         age: 60_000,
         ready: true,
-        lends: true,
+        accepts_calls: true,
         replaces: None,
     };
     for told in [
--- a/crates/house/tests/loans.rs
+++ b/crates/house/tests/loans.rs
@@ -79,7 +79,7 @@
         host: "m".into(),
         age: 0,
         ready,
-        lends: true,
+        accepts_calls: true,
         replaces: None,
     }
 }
--- a/crates/rehearsal/src/controller.rs
+++ b/crates/rehearsal/src/controller.rs
@@ -1,14 +1,14 @@
 //! The controller's carrying, as in `house::controller`: the control store's actions, news to agents, and the autoscaler while
 //! it holds the lease. What is decided there beside the control store is `tindock_controller`'s, here and there.
 
-use crate::notes::{hash, Note, Stacks, PEER_PORT};
+use crate::notes::{hash, InstanceUpdate, Note, PEER_PORT};
 use crate::planted::Planted;
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
 use tindock_catalogue::Catalogue;
-use tindock_circulation::{Relay, Taken};
+use tindock_circulation::{Applied, Relay};
 use tindock_control_store::{Action, ControlStore, DiskState, MemberSettings, Outcome, Stored};
 use tindock_controller::{
     list_interval, platform_instances, services, Agents, Contact, LeaseDuties, LeaseSettings,
@@ -239,7 +239,7 @@
                 let news = self.news(now, ip);
                 self.send(from, news);
                 self.send_word(now, Some(ip));
-                self.relay.pulled(now, ip, mark);
+                self.relay.handle_pull(now, ip, mark);
                 self.hand_on();
                 self.read_first(now);
             }
@@ -319,7 +319,7 @@
 
     fn show_first(&mut self, now: Duration, list: Vec<stacks::Listed>) {
         let stacks = Rc::new(platform_instances(list));
-        for ip in self.relay.blank(now) {
+        for ip in self.relay.agents_without_state(now) {
             self.send(SocketAddr::new(ip, PEER_PORT), Note::Stacks(stacks.clone()));
         }
     }
@@ -343,8 +343,8 @@
         }
     }
 
-    fn take_stacks(&mut self, now: Duration, from: SocketAddr, news: Stacks) {
-        if self.relay.take(now, news) == Taken::Gap {
+    fn take_stacks(&mut self, now: Duration, from: SocketAddr, news: InstanceUpdate) {
+        if self.relay.apply(now, news) == Applied::Gap {
             let mark = self.relay.replica().mark();
             self.send(from, Note::Follow { mark, greets: false, proxy: None });
         }
@@ -354,7 +354,7 @@
     fn hand_on(&mut self) {
         while let Some(copies) = self.relay.pull() {
             for ip in copies.to {
-                self.send(SocketAddr::new(ip, PEER_PORT), Note::Stacks(copies.news.clone()));
+                self.send(SocketAddr::new(ip, PEER_PORT), Note::Stacks(copies.update.clone()));
             }
         }
     }
--- a/crates/rehearsal/src/desk.rs
+++ b/crates/rehearsal/src/desk.rs
@@ -375,7 +375,7 @@
             at: listed.at,
             zone: listed.zone.clone(),
             ready: listed.ready,
-            accepts_calls: listed.lends && self.may_use(listed),
+            accepts_calls: listed.accepts_calls && self.may_use(listed),
             since: now.saturating_sub(Duration::from_millis(listed.age.into())),
         });
         self.lending.update_instances(now, entries.collect(), ended);
--- a/crates/rehearsal/src/notes.rs
+++ b/crates/rehearsal/src/notes.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
 use tindock_catalogue::Catalogue;
-pub use tindock_circulation::{Listed, Mark, Owners, Proxy, Stacks};
+pub use tindock_circulation::{InstanceUpdate, Listed, Mark, Owners, Proxy};
 use tindock_control_store::Envelope;
 use tindock_stacks as stacks;
 
@@ -31,7 +31,7 @@
         greets: bool,
         proxy: Option<Proxy>,
     },
-    Stacks(Rc<Stacks>),
+    Stacks(Rc<InstanceUpdate>),
     Owners(Owners),
     Demand(Vec<stacks::Demand>),
     Gone(String),
--- a/crates/rehearsal/src/page.rs
+++ b/crates/rehearsal/src/page.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tindock_catalogue::Catalogue;
-use tindock_circulation::{Replica, Taken};
+use tindock_circulation::{Applied, Replica};
 use tindock_gazette::{Message, PeerSampler};
 
 const PULL: Duration = Duration::from_millis(700);
@@ -131,7 +131,7 @@
     fn follow(&mut self, holder: SocketAddr) {
         self.follows = self.follows.wrapping_add(1);
         let greets = self.follows % GREETS == 1;
-        let proxy = Proxy { ip: self.ip, place: self.place, life: self.views.incarnation() };
+        let proxy = Proxy { ip: self.ip, zone_index: self.place, incarnation: self.views.incarnation() };
         self.send(holder, Note::Follow { mark: self.stacks.mark(), greets, proxy: Some(proxy) });
     }
 
@@ -213,8 +213,8 @@
 
     fn tell_owners(&mut self, now: Duration) {
         let place = |proxy: &Proxy| {
-            let zone = self.places.get(usize::from(proxy.place))?.0.clone();
-            Some((proxy.ip, zone, proxy.life))
+            let zone = self.places.get(usize::from(proxy.zone_index))?.0.clone();
+            Some((proxy.ip, zone, proxy.incarnation))
         };
         let Some(owners) = self.stacks.owners() else { return };
         let mark = owners.mark;
@@ -242,8 +242,8 @@
     pub fn carry(&mut self, note: Note) {
         let Some((holder, _)) = self.holder else { return };
         match &note {
-            Note::Gone(instance) => self.stacks.gone(instance),
-            Note::Ready(instance) => self.stacks.ready(instance),
+            Note::Gone(instance) => self.stacks.remove(instance),
+            Note::Ready(instance) => self.stacks.mark_ready(instance),
             _ => {}
         }
         self.send(holder, note);
@@ -276,10 +276,10 @@
                     self.catalogue = Some(catalogue);
                 }
             }
-            Note::Stacks(news) => match self.stacks.take(now, &news) {
-                Taken::Old => {}
-                Taken::Gap => self.pull(now),
-                Taken::New { ended } => {
+            Note::Stacks(news) => match self.stacks.apply(now, &news) {
+                Applied::Old => {}
+                Applied::Gap => self.pull(now),
+                Applied::New { ended } => {
                     let entries = news.entries.clone();
                     self.tell(Told::Stacks { entries, ended });
                     if news.owners.is_some() {
@@ -287,7 +287,7 @@
                     }
                 }
             },
-            Note::Owners(owners) if self.stacks.take_owners(&owners) => self.tell_owners(now),
+            Note::Owners(owners) if self.stacks.apply_owners(&owners) => self.tell_owners(now),
             _ => {}
         }
     }
--- a/crates/scale-run/src/distribution.rs
+++ b/crates/scale-run/src/distribution.rs
@@ -6,7 +6,7 @@
 use crate::Size;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use tindock_circulation::{Listed, Mark, Relay, Replica, Stacks};
+use tindock_circulation::{InstanceUpdate, Listed, Mark, Relay, Replica};
 use tindock_house::notes::Note;
 use tindock_house::post::frame;
 
@@ -26,14 +26,14 @@
         host: format!("worker-{host:04}"),
         age: 60_000,
         ready: true,
-        lends: true,
+        accepts_calls: true,
         replaces: None,
     }
 }
 
 /// Everything, under the first version.
-fn whole(size: Size) -> Stacks {
-    Stacks {
+fn whole(size: Size) -> InstanceUpdate {
+    InstanceUpdate {
         number: TERM,
         from: 0,
         whole: true,
@@ -47,17 +47,17 @@
 }
 
 /// One instance that has started, leading on from a version.
-fn started(version: u64, size: Size) -> Stacks {
+fn started(version: u64, size: Size) -> InstanceUpdate {
     let entry = Listed { ready: false, age: 0, ..instance(size.instances + version as usize, size) };
     let numbers = vec![(entry.service.clone(), 2)];
-    Stacks {
+    InstanceUpdate {
         number: TERM,
         from: version,
         version: version + 1,
         entries: vec![entry],
         tag: 1,
         numbers,
-        ..Stacks::default()
+        ..InstanceUpdate::default()
     }
 }
 
@@ -66,7 +66,7 @@
     let news = whole(size);
     let memory = own_memory();
     let mut replica = Replica::default();
-    let (_, taking) = timed(|| replica.take(Duration::ZERO, &news));
+    let (_, taking) = timed(|| replica.apply(Duration::ZERO, &news));
     let held = own_memory() - memory;
     let (bytes, framing) = timed(|| frame(&Note::Stacks(news.clone())).len());
     let piece_bytes = frame(&Note::Stacks(started(1, size))).len();
@@ -74,22 +74,22 @@
     let agents: Vec<IpAddr> =
         (0..size.schedulers).map(|n| Ipv4Addr::from(0x0a00_0000 + n as u32).into()).collect();
     let mut relay = Relay::default();
-    relay.take(Duration::ZERO, news);
+    relay.apply(Duration::ZERO, news);
     let mark = Mark { number: TERM, version: 1 };
     for agent in &agents {
-        relay.pulled(Duration::ZERO, *agent, mark);
+        relay.handle_pull(Duration::ZERO, *agent, mark);
     }
     let mut copies = 0;
     let (_, spreading) = timed(|| {
         for version in 1..=PIECES {
-            relay.take(Duration::from_millis(version), started(version, size));
+            relay.apply(Duration::from_millis(version), started(version, size));
             while let Some(copy) = relay.pull() {
                 copies += copy.to.len();
             }
         }
     });
     let (_, catching_up) = timed(|| {
-        relay.pulled(Duration::from_millis(PIECES + 1), agents[0], Mark::default());
+        relay.handle_pull(Duration::from_millis(PIECES + 1), agents[0], Mark::default());
         while relay.pull().is_some() {}
     });
     drop(replica);
