--- a/crates/circulation/src/lib.rs
+++ b/crates/circulation/src/lib.rs
@@ -1,11 +1,12 @@
-//! How the stacks (which instances there are) reach every page, without I/O: inputs carry the time, what is to be sent is
-//! pulled until there is none.
+//! Distribution of the instance list to all agents, without I/O: inputs carry the time, and what is to be
+//! sent is pulled until there is none.
 //!
-//! The holder of the duty is the one [`Source`]. It tells the archives what changed, a few times a second at the most, and
-//! each archive is a [`Relay`] for the pages that ask it, which are those of its zone where there is one: so a change
-//! crosses to a zone once, not once a page. Archives and pages each keep a [`Replica`]. Everything carries a [`Mark`]; who
-//! finds a gap asks again, and a page whose mark stands still though the source's moved is told by the source itself.
-//! So a relay that is gone, cut off or behind costs a page [`LAG`], and nothing else.
+//! The holder of the leadership lease is the one [`Source`]. It sends changes to the controllers, a few times
+//! a second at most, and each controller is a [`Relay`] for the agents that poll it, which are those of its
+//! zone where there is one: so a change crosses to a zone once, not once per agent. Controllers and agents
+//! each keep a [`Replica`]. Every update carries a [`Mark`]; a replica that finds a gap requests what it
+//! lacks, and an agent whose mark falls behind the source's receives updates from the source itself. So a
+//! relay that fails, is cut off or is behind delays its agents by [`MAX_LAG`], and has no other effect.
 
 mod relay;
 mod replica;
@@ -18,8 +19,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
 
-/// How far the stacks are known: the number of the duty, and the version under it. A later duty's versions begin above
-/// those of all before it. The least one knows nothing.
+/// How far the instance list is known: the number of the leadership lease, and the version under it. The
+/// versions of a later lease begin above those of all before it. The lowest mark stands for no state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Mark {
     pub number: u64,
@@ -27,13 +28,13 @@
 }
 
 impl Mark {
-    /// Nothing is known.
+    /// Whether nothing is known.
     pub fn is_blank(self) -> bool {
         self == Mark::default()
     }
 }
 
-/// An instance, between processes: `age` in ms instead of a time, as clocks differ.
+/// An instance as sent between processes: `age` in ms instead of a time, as clocks differ.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Listed {
     pub instance: String,
@@ -45,11 +46,12 @@
     pub ready: bool,
     #[serde(rename = "lends")]
     pub accepts_calls: bool,
-    /// While it is moved: the instance that it is to stand in for. One byte for all others.
+    /// While an instance is moved: the instance that this one replaces. One byte for all others.
     pub replaces: Option<String>,
 }
 
-/// A proxy among which owners of slots are chosen: its machine, its zone's number, the life of its process (0: none serves).
+/// A proxy that may own instances: the address of its host, the index of its zone, and the incarnation of its
+/// process (0: none serves).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proxy {
     pub ip: IpAddr,
@@ -59,16 +61,17 @@
     pub incarnation: u32,
 }
 
-/// All proxies among which owners of slots are chosen, and under which mark the holder of the lease told them: a later one
-/// holds.
+/// All proxies that may own instances, and the mark under which the holder of the leadership lease published
+/// them: the latest one counts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owners {
     pub mark: Mark,
     pub proxies: Vec<Proxy>,
 }
 
-/// What changed after the version `from`; `whole`: this is everything. `tag` and `numbers` name the starts made so far, for
-/// whoever holds the duty next. Under the number 0 it is a reading of the platform's list while nobody holds the duty.
+/// The changes after the version `from`; with `whole` the complete list. `tag` and `numbers` are the
+/// numbering of the starts so far, for the next holder of the leadership lease. Under the lease number 0 it
+/// is a list read from the platform while nobody holds the lease.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct InstanceUpdate {
     pub number: u64,
@@ -84,7 +87,7 @@
 }
 
 impl InstanceUpdate {
-    /// Up to where it leads.
+    /// The mark that a replica has after this update.
     pub fn mark(&self) -> Mark {
         Mark { number: self.number, version: self.version }
     }
--- a/crates/circulation/src/relay.rs
+++ b/crates/circulation/src/relay.rs
@@ -1,4 +1,4 @@
-//! An archive's part: hands on what the source tells, to the pages that ask here.
+//! A controller's part: forwards the updates of the source to the agents that poll this controller.
 
 use crate::replica::{Applied, Replica};
 use crate::{InstanceUpdate, Mark};
@@ -7,11 +7,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A page not heard for so long is told nothing more.
+/// An agent that has not polled for this long receives no more updates.
 const AGENT_TIMEOUT: Duration = Duration::from_secs(4);
-/// Pieces kept for pages that missed one; further back they are told everything.
+/// The most updates kept for agents that missed one; agents further behind receive the complete list.
 const MAX_RECENT_UPDATES: usize = 40;
-/// A page is told everything at most this often: it takes a thin link a while.
+/// An agent receives the complete list at most this often: it takes a while on a slow link.
 const MIN_FULL_INTERVAL: Duration = Duration::from_millis(1500);
 const MAX_AGENTS: usize = 4096;
 
@@ -22,7 +22,7 @@
     full_sent_at: Option<Duration>,
 }
 
-/// The same piece for some pages.
+/// The same update for several agents.
 #[derive(Debug, PartialEq)]
 pub struct Copies {
     pub to: Vec<IpAddr>,
@@ -42,7 +42,7 @@
         &self.replica
     }
 
-    /// News of the source. After a gap, ask it from the replica's mark on.
+    /// Applies an update of the source. After a gap, request the changes after the replica's mark.
     pub fn apply(&mut self, now: Duration, update: InstanceUpdate) -> Applied {
         let applied = self.replica.apply(now, &update);
         if !matches!(applied, Applied::New { .. }) || update.number == 0 {
@@ -70,7 +70,7 @@
         applied
     }
 
-    /// A page asks, and says how far it is. It is told what it lacks, and from then on what comes.
+    /// An agent polls and sends its mark. It receives what it lacks, and updates as they come from then on.
     pub fn handle_pull(&mut self, now: Duration, agent: IpAddr, mark: Mark) {
         if self.agents.len() >= MAX_AGENTS && !self.agents.contains_key(&agent) {
             return;
@@ -82,7 +82,7 @@
         if newest.number == 0 || mark >= newest {
             return;
         }
-        // The pieces that lead on from its mark; each fits the one before.
+        // The recent updates that continue from its mark; each one continues the one before.
         let mut chain = Vec::new();
         let mut at = mark;
         for update in &self.recent_updates {
@@ -102,25 +102,25 @@
         self.outgoing.extend(chain.into_iter().map(|update| Copies { to: vec![agent], update }));
     }
 
-    /// A page asks another from now on.
+    /// The agent polls another controller from now on.
     pub fn remove_agent(&mut self, agent: IpAddr) {
         self.agents.remove(&agent);
     }
 
-    /// Pages that asked here lately and know nothing.
+    /// Agents that polled recently and have no state.
     pub fn agents_without_state(&self, now: Duration) -> Vec<IpAddr> {
         let without_state =
             self.agents.iter().filter(|(_, state)| state.mark.is_blank() && now < state.seen + AGENT_TIMEOUT);
         without_state.map(|(ip, _)| *ip).collect()
     }
 
-    /// What is to be sent next.
+    /// The next copies to be sent.
     pub fn pull(&mut self) -> Option<Copies> {
         self.outgoing.pop_front()
     }
 }
 
-/// Whether a piece leads on for one who is at this mark.
+/// Whether an update can be applied by a replica with this mark.
 fn continues(at: Mark, update: &InstanceUpdate) -> bool {
     at < update.mark() && (update.whole || update.from <= at.version)
 }
--- a/crates/circulation/src/replica.rs
+++ b/crates/circulation/src/replica.rs
@@ -1,17 +1,17 @@
-//! The stacks as one page or archive knows them.
+//! The instance list as one agent or controller knows it.
 
 use crate::{InstanceUpdate, Listed, Mark, Owners};
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-/// What came of a piece of news.
+/// The result of an update.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// Nothing new in it, or of an earlier duty.
+    /// Nothing new in it, or of an earlier lease.
     Old,
-    /// Something before it is missing: to be asked for from the own mark on.
+    /// Updates before it are missing: request the changes after the replica's own mark.
     Gap,
-    /// Taken over. Instances that have ended with it, those of `Stacks::ended` among them.
+    /// Applied. The instances that ended with it, those of `InstanceUpdate::ended` among them.
     New { ended: Vec<String> },
 }
 
@@ -30,22 +30,23 @@
         self.mark
     }
 
-    /// Whether anything was heard at all.
+    /// Whether any update was applied.
     pub fn is_known(&self) -> bool {
         self.known
     }
 
-    /// Of the numbering of starts; 0 where none is known.
+    /// The tag of the numbering of starts; 0 where none is known.
     pub fn tag(&self) -> u64 {
         self.tag
     }
 
-    /// The proxies among which owners of slots are chosen, once they were told.
+    /// The proxies that may own instances, once they are known.
     pub fn owners(&self) -> Option<&Owners> {
         self.owners.as_ref()
     }
 
-    /// Owners as the holder told them, whoever passes them on; true if they are newer than those known.
+    /// Applies owners that the holder published, whoever forwards them. Returns true if they are newer than
+    /// those known.
     pub fn apply_owners(&mut self, owners: &Owners) -> bool {
         let newer = self.owners.as_ref().is_none_or(|known| known.mark < owners.mark);
         if newer {
@@ -59,7 +60,8 @@
         self.numbers.iter().map(|(service, n)| (service.clone(), *n)).collect()
     }
 
-    /// News comes over two ways, so pieces come twice, late and out of order: nothing goes back to an older mark.
+    /// Updates arrive on two paths, so they may be duplicated, late and out of order: the mark never
+    /// decreases.
     pub fn apply(&mut self, now: Duration, update: &InstanceUpdate) -> Applied {
         if update.number < self.mark.number || (update.number != 0 && update.mark() <= self.mark) {
             return Applied::Old;
@@ -86,19 +88,19 @@
         Applied::New { ended }
     }
 
-    /// It was reached, before the news says so.
+    /// The instance accepted a connection before an update lists it as ready.
     pub fn mark_ready(&mut self, instance: &str) {
         if let Some((listed, _)) = self.entries.get_mut(instance) {
             listed.ready = true;
         }
     }
 
-    /// It refuses connections, before the news says so.
+    /// The instance refuses connections before an update lists it as ended.
     pub fn remove(&mut self, instance: &str) {
         self.entries.remove(instance);
     }
 
-    /// All that is known, with the ages now.
+    /// All known instances, with their present ages.
     pub fn entries(&self, now: Duration) -> Vec<Listed> {
         let aged = |(listed, at): &(Listed, Duration)| {
             let since = u32::try_from(now.saturating_sub(*at).as_millis()).unwrap_or(u32::MAX);
@@ -107,7 +109,7 @@
         self.entries.values().map(aged).collect()
     }
 
-    /// Everything, for one who knows nothing or too little.
+    /// The complete state, for a replica that has none or lacks too much.
     pub fn snapshot(&self, now: Duration) -> InstanceUpdate {
         InstanceUpdate {
             number: self.mark.number,
--- a/crates/circulation/src/source.rs
+++ b/crates/circulation/src/source.rs
@@ -1,18 +1,18 @@
-//! The holder's part: whom to tell, and from which version on.
+//! The lease holder's part: which followers receive an update, and from which version on.
 
 use crate::Mark;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Changes are told at most this often: what changes within it goes as one piece. A start takes several times as long, and
-/// an instance lends no more for twice as long before it is stopped.
+/// Shortest interval between updates; the changes within it are sent as one update. A start takes several
+/// times as long, and an instance grants no slots for twice as long before it is stopped.
 pub const MIN_INTERVAL: Duration = Duration::from_millis(150);
-/// A page that is behind by so much is told by the source itself,
+/// An agent that is behind by this much receives updates from the source itself.
 pub const MAX_LAG: Duration = Duration::from_millis(1000);
-/// for so long.
+/// How long it then receives them.
 const DIRECT_FOR: Duration = Duration::from_millis(3000);
-/// A follower not heard for so long is told nothing more.
+/// A follower that has sent nothing for this long receives no more updates.
 const FOLLOWER_TIMEOUT: Duration = Duration::from_secs(4);
 const MAX_FOLLOWERS: usize = 4096;
 
@@ -20,22 +20,22 @@
 struct Follower {
     mark: Mark,
     seen: Duration,
-    /// An archive, which hands it on.
+    /// A controller, which forwards updates.
     is_relay: bool,
-    /// A page that no relay reaches.
+    /// Until then this agent, which no relay reaches, receives updates directly.
     direct_until: Duration,
 }
 
-/// Those who follow the duty of one number.
+/// The followers under the lease of one number.
 #[derive(Debug)]
 pub struct Source {
     number: u64,
     started: Duration,
-    /// The version that was last told, and when the next may be.
+    /// The version that was last sent, and when the next may be.
     sent_version: u64,
     due: Duration,
     followers: BTreeMap<IpAddr, Follower>,
-    /// Versions as they were told, over the last while.
+    /// The versions recently sent, with their times.
     sent_versions: VecDeque<(Duration, u64)>,
     outgoing: VecDeque<(IpAddr, u64)>,
 }
@@ -53,7 +53,7 @@
         }
     }
 
-    /// An archive (`relays`) or a page follows, and says how far it is; `version` is the newest.
+    /// A controller (`is_relay`) or an agent follows and sends its mark; `version` is the newest one.
     pub fn follow(&mut self, now: Duration, version: u64, from: IpAddr, mark: Mark, is_relay: bool) {
         if self.followers.len() >= MAX_FOLLOWERS && !self.followers.contains_key(&from) {
             return;
@@ -61,7 +61,7 @@
         let number = self.number;
         let behind = match mark.number == number {
             true => mark.version < self.version_at(now.saturating_sub(MAX_LAG)),
-            // Relays hand on what a new holder tells them; who knows nothing at all does not wait for that.
+            // Relays forward the updates of a new holder; an agent without any state does not wait for that.
             false => mark.is_blank() || now >= self.started + MAX_LAG,
         };
         let follower = self.followers.entry(from).or_insert(Follower {
@@ -81,12 +81,13 @@
         }
     }
 
-    /// The newest version that was told by then.
+    /// The newest version that had been sent at that time.
     fn version_at(&self, then: Duration) -> u64 {
         self.sent_versions.iter().rev().find(|(at, _)| *at <= then).map_or(0, |(_, version)| *version)
     }
 
-    /// Time passes; `version` is the newest. Whoever is to be told is then pulled with [`Source::pull`].
+    /// To be called periodically; `version` is the newest one. The followers that receive an update are then
+    /// pulled with [`Source::pull`].
     pub fn tick(&mut self, now: Duration, version: u64) {
         if version == self.sent_version || now < self.due {
             return;
@@ -110,7 +111,7 @@
         }
     }
 
-    /// When `tick` has something to tell without any further input, if it has.
+    /// When `tick` next has an update to send without further input, if it has.
     pub fn next_due(&self, version: u64) -> Duration {
         if version == self.sent_version {
             Duration::MAX
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Whom to tell what changed after which version.
+    /// The next follower to send an update to, and the version after which it needs the changes.
     pub fn pull(&mut self) -> Option<(IpAddr, u64)> {
         self.outgoing.pop_front()
     }
--- a/crates/circulation/tests/distribution.rs
+++ b/crates/circulation/tests/distribution.rs
@@ -1,5 +1,5 @@
-//! A source, five relays and thirty pages on simulated time, with pieces lost, doubled and late, relays that die and come
-//! back empty, and a source that is replaced.
+//! A source, five relays and thirty agents on simulated time, with lost, duplicated and late updates, relays
+//! that fail and restart without state, and a source that is replaced.
 
 use oorandom::Rand32;
 use rstest::rstest;
@@ -33,7 +33,7 @@
     }
 }
 
-/// What the holder knows: each instance with the version of its last change, and ends with theirs.
+/// The state of the holder: each instance with the version of its last change, and each end with its version.
 #[derive(Clone, Default)]
 struct HolderState {
     version: u64,
@@ -88,9 +88,9 @@
 struct Faults {
     loss_percent: u32,
     max_delay_ms: u32,
-    /// A relay that says nothing from 2 s on.
+    /// A relay that sends nothing from 2 s on.
     failed_relay: Option<usize>,
-    /// Relays start anew, and another takes the duty, at 3 s.
+    /// At 3 s the relays restart, and another process takes the lease.
     restarts: bool,
 }
 
@@ -105,7 +105,7 @@
     agents: Vec<Replica>,
     marks: Vec<Mark>,
     in_flight: Vec<(Duration, Delivery)>,
-    /// Pieces that the source sent to relays and to pages.
+    /// Updates that the source sent to relays and to agents.
     sent: (usize, usize),
 }
 
@@ -247,11 +247,12 @@
     }
 }
 
-/// Guards against bytes between zones: in calm a change goes to each relay once, and to no page from the source.
+/// Guards against excess traffic between zones: without faults a change goes to each relay once, and from the
+/// source to no agent.
 #[test]
 fn without_faults_agents_receive_updates_from_relays_alone() {
     let mut simulation = Simulation::new(1, NO_FAULTS);
-    // At the start the source tells all who know nothing, for a while.
+    // At the start the source sends to all agents without state, for a while.
     for _ in 0..500 {
         simulation.step(true);
     }
@@ -269,7 +270,8 @@
     );
 }
 
-/// A page whose relay is gone is behind by no more than the lag, a pause between two follows, and the ways.
+/// An agent whose relay has failed is behind by no more than the lag, the interval between two follows, and
+/// the latencies.
 #[test]
 fn failed_relay_delays_its_agents_by_the_lag_at_most() {
     let mut simulation = Simulation::new(3, Faults { failed_relay: Some(0), ..NO_FAULTS });
@@ -326,7 +328,7 @@
         std::iter::from_fn(|| relay.pull()).map(|copies| copies.update.version).collect()
     }
     relay.handle_pull(Duration::ZERO, ip(1), Mark::default());
-    // The pieces lead on from nothing, since the first is everything.
+    // The updates continue from no state, since the first one is complete.
     assert_eq!(sent_versions(&mut relay), vec![10, 11]);
     relay.handle_pull(Duration::ZERO, ip(1), Mark { number: 1, version: 11 });
     assert_eq!(sent_versions(&mut relay), Vec::<u64>::new());
