--- a/crates/house/src/client.rs
+++ b/crates/house/src/client.rs
@@ -12,7 +12,7 @@
 use tindock_catalogue::{Route, RouteKind};
 use tindock_folio::{request_head, write_answer, write_own, Body, Framing, Read, RequestHead};
 use tindock_lending::messages::{kind, Ended, Kind};
-use tindock_lifecycle::planted::{planted, Defect};
+use tindock_lifecycle::defects::{injected, Defect};
 use tindock_lifecycle::Phase;
 use tindock_upstream::{Attempt, Conclusion, Refusal, Repeatability, SendPermit, WorkerAnswer};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -249,7 +249,7 @@
                 self.stream.write_all(&out).await?;
                 return Ok(!close);
             }
-            Final::Refused(_) if planted(Defect::ToldNothing) => (503, None),
+            Final::Refused(_) if injected(Defect::ToldNothing) => (503, None),
             Final::Refused(refusal) => (503, Some(refusal.after().clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))),
             Final::Unknown { late: true } => (504, None),
             Final::Unknown { late: false } => (502, None),
@@ -450,7 +450,7 @@
             tokio::select! {
                 biased;
                 done = &mut work => return Ok(done),
-                () = reaches(&mut self.phases, Phase::BreakingOff) => {
+                () = reaches(&mut self.phases, Phase::Aborting) => {
                     self.shared.borrow_mut().taken_while_leaving.broken_off += 1;
                     return Err(Interrupted::BrokenOff);
                 }
--- a/crates/house/src/controller/mod.rs
+++ b/crates/house/src/controller/mod.rs
@@ -128,7 +128,7 @@
     loop {
         controller.carry();
         let now = controller.now();
-        if let Some(terminated) = controller.lifecycle.terminated() {
+        if let Some(terminated) = controller.lifecycle.terminated_at() {
             controller.break_off_calls(now, terminated);
             if controller.may_end(now, terminated) {
                 controller.say_ended(now, terminated);
--- a/crates/house/src/desk.rs
+++ b/crates/house/src/desk.rs
@@ -181,7 +181,7 @@
 
     /// When SIGTERM came.
     pub fn terminated(&self) -> Option<Duration> {
-        self.lifecycle.terminated()
+        self.lifecycle.terminated_at()
     }
 
     /// Whether the process may end now.
@@ -270,7 +270,7 @@
     /// A request's head has been read from a connection that was accepted then.
     pub fn begin_call(&mut self, connected: Duration) -> CallId {
         let now = self.now();
-        if let Some(terminated) = self.lifecycle.terminated() {
+        if let Some(terminated) = self.lifecycle.terminated_at() {
             self.taken_while_leaving.note(now.saturating_sub(terminated), connected < terminated);
         }
         self.open_calls.begin(connected, now)
@@ -390,7 +390,7 @@
         }
         if !self.ready_said && self.ready() {
             self.ready_said = true;
-            self.lifecycle.became_ready();
+            self.lifecycle.set_ready();
             info!("ready first, {} ms after the start: revision {}", now.as_millis(), self.revision());
         }
         true
--- a/crates/house/src/lib.rs
+++ b/crates/house/src/lib.rs
@@ -47,7 +47,7 @@
 /// A defect that the environment names, for soaks.
 #[cfg(feature = "planted")]
 fn plant() {
-    use tindock_lifecycle::planted::{Defect, PLANTED};
+    use tindock_lifecycle::defects::{Defect, INJECTED};
     let named = std::env::var("TINDOCK_PLANTED_DEFECT").unwrap_or_default();
-    PLANTED.set(Defect::named(&named));
+    INJECTED.set(Defect::from_name(&named));
 }
--- a/crates/lifecycle/src/planted.rs
+++ b/crates/lifecycle/src/defects.rs
@@ -46,22 +46,22 @@
     ];
 
     /// By its name in code.
-    pub fn named(name: &str) -> Option<Defect> {
+    pub fn from_name(name: &str) -> Option<Defect> {
         Defect::ALL.into_iter().find(|defect| format!("{defect:?}") == name)
     }
 }
 
 #[cfg(feature = "planted")]
 thread_local! {
-    pub static PLANTED: std::cell::Cell<Option<Defect>> = const { std::cell::Cell::new(None) };
+    pub static INJECTED: std::cell::Cell<Option<Defect>> = const { std::cell::Cell::new(None) };
 }
 
 #[cfg(feature = "planted")]
-pub fn planted(defect: Defect) -> bool {
-    PLANTED.get() == Some(defect)
+pub fn injected(defect: Defect) -> bool {
+    INJECTED.get() == Some(defect)
 }
 
 #[cfg(not(feature = "planted"))]
-pub const fn planted(_: Defect) -> bool {
+pub const fn injected(_: Defect) -> bool {
     false
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -6,14 +6,14 @@
 //!
 //! Times are by the process's own steady clock, from its start.
 
+pub mod defects;
 pub mod grace;
-pub mod planted;
 pub mod run_time;
 
 pub use grace::GracePeriod;
 pub use run_time::{RunTime, RunTimes};
 
-use planted::{planted, Defect};
+use defects::{injected, Defect};
 use std::time::Duration;
 
 /// Where a process stands between its start and its end.
@@ -28,7 +28,7 @@
     /// Nothing new is taken on; what is in hand is finished.
     Closing,
     /// What is still unanswered is broken off and answered.
-    BreakingOff,
+    Aborting,
     /// The process is to end now.
     Ended,
 }
@@ -68,26 +68,26 @@
     }
 
     /// It knows what it needs for its work, for the first time.
-    pub fn became_ready(&mut self) {
+    pub fn set_ready(&mut self) {
         self.is_ready = true;
     }
 
     /// SIGTERM has come. A further one changes nothing.
     pub fn terminate(&mut self, now: Duration) -> Terminated {
-        if planted(Defect::SignalIgnored) {
+        if injected(Defect::SignalIgnored) {
             return Terminated::Already;
         }
-        if self.terminated.is_some() && !planted(Defect::GraceFromLastSignal) {
-            self.ends_at_once = planted(Defect::FurtherSignalEnds);
+        if self.terminated.is_some() && !injected(Defect::GraceFromLastSignal) {
+            self.ends_at_once = injected(Defect::FurtherSignalEnds);
             return Terminated::Already;
         }
-        let begins = if planted(Defect::GraceFromStart) { Duration::ZERO } else { now };
-        self.terminated = Some(begins);
+        let terminated_at = if injected(Defect::GraceFromStart) { Duration::ZERO } else { now };
+        self.terminated = Some(terminated_at);
         Terminated::Leaving
     }
 
     /// When SIGTERM came.
-    pub fn terminated(&self) -> Option<Duration> {
+    pub fn terminated_at(&self) -> Option<Duration> {
         self.terminated
     }
 
@@ -101,29 +101,29 @@
             return if self.is_ready { Phase::Ready } else { Phase::Starting };
         };
         let since = now.saturating_sub(terminated);
-        let break_off = match () {
-            () if planted(Defect::BreaksOffEarly) => self.grace.admission(),
-            () if planted(Defect::BreaksOffNothing) => self.grace.end(),
-            () => self.grace.break_off(),
+        let abort = match () {
+            () if injected(Defect::BreaksOffEarly) => self.grace.admission(),
+            () if injected(Defect::BreaksOffNothing) => self.grace.end(),
+            () => self.grace.abort(),
         };
         match since {
-            _ if self.ends_at_once || planted(Defect::EndsAtOnce) => Phase::Ended,
+            _ if self.ends_at_once || injected(Defect::EndsAtOnce) => Phase::Ended,
             since if since < self.grace.admission() => Phase::Leaving,
-            since if since < break_off => Phase::Closing,
-            since if since < self.grace.end() => Phase::BreakingOff,
+            since if since < abort => Phase::Closing,
+            since if since < self.grace.end() => Phase::Aborting,
             _ => Phase::Ended,
         }
     }
 
     /// Whether a request that has just come in is taken on, whatever it is.
-    pub fn admits_newcomers(&self, now: Duration) -> bool {
+    pub fn admits_new_requests(&self, now: Duration) -> bool {
         self.phase(now) <= Phase::Leaving
     }
 
     /// Whether work that has been taken on may begin now, if it is done after `longest` at the latest.
     pub fn may_begin(&self, now: Duration, longest: Duration) -> Result<(), Refused> {
-        let ignored = planted(Defect::TimeLeftIgnored) || planted(Defect::AdmitsUntilTheEnd);
-        match self.latest_begin(longest) {
+        let ignored = injected(Defect::TimeLeftIgnored) || injected(Defect::AdmitsUntilTheEnd);
+        match self.latest_start(longest) {
             _ if ignored => Ok(()),
             Some(latest) if now > latest => Err(Refused::TooLong),
             _ => Ok(()),
@@ -132,35 +132,35 @@
 
     /// Whether work that has just come in is taken on, if it is done after `longest` at the latest.
     pub fn admits(&self, now: Duration, longest: Duration) -> Result<(), Refused> {
-        if planted(Defect::AdmitsUntilTheEnd) {
+        if injected(Defect::AdmitsUntilTheEnd) {
             return Ok(());
         }
-        if !self.admits_newcomers(now) {
+        if !self.admits_new_requests(now) {
             return Err(Refused::Closing);
         }
         self.may_begin(now, longest)
     }
 
     /// When work that is done after `longest` at the latest has to begin; none before SIGTERM.
-    pub fn latest_begin(&self, longest: Duration) -> Option<Duration> {
+    pub fn latest_start(&self, longest: Duration) -> Option<Duration> {
         let terminated = self.terminated?;
-        let work = self.grace.work();
+        let work_deadline = self.grace.work_deadline();
         // What would not fit even at SIGTERM itself has no time at all any more.
-        Some((terminated + work).saturating_sub(longest))
+        Some((terminated + work_deadline).saturating_sub(longest))
     }
 
     /// Whether what was on its way when admission ended has come.
-    fn has_heard_all(&self, now: Duration) -> bool {
-        self.terminated.is_some_and(|terminated| now >= terminated + self.grace.stays())
+    fn all_requests_arrived(&self, now: Duration) -> bool {
+        self.terminated.is_some_and(|terminated| now >= terminated + self.grace.earliest_end())
     }
 
     /// Whether the process may end, with so much in hand.
-    pub fn may_end(&self, now: Duration, in_hand: usize) -> bool {
+    pub fn may_end(&self, now: Duration, in_progress: usize) -> bool {
         match self.phase(now) {
             Phase::Starting | Phase::Ready | Phase::Leaving => false,
-            Phase::Closing if planted(Defect::EndsWithWorkInHand) => true,
-            Phase::Closing => in_hand == 0 && self.has_heard_all(now),
-            Phase::BreakingOff => in_hand == 0,
+            Phase::Closing if injected(Defect::EndsWithWorkInHand) => true,
+            Phase::Closing => in_progress == 0 && self.all_requests_arrived(now),
+            Phase::Aborting => in_progress == 0,
             Phase::Ended => true,
         }
     }
--- a/crates/lifecycle/src/run_time.rs
+++ b/crates/lifecycle/src/run_time.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 /// The weight of a new measurement in the mean and in the deviation.
-const MEAN_STEP: f64 = 1.0 / 8.0;
-const DEVIATION_STEP: f64 = 1.0 / 4.0;
+const MEAN_WEIGHT: f64 = 1.0 / 8.0;
+const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
 /// Deviations above the mean that work is expected to stay within.
 const DEVIATIONS: f64 = 4.0;
 /// Fewer measurements than this tell nothing of the longest.
@@ -20,7 +20,7 @@
     mean: f64,
     deviation: f64,
     measurements: u32,
-    measured: Duration,
+    last_measured: Duration,
 }
 
 impl RunTime {
@@ -31,11 +31,11 @@
             self.mean = took;
             self.deviation = took / 2.0;
         } else {
-            self.deviation += DEVIATION_STEP * ((took - self.mean).abs() - self.deviation);
-            self.mean += MEAN_STEP * (took - self.mean);
+            self.deviation += DEVIATION_WEIGHT * ((took - self.mean).abs() - self.deviation);
+            self.mean += MEAN_WEIGHT * (took - self.mean);
         }
         self.measurements = self.measurements.saturating_add(1);
-        self.measured = now;
+        self.last_measured = now;
     }
 
     /// Work takes hardly ever longer; none while too little is known.
@@ -61,7 +61,7 @@
     /// Work of this kind has taken so long.
     pub fn measure(&mut self, now: Duration, kind: K, took: Duration) {
         if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(&kind) {
-            self.forget_oldest();
+            self.remove_oldest();
         }
         self.kinds.entry(kind).or_default().measure(now, took);
     }
@@ -71,8 +71,8 @@
         self.kinds.get(kind).and_then(RunTime::longest).unwrap_or(promised)
     }
 
-    fn forget_oldest(&mut self) {
-        let oldest = self.kinds.iter().min_by_key(|(_, run)| run.measured).map(|(kind, _)| kind.clone());
+    fn remove_oldest(&mut self) {
+        let oldest = self.kinds.iter().min_by_key(|(_, run)| run.last_measured).map(|(kind, _)| kind.clone());
         if let Some(oldest) = oldest {
             self.kinds.remove(&oldest);
         }
--- a/crates/rehearsal/src/desk.rs
+++ b/crates/rehearsal/src/desk.rs
@@ -263,7 +263,7 @@
     /// A look at what is due after SIGTERM; whether the process may end.
     pub fn leave(&mut self, now: Duration) -> bool {
         self.turn_away_what_does_not_fit(now);
-        if self.lifecycle.phase(now) >= Phase::BreakingOff {
+        if self.lifecycle.phase(now) >= Phase::Aborting {
             self.break_off(now);
         }
         self.lifecycle.may_end(now, self.hands.len())
