--- a/crates/lifecycle/src/defects.rs
+++ b/crates/lifecycle/src/defects.rs
@@ -1,31 +1,32 @@
-//! Defects that tests and soaks plant in a process's life, to show that they are found. In the programs there are none.
+//! Defects of a process's lifecycle that tests and soak runs inject to show that they are detected. The
+//! programs contain none. The environment names a defect by its variant, so variants keep their names.
 
-/// What is wrong with a process's life.
+/// What is wrong with the lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Work is admitted and begins whatever time is left, until nothing new is taken on.
+    /// Work is admitted and begins whatever time is left, until admission ends.
     TimeLeftIgnored,
-    /// Newcomers are taken on until the process ends, whatever they need.
+    /// New work is admitted until the process ends, however long it takes.
     AdmitsUntilTheEnd,
-    /// Nothing is broken off: the process ends with what it has in hand.
+    /// Nothing is aborted: the process ends with work in progress.
     BreaksOffNothing,
-    /// All is broken off when admission is over.
+    /// All work is aborted when admission ends.
     BreaksOffEarly,
     /// The process ends at SIGTERM.
     EndsAtOnce,
-    /// The process ends when admission is over, whatever it has in hand.
+    /// The process ends when admission ends, whatever work is in progress.
     EndsWithWorkInHand,
     /// A further SIGTERM ends the process.
     FurtherSignalEnds,
-    /// A further SIGTERM begins the grace period anew.
+    /// A further SIGTERM restarts the grace period.
     GraceFromLastSignal,
     /// The grace period is counted from the process's start.
     GraceFromStart,
-    /// The grace period is taken for twice as long as it is.
+    /// The grace period is taken for twice its length.
     OutlivesGrace,
     /// SIGTERM changes nothing.
     SignalIgnored,
-    /// Who is refused is not told when to come back.
+    /// A refusal does not state when to retry.
     ToldNothing,
 }
 
@@ -45,7 +46,7 @@
         Defect::ToldNothing,
     ];
 
-    /// By its name in code.
+    /// The defect with this variant name.
     pub fn from_name(name: &str) -> Option<Defect> {
         Defect::ALL.into_iter().find(|defect| format!("{defect:?}") == name)
     }
--- a/crates/lifecycle/src/grace.rs
+++ b/crates/lifecycle/src/grace.rs
@@ -3,47 +3,48 @@
 use crate::defects::{injected, Defect};
 use std::time::Duration;
 
-/// Those who send work look for readiness each second, and take two misses in a row as a no: after three seconds all who
-/// look know that this process leaves.
+/// Senders of work check readiness each second, and take two failures in a row as not ready: after
+/// three seconds all of them know that this process leaves.
 const LEAVING_NOTICED: Duration = Duration::from_secs(3);
-/// Before SIGKILL, for what is broken off then: time to answer it, and to end.
+/// Time before SIGKILL for work that is aborted: to answer it, and to end.
 const FINAL_REPLIES: Duration = Duration::from_millis(500);
-/// A request needs so long to a process, once its client has a connection.
+/// How long a request takes to reach a process once its client has a connection.
 const REQUEST_LATENCY: Duration = Duration::from_millis(200);
-/// An answer needs so long from a worker to the client.
+/// How long a reply takes from a worker to the client.
 const REPLY_LATENCY: Duration = Duration::from_millis(100);
 
-/// Times after SIGTERM, in this order: admission ends, what was on its way has come, work has to be done, the rest is broken off, the process ends,
-/// SIGKILL comes.
+/// Times after SIGTERM, in this order: admission ends, requests in flight have arrived, work must be done,
+/// the rest is aborted, the process ends, SIGKILL is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GracePeriod {
     length: Duration,
 }
 
 impl GracePeriod {
-    /// A grace period of this length, as the settings tell it.
+    /// A grace period of this length, as set in the configuration.
     pub fn new(length: Duration) -> GracePeriod {
         let length = if injected(Defect::OutlivesGrace) { length * 2 } else { length };
         GracePeriod { length }
     }
 
-    /// Until then newcomers are taken on: it takes others so long to learn that this process leaves.
+    /// Until then new requests are admitted: this is how long others take to notice that this process leaves.
     pub fn admission(&self) -> Duration {
         LEAVING_NOTICED.min(self.length / 2)
     }
 
-    /// The process ends no sooner: requests that were on their way when admission ended have come by then.
+    /// The process does not end before this: requests that were in flight when admission ended have arrived
+    /// by then.
     pub fn earliest_end(&self) -> Duration {
         self.admission() + REQUEST_LATENCY.min(self.length / 10)
     }
 
-    /// Until then work has to be done, so that its answer goes out in time.
+    /// Until then work must be done, so that its reply is sent in time.
     pub fn work_deadline(&self) -> Duration {
-        self.abort().saturating_sub(REPLY_LATENCY.min(self.length / 20))
+        self.abort_at().saturating_sub(REPLY_LATENCY.min(self.length / 20))
     }
 
-    /// What is unanswered then is broken off, and answered.
-    pub fn abort(&self) -> Duration {
+    /// Work that is not answered by then is aborted, and answered.
+    pub fn abort_at(&self) -> Duration {
         self.length - self.reserve()
     }
 
@@ -52,7 +53,7 @@
         self.length - self.reserve() / 2
     }
 
-    /// A short grace period is not spent on its end alone.
+    /// Limits the time for the end to a part of a short grace period.
     fn reserve(&self) -> Duration {
         FINAL_REPLIES.min(self.length / 4)
     }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,10 +1,11 @@
-//! The states of a process from its start to its end, and what it may take on in each, without I/O.
+//! The lifecycle of a process from its start to its end, and which work it admits in each phase, without I/O.
 //!
-//! After SIGTERM a process has its grace period. What it takes on then must be known to be done within it: a piece of work
-//! is admitted if the time that it may take, as measured ([`run_time`]) or promised, fits into what is left until
-//! unanswered work is broken off ([`grace`]). What is not admitted is refused at once, and what is broken off is answered.
+//! After SIGTERM a process has its grace period. Work that it admits then must be done within it: work is
+//! admitted if the time that it may take, as measured ([`run_time`]) or promised, fits into what is left
+//! until unanswered work is aborted ([`grace`]). Work that is not admitted is refused at once, and work that
+//! is aborted is answered.
 //!
-//! Times are by the process's own steady clock, from its start.
+//! Times are by the process's own monotonic clock, from its start.
 
 pub mod defects;
 pub mod grace;
@@ -16,48 +17,49 @@
 use defects::{injected, Defect};
 use std::time::Duration;
 
-/// Where a process stands between its start and its end.
+/// The phases of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It does not yet know what it needs for its work.
+    /// The process lacks data that it needs for its work.
     Starting,
-    /// It takes on all work.
+    /// All work is admitted.
     Ready,
-    /// SIGTERM has come; those who send work do not all know it yet. Work that fits is taken on.
+    /// SIGTERM was received; not all senders of work have noticed yet. Work that fits into the grace period is
+    /// admitted.
     Leaving,
-    /// Nothing new is taken on; what is in hand is finished.
+    /// No new work is admitted; work in progress is finished.
     Closing,
-    /// What is still unanswered is broken off and answered.
+    /// Work that is still unanswered is aborted and answered.
     Aborting,
-    /// The process is to end now.
+    /// The process must end now.
     Ended,
 }
 
-/// Why a piece of work is not admitted.
+/// Why work is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refused {
-    /// Nothing new is taken on any more.
+    /// No new work is admitted any more.
     Closing,
-    /// It may take longer than there is time.
+    /// The work may take longer than the time left.
     TooLong,
 }
 
-/// What a signal to end changes.
+/// The effect of a SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Terminated {
     /// The process leaves from now on.
     Leaving,
-    /// It left already: the first signal's times hold.
+    /// The process was leaving already: the times of the first signal apply.
     Already,
 }
 
-/// The life of one process.
+/// The lifecycle of one process.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     grace: GracePeriod,
     is_ready: bool,
     terminated: Option<Duration>,
-    /// By a planted defect alone.
+    /// Set only by an injected defect.
     ends_at_once: bool,
 }
 
@@ -67,12 +69,12 @@
         Lifecycle { grace, is_ready: false, terminated: None, ends_at_once: false }
     }
 
-    /// It knows what it needs for its work, for the first time.
+    /// The process has all data that it needs for its work, for the first time.
     pub fn set_ready(&mut self) {
         self.is_ready = true;
     }
 
-    /// SIGTERM has come. A further one changes nothing.
+    /// SIGTERM was received. A further one changes nothing.
     pub fn terminate(&mut self, now: Duration) -> Terminated {
         if injected(Defect::SignalIgnored) {
             return Terminated::Already;
@@ -86,12 +88,12 @@
         Terminated::Leaving
     }
 
-    /// When SIGTERM came.
+    /// When SIGTERM was received.
     pub fn terminated_at(&self) -> Option<Duration> {
         self.terminated
     }
 
-    /// Whether SIGTERM has come.
+    /// Whether SIGTERM was received.
     pub fn is_leaving(&self) -> bool {
         self.terminated.is_some()
     }
@@ -101,26 +103,26 @@
             return if self.is_ready { Phase::Ready } else { Phase::Starting };
         };
         let since = now.saturating_sub(terminated);
-        let abort = match () {
+        let abort_at = match () {
             () if injected(Defect::BreaksOffEarly) => self.grace.admission(),
             () if injected(Defect::BreaksOffNothing) => self.grace.end(),
-            () => self.grace.abort(),
+            () => self.grace.abort_at(),
         };
         match since {
             _ if self.ends_at_once || injected(Defect::EndsAtOnce) => Phase::Ended,
             since if since < self.grace.admission() => Phase::Leaving,
-            since if since < abort => Phase::Closing,
+            since if since < abort_at => Phase::Closing,
             since if since < self.grace.end() => Phase::Aborting,
             _ => Phase::Ended,
         }
     }
 
-    /// Whether a request that has just come in is taken on, whatever it is.
+    /// Whether a new request is admitted, whatever work it is.
     pub fn admits_new_requests(&self, now: Duration) -> bool {
         self.phase(now) <= Phase::Leaving
     }
 
-    /// Whether work that has been taken on may begin now, if it is done after `longest` at the latest.
+    /// Whether admitted work may begin now, if it takes `longest` at most.
     pub fn may_begin(&self, now: Duration, longest: Duration) -> Result<(), Refused> {
         let ignored = injected(Defect::TimeLeftIgnored) || injected(Defect::AdmitsUntilTheEnd);
         match self.latest_start(longest) {
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Whether work that has just come in is taken on, if it is done after `longest` at the latest.
+    /// Whether new work is admitted, if it takes `longest` at most.
     pub fn admits(&self, now: Duration, longest: Duration) -> Result<(), Refused> {
         if injected(Defect::AdmitsUntilTheEnd) {
             return Ok(());
@@ -141,20 +143,20 @@
         self.may_begin(now, longest)
     }
 
-    /// When work that is done after `longest` at the latest has to begin; none before SIGTERM.
+    /// When work that takes `longest` at most has to begin; none before SIGTERM.
     pub fn latest_start(&self, longest: Duration) -> Option<Duration> {
         let terminated = self.terminated?;
         let work_deadline = self.grace.work_deadline();
-        // What would not fit even at SIGTERM itself has no time at all any more.
+        // Work that would not fit even at the time of SIGTERM gets no time at all.
         Some((terminated + work_deadline).saturating_sub(longest))
     }
 
-    /// Whether what was on its way when admission ended has come.
+    /// Whether requests that were in flight when admission ended have arrived.
     fn all_requests_arrived(&self, now: Duration) -> bool {
         self.terminated.is_some_and(|terminated| now >= terminated + self.grace.earliest_end())
     }
 
-    /// Whether the process may end, with so much in hand.
+    /// Whether the process may end, with this much work in progress.
     pub fn may_end(&self, now: Duration, in_progress: usize) -> bool {
         match self.phase(now) {
             Phase::Starting | Phase::Ready | Phase::Leaving => false,
--- a/crates/lifecycle/src/run_time.rs
+++ b/crates/lifecycle/src/run_time.rs
@@ -1,5 +1,5 @@
-//! How long a kind of work takes at most, as far as that is known from work that was done: a smoothed mean with a smoothed
-//! mean deviation, as RFC 6298 has it for retransmission timers.
+//! The longest that a kind of work takes, estimated from work that was done: a smoothed mean with a smoothed
+//! mean deviation, as in RFC 6298 for retransmission timers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,11 +7,11 @@
 /// The weight of a new measurement in the mean and in the deviation.
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
 const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
-/// Deviations above the mean that work is expected to stay within.
+/// Work is expected to stay within this many deviations above the mean.
 const DEVIATIONS: f64 = 4.0;
-/// Fewer measurements than this tell nothing of the longest.
+/// With fewer measurements than this there is no estimate.
 const MIN_MEASUREMENTS: u32 = 3;
-/// Kinds of work that are kept; beyond that the one least measured lately gives way.
+/// The most kinds of work that are kept; beyond that the one whose last measurement is oldest is removed.
 const MAX_KINDS: usize = 20_000;
 
 /// Measurements of one kind of work.
@@ -24,7 +24,7 @@
 }
 
 impl RunTime {
-    /// Work has taken so long.
+    /// Adds a measurement.
     pub fn measure(&mut self, now: Duration, took: Duration) {
         let took = took.as_secs_f64();
         if self.measurements == 0 {
@@ -38,7 +38,7 @@
         self.last_measured = now;
     }
 
-    /// Work takes hardly ever longer; none while too little is known.
+    /// A time that work rarely exceeds; none with too few measurements.
     pub fn longest(&self) -> Option<Duration> {
         (self.measurements >= MIN_MEASUREMENTS)
             .then(|| Duration::from_secs_f64(self.mean + DEVIATIONS * self.deviation))
@@ -58,7 +58,7 @@
 }
 
 impl<K: Ord + Clone> RunTimes<K> {
-    /// Work of this kind has taken so long.
+    /// Adds a measurement of this kind of work.
     pub fn measure(&mut self, now: Duration, kind: K, took: Duration) {
         if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(&kind) {
             self.remove_oldest();
@@ -66,7 +66,7 @@
         self.kinds.entry(kind).or_default().measure(now, took);
     }
 
-    /// The longest that work of this kind takes: measured, else as promised.
+    /// The longest that work of this kind takes: estimated from measurements, else as promised.
     pub fn longest(&self, kind: &K, promised: Duration) -> Duration {
         self.kinds.get(kind).and_then(RunTime::longest).unwrap_or(promised)
     }
--- a/crates/lifecycle/tests/lifecycle.rs
+++ b/crates/lifecycle/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! What a process takes on between SIGTERM and its end.
+//! Which work a process admits between SIGTERM and its end, and when it ends.
 
 use rstest::rstest;
 use std::time::Duration;
@@ -94,7 +94,7 @@
         grace.admission(),
         grace.earliest_end(),
         grace.work_deadline(),
-        grace.abort(),
+        grace.abort_at(),
         grace.end(),
         ms(length),
     ];
