--- a/crates/lending/src/granting.rs
+++ b/crates/lending/src/granting.rs
@@ -70,8 +70,8 @@
                 let (instance, at) = (pool.ledgers[i].entry.instance.clone(), pool.ledgers[i].entry.at);
                 self.send(from, Message::Grant { seq, instance, at, free, waiting });
             }
-            Verdict::Waits => {}
-            Verdict::Later(after) => self.send(from, Message::RetryAfter { seq, after: ms(after) }),
+            Verdict::Queued => {}
+            Verdict::RetryAfter(after) => self.send(from, Message::RetryAfter { seq, after: ms(after) }),
         }
         if !granted {
             self.announce_capacity(kind);
--- a/crates/lending/src/handover.rs
+++ b/crates/lending/src/handover.rs
@@ -135,9 +135,9 @@
     /// Connections to the process at this address are refused.
     pub fn connection_refused(&mut self, now: Duration, owner: SocketAddr) {
         self.now = now;
-        let news = self.owners.note_refusal(now, owner);
+        let is_new = self.owners.note_refusal(now, owner);
         self.check_isolation();
-        if news && self.owners.has_ended(owner) {
+        if is_new && self.owners.has_ended(owner) {
             self.incarnations.ended(self.awake, owner);
             self.owners_changed();
             self.resend_requests(|_, to| to == owner);
--- a/crates/lending/src/lib.rs
+++ b/crates/lending/src/lib.rs
@@ -286,8 +286,7 @@
     local_queue: VecDeque<Message>,
     actions: VecDeque<Action>,
     now: Duration,
-    /// The time in which this process ran, by its ticks: messages that arrive while it is frozen are as old
-    /// as they were then.
+    /// The time in which this process ran, by its ticks: messages received while it is frozen do not age.
     awake: Duration,
     ticked: Duration,
     swept: Duration,
--- a/crates/lending/src/messages.rs
+++ b/crates/lending/src/messages.rs
@@ -71,7 +71,8 @@
     /// Acknowledges `Holds`. Instances are named by their hash here and below.
     #[serde(rename = "Heard")]
     HoldsAck { seq: u32, kind: Kind, instance: u32 },
-    /// Returns a slot that no call awaits; with instance 0 withdraws a queued request.
+    /// Returns a slot that no call awaits; with instance 0 withdraws a queued request. With a number that no
+    /// call has it serves as a ping.
     #[serde(rename = "Unwanted")]
     Release { seq: u32, kind: Kind, instance: u32 },
     /// Acknowledges `Release` and `Refused`.
--- a/crates/lending/src/pool.rs
+++ b/crates/lending/src/pool.rs
@@ -83,7 +83,7 @@
 }
 
 impl SlotGrant {
-    fn is(&self, from: SocketAddr, incarnation: u32, seq: u32) -> bool {
+    fn matches(&self, from: SocketAddr, incarnation: u32, seq: u32) -> bool {
         self.to == from && self.seq == seq && self.incarnation == incarnation
     }
 }
@@ -191,8 +191,8 @@
 /// The result of a request.
 pub enum Verdict {
     Granted(usize),
-    Waits,
-    Later(Duration),
+    Queued,
+    RetryAfter(Duration),
 }
 
 impl SlotPool {
@@ -241,7 +241,7 @@
         self.runs.get(&priority).map_or_else(|| self.run().as_secs_f64(), |run| run.mean)
     }
 
-    fn ran(&mut self, priority: u8, held: f64) {
+    fn record_run(&mut self, priority: u8, held: f64) {
         for run in self.runs.values_mut() {
             run.share *= 1.0 - RUN_SMOOTHING;
         }
@@ -507,10 +507,10 @@
             let wait = self.estimate(now, &request);
             if wait + run > left.mul_f64(LATE_WAIT_SHARE) || self.queue.len() >= MAX_QUEUE {
                 self.rejected += 1;
-                return Verdict::Later(wait);
+                return Verdict::RetryAfter(wait);
             }
         } else if self.queue.len() >= MAX_QUEUE {
-            return Verdict::Later(wait);
+            return Verdict::RetryAfter(wait);
         }
         let at = match injected(Defect::ArrivalOrder) {
             true => self.queue.len(),
@@ -518,7 +518,7 @@
         };
         self.queue.insert(at, request);
         self.peak = self.peak.max(self.granted() + self.queue.len());
-        Verdict::Waits
+        Verdict::Queued
     }
 
     pub fn grant(&mut self, now: Duration, i: usize, request: &SlotRequest) {
@@ -594,7 +594,7 @@
     ) -> Option<InstanceLedger> {
         self.queue
             .retain(|request| (request.from, request.incarnation, request.seq) != (from, incarnation, seq));
-        let same = |grant: &SlotGrant| grant.is(from, incarnation, seq);
+        let same = |grant: &SlotGrant| grant.matches(from, incarnation, seq);
         let i = self.ledgers.iter().position(|ledger| ledger.grants.iter().any(same))?;
         let ledger = &mut self.ledgers[i];
         let grant = ledger.grants.iter().position(same).map(|at| ledger.grants.swap_remove(at))?;
@@ -608,7 +608,7 @@
         match ended {
             Ended::Done => {
                 ledger.silent = 0;
-                self.ran(grant.priority, held);
+                self.record_run(grant.priority, held);
             }
             Ended::Idle => {}
             Ended::Full => ledger.paused_until = now + FULL_PAUSE,
@@ -638,7 +638,7 @@
             return false;
         };
         let has_space = ledger.grants.len() < 4096;
-        match ledger.grants.iter_mut().find(|old| old.is(grant.to, grant.incarnation, grant.seq)) {
+        match ledger.grants.iter_mut().find(|old| old.matches(grant.to, grant.incarnation, grant.seq)) {
             Some(old) => old.schedule_check(now),
             None if has_space => ledger.grants.push(grant),
             None => return false,
@@ -647,14 +647,14 @@
     }
 
     /// Removes a grant that its requester does not need, or (instance 0) a queued request.
-    pub fn unwanted(&mut self, from: SocketAddr, incarnation: u32, seq: u32, instance: u32) {
+    pub fn release(&mut self, from: SocketAddr, incarnation: u32, seq: u32, instance: u32) {
         if instance == 0 {
             self.queue.retain(|request| {
                 (request.from, request.incarnation, request.seq) != (from, incarnation, seq)
             });
         }
         for ledger in self.ledgers.iter_mut().filter(|ledger| hash(&ledger.entry.instance) == instance) {
-            if let Some(at) = ledger.grants.iter().position(|grant| grant.is(from, incarnation, seq)) {
+            if let Some(at) = ledger.grants.iter().position(|grant| grant.matches(from, incarnation, seq)) {
                 ledger.grants.swap_remove(at);
                 self.changed = true;
             }
@@ -662,9 +662,9 @@
     }
 
     /// Removes a grant that its requester refuses because it knows that the instance leaves.
-    pub fn refused(&mut self, now: Duration, from: SocketAddr, incarnation: u32, seq: u32, instance: u32) {
+    pub fn refuse(&mut self, now: Duration, from: SocketAddr, incarnation: u32, seq: u32, instance: u32) {
         for ledger in self.ledgers.iter_mut().filter(|ledger| hash(&ledger.entry.instance) == instance) {
-            if let Some(at) = ledger.grants.iter().position(|grant| grant.is(from, incarnation, seq)) {
+            if let Some(at) = ledger.grants.iter().position(|grant| grant.matches(from, incarnation, seq)) {
                 ledger.grants.swap_remove(at);
                 ledger.paused_until = now + LEAVING_PAUSE;
                 self.changed = true;
@@ -813,7 +813,7 @@
     /// Adds grants of a former owner that are not known yet.
     pub fn merge(&mut self, grants: Vec<SlotGrant>) {
         for grant in grants {
-            if !self.grants.iter().any(|old| old.is(grant.to, grant.incarnation, grant.seq)) {
+            if !self.grants.iter().any(|old| old.matches(grant.to, grant.incarnation, grant.seq)) {
                 self.grants.push(grant);
             }
         }
--- a/crates/lending/src/reachability.rs
+++ b/crates/lending/src/reachability.rs
@@ -20,7 +20,7 @@
     unknown: Vec<SocketAddr>,
     /// Those of `unknown` that have not had time to answer a ping.
     undecided: usize,
-    received: usize,
+    reachable: usize,
 }
 
 impl Allocator {
@@ -36,7 +36,7 @@
             if self.owners.refuses(at) || self.suspects.contains_key(&at) {
                 reachability.unreachable += 1;
             } else if received.is_some_and(|received| received + REACHABLE_FOR > self.now) {
-                reachability.received += 1;
+                reachability.reachable += 1;
             } else if pinged_at.is_some_and(|pinged_at| self.now >= *pinged_at + SUSPECT_RETRY) {
                 reachability.unreachable += 1;
                 reachability.unknown.push(at);
@@ -72,10 +72,11 @@
             }
             return;
         }
-        let Reachability { unreachable, unknown, undecided, received } = self.reachability();
-        let members = unreachable + undecided + received;
-        let cut = unreachable >= MIN_UNREACHABLE.min(members) && unreachable * UNREACHABLE_SHARE >= members;
-        if !cut {
+        let Reachability { unreachable, unknown, undecided, reachable } = self.reachability();
+        let members = unreachable + undecided + reachable;
+        let partitioned =
+            unreachable >= MIN_UNREACHABLE.min(members) && unreachable * UNREACHABLE_SHARE >= members;
+        if !partitioned {
             self.isolated = None;
         } else if self.isolated.is_none() {
             self.isolated = Some(now);
@@ -84,7 +85,7 @@
             true => self.pinged.clear(),
             false => self.ping_members(unknown),
         }
-        if self.owners.update_refusals(now, cut && !self.controllers_reachable) {
+        if self.owners.update_refusals(now, partitioned && !self.controllers_reachable) {
             self.owners_changed();
         }
     }
--- a/crates/lending/src/receive.rs
+++ b/crates/lending/src/receive.rs
@@ -55,10 +55,10 @@
     /// that was never used.
     pub(crate) fn query_incarnation(&mut self, at: SocketAddr) {
         let now = self.now;
-        if self.incarnation_queries.get(&at).is_some_and(|(_, asked)| now < *asked + RESEND_AFTER) {
+        if self.incarnation_queries.get(&at).is_some_and(|(_, sent_at)| now < *sent_at + RESEND_AFTER) {
             return;
         }
-        self.incarnation_queries.retain(|_, (_, asked)| now < *asked + RESEND_FOR);
+        self.incarnation_queries.retain(|_, (_, sent_at)| now < *sent_at + RESEND_FOR);
         let number = self.rng.rand_u32() | 1;
         self.incarnation_queries.insert(at, (number, now));
         self.send(at, Message::Release { seq: number, kind: 0, instance: 0 });
@@ -114,7 +114,7 @@
             }
             Some(call) if matches!(call.stage, Stage::Requesting { .. }) && fits(call.kind) => {
                 let kind = call.kind;
-                let asked = match call.stage {
+                let requested_from = match call.stage {
                     Stage::Requesting { to, .. } => to,
                     _ => from,
                 };
@@ -128,8 +128,8 @@
                 };
                 let left = ms(call.end.saturating_sub(now));
                 // Another process granted a slot before the one that was asked last.
-                if asked != from {
-                    self.return_unused(asked, seq, kind, 0);
+                if requested_from != from {
+                    self.return_unused(requested_from, seq, kind, 0);
                 }
                 self.note_capacity(kind, from, free, waiting, 0);
                 // Granted by a process that is no longer the owner: the present owner counts the slot as held
@@ -241,7 +241,7 @@
                     self.finished.note(self.awake, (from, incarnation, seq), Finish::Served);
                 }
                 if let Some(pool) = self.pools.get_mut(&kind) {
-                    pool.unwanted(from, incarnation, seq, instance);
+                    pool.release(from, incarnation, seq, instance);
                 }
                 let parked = self.parked.iter_mut().filter(|(id, _)| hash(id) == instance);
                 parked.for_each(|(_, grants)| {
@@ -252,7 +252,7 @@
             }
             Message::Refused { seq, kind, instance } => {
                 if let Some(pool) = self.pools.get_mut(&kind) {
-                    pool.refused(now, from, incarnation, seq, instance);
+                    pool.refuse(now, from, incarnation, seq, instance);
                 }
                 let parked = self.parked.iter_mut().filter(|(id, _)| hash(id) == instance);
                 parked.for_each(|(_, grants)| {
--- a/crates/lending/tests/disputes.rs
+++ b/crates/lending/tests/disputes.rs
@@ -43,7 +43,7 @@
     allocator
 }
 
-fn accepts_calls(allocator: &Allocator, now: Duration) -> bool {
+fn can_grant(allocator: &Allocator, now: Duration) -> bool {
     allocator.pools().flat_map(|pool| &pool.ledgers).any(|ledger| ledger.can_grant(now))
 }
 
@@ -53,12 +53,12 @@
     let name = function_owned_by_second();
     let mut both = [scheduler(1, &name, HERE), scheduler(2, &name, HERE)];
     both.iter_mut().for_each(|allocator| allocator.set_members(MS, vec![member(1)]));
-    let (learns, mut both_grant, mut first_grant) = (Duration::from_secs(5), 0, None);
+    let (learns_at, mut both_grant, mut first_grant) = (Duration::from_secs(5), 0, None);
     for now in (1..9000).map(|n| n * MS) {
-        if now == learns {
+        if now == learns_at {
             both[1].set_members(now, vec![member(1), member(2)]);
         }
-        if now == learns + first_learns {
+        if now == learns_at + first_learns {
             both[0].set_members(now, vec![member(1), member(2)]);
         }
         if now.as_millis().is_multiple_of(25) {
@@ -71,9 +71,9 @@
                 }
             }
         }
-        both_grant += usize::from(both.iter().all(|allocator| accepts_calls(allocator, now)));
-        if accepts_calls(&both[1], now) {
-            first_grant.get_or_insert(now - learns);
+        both_grant += usize::from(both.iter().all(|allocator| can_grant(allocator, now)));
+        if can_grant(&both[1], now) {
+            first_grant.get_or_insert(now - learns_at);
         }
     }
     (both_grant, first_grant)
--- a/crates/lending/tests/harness/mod.rs
+++ b/crates/lending/tests/harness/mod.rs
@@ -176,7 +176,7 @@
     /// The process is about to end, and no longer a member.
     leaving: bool,
     /// Until then its datagrams are delayed or lost.
-    slow: Duration,
+    slow_until: Duration,
     configuration: usize,
     frozen: Option<Vec<Event>>,
     unfrozen_at: Duration,
@@ -185,7 +185,7 @@
     known_members: BTreeSet<(SocketAddr, u32)>,
     /// The newest incarnation of others heard from here, by order of start; and when calls of others returned
     /// their slots.
-    received: HashMap<SocketAddr, usize>,
+    newest_incarnations: HashMap<SocketAddr, usize>,
     returned: HashMap<(SocketAddr, u32, u32), Duration>,
     /// Maps this process's call numbers to indices of `World::calls`.
     calls: HashMap<u32, usize>,
@@ -240,7 +240,7 @@
     gone: Vec<String>,
     /// The function that each configuration lacks.
     configurations: Vec<Option<usize>>,
-    cuts: BTreeSet<(usize, usize)>,
+    partitions: BTreeSet<(usize, usize)>,
     loss: f64,
     duplicated: f64,
     delayed: f64,
@@ -283,7 +283,7 @@
             instance_lists: vec![Vec::new()],
             gone: Vec::new(),
             configurations: vec![None],
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             loss: 0.0,
             duplicated: 0.0,
             delayed: 0.0,
@@ -359,14 +359,14 @@
                 allocator: None,
                 without_power: false,
                 leaving: false,
-                slow: Duration::ZERO,
+                slow_until: Duration::ZERO,
                 configuration: 0,
                 frozen: None,
                 unfrozen_at: Duration::ZERO,
                 view: 0,
                 instance_lists: 0,
                 known_members: BTreeSet::new(),
-                received: HashMap::new(),
+                newest_incarnations: HashMap::new(),
                 returned: HashMap::new(),
                 calls: HashMap::new(),
             });
@@ -422,13 +422,13 @@
         host.incarnations += 1;
         host.incarnation = (seed as u32) | 1;
         host.started_at = self.now;
-        (host.leaving, host.slow, host.configuration) = (false, Duration::ZERO, 0);
+        (host.leaving, host.slow_until, host.configuration) = (false, Duration::ZERO, 0);
         host.clock_rate = clock_rate;
         host.frozen = None;
         host.calls.clear();
         (host.view, host.instance_lists) = (0, 0);
         host.known_members.clear();
-        host.received.clear();
+        host.newest_incarnations.clear();
         host.returned.clear();
         host.allocator =
             Some(Allocator::new(host.at, host.zone.clone(), host.incarnation, seed, Duration::ZERO));
@@ -622,7 +622,7 @@
                 self.publish_view();
             }
             Event::HealCut { a, b } => {
-                self.cuts.remove(&(a, b));
+                self.partitions.remove(&(a, b));
             }
         }
     }
@@ -644,7 +644,7 @@
         let start_order =
             |incarnation: u32| self.incarnations.iter().position(|other| *other == incarnation).unwrap_or(0);
         let host = &self.hosts[to];
-        let newest = host.received.get(&from).copied().unwrap_or(0);
+        let newest = host.newest_incarnations.get(&from).copied().unwrap_or(0);
         let mut found = Vec::new();
         let handed = |message: &Message| match message {
             Message::Handover { grants, .. } => {
@@ -678,7 +678,7 @@
             })
             .collect();
         let host = &mut self.hosts[to];
-        host.received.insert(from, newest.max(has_sent));
+        host.newest_incarnations.insert(from, newest.max(has_sent));
         for seq in returned {
             host.returned.entry((from, datagram.incarnation, seq)).or_insert(self.now);
         }
@@ -793,7 +793,7 @@
             }
             _ => {
                 let lasts = self.span(300 * MS, 3000 * MS);
-                self.hosts[who].slow = self.now + lasts;
+                self.hosts[who].slow_until = self.now + lasts;
             }
         }
     }
@@ -856,7 +856,7 @@
 
     fn is_lost(&mut self, a: usize, b: usize) -> bool {
         let pair = (a.min(b), a.max(b));
-        self.cuts.contains(&pair) || (self.loss > 0.0 && self.random_share() < self.loss)
+        self.partitions.contains(&pair) || (self.loss > 0.0 && self.random_share() < self.loss)
     }
 
     fn pump(&mut self, who: usize) {
@@ -887,7 +887,7 @@
         let Some(&other) = self.by_at.get(&owner) else { return };
         let pair = (who.min(other), who.max(other));
         let host = &self.hosts[other];
-        if host.allocator.is_none() && !host.without_power && !self.cuts.contains(&pair) {
+        if host.allocator.is_none() && !host.without_power && !self.partitions.contains(&pair) {
             let incarnation = self.hosts[who].incarnation;
             self.later(MS, Event::Probed { who, incarnation, owner });
         }
@@ -910,7 +910,7 @@
             if self.class == Class::Tidy {
                 pause = latency;
             }
-            if self.now < self.hosts[who].slow {
+            if self.now < self.hosts[who].slow_until {
                 if self.random_share() < 0.2 {
                     continue;
                 }
@@ -1102,7 +1102,7 @@
                 let other = self.random_below(hosts);
                 if other != who {
                     let (a, b) = (who.min(other), who.max(other));
-                    self.cuts.insert((a, b));
+                    self.partitions.insert((a, b));
                     let lasts = self.span(100 * MS, 3000 * MS);
                     self.later(lasts, Event::HealCut { a, b });
                 }
@@ -1160,7 +1160,7 @@
         self.over_since.get_or_insert(self.now);
         let id = self.instances[n].id.clone();
         // Grants made while views differed are over after the longest expiry.
-        let calm = self.now > self.differed + self.longest + EXPIRY_SLACK && self.cuts.is_empty();
+        let calm = self.now > self.differed + self.longest + EXPIRY_SLACK && self.partitions.is_empty();
         if calm || self.class != Class::Rough {
             self.record_violation(Rule::Slots, format!("{id} has {runs} calls in {slots} slots"));
         }
@@ -1176,7 +1176,7 @@
         let there = self.hosts.iter().filter(|h| h.allocator.is_some());
         let known_members = |h: &Host| h.allocator.as_ref().is_some_and(|l| l.suspects().next().is_none());
         there.clone().all(|h| h.frozen.is_none() && h.view == newest && known_members(h))
-            && self.cuts.is_empty()
+            && self.partitions.is_empty()
             && self.now > self.differed
     }
 
--- a/crates/lending/tests/resetting_partition.rs
+++ b/crates/lending/tests/resetting_partition.rs
@@ -41,7 +41,7 @@
 
 struct Fleet {
     now: Duration,
-    allocator: BTreeMap<u8, Allocator>,
+    allocators: BTreeMap<u8, Allocator>,
     /// The schedulers behind the partition.
     cut_off: BTreeSet<u8>,
     due: BTreeMap<Duration, VecDeque<Event>>,
@@ -68,10 +68,10 @@
             accepts_calls: true,
             since: Duration::ZERO,
         };
-        let allocator = ids.iter().map(|n| {
-            let own = member(*n);
+        let allocators = ids.iter().map(|n| {
+            let local = member(*n);
             let mut allocator =
-                Allocator::new(own.at, own.zone.clone(), own.incarnation, (*n).into(), Duration::ZERO);
+                Allocator::new(local.at, local.zone.clone(), local.incarnation, (*n).into(), Duration::ZERO);
             allocator.set_controllers_reachable(MS, true);
             allocator.set_functions(MS, vec![function.clone()]);
             allocator.set_members(MS, members.clone());
@@ -80,7 +80,7 @@
         });
         Fleet {
             now: MS,
-            allocator: allocator.collect(),
+            allocators: allocators.collect(),
             cut_off: (schedulers - cut_off + 1..=schedulers).collect(),
             due: BTreeMap::new(),
             runs: BTreeMap::new(),
@@ -100,9 +100,9 @@
 
     fn with(&mut self, n: u8, input: impl FnOnce(&mut Allocator, Duration)) {
         let now = self.now;
-        let allocator = self.allocator.get_mut(&n).expect("a scheduler");
+        let allocator = self.allocators.get_mut(&n).expect("a scheduler");
         input(allocator, now);
-        while let Some(action) = self.allocator.get_mut(&n).expect("a scheduler").pull() {
+        while let Some(action) = self.allocators.get_mut(&n).expect("a scheduler").pull() {
             self.execute(n, action);
         }
     }
@@ -140,7 +140,7 @@
                 events.into_iter().for_each(|event| self.handle(event));
             }
             self.controllers();
-            let ids: Vec<u8> = self.allocator.keys().copied().collect();
+            let ids: Vec<u8> = self.allocators.keys().copied().collect();
             for n in ids {
                 let at = self.now.as_millis() as u64;
                 if (at + u64::from(n) * 7).is_multiple_of(PERIOD_MS) {
@@ -175,21 +175,22 @@
     /// The updates from agents and from the lease holder.
     fn controllers(&mut self) {
         let cut_off: Vec<u8> = self.cut_off.iter().copied().collect();
-        let before: Vec<u8> = self.allocator.keys().copied().filter(|n| !self.cut_off.contains(n)).collect();
-        let all: Vec<Member> = self.allocator.keys().map(|n| member(*n)).collect();
+        let connected: Vec<u8> =
+            self.allocators.keys().copied().filter(|n| !self.cut_off.contains(n)).collect();
+        let all: Vec<Member> = self.allocators.keys().map(|n| member(*n)).collect();
         if self.now == PARTITION_AT + CONTACT_LOST_AFTER {
             cut_off.iter().for_each(|n| {
                 self.with(*n, |allocator, now| allocator.set_controllers_reachable(now, false))
             });
         }
         if self.now == PARTITION_AT + LIST_CHANGED_AFTER {
-            let list: Vec<Member> = before.iter().map(|n| member(*n)).collect();
-            before
+            let list: Vec<Member> = connected.iter().map(|n| member(*n)).collect();
+            connected
                 .iter()
                 .for_each(|n| self.with(*n, |allocator, now| allocator.set_members(now, list.clone())));
         }
         if self.now == HEALED_AT + 500 * MS {
-            for n in cut_off.iter().chain(&before) {
+            for n in cut_off.iter().chain(&connected) {
                 self.with(*n, |allocator, now| {
                     allocator.set_controllers_reachable(now, true);
                     allocator.set_members(now, all.clone());
@@ -238,14 +239,14 @@
     let mut fleet = Fleet::new(8, 6);
     fleet.run(PARTITION_AT + SETTLE_TIME);
     let served = |fleet: &Fleet| fleet.served.values().sum::<usize>();
-    let (before, own) = (served(&fleet), fleet.served[&1]);
+    let (before, local) = (served(&fleet), fleet.served[&1]);
     fleet.run(HEALED_AT);
-    assert!(fleet.served[&1] > own, "{:?}", fleet.served);
-    let partition = served(&fleet) - before;
+    assert!(fleet.served[&1] > local, "{:?}", fleet.served);
+    let partitioned = served(&fleet) - before;
     fleet.run(HEALED_AT + SETTLE_TIME);
     let healed = served(&fleet);
     fleet.run(HEALED_AT + SETTLE_TIME + Duration::from_secs(2));
-    assert!(served(&fleet) > healed + 50, "{partition}, {healed}");
+    assert!(served(&fleet) > healed + 50, "{partitioned}, {healed}");
 }
 
 #[rstest]
