--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -24,7 +24,7 @@
     Starting,
     /// All work is admitted.
     Ready,
-    /// SIGTERM was received; not all senders of work have noticed yet. Work that fits into the grace period is
+    /// SIGTERM was received; not every sender of work has noticed. Work that fits into the grace period is
     /// admitted.
     Leaving,
     /// No new work is admitted; work in progress is finished.
