--- a/crates/scheduler/benches/applying.rs
+++ b/crates/scheduler/benches/applying.rs
@@ -11,13 +11,13 @@
 use tindock_inventory::{read, Columns, Entry, Form, Host};
 use tindock_scheduler::clock::Clock;
 use tindock_scheduler::exchange::Exchange;
-use tindock_scheduler::list::muster::Muster;
-use tindock_scheduler::list::stocking::{Filed, Told};
-use tindock_scheduler::rows::Rows;
+use tindock_scheduler::list::worker_list::WorkerList;
+use tindock_scheduler::list::inventory_watch::{FileEntry, InventoryEvent};
+use tindock_scheduler::workload_table::WorkloadTable;
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, LocalSet};
 
-fn filed(workers: impl Iterator<Item = usize>, slots: usize) -> Vec<Filed> {
+fn file_entries(workers: impl Iterator<Item = usize>, slots: usize) -> Vec<FileEntry> {
     let row = |n: usize| {
         format!("yard-{n},10.{}.{}.{}:5000,zone-{},std,{slots}\n", n >> 16, (n >> 8) & 255, n & 255, n % 5)
     };
@@ -30,8 +30,8 @@
     entries.into_iter().map(|e| (e.name.clone(), Some((e.clone(), at(&e))))).collect()
 }
 
-async fn apply(tell: &mpsc::Sender<Told>, changes: Vec<Filed>, muster: &Muster) -> (Duration, Duration) {
-    let wanted = muster.handed_on() + changes.len() as u64;
+async fn apply(tell: &mpsc::Sender<InventoryEvent>, changes: Vec<FileEntry>, worker_list: &WorkerList) -> (Duration, Duration) {
+    let wanted = worker_list.forwarded() + changes.len() as u64;
     let (began, worst) = (Instant::now(), Rc::new(Cell::new(Duration::ZERO)));
     let noted = worst.clone();
     let ticker = spawn_local(async move {
@@ -41,10 +41,10 @@
             noted.set(noted.get().max(before.elapsed()));
         }
     });
-    tell.send(Told::Changes(changes)).await.expect("a muster");
+    tell.send(InventoryEvent::Changes(changes)).await.expect("a running worker list");
     loop {
         tokio::task::yield_now().await;
-        if muster.handed_on() == wanted {
+        if worker_list.forwarded() == wanted {
             break;
         }
     }
@@ -70,23 +70,23 @@
                 max_assignments: 3,
             };
             let sheet = PolicySettings { workloads: vec![row], schedulers: 1, ..PolicySettings::default() };
-            let rows = Rows::new(&sheet, &Words::default());
+            let rows = WorkloadTable::new(&sheet, &Words::default());
             let rules = Policy::new(sheet, 7, clock.now());
             let now = Box::new(move || clock.now());
             let (exchange, _orders) = Exchange::new(rules, rows, clock, now, log.clone());
-            let muster = Muster::with_files(exchange, Words::default(), None, log);
-            let (tell, told) = mpsc::channel(4);
-            let keeps = muster.clone();
-            spawn_local(async move { keeps.keep(told).await });
+            let worker_list = WorkerList::with_files(exchange, Words::default(), None, log);
+            let (tell, events) = mpsc::channel(4);
+            let keeps = worker_list.clone();
+            spawn_local(async move { keeps.run(events).await });
             let line = |what: &str, (whole, stall): (Duration, Duration)| {
                 println!("{workers:>8} {what:>24} {whole:>14.1?} {stall:>16.1?}");
             };
-            line("all are new", apply(&tell, filed(0..workers, 16), &muster).await);
+            line("all are new", apply(&tell, file_entries(0..workers, 16), &worker_list).await);
             for _ in 0..3 {
-                let some = filed((0..workers).step_by(100), 32);
-                line("1% say something else", apply(&tell, some, &muster).await);
-                let some = filed((0..workers).step_by(100), 16);
-                line("and back", apply(&tell, some, &muster).await);
+                let some = file_entries((0..workers).step_by(100), 32);
+                line("1% say something else", apply(&tell, some, &worker_list).await);
+                let some = file_entries((0..workers).step_by(100), 16);
+                line("and back", apply(&tell, some, &worker_list).await);
             }
         });
     }
--- a/crates/scheduler/src/accord/commands.rs
+++ b/crates/scheduler/src/accord/commands.rs
@@ -146,8 +146,8 @@
     fn ask(&self, call: &str, bytes: &[u8]) -> Result<String, Wrong> {
         let at = self.address()?;
         let told = |why: String| wrong(1, format!("{at}: {why}"));
-        let answer = calls::ask_with(at, call, bytes, ANSWER).map_err(|e| told(e.to_string()))?;
-        calls::yes(&answer).map(String::from).map_err(told)
+        let answer = calls::request_with_body(at, call, bytes, ANSWER).map_err(|e| told(e.to_string()))?;
+        calls::parse_answer(&answer).map(String::from).map_err(told)
     }
 
     fn status(&self) -> Result<Status, Wrong> {
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -2,8 +2,8 @@
 
 use crate::accord::commands::Policies;
 use crate::berth::{self, open, Layers, Problem, Shown, Stock};
-use crate::list::shelves;
-use crate::list::stocking::accept_file;
+use crate::list::inventory_files;
+use crate::list::inventory_watch::accept_file;
 use crate::operators::calls;
 use crate::rollout::Rollouts;
 use clap::{Args, Parser, Subcommand, ValueEnum};
@@ -26,7 +26,7 @@
     Run {
         file: Option<PathBuf>,
         #[command(flatten)]
-        over: Over,
+        overrides: Overrides,
         /// How the log is written, over what the configuration says
         #[arg(long, value_name = "FORM")]
         log_format: Option<LogFormat>,
@@ -38,13 +38,13 @@
     Check {
         file: PathBuf,
         #[command(flatten)]
-        over: Over,
+        overrides: Overrides,
     },
     /// Show the configuration in force, each value with where it came from
     Show {
         file: PathBuf,
         #[command(flatten)]
-        over: Over,
+        overrides: Overrides,
     },
     /// Read, compare and write inventories
     #[command(subcommand)]
@@ -79,17 +79,17 @@
 }
 
 /// How long an answer to an operator may take; it is owed in one second.
-const ANSWER: Duration = Duration::from_secs(5);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The operators' address that is meant.
 pub fn management(at: Option<SocketAddr>, config: Option<&Path>) -> Result<SocketAddr, Vec<String>> {
-    let told = |config: &Path| {
-        let (berth, _) = open(config, &Over::default().layers())?;
+    let from_config = |config: &Path| {
+        let (berth, _) = open(config, &Overrides::default().layers())?;
         berth.management.ok_or_else(|| vec![format!("{}: no operators' address", config.display())])
     };
     match (at, config, std::env::var("GW_MGMT").ok()) {
         (Some(at), ..) => Ok(at),
-        (None, Some(config), _) => told(config),
+        (None, Some(config), _) => from_config(config),
         (None, None, Some(at)) => at.parse().map_err(|_| vec![format!("GW_MGMT {at:?} is no address")]),
         (None, None, None) => Err(vec!["no address: --at, --config or GW_MGMT was expected".into()]),
     }
@@ -98,8 +98,8 @@
 /// Asks a scheduler; its answer, or what it says against the call.
 pub fn manage(at: Option<SocketAddr>, config: Option<&Path>, call: &[String]) -> Result<String, Vec<String>> {
     let at = management(at, config)?;
-    let answer = calls::ask(at, &call.join(" "), ANSWER).map_err(|e| vec![format!("{at}: {e}")])?;
-    match calls::yes(&answer) {
+    let answer = calls::request(at, &call.join(" "), ANSWER_TIMEOUT).map_err(|e| vec![format!("{at}: {e}")])?;
+    match calls::parse_answer(&answer) {
         Ok(_) => Ok(answer),
         Err(_) if answer.is_empty() => Err(vec![format!("{at}: closed without an answer")]),
         Err(_) => Err(vec![answer.trim_end().into()]),
@@ -108,7 +108,7 @@
 
 /// What is said over the file and the TINDOCK_... variables.
 #[derive(Debug, Default, Args)]
-pub struct Over {
+pub struct Overrides {
     /// A value over the file's, as --set limits.sockets=2048
     #[arg(long = "set", value_name = "KEY=VALUE", value_parser = pair)]
     set: Vec<(String, String)>,
@@ -173,7 +173,7 @@
     Ok((key.trim().into(), value.trim().into()))
 }
 
-impl Over {
+impl Overrides {
     pub fn layers(&self) -> Layers {
         let (variables, flags) = (berth::installation::variables(), self.set.iter().cloned().collect());
         Layers { variables, flags }
@@ -181,34 +181,34 @@
 }
 
 /// What a command that ends by itself has to say: lines for standard output, or for standard error.
-pub type Said = Result<String, Vec<String>>;
+pub type CommandResult = Result<String, Vec<String>>;
 
 fn lines(problems: Vec<Problem>) -> Vec<String> {
     problems.iter().map(Problem::to_string).collect()
 }
 
-fn stocked(stock: &Stock) -> Result<Inventory, Vec<String>> {
+fn read_inventory(settings: &Stock) -> Result<Inventory, Vec<String>> {
     let whole = || {
-        let marks = shelves::look(&stock.files)?;
-        let inventory = shelves::take(&marks, &stock.columns, &stock.fixed)?;
-        shelves::find(&inventory)?;
+        let versions = inventory_files::scan(&settings.files)?;
+        let inventory = inventory_files::read_all(&versions, &settings.columns, &settings.fixed)?;
+        inventory_files::resolve(&inventory)?;
         Ok(inventory)
     };
     whole().map_err(lines)
 }
 
-pub fn check(file: &Path, over: &Over) -> Said {
-    let (berth, _) = open(file, &over.layers())?;
+pub fn check(file: &Path, overrides: &Overrides) -> CommandResult {
+    let (berth, _) = open(file, &overrides.layers())?;
     let workers = match &berth.inventory {
-        Some(stock) => format!(", {} workers in its inventory", stocked(stock)?.entries.len()),
+        Some(settings) => format!(", {} workers in its inventory", read_inventory(settings)?.entries.len()),
         None => String::new(),
     };
     let workloads = berth.words.workloads.len();
     Ok(format!("{}: fine, {workloads} workloads{workers}\n", file.display()))
 }
 
-pub fn show(file: &Path, over: &Over) -> Said {
-    let (_, shown) = open(file, &over.layers())?;
+pub fn show(file: &Path, overrides: &Overrides) -> CommandResult {
+    let (_, shown) = open(file, &overrides.layers())?;
     let width = shown.iter().map(|s| s.path.len() + s.value.len()).max().unwrap_or(0) + 3;
     let line = |s: &Shown| {
         let says = format!("{} = {}", s.path, s.value);
@@ -222,15 +222,15 @@
     let columns = match config {
         None => Columns::default(),
         Some(config) => {
-            let (berth, _) = open(config, &Over::default().layers())?;
-            berth.inventory.map(|stock| stock.columns).unwrap_or_default()
+            let (berth, _) = open(config, &Overrides::default().layers())?;
+            berth.inventory.map(|settings| settings.columns).unwrap_or_default()
         }
     };
-    let whole = || shelves::take(&shelves::look(files)?, &columns, &[]);
+    let whole = || inventory_files::read_all(&inventory_files::scan(files)?, &columns, &[]);
     whole().map_err(lines)
 }
 
-pub fn inventories(command: &Inventories) -> Said {
+pub fn inventories(command: &Inventories) -> CommandResult {
     match command {
         Inventories::Check { files, config } => {
             let found = inventory(files, config.as_deref())?;
@@ -250,10 +250,10 @@
             Ok(write(&inventory(files, config.as_deref())?, form))
         }
         Inventories::Accept { config } => {
-            let (berth, _) = open(config, &Over::default().layers())?;
+            let (berth, _) = open(config, &Overrides::default().layers())?;
             let name = config.display();
-            let stock = berth.inventory.ok_or_else(|| vec![format!("{name}: has no [inventory]")])?;
-            let found = stocked(&stock)?;
+            let settings = berth.inventory.ok_or_else(|| vec![format!("{name}: has no [inventory]")])?;
+            let found = read_inventory(&settings)?;
             let folder = config.parent().unwrap_or(Path::new(""));
             let (file, digest) = (accept_file(folder), format!("{:016x}", found.digest()));
             std::fs::write(&file, format!("{digest}\n"))
--- a/crates/scheduler/src/clients/heads.rs
+++ b/crates/scheduler/src/clients/head_scanner.rs
@@ -5,70 +5,70 @@
 use std::collections::VecDeque;
 
 /// As much of a line as is looked at: the longer name, and a length.
-const LOOKED_AT: usize = 48;
+const MAX_SCANNED_LINE: usize = 48;
 
 /// What a head says of where its message ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ends {
+pub enum Framing {
     Known,
     /// It comes in chunks: what follows it is not looked at, so it is the last on its connection.
-    InChunks,
+    Chunked,
     /// Several lengths, one that is no number, or one beside chunks.
-    Unclear,
+    Ambiguous,
 }
 
 #[derive(Debug, Default)]
-enum Place {
+enum Position {
     #[default]
     Between,
     Head,
     Body(u64),
     /// Nothing is looked at any more.
-    Past,
+    Unscanned,
 }
 
 #[derive(Default)]
-pub struct Heads {
-    place: Place,
+pub struct HeadScanner {
+    position: Position,
     line: Vec<u8>,
     lengths: u32,
     length: u64,
     chunked: u32,
-    unclear: bool,
+    ambiguous: bool,
     /// Of the heads that came whole and were not asked about yet.
-    whole: VecDeque<Ends>,
+    complete: VecDeque<Framing>,
 }
 
-impl Heads {
+impl HeadScanner {
     /// Whether a message has begun whose head was not asked about yet.
-    pub fn begun(&self) -> bool {
-        matches!(self.place, Place::Head) || !self.whole.is_empty()
+    pub fn has_message(&self) -> bool {
+        matches!(self.position, Position::Head) || !self.complete.is_empty()
     }
 
     /// What the next head said; one for each message, in their order.
-    pub fn take(&mut self) -> Ends {
-        self.whole.pop_front().unwrap_or(Ends::Unclear)
+    pub fn take(&mut self) -> Framing {
+        self.complete.pop_front().unwrap_or(Framing::Ambiguous)
     }
 
-    pub fn came(&mut self, mut bytes: &[u8]) {
+    pub fn feed(&mut self, mut bytes: &[u8]) {
         while let Some((&first, rest)) = bytes.split_first() {
-            match self.place {
-                Place::Past => return,
-                Place::Body(left) => {
+            match self.position {
+                Position::Unscanned => return,
+                Position::Body(left) => {
                     let here = left.min(bytes.len() as u64);
                     bytes = &bytes[here as usize..];
-                    self.place = if left == here { Place::Between } else { Place::Body(left - here) };
+                    self.position = if left == here { Position::Between } else { Position::Body(left - here) };
                     continue;
                 }
                 // Empty lines may come before a message.
-                Place::Between if first == b'\r' || first == b'\n' => {}
-                Place::Between => {
-                    self.place = Place::Head;
+                Position::Between if first == b'\r' || first == b'\n' => {}
+                Position::Between => {
+                    self.position = Position::Head;
                     continue;
                 }
-                Place::Head if first == b'\n' => self.end_line(),
-                Place::Head if self.line.len() < LOOKED_AT => self.line.push(first),
-                Place::Head => {}
+                Position::Head if first == b'\n' => self.end_line(),
+                Position::Head if self.line.len() < MAX_SCANNED_LINE => self.line.push(first),
+                Position::Head => {}
             }
             bytes = rest;
         }
@@ -88,7 +88,7 @@
             let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
             match std::str::from_utf8(value).ok().and_then(|text| text.parse().ok()).filter(|_| digits) {
                 Some(length) => self.length = length,
-                None => self.unclear = true,
+                None => self.ambiguous = true,
             }
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
             self.chunked += 1;
@@ -97,18 +97,18 @@
     }
 
     fn end_head(&mut self) {
-        let ends = match (self.lengths, self.chunked) {
-            (0 | 1, 0) if !self.unclear => Ends::Known,
-            (0, 1) => Ends::InChunks,
-            _ => Ends::Unclear,
+        let framing = match (self.lengths, self.chunked) {
+            (0 | 1, 0) if !self.ambiguous => Framing::Known,
+            (0, 1) => Framing::Chunked,
+            _ => Framing::Ambiguous,
         };
-        self.whole.push_back(ends);
-        self.place = match (ends, self.length) {
-            (Ends::Known, 0) => Place::Between,
-            (Ends::Known, length) => Place::Body(length),
-            _ => Place::Past,
+        self.complete.push_back(framing);
+        self.position = match (framing, self.length) {
+            (Framing::Known, 0) => Position::Between,
+            (Framing::Known, length) => Position::Body(length),
+            _ => Position::Unscanned,
         };
-        (self.lengths, self.length, self.chunked, self.unclear) = (0, 0, 0, false);
+        (self.lengths, self.length, self.chunked, self.ambiguous) = (0, 0, 0, false);
         self.line.clear();
     }
 }
--- a/crates/scheduler/src/clients/door.rs
+++ b/crates/scheduler/src/clients/listener.rs
@@ -1,13 +1,13 @@
 //! The server side: accepts connections of clients and workers, and answers what they ask.
 
 use crate::accord::Accord;
-use crate::clients::answering::{self, Reply};
-use crate::clients::guest::{Guest, Standing, Watched};
-use crate::clients::heads::Ends;
-use crate::clients::reading::{self, Bad, Message, Rooms};
+use crate::clients::responses::{self, Reply};
+use crate::clients::connection::{ClientConnection, Role, ClientSocket};
+use crate::clients::head_scanner::Framing;
+use crate::clients::requests::{self, Rejection, Message, BodyBudget};
 use crate::exchange::{Answer, Exchange};
 use crate::operators::telemetry::{Outcome, Telemetry};
-use crate::rows::Titles;
+use crate::workload_table::TaskNames;
 use crate::succession::line::Line;
 use crate::succession::stopping::Stopping;
 use hyper::body::Incoming;
@@ -28,37 +28,37 @@
 use tokio::time::Instant;
 
 /// A peer that sends nothing for this long loses its connection: it would hold a descriptor for ever.
-const SILENCE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// The same while stopping, which would otherwise wait for it.
-const LAST_SILENCE: Duration = Duration::from_secs(1);
+const STOPPING_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 /// What was turned down or closed is told in sums, this often: a line each would cost more than the answer.
-const SUMS: Duration = Duration::from_secs(10);
+const COUNTS_INTERVAL: Duration = Duration::from_secs(10);
 /// When no descriptor is left, some connection ends within this time.
 pub const SHORT_OF_DESCRIPTORS: Duration = Duration::from_millis(20);
 /// Without the word of its group a scheduler asks clients to come back after this, where it may say so.
-const AGAIN: Duration = Duration::from_secs(1);
+const NO_LEADER_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// A process that ends asks clients to come back after this: others serve, or its successor does.
-const AFTER_THE_END: Duration = Duration::from_millis(500);
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Room for a head in reading: the least that hyper takes.
 const READ_BUFFER: usize = 8 * 1024;
 
-pub struct Door {
+pub struct ClientListener {
     exchange: Rc<Exchange>,
-    names: RefCell<Titles>,
+    names: RefCell<TaskNames>,
     stopping: Rc<Stopping>,
-    most: Cell<usize>,
+    max_clients: Cell<usize>,
     paused: watch::Sender<bool>,
     line: Rc<Line>,
-    guests: RefCell<BTreeMap<u64, Rc<Guest>>>,
+    clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     next: Cell<u64>,
-    gone: Notify,
-    rooms: Rooms,
+    disconnected: Notify,
+    body_budget: BodyBudget,
     /// The group whose word it takes to serve, where there is one.
     group: OnceCell<Rc<Accord>>,
     telemetry: Rc<Telemetry>,
     /// How long tasks of each workload are in hand until they are finished.
-    in_hand: RefCell<RunTimes<Rc<str>>>,
-    sums: RefCell<BTreeMap<&'static str, u64>>,
+    completion_times: RefCell<RunTimes<Rc<str>>>,
+    counts: RefCell<BTreeMap<&'static str, u64>>,
     log: Logger,
 }
 
@@ -66,49 +66,49 @@
 /// connection still worked on.
 struct Waiting<'a> {
     exchange: &'a Exchange,
-    place: usize,
-    life: u64,
+    index: usize,
+    generation: u64,
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        self.exchange.left(self.place, self.life);
+        self.exchange.client_left(self.index, self.generation);
     }
 }
 
-impl Door {
+impl ClientListener {
     pub fn new(
         exchange: Rc<Exchange>,
         stopping: Rc<Stopping>,
-        most: usize,
+        max_clients: usize,
         line: Rc<Line>,
-        rooms: Rooms,
+        body_budget: BodyBudget,
         telemetry: Rc<Telemetry>,
         log: Logger,
     ) -> Rc<Self> {
-        let (guests, next, gone, sums, in_hand) = Default::default();
-        let names = RefCell::new(exchange.names());
-        Rc::new(Door {
+        let (clients, next, disconnected, counts, completion_times) = Default::default();
+        let names = RefCell::new(exchange.task_names());
+        Rc::new(ClientListener {
             exchange,
             names,
             stopping,
-            most: Cell::new(most),
+            max_clients: Cell::new(max_clients),
             paused: watch::Sender::new(false),
             line,
-            guests,
+            clients,
             next,
-            gone,
-            rooms,
+            disconnected,
+            body_budget,
             group: OnceCell::new(),
             telemetry,
-            in_hand,
-            sums,
+            completion_times,
+            counts,
             log,
         })
     }
 
     /// From now on tasks are taken on this group's word only.
-    pub fn under(&self, group: Rc<Accord>) {
+    pub fn set_group(&self, group: Rc<Accord>) {
         let _ = self.group.set(group);
     }
 
@@ -123,18 +123,18 @@
         loop {
             // It lives for as long as the door.
             let _ = paused.wait_for(|paused| !paused).await;
-            self.make_room().await;
-            let came = tokio::select! {
+            self.wait_for_capacity().await;
+            let accepted = tokio::select! {
                 biased;
                 _ = paused.wait_for(|paused| *paused) => continue,
-                came = listener.accept() => came,
+                accepted = listener.accept() => accepted,
             };
-            match came {
+            match accepted {
                 Ok((stream, _)) => {
                     short = false;
                     // Guards against a burst that passes the limit: who is accepted counts from here on.
-                    let number = self.enter();
-                    tokio::task::spawn_local(self.clone().attend(stream, number));
+                    let number = self.register();
+                    tokio::task::spawn_local(self.clone().serve(stream, number));
                 }
                 Err(e) => {
                     // Guards against a loop without pause, and an end, when descriptors have run out.
@@ -142,7 +142,7 @@
                         warn!(self.log, "cannot accept: {e}");
                     }
                     short = true;
-                    self.dismiss_idle();
+                    self.close_idle();
                     tokio::time::sleep(SHORT_OF_DESCRIPTORS).await;
                 }
             }
@@ -150,37 +150,37 @@
     }
 
     /// At the most guests, the one that stood idle for longest leaves before another is let in.
-    async fn make_room(&self) {
-        while self.guests.borrow().len() >= self.most.get() {
-            self.dismiss_idle();
-            let gone = tokio::time::timeout(SHORT_OF_DESCRIPTORS, self.gone.notified());
-            let _ = gone.await;
+    async fn wait_for_capacity(&self) {
+        while self.clients.borrow().len() >= self.max_clients.get() {
+            self.close_idle();
+            let disconnected = tokio::time::timeout(SHORT_OF_DESCRIPTORS, self.disconnected.notified());
+            let _ = disconnected.await;
         }
     }
 
     /// Guards against peers that crowd out clients and workers.
-    fn dismiss_idle(&self) {
-        let guests = self.guests.borrow();
-        let idle = guests.values().filter(|g| !g.busy.get() && !g.leaving.get());
+    fn close_idle(&self) {
+        let clients = self.clients.borrow();
+        let idle = clients.values().filter(|c| !c.busy.get() && !c.closing.get());
         let now = Instant::now();
-        if let Some(guest) = idle.min_by_key(|g| g.rank(now)) {
-            self.count("closed to make room");
-            guest.make_room();
+        if let Some(client) = idle.min_by_key(|c| c.rank(now)) {
+            self.count("closed for another connection");
+            client.evict();
         }
     }
 
     fn count(&self, what: &'static str) {
-        *self.sums.borrow_mut().entry(what).or_default() += 1;
+        *self.counts.borrow_mut().entry(what).or_default() += 1;
     }
 
     /// Tells what was turned down or closed, in sums.
-    pub async fn tell_sums(&self) {
+    pub async fn log_counts(&self) {
         loop {
-            tokio::time::sleep(SUMS).await;
-            let sums = std::mem::take(&mut *self.sums.borrow_mut());
-            if !sums.is_empty() {
-                let sums: Vec<String> = sums.iter().map(|(what, n)| format!("{n} {what}")).collect();
-                warn!(self.log, "turned down or closed in {} s: {}", SUMS.as_secs(), sums.join(", "));
+            tokio::time::sleep(COUNTS_INTERVAL).await;
+            let counts = std::mem::take(&mut *self.counts.borrow_mut());
+            if !counts.is_empty() {
+                let counts: Vec<String> = counts.iter().map(|(what, n)| format!("{n} {what}")).collect();
+                warn!(self.log, "turned down or closed in {} s: {}", COUNTS_INTERVAL.as_secs(), counts.join(", "));
             }
         }
     }
@@ -191,75 +191,75 @@
     }
 
     /// Keeps to half of the connections while another process lives beside this one; how many it leaves.
-    pub fn half(&self) -> usize {
-        let left = self.most.get() / 2;
-        self.most.set(self.most.get() - left);
-        left
+    pub fn give_up_half(&self) -> usize {
+        let given_up = self.max_clients.get() / 2;
+        self.max_clients.set(self.max_clients.get() - given_up);
+        given_up
     }
 
-    pub fn widen(&self, by: usize) {
-        self.most.set(self.most.get() + by);
+    pub fn raise_limit(&self, by: usize) {
+        self.max_clients.set(self.max_clients.get() + by);
     }
 
     /// Takes tasks by what is in force now.
-    pub fn rename(&self) {
-        let names = self.exchange.names();
-        names.workloads.iter().flatten().for_each(|name| self.telemetry.open(name));
+    pub fn reload_names(&self) {
+        let names = self.exchange.task_names();
+        names.workloads.iter().flatten().for_each(|name| self.telemetry.register_workload(name));
         self.names.replace(names);
     }
 
     /// Every connection ends after the message in hand, idle ones now.
-    pub fn dismiss_all(&self) {
-        self.guests.borrow().values().for_each(|guest| guest.ask_to_leave());
+    pub fn close_all(&self) {
+        self.clients.borrow().values().for_each(|client| client.request_close());
     }
 
     /// Nobody is here but some that have not said anything, and some that came later than clients do and were given
     /// nothing. Guards against a message that is under way, and against crowds for which the end would wait.
     pub fn is_quiet(&self, last_clients: Instant) -> bool {
-        let guests = self.guests.borrow();
-        guests.values().all(|guest| {
-            let mute = guest.mute.get() && !guest.coming();
-            mute || guest.came > last_clients && !guest.busy.get()
+        let clients = self.clients.borrow();
+        clients.values().all(|client| {
+            let silent = client.silent.get() && !client.is_receiving();
+            silent || client.connected_at > last_clients && !client.busy.get()
         })
     }
 
-    fn enter(&self) -> u64 {
+    fn register(&self) -> u64 {
         let number = self.next.get();
         self.next.set(number + 1);
-        self.guests.borrow_mut().insert(number, Rc::new(Guest::new(Instant::now())));
+        self.clients.borrow_mut().insert(number, Rc::new(ClientConnection::new(Instant::now())));
         number
     }
 
-    async fn attend(self: Rc<Self>, stream: TcpStream, number: u64) {
+    async fn serve(self: Rc<Self>, stream: TcpStream, number: u64) {
         let _ = stream.set_nodelay(true);
-        let Some(guest) = self.guests.borrow().get(&number).cloned() else { return };
-        let service = service_fn(|call: Request<Incoming>| {
-            let (door, guest) = (self.clone(), guest.clone());
+        let Some(client) = self.clients.borrow().get(&number).cloned() else { return };
+        let service = service_fn(|request: Request<Incoming>| {
+            let (listener, client) = (self.clone(), client.clone());
             async move {
-                guest.headed();
-                let ends = guest.heads.borrow_mut().take();
-                let mut reply = door.reply(call, ends, &guest).await;
-                guest.answered();
-                if ends != Ends::Known {
-                    answering::close(&mut reply);
+                client.head_read();
+                let framing = client.heads.borrow_mut().take();
+                let mut reply = listener.reply(request, framing, &client).await;
+                client.answered();
+                if framing != Framing::Known {
+                    responses::close(&mut reply);
                 }
                 Ok::<Reply, Infallible>(reply)
             }
         });
-        let silence = if self.stopping.is_closing() { LAST_SILENCE } else { SILENCE };
+        let idle_timeout = if self.stopping.is_closing() { STOPPING_IDLE_TIMEOUT } else { IDLE_TIMEOUT };
         let mut http = http1::Builder::new();
         http.timer(TokioTimer::new())
-            .header_read_timeout(silence)
+            .header_read_timeout(idle_timeout)
             .max_buf_size(READ_BUFFER)
             .keep_alive(!self.stopping.is_closing());
-        let watched = Watched { stream, guest: guest.clone() };
+        let watched = ClientSocket { stream, client: client.clone() };
         let mut connection = pin!(http.serve_connection(TokioIo::new(watched), service));
-        let mut overdue = pin!(guest.overdue());
+        let mut overdue = pin!(client.overdue());
         loop {
             tokio::select! {
                 ended = connection.as_mut() => {
                     if ended.is_err_and(|e| e.is_parse()) {
-                        self.count("not to be read");
+                        self.count("unreadable");
                     }
                     break;
                 }
@@ -268,87 +268,87 @@
                     break;
                 }
                 // Guards against peers that connect and say nothing: hyper would wait for their first message.
-                () = guest.leave.notified() => match guest.is_stranger() && (guest.at_once.get() || !self.stopping.is_closing()) {
+                () = client.close_requested.notified() => match client.is_unknown() && (client.evicted.get() || !self.stopping.is_closing()) {
                     true => break,
                     false => connection.as_mut().graceful_shutdown(),
                 },
             }
         }
-        self.guests.borrow_mut().remove(&number);
-        self.gone.notify_one();
+        self.clients.borrow_mut().remove(&number);
+        self.disconnected.notify_one();
     }
 
-    async fn reply(&self, call: Request<Incoming>, ends: Ends, guest: &Guest) -> Reply {
-        if ends == Ends::Unclear {
-            return self.turn_down(Bad(StatusCode::BAD_REQUEST, "with unclear lengths"));
+    async fn reply(&self, request: Request<Incoming>, framing: Framing, client: &ClientConnection) -> Reply {
+        if framing == Framing::Ambiguous {
+            return self.reject(Rejection(StatusCode::BAD_REQUEST, "with an ambiguous length"));
         }
-        let read = reading::read(call, &self.names, &self.rooms).await;
-        guest.read();
+        let read = requests::read(request, &self.names, &self.body_budget).await;
+        client.message_read();
         match read {
-            Ok(Message::Health) => answering::health(self.exchange.can_decide() && self.may_serve()),
-            Ok(Message::News(news, words)) => {
-                guest.standing.set(Standing::Worker);
+            Ok(Message::Health) => responses::health(self.exchange.can_decide() && self.may_serve()),
+            Ok(Message::Update(update, body)) => {
+                client.role.set(Role::Worker);
                 // Guards against news lost between two processes at one address.
-                if self.exchange.is_strange(&news.id) {
-                    self.line.hand_on(&words).await;
+                if self.exchange.is_unknown_task(&update.id) {
+                    self.line.hand_on(&body).await;
                 }
-                self.exchange.news(news);
-                answering::heard()
+                self.exchange.apply_update(update);
+                responses::accepted()
             }
-            Ok(Message::Task(call, _room)) => {
-                let workload = self.names.borrow().workloads[call.workload].clone();
+            Ok(Message::Task(request, _permit)) => {
+                let workload = self.names.borrow().workloads[request.workload].clone();
                 if !self.may_serve() {
                     // It never came in, so that it can be shed whatever its effect is.
                     self.telemetry.ended(workload.as_deref().unwrap_or_default(), Outcome::Shed);
-                    return answering::answer(Answer::Shed { come_back: self.exchange.come_back(AGAIN) });
+                    return responses::answer(Answer::Shed { retry_after: self.exchange.retry_after(NO_LEADER_RETRY_AFTER) });
                 }
-                if !self.fits(workload.as_ref(), call.left) {
+                if !self.finishes_in_time(workload.as_ref(), request.time_left) {
                     self.telemetry.ended(workload.as_deref().unwrap_or_default(), Outcome::Shed);
-                    let come_back = self.exchange.come_back(AFTER_THE_END);
-                    return answering::answer(Answer::Shed { come_back });
+                    let retry_after = self.exchange.retry_after(STOPPING_RETRY_AFTER);
+                    return responses::answer(Answer::Shed { retry_after });
                 }
-                let came = Instant::now();
-                let Some(hold) = self.exchange.arrived(call) else {
-                    return self.turn_down(Bad(StatusCode::BAD_REQUEST, "with an id in hand already"));
+                let started = Instant::now();
+                let Some(handle) = self.exchange.submit(request) else {
+                    return self.reject(Rejection(StatusCode::BAD_REQUEST, "with an id that is in flight"));
                 };
-                if guest.standing.replace(Standing::Client) != Standing::Client {
+                if client.role.replace(Role::Client) != Role::Client {
                     self.stopping.newcomer();
                 }
-                let waiting = Waiting { exchange: &self.exchange, place: hold.place, life: hold.life };
-                let answer = hold.answer.await.unwrap_or(Answer::BrokenOff);
+                let waiting = Waiting { exchange: &self.exchange, index: handle.index, generation: handle.generation };
+                let answer = handle.answer.await.unwrap_or(Answer::Aborted);
                 drop(waiting);
                 let outcome = match answer {
                     Answer::Finished(_) => {
-                        self.measure(workload.as_ref(), came.elapsed());
+                        self.measure(workload.as_ref(), started.elapsed());
                         Outcome::Finished
                     }
                     Answer::Shed { .. } => Outcome::Shed,
-                    Answer::BrokenOff | Answer::TurnedDown(_) => Outcome::BrokenOff,
+                    Answer::Aborted | Answer::Rejected(_) => Outcome::Failed,
                 };
                 self.telemetry.ended(workload.as_deref().unwrap_or_default(), outcome);
-                answering::answer(answer)
+                responses::answer(answer)
             }
-            Err(bad) => self.turn_down(bad),
+            Err(rejection) => self.reject(rejection),
         }
     }
 
     /// Whether a task that has just come is finished before this process ends, as far as its workload's times tell. One
     /// that is given up sooner by its client is answered in time, too.
-    fn fits(&self, workload: Option<&Rc<str>>, patience: Option<Duration>) -> bool {
+    fn finishes_in_time(&self, workload: Option<&Rc<str>>, client_limit: Option<Duration>) -> bool {
         let (Some(time_left), Some(workload)) = (self.stopping.time_left(), workload) else { return true };
-        let longest = self.in_hand.borrow().longest(workload, Duration::ZERO);
-        longest.min(patience.unwrap_or(Duration::MAX)) <= time_left
+        let longest = self.completion_times.borrow().longest(workload, Duration::ZERO);
+        longest.min(client_limit.unwrap_or(Duration::MAX)) <= time_left
     }
 
     fn measure(&self, workload: Option<&Rc<str>>, took: Duration) {
         if let Some(workload) = workload {
             let now = self.exchange.now();
-            self.in_hand.borrow_mut().measure(now, workload.clone(), took);
+            self.completion_times.borrow_mut().measure(now, workload.clone(), took);
         }
     }
 
-    fn turn_down(&self, bad: Bad) -> Reply {
-        self.count(bad.1);
-        answering::turned_down(bad)
+    fn reject(&self, rejection: Rejection) -> Reply {
+        self.count(rejection.1);
+        responses::rejected(rejection)
     }
 }
--- a/crates/scheduler/src/clients/mod.rs
+++ b/crates/scheduler/src/clients/mod.rs
@@ -1,7 +1,7 @@
 //! The clients' side: connections are accepted, bounded, read once, and answered once.
 
-pub mod answering;
-pub mod door;
-pub mod guest;
-pub mod heads;
-pub mod reading;
+pub mod responses;
+pub mod listener;
+pub mod connection;
+pub mod head_scanner;
+pub mod requests;
--- a/crates/scheduler/src/clients/answering.rs
+++ b/crates/scheduler/src/clients/responses.rs
@@ -1,6 +1,6 @@
 //! An answer, encoded once.
 
-use crate::clients::reading::Bad;
+use crate::clients::requests::Rejection;
 use crate::exchange::Answer;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -18,28 +18,28 @@
 pub fn answer(answer: Answer) -> Reply {
     match answer {
         Answer::Finished(result) => plain(StatusCode::OK, result),
-        Answer::Shed { come_back } => {
+        Answer::Shed { retry_after } => {
             let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
-            if let Some(wait) = come_back {
+            if let Some(wait) = retry_after {
                 let seconds = HeaderValue::try_from(wait.as_secs_f64().to_string());
                 seconds.into_iter().for_each(|s| drop(reply.headers_mut().insert(RETRY_AFTER, s)));
             }
             reply
         }
-        Answer::TurnedDown(status) => {
+        Answer::Rejected(status) => {
             plain(StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST), Bytes::new())
         }
-        Answer::BrokenOff => plain(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
+        Answer::Aborted => plain(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()),
     }
 }
 
-pub fn heard() -> Reply {
+pub fn accepted() -> Reply {
     plain(StatusCode::NO_CONTENT, Bytes::new())
 }
 
 /// 500, not 503, where nothing can be decided yet: a 503 is a shed, and only the module sheds.
-pub fn health(able: bool) -> Reply {
-    plain(if able { StatusCode::OK } else { StatusCode::INTERNAL_SERVER_ERROR }, Bytes::new())
+pub fn health(ready: bool) -> Reply {
+    plain(if ready { StatusCode::OK } else { StatusCode::INTERNAL_SERVER_ERROR }, Bytes::new())
 }
 
 /// The connection ends with this answer.
@@ -48,10 +48,10 @@
 }
 
 /// Who sends what cannot be taken is asked to begin anew: it holds no connection for the next try.
-pub fn turned_down(bad: Bad) -> Reply {
-    let mut reply = plain(bad.0, Bytes::new());
+pub fn rejected(rejection: Rejection) -> Reply {
+    let mut reply = plain(rejection.0, Bytes::new());
     close(&mut reply);
-    if bad.0 == StatusCode::METHOD_NOT_ALLOWED {
+    if rejection.0 == StatusCode::METHOD_NOT_ALLOWED {
         reply.headers_mut().insert(ALLOW, HeaderValue::from_static("GET, POST"));
     }
     reply
--- a/crates/scheduler/src/disk.rs
+++ b/crates/scheduler/src/disk.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 /// How often a lock that another process holds is tried.
-const LOOK: Duration = Duration::from_millis(5);
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The file of that name with something behind it.
-pub fn beside(path: &Path, ending: &str) -> PathBuf {
+pub fn with_suffix(path: &Path, ending: &str) -> PathBuf {
     let mut name = path.file_name().unwrap_or_default().to_os_string();
     name.push(ending);
     path.with_file_name(name)
@@ -17,7 +17,7 @@
 
 /// Replaced whole or not at all, and on the disk when this returns: written beside, synced, renamed, the folder synced.
 pub fn replace(path: &Path, text: &[u8]) -> Result<()> {
-    let new = beside(path, ".rollout-new");
+    let new = with_suffix(path, ".rollout-new");
     let written = (|| {
         let mut file = File::create(&new)?;
         if let Ok(old) = fs::metadata(path) {
@@ -43,7 +43,7 @@
     loop {
         match lock.try_lock() {
             Ok(()) => return Ok(Some(lock)),
-            Err(TryLockError::WouldBlock) if began.elapsed() < wait => std::thread::sleep(LOOK),
+            Err(TryLockError::WouldBlock) if began.elapsed() < wait => std::thread::sleep(LOCK_RETRY_INTERVAL),
             Err(TryLockError::WouldBlock) => return Ok(None),
             Err(TryLockError::Error(e)) => return Err(e),
         }
--- a/crates/scheduler/src/exchange.rs
+++ b/crates/scheduler/src/exchange.rs
@@ -2,13 +2,13 @@
 //! reports into the module's inputs, pulls its decisions and hands them out. It decides nothing itself.
 
 use crate::clock::Clock;
-use crate::operators::telemetry::Moment;
-use crate::others::telling::{self, Message, Telling};
-use crate::rows::{Rows, Titles};
+use crate::operators::telemetry::Snapshot;
+use crate::peers::outbox::{self, Message, Outbox};
+use crate::workload_table::{WorkloadTable, TaskNames};
 use crate::succession::heritage::{self, Heritage};
 use crate::workers::endings::Close;
-use crate::workers::loads;
-use crate::workers::news::{News, State as Said};
+use crate::workers::load_reports;
+use crate::workers::updates::{Update, State as UpdateState};
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use slog::{info, Logger};
@@ -27,13 +27,13 @@
 
 /// A task as a client handed it in.
 #[derive(Debug)]
-pub struct Call {
+pub struct TaskRequest {
     pub id: Rc<str>,
     pub workload: usize,
-    pub customer: usize,
+    pub tenant: usize,
     pub size: f64,
     /// How long the client will wait; none where it did not say.
-    pub left: Option<Duration>,
+    pub time_left: Option<Duration>,
     pub target: String,
     /// Those of its headers that are meant for the worker.
     pub headers: HeaderMap,
@@ -45,90 +45,90 @@
 pub enum Answer {
     Finished(Bytes),
     Shed {
-        come_back: Option<Duration>,
+        retry_after: Option<Duration>,
     },
-    BrokenOff,
+    Aborted,
     /// A worker's word that the task cannot be used, by its status.
-    TurnedDown(u16),
+    Rejected(u16),
 }
 
 /// Names one assignment for as long as the scheduler lives; places are used again, lives are not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Ticket {
-    pub place: usize,
-    pub life: u64,
+pub struct AssignmentKey {
+    pub index: usize,
+    pub generation: u64,
     pub number: usize,
 }
 
 /// What the client side is to do.
 #[derive(Debug)]
-pub enum Order {
+pub enum Command {
     Send {
-        ticket: Ticket,
+        key: AssignmentKey,
         worker: usize,
-        call: Rc<Call>,
+        request: Rc<TaskRequest>,
         limit: Duration,
     },
     /// Stop waiting: tell the worker where it has taken the task, and report `CalledOff`.
-    CallOff {
-        ticket: Ticket,
+    Cancel {
+        key: AssignmentKey,
         worker: usize,
         id: Rc<str>,
     },
     /// The limit came: nobody waits for it any more, and nothing is to be reported.
     Drop {
-        ticket: Ticket,
+        key: AssignmentKey,
     },
 }
 
 /// A client's hold on its task; the answer comes on `answer`.
-pub struct Hold {
-    pub place: usize,
-    pub life: u64,
+pub struct TaskHandle {
+    pub index: usize,
+    pub generation: u64,
     pub answer: oneshot::Receiver<Answer>,
 }
 
-struct Out {
+struct Assignment {
     worker: usize,
-    over: bool,
+    ended: bool,
 }
 
-struct Hand {
+struct TaskRecord {
     id: Rc<str>,
     workload: usize,
     /// Until the final answer: its body takes memory.
-    call: Option<Rc<Call>>,
-    life: u64,
+    request: Option<Rc<TaskRequest>>,
+    generation: u64,
     limit: Duration,
     /// Taken away by the final answer.
     answer: Option<oneshot::Sender<Answer>>,
-    outs: Vec<Out>,
+    assignments: Vec<Assignment>,
 }
 
-struct Listed {
+struct KnownWorker {
     entry: Entry,
     banned: bool,
 }
 
 struct State {
-    rules: Policy,
-    rows: Rows,
-    vouching: Suspicion,
-    hands: Vec<Hand>,
-    places: HashMap<Rc<str>, usize>,
-    lives: u64,
-    workers: Vec<Listed>,
-    names: HashMap<Rc<str>, usize>,
+    policy: Policy,
+    workloads: WorkloadTable,
+    suspicion: Suspicion,
+    tasks: Vec<TaskRecord>,
+    task_indices: HashMap<Rc<str>, usize>,
+    last_generation: u64,
+    workers: Vec<KnownWorker>,
+    worker_indices: HashMap<Rc<str>, usize>,
     /// Taken out by hand, also those that are not listed yet.
     bans: BTreeSet<String>,
-    reports: Vec<String>,
+    report_names: Vec<String>,
     /// The workers' names in words between schedulers, and the words themselves.
-    names_told: WorkerNames,
-    telling: Telling,
-    told: Option<mpsc::Sender<Message>>,
+    peer_names: WorkerNames,
+    outbox: Outbox,
+    peer_messages: Option<mpsc::Sender<Message>>,
     /// Hard limits of tasks in hand, soonest first.
-    limits: BTreeSet<(Duration, usize, u64)>,
-    bell: Option<Duration>,
+    hard_limits: BTreeSet<(Duration, usize, u64)>,
+    wake_at: Option<Duration>,
 }
 
 pub struct Exchange {
@@ -136,45 +136,45 @@
     now: Box<dyn Fn() -> Duration>,
     clock: Clock,
     /// Not bounded by itself: it is emptied at once, and tasks in hand are bounded by the door.
-    orders: mpsc::UnboundedSender<Order>,
-    bell_moved: Notify,
+    commands: mpsc::UnboundedSender<Command>,
+    timer_changed: Notify,
     log: Logger,
 }
 
 impl Exchange {
     pub fn new(
-        rules: Policy,
-        rows: Rows,
+        policy: Policy,
+        workloads: WorkloadTable,
         clock: Clock,
         now: Box<dyn Fn() -> Duration>,
         log: Logger,
-    ) -> (Rc<Self>, mpsc::UnboundedReceiver<Order>) {
-        let (orders, taken) = mpsc::unbounded_channel();
+    ) -> (Rc<Self>, mpsc::UnboundedReceiver<Command>) {
+        let (commands, receiver) = mpsc::unbounded_channel();
         let state = State {
-            rules,
-            rows,
-            vouching: Suspicion::new(now()),
-            hands: Vec::new(),
-            places: HashMap::new(),
-            lives: 0,
+            policy,
+            workloads,
+            suspicion: Suspicion::new(now()),
+            tasks: Vec::new(),
+            task_indices: HashMap::new(),
+            last_generation: 0,
             workers: Vec::new(),
-            names: HashMap::new(),
+            worker_indices: HashMap::new(),
             bans: BTreeSet::new(),
-            reports: Vec::new(),
-            names_told: WorkerNames::default(),
-            telling: Telling::default(),
-            told: None,
-            limits: BTreeSet::new(),
-            bell: None,
+            report_names: Vec::new(),
+            peer_names: WorkerNames::default(),
+            outbox: Outbox::default(),
+            peer_messages: None,
+            hard_limits: BTreeSet::new(),
+            wake_at: None,
         };
-        let (state, bell_moved) = (RefCell::new(state), Notify::new());
-        (Rc::new(Exchange { state, now, clock, orders, bell_moved, log }), taken)
+        let (state, timer_changed) = (RefCell::new(state), Notify::new());
+        (Rc::new(Exchange { state, now, clock, commands, timer_changed, log }), receiver)
     }
 
     /// The start: the list as it was last had, at the very time that the module was made. Guards against
     /// workers that count as new because they are named a moment after the start.
-    pub fn begin(&self, began: Duration, known: Option<Listing>) {
-        self.feed_at(began, |state| known.into_iter().for_each(|known| self.take_list(state, known)));
+    pub fn start(&self, began: Duration, known: Option<Listing>) {
+        self.feed_at(began, |state| known.into_iter().for_each(|known| self.apply_list(state, known)));
     }
 
     /// Feeds inputs at the present time, then carries out what the module decides.
@@ -184,145 +184,145 @@
 
     fn feed_at<T>(&self, now: Duration, inputs: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.state.borrow_mut();
-        state.rules.set_time(now);
-        let given = inputs(&mut state);
-        self.pull(&mut state, now);
-        given
+        state.policy.set_time(now);
+        let output = inputs(&mut state);
+        self.carry_out_decisions(&mut state, now);
+        output
     }
 
-    fn pull(&self, state: &mut State, now: Duration) {
-        while let Some(decision) = state.rules.decide() {
+    fn carry_out_decisions(&self, state: &mut State, now: Duration) {
+        while let Some(decision) = state.policy.decide() {
             match decision {
                 Decision::Assign { task, worker } => {
-                    let hand = &mut state.hands[task];
-                    let ticket = Ticket { place: task, life: hand.life, number: hand.outs.len() };
-                    hand.outs.push(Out { worker, over: false });
-                    let limit = hand.limit;
-                    if let Some(call) = hand.call.clone() {
-                        self.order(Order::Send { ticket, worker, call, limit });
+                    let record = &mut state.tasks[task];
+                    let key = AssignmentKey { index: task, generation: record.generation, number: record.assignments.len() };
+                    record.assignments.push(Assignment { worker, ended: false });
+                    let limit = record.limit;
+                    if let Some(request) = record.request.clone() {
+                        self.send_command(Command::Send { key, worker, request, limit });
                     }
                 }
                 Decision::Shed { task, retry_after } => {
-                    state.answer(task, Answer::Shed { come_back: retry_after })
+                    state.answer(task, Answer::Shed { retry_after })
                 }
-                Decision::Abandon { task } => state.answer(task, Answer::BrokenOff),
+                Decision::Abandon { task } => state.answer(task, Answer::Aborted),
                 Decision::Cancel { task, assignment } => {
-                    let hand = &state.hands[task];
-                    let ticket = Ticket { place: task, life: hand.life, number: assignment };
-                    if let Some(out) = hand.outs.get(assignment).filter(|out| !out.over) {
-                        let id = hand.id.clone();
-                        self.order(Order::CallOff { ticket, worker: out.worker, id });
+                    let record = &state.tasks[task];
+                    let key = AssignmentKey { index: task, generation: record.generation, number: assignment };
+                    if let Some(assignment) = record.assignments.get(assignment).filter(|assignment| !assignment.ended) {
+                        let id = record.id.clone();
+                        self.send_command(Command::Cancel { key, worker: assignment.worker, id });
                     }
                 }
                 Decision::Grant { .. } | Decision::RequestSlots { .. } | Decision::Announce { .. } => {
-                    state.telling.say(&decision, &state.names_told);
+                    state.outbox.push(&decision, &state.peer_names);
                 }
                 Decision::Wake { after } => {
-                    state.bell = Some(now + after);
-                    self.bell_moved.notify_one();
+                    state.wake_at = Some(now + after);
+                    self.timer_changed.notify_one();
                 }
                 Decision::Log(line) => info!(self.log, "{line}"),
             }
         }
-        let told = state.told.clone();
-        for message in state.telling.messages() {
+        let peer_messages = state.peer_messages.clone();
+        for message in state.outbox.drain() {
             // One that finds no room is lost, as any may be.
-            told.iter().for_each(|told| drop(told.try_send(message.clone())));
+            peer_messages.iter().for_each(|peer_messages| drop(peer_messages.try_send(message.clone())));
         }
     }
 
     /// The names of the values in load reports, and where words to other schedulers go, if there are any.
-    pub fn equip(&self, reports: Vec<String>, told: Option<mpsc::Sender<Message>>) {
+    pub fn configure(&self, report_names: Vec<String>, peer_messages: Option<mpsc::Sender<Message>>) {
         let mut state = self.state.borrow_mut();
-        (state.reports, state.told) = (reports, told);
+        (state.report_names, state.peer_messages) = (report_names, peer_messages);
     }
 
-    fn order(&self, order: Order) {
+    fn send_command(&self, command: Command) {
         // Only a client side that is gone takes no orders: then the process ends.
-        let _ = self.orders.send(order);
+        let _ = self.commands.send(command);
     }
 
     // ---- the server side ----
 
     /// A task came in; none if one of that id is in hand already.
-    pub fn arrived(&self, call: Call) -> Option<Hold> {
-        if self.state.borrow().in_hand(&call.id) {
+    pub fn submit(&self, request: TaskRequest) -> Option<TaskHandle> {
+        if self.state.borrow().is_in_flight(&request.id) {
             return None;
         }
-        let hard = self.state.borrow().rows.table[call.workload].hard_limit;
-        let left = call.left.map_or(hard, |left| left.min(hard));
+        let hard = self.state.borrow().workloads.table[request.workload].hard_limit;
+        let left = request.time_left.map_or(hard, |left| left.min(hard));
         let now = (self.now)();
-        let held = self.feed(|state| {
-            let place = state.rules.arrived(call.workload, call.size, left, call.customer);
+        let handle = self.feed(|state| {
+            let index = state.policy.arrived(request.workload, request.size, left, request.tenant);
             let (answer, answered) = oneshot::channel();
-            state.lives += 1;
-            let (life, limit) = (state.lives, now + left);
-            state.places.insert(call.id.clone(), place);
-            let (id, workload, answer) = (call.id.clone(), call.workload, Some(answer));
-            let hand =
-                Hand { id, workload, call: Some(Rc::new(call)), life, limit, answer, outs: Vec::new() };
-            if place == state.hands.len() {
-                state.hands.push(hand);
+            state.last_generation += 1;
+            let (generation, limit) = (state.last_generation, now + left);
+            state.task_indices.insert(request.id.clone(), index);
+            let (id, workload, answer) = (request.id.clone(), request.workload, Some(answer));
+            let record =
+                TaskRecord { id, workload, request: Some(Rc::new(request)), generation, limit, answer, assignments: Vec::new() };
+            if index == state.tasks.len() {
+                state.tasks.push(record);
             } else {
-                let before = std::mem::replace(&mut state.hands[place], hand);
-                state.limits.remove(&(before.limit, place, before.life));
-                if state.places.get(&before.id) == Some(&place) {
-                    state.places.remove(&before.id);
+                let before = std::mem::replace(&mut state.tasks[index], record);
+                state.hard_limits.remove(&(before.limit, index, before.generation));
+                if state.task_indices.get(&before.id) == Some(&index) {
+                    state.task_indices.remove(&before.id);
                 }
             }
-            state.limits.insert((limit, place, life));
-            Hold { place, life, answer: answered }
+            state.hard_limits.insert((limit, index, generation));
+            TaskHandle { index, generation, answer: answered }
         });
-        self.bell_moved.notify_one();
-        Some(held)
+        self.timer_changed.notify_one();
+        Some(handle)
     }
 
     /// The client went away without its answer.
-    pub fn left(&self, place: usize, life: u64) {
+    pub fn client_left(&self, index: usize, generation: u64) {
         self.feed(|state| {
-            let hand = &mut state.hands[place];
-            if hand.life == life && hand.answer.take().is_some() {
-                hand.call = None;
-                state.rules.client_left(place);
+            let record = &mut state.tasks[index];
+            if record.generation == generation && record.answer.take().is_some() {
+                record.request = None;
+                state.policy.client_left(index);
             }
         });
     }
 
     /// The process ends: what is still unanswered is broken off, and called off as if its client had left.
-    pub fn close(&self) {
+    pub fn abort_all(&self) {
         self.feed(|state| {
-            for place in 0..state.hands.len() {
-                if state.hands[place].answer.is_some() {
-                    state.answer(place, Answer::BrokenOff);
-                    state.rules.client_left(place);
+            for index in 0..state.tasks.len() {
+                if state.tasks[index].answer.is_some() {
+                    state.answer(index, Answer::Aborted);
+                    state.policy.client_left(index);
                 }
             }
         });
     }
 
     /// What a worker tells of a task. Applied once, and only to the assignment that it is about.
-    pub fn news(&self, news: News) {
+    pub fn apply_update(&self, update: Update) {
         self.feed(|state| {
-            let place = state.places.get(&*news.id).copied();
-            let worker = state.names.get(&*news.from).copied();
-            let report = news.load.and_then(|load| loads::decode(load.as_bytes(), &state.reports));
-            let (Some(place), Some(worker)) = (place, worker) else { return };
+            let index = state.task_indices.get(&*update.id).copied();
+            let worker = state.worker_indices.get(&*update.from).copied();
+            let report = update.load.and_then(|load| load_reports::decode(load.as_bytes(), &state.report_names));
+            let (Some(index), Some(worker)) = (index, worker) else { return };
             // The module sends a task to a worker once, so id and name tell the assignment.
-            let outs = &state.hands[place].outs;
-            let Some(number) = outs.iter().position(|out| out.worker == worker && !out.over) else { return };
-            match news.state {
-                Said::Started => state.rules.started(place, number),
-                Said::Running { share } => state.rules.progressed(place, number, share),
-                Said::Done { result } => state.ended(place, number, Close::Done, Some(result)),
-                Said::Erred => state.ended(place, number, Close::Erred, None),
-                Said::Returned => {
-                    self.sign(state, place, number, Close::Returned);
-                    state.ended(place, number, Close::Returned, None);
+            let assignments = &state.tasks[index].assignments;
+            let Some(number) = assignments.iter().position(|assignment| assignment.worker == worker && !assignment.ended) else { return };
+            match update.state {
+                UpdateState::Started => state.policy.started(index, number),
+                UpdateState::Running { share } => state.policy.progressed(index, number, share),
+                UpdateState::Done { result } => state.ended(index, number, Close::Done, Some(result)),
+                UpdateState::Failed => state.ended(index, number, Close::Failed, None),
+                UpdateState::Returned => {
+                    self.record_sign(state, index, number, Close::Returned);
+                    state.ended(index, number, Close::Returned, None);
                 }
-                Said::Lost => state.ended(place, number, Close::Lost, None),
+                UpdateState::Lost => state.ended(index, number, Close::Lost, None),
             }
             if let Some(report) = report {
-                state.rules.reported(worker, &report);
+                state.policy.reported(worker, &report);
             }
         });
     }
@@ -330,49 +330,49 @@
     // ---- the client side ----
 
     /// How an assignment ended; late words on one that is over count for nothing.
-    pub fn ended(&self, ticket: Ticket, close: Close) {
+    pub fn assignment_ended(&self, key: AssignmentKey, close: Close) {
         self.feed(|state| {
-            if state.is_out(ticket) {
+            if state.is_open(key) {
                 if let Close::Unusable(status) = close {
-                    state.answer(ticket.place, Answer::TurnedDown(status));
+                    state.answer(key.index, Answer::Rejected(status));
                 }
-                self.sign(state, ticket.place, ticket.number, close);
-                state.ended(ticket.place, ticket.number, close, None);
+                self.record_sign(state, key.index, key.number, close);
+                state.ended(key.index, key.number, close, None);
             }
         });
     }
 
     /// Where no list can be had, what the worker itself shows decides whether it is left out.
-    fn sign(&self, state: &mut State, place: usize, number: usize, close: Close) {
-        let (now, worker) = ((self.now)(), state.hands[place].outs[number].worker);
-        if !close.is_sign_of_leaving() || state.vouching.is_suspected(now, worker) {
+    fn record_sign(&self, state: &mut State, index: usize, number: usize, close: Close) {
+        let (now, worker) = ((self.now)(), state.tasks[index].assignments[number].worker);
+        if !close.is_sign_of_leaving() || state.suspicion.is_suspected(now, worker) {
             return;
         }
-        if let Some(until) = state.vouching.report_sign(now, worker) {
-            let most = (until - now).as_secs_f64();
+        if let Some(until) = state.suspicion.report_sign(now, worker) {
+            let max_s = (until - now).as_secs_f64();
             info!(
                 self.log,
-                "worker {worker} left out until there is a list, {most} s at the most: {close:?}"
+                "worker {worker} avoided until the next list, for at most {max_s} s: {close:?}"
             );
-            state.rules.avoid_until(worker, until);
+            state.policy.avoid_until(worker, until);
         }
     }
 
     /// Asked before the first byte: whether the assignment is still wanted and its worker takes new ones.
-    pub fn still_wanted(&self, ticket: Ticket) -> bool {
+    pub fn is_still_wanted(&self, key: AssignmentKey) -> bool {
         let state = self.state.borrow();
-        state.is_out(ticket) && {
-            let hand = &state.hands[ticket.place];
-            let worker = hand.outs[ticket.number].worker;
+        state.is_open(key) && {
+            let record = &state.tasks[key.index];
+            let worker = record.assignments[key.number].worker;
             let listed = &state.workers[worker];
             let ready = listed.entry.condition == Condition::Ready && !listed.banned;
-            hand.answer.is_some() && ready && !state.vouching.is_suspected((self.now)(), worker)
+            record.answer.is_some() && ready && !state.suspicion.is_suspected((self.now)(), worker)
         }
     }
 
     /// Whether a sign that a worker gives weighs more than the list by now.
-    pub fn list_is_old(&self) -> bool {
-        self.state.borrow().vouching.is_stale((self.now)())
+    pub fn is_list_stale(&self) -> bool {
+        self.state.borrow().suspicion.is_stale((self.now)())
     }
 
     pub fn address(&self, worker: usize) -> SocketAddr {
@@ -381,22 +381,22 @@
 
     // ---- other schedulers ----
 
-    pub fn sought(&self, from: usize) {
-        self.feed(|state| state.rules.slots_requested(from));
+    pub fn slots_requested(&self, from: usize) {
+        self.feed(|state| state.policy.slots_requested(from));
     }
 
-    pub fn room_left(&self, address: Address, room: f64) {
+    pub fn slots_granted(&self, address: Address, slots: f64) {
         self.feed(|state| {
-            if let Some(worker) = state.names_told.worker(address) {
-                state.rules.slots_granted(worker, room);
+            if let Some(worker) = state.peer_names.worker(address) {
+                state.policy.slots_granted(worker, slots);
             }
         });
     }
 
-    pub fn held(&self, from: usize, number: u16, words: &[[u8; 3]]) {
+    pub fn peer_usage(&self, from: usize, number: u16, words: &[[u8; 3]]) {
         self.feed(|state| {
-            for (worker, slots) in state.names_told.resolve(words) {
-                state.rules.peer_usage(worker, from, number, slots);
+            for (worker, slots) in state.peer_names.resolve(words) {
+                state.policy.peer_usage(worker, from, number, slots);
             }
         });
     }
@@ -404,47 +404,47 @@
     // ---- discovery ----
 
     /// Discovery answered; an answer that names nobody confirms the list.
-    pub fn list(&self, listing: Listing) {
-        let names_nobody = !listing.whole && listing.entries.is_empty();
+    pub fn update_list(&self, listing: Listing) {
+        let is_empty = !listing.whole && listing.entries.is_empty();
         let now = (self.now)();
-        let let_in: Vec<usize> = self.state.borrow_mut().vouching.list_confirmed(now).collect();
-        if names_nobody && let_in.is_empty() {
+        let readmitted: Vec<usize> = self.state.borrow_mut().suspicion.list_confirmed(now).collect();
+        if is_empty && readmitted.is_empty() {
             return;
         }
         self.feed_at(now, |state| {
-            if !names_nobody {
-                self.take_list(state, listing);
+            if !is_empty {
+                self.apply_list(state, listing);
             }
-            for worker in let_in {
-                state.rules.avoid_until(worker, now);
+            for worker in readmitted {
+                state.policy.avoid_until(worker, now);
             }
         });
     }
 
     /// Lines that changed by another's word than discovery's, which says nothing of how fresh its list is.
-    pub fn change(&self, entries: Vec<Entry>) {
-        self.feed(|state| self.take_list(state, Listing { index: 0, whole: false, entries }));
+    pub fn update_entries(&self, entries: Vec<Entry>) {
+        self.feed(|state| self.apply_list(state, Listing { index: 0, whole: false, entries }));
     }
 
     /// There is no discovery that could be out: signs of workers are the module's alone.
     pub fn without_discovery(&self) {
-        self.state.borrow_mut().vouching.set_always_fresh();
+        self.state.borrow_mut().suspicion.set_always_fresh();
     }
 
     pub fn address_of(&self, name: &str) -> Option<SocketAddr> {
         let state = self.state.borrow();
-        state.names.get(name).map(|&worker| state.workers[worker].entry.address)
+        state.worker_indices.get(name).map(|&worker| state.workers[worker].entry.address)
     }
 
     /// Whether a worker has tasks of ours that are not over.
     pub fn is_busy(&self, name: &str) -> bool {
         let state = self.state.borrow();
-        let Some(&worker) = state.names.get(name) else { return false };
-        state.hands.iter().any(|hand| hand.outs.iter().any(|out| out.worker == worker && !out.over))
+        let Some(&worker) = state.worker_indices.get(name) else { return false };
+        state.tasks.iter().any(|record| record.assignments.iter().any(|assignment| assignment.worker == worker && !assignment.ended))
     }
 
-    fn take_list(&self, state: &mut State, listing: Listing) {
-        state.rules.begin_list(listing.whole);
+    fn apply_list(&self, state: &mut State, listing: Listing) {
+        state.policy.begin_list(listing.whole);
         if listing.whole {
             state.workers.iter_mut().for_each(|w| w.entry.condition = Condition::Gone);
         }
@@ -462,33 +462,33 @@
     // ---- the process that takes over, or that this one took over from ----
 
     /// Whether news of that task can only be another process's.
-    pub fn is_strange(&self, id: &str) -> bool {
-        !self.state.borrow().places.contains_key(id)
+    pub fn is_unknown_task(&self, id: &str) -> bool {
+        !self.state.borrow().task_indices.contains_key(id)
     }
 
     /// All that this process knows of workers and workloads; from now on another one takes the tasks.
-    pub fn bequeath(&self, words: &Words) -> Heritage {
-        self.yielded(true);
+    pub fn export_state(&self, words: &Words) -> Heritage {
+        self.set_yielded(true);
         let state = self.state.borrow();
         let entries = || state.workers.iter().map(|listed| &listed.entry);
-        heritage::leave(&state.rules, &state.rows, entries, state.bans.clone(), words, &self.clock)
+        heritage::leave(&state.policy, &state.workloads, entries, state.bans.clone(), words, &self.clock)
     }
 
     /// Whether another process takes the tasks.
-    pub fn yielded(&self, yielded: bool) {
-        self.feed(|state| state.rules.yielded(yielded));
+    pub fn set_yielded(&self, yielded: bool) {
+        self.feed(|state| state.policy.yielded(yielded));
     }
 
     /// What the process before this one left, once its list was taken in.
-    pub fn inherit(&self, heritage: &Heritage, words: &Words) {
+    pub fn import_state(&self, heritage: &Heritage, words: &Words) {
         self.feed(|state| {
-            let (names, rows, rules) = (&state.names, &state.rows, &mut state.rules);
-            heritage.take(rules, rows, |name| names.get(name).copied(), words, &self.clock);
+            let (worker_indices, workloads, policy) = (&state.worker_indices, &state.workloads, &mut state.policy);
+            heritage.take(policy, workloads, |name| worker_indices.get(name).copied(), words, &self.clock);
         });
     }
 
     /// A ban that an operator told the other process.
-    pub fn ban_told(&self, name: &str, banned: bool) {
+    pub fn apply_remote_ban(&self, name: &str, banned: bool) {
         if self.ban(name, banned).is_none() && banned {
             self.state.borrow_mut().bans.insert(name.into());
         }
@@ -497,37 +497,37 @@
     // ---- operators ----
 
     /// After which time a client may be asked to come back, if it may: this, or the most that is allowed.
-    pub fn come_back(&self, after: Duration) -> Option<Duration> {
-        self.state.borrow().rows.come_back.map(|most| most.min(after))
+    pub fn retry_after(&self, after: Duration) -> Option<Duration> {
+        self.state.borrow().workloads.max_retry_after.map(|cap| cap.min(after))
     }
 
     /// The names by which tasks are taken now.
-    pub fn names(&self) -> Titles {
-        self.state.borrow().rows.titles()
+    pub fn task_names(&self) -> TaskNames {
+        self.state.borrow().workloads.task_names()
     }
 
     /// The sheet of a new file, whole and checked; the longest hard limit from now on.
-    pub fn retune(&self, sheet: PolicySettings, words: &Words) -> Duration {
+    pub fn reconfigure(&self, settings: PolicySettings, words: &Words) -> Duration {
         self.feed(|state| {
-            let hands = &state.hands;
-            let is_busy = |hand: &Hand| hand.answer.is_some() || hand.outs.iter().any(|out| !out.over);
-            let busy = |row| hands.iter().any(|hand| hand.workload == row && is_busy(hand));
-            let before = state.rows.retune(&words.workloads, &sheet.workloads, busy);
-            state.rows.customers.clone_from(&words.customers);
-            state.rows.come_back = sheet.max_retry_after;
-            state.rules.reconfigure(state.rows.sheet(sheet), &before);
-            state.rows.table.iter().map(|row| row.hard_limit).max().unwrap_or_default()
+            let tasks = &state.tasks;
+            let is_busy = |record: &TaskRecord| record.answer.is_some() || record.assignments.iter().any(|assignment| !assignment.ended);
+            let busy = |row| tasks.iter().any(|record| record.workload == row && is_busy(record));
+            let before = state.workloads.reconfigure(&words.workloads, &settings.workloads, busy);
+            state.workloads.customers.clone_from(&words.customers);
+            state.workloads.max_retry_after = settings.max_retry_after;
+            state.policy.reconfigure(state.workloads.settings(settings), &before);
+            state.workloads.table.iter().map(|row| row.hard_limit).max().unwrap_or_default()
         })
     }
 
     /// Takes a worker out by hand, or puts it back; whether that changes anything, none if it was never listed.
     pub fn ban(&self, name: &str, banned: bool) -> Option<bool> {
-        let worker = *self.state.borrow().names.get(name)?;
+        let worker = *self.state.borrow().worker_indices.get(name)?;
         Some(self.feed(|state| {
             let changed = if banned { state.bans.insert(name.into()) } else { state.bans.remove(name) };
             if changed {
                 state.workers[worker].banned = banned;
-                state.rules.banned(worker, banned);
+                state.policy.banned(worker, banned);
             }
             changed
         }))
@@ -538,15 +538,15 @@
     }
 
     /// Who was out by hand before the start, whether listed yet or not.
-    pub fn banned_before(&self, names: BTreeSet<String>) {
-        self.state.borrow_mut().bans = names;
+    pub fn restore_bans(&self, worker_indices: BTreeSet<String>) {
+        self.state.borrow_mut().bans = worker_indices;
     }
 
-    pub fn moment(&self) -> Moment {
-        self.feed(|state| Moment {
-            in_hand: state.hands.iter().filter(|hand| hand.answer.is_some()).count(),
+    pub fn snapshot(&self) -> Snapshot {
+        self.feed(|state| Snapshot {
+            in_flight: state.tasks.iter().filter(|record| record.answer.is_some()).count(),
             listed: state.workers.iter().filter(|w| w.entry.condition != Condition::Gone).count(),
-            avoided: state.rules.avoided(),
+            excluded: state.policy.avoided(),
         })
     }
 
@@ -554,25 +554,25 @@
 
     fn next(&self) -> Option<Duration> {
         let state = self.state.borrow();
-        let limit = state.limits.first().map(|&(at, ..)| at);
-        state.bell.into_iter().chain(limit).min()
+        let limit = state.hard_limits.first().map(|&(at, ..)| at);
+        state.wake_at.into_iter().chain(limit).min()
     }
 
     /// What is due by now: the bell that the module asked for, and hard limits.
-    pub fn ring(&self) {
+    pub fn fire_timers(&self) {
         self.feed(|state| {
             let now = (self.now)();
-            if state.bell.is_some_and(|at| at <= now) {
-                state.bell = None;
-                state.rules.timer_fired();
+            if state.wake_at.is_some_and(|at| at <= now) {
+                state.wake_at = None;
+                state.policy.timer_fired();
             }
-            while let Some(&(at, place, life)) = state.limits.first().filter(|&&(at, ..)| at <= now) {
-                state.limits.remove(&(at, place, life));
-                for number in 0..state.hands[place].outs.len() {
-                    let ticket = Ticket { place, life, number };
-                    if state.is_out(ticket) {
-                        state.ended(place, number, Close::Overdue, None);
-                        self.order(Order::Drop { ticket });
+            while let Some(&(at, index, generation)) = state.hard_limits.first().filter(|&&(at, ..)| at <= now) {
+                state.hard_limits.remove(&(at, index, generation));
+                for number in 0..state.tasks[index].assignments.len() {
+                    let key = AssignmentKey { index, generation, number };
+                    if state.is_open(key) {
+                        state.ended(index, number, Close::TimedOut, None);
+                        self.send_command(Command::Drop { key });
                     }
                 }
             }
@@ -580,7 +580,7 @@
     }
 
     /// The one timer: sleeps until the next thing is due.
-    pub async fn keep_time(&self) {
+    pub async fn run_timers(&self) {
         loop {
             let due = self.next();
             let sleep = async {
@@ -590,8 +590,8 @@
                 }
             };
             tokio::select! {
-                () = sleep => self.ring(),
-                () = self.bell_moved.notified() => {}
+                () = sleep => self.fire_timers(),
+                () = self.timer_changed.notified() => {}
             }
         }
     }
@@ -600,58 +600,58 @@
         (self.now)()
     }
 
-    pub fn until(&self, at: Duration) -> Duration {
+    pub fn time_until(&self, at: Duration) -> Duration {
         at.saturating_sub((self.now)())
     }
 }
 
 impl State {
-    fn in_hand(&self, id: &str) -> bool {
-        self.places.get(id).is_some_and(|&place| {
-            let hand = &self.hands[place];
-            hand.answer.is_some() || hand.outs.iter().any(|out| !out.over)
+    fn is_in_flight(&self, id: &str) -> bool {
+        self.task_indices.get(id).is_some_and(|&index| {
+            let record = &self.tasks[index];
+            record.answer.is_some() || record.assignments.iter().any(|assignment| !assignment.ended)
         })
     }
 
-    fn is_out(&self, ticket: Ticket) -> bool {
-        let hand = self.hands.get(ticket.place).filter(|hand| hand.life == ticket.life);
-        hand.and_then(|hand| hand.outs.get(ticket.number)).is_some_and(|out| !out.over)
+    fn is_open(&self, key: AssignmentKey) -> bool {
+        let record = self.tasks.get(key.index).filter(|record| record.generation == key.generation);
+        record.and_then(|record| record.assignments.get(key.number)).is_some_and(|assignment| !assignment.ended)
     }
 
-    fn answer(&mut self, place: usize, answer: Answer) {
-        let hand = &mut self.hands[place];
-        if let Some(client) = hand.answer.take() {
-            hand.call = None;
+    fn answer(&mut self, index: usize, answer: Answer) {
+        let record = &mut self.tasks[index];
+        if let Some(client) = record.answer.take() {
+            record.request = None;
             // A client that just went away wants none.
             let _ = client.send(answer);
         }
     }
 
-    fn ended(&mut self, place: usize, number: usize, close: Close, result: Option<Bytes>) {
-        self.hands[place].outs[number].over = true;
+    fn ended(&mut self, index: usize, number: usize, close: Close, result: Option<Bytes>) {
+        self.tasks[index].assignments[number].ended = true;
         if let Some(result) = result {
-            self.answer(place, Answer::Finished(result));
+            self.answer(index, Answer::Finished(result));
         }
-        let over = self.hands[place].answer.is_none();
-        self.rules.ended(place, number, close.into(), over);
+        let answered = self.tasks[index].answer.is_none();
+        self.policy.ended(index, number, close.into(), answered);
     }
 
     fn listed(&mut self, entry: Entry, booted: Option<Duration>) {
-        let known = self.names.get(entry.name.as_str()).copied();
+        let known = self.worker_indices.get(entry.name.as_str()).copied();
         let at = known.unwrap_or(self.workers.len());
-        self.rules.listed(at, entry.site, entry.weight, entry.condition, booted);
+        self.policy.listed(at, entry.site, entry.weight, entry.condition, booted);
         if known.is_some() {
             let before = std::mem::replace(&mut self.workers[at].entry, entry);
             if before.address != self.workers[at].entry.address {
-                self.names_told.remove(at);
+                self.peer_names.remove(at);
             }
             return;
         }
         let (mark, banned) =
-            (self.names_told.insert(telling::address(entry.address)), self.bans.contains(&entry.name));
-        self.names.insert(entry.name.as_str().into(), at);
-        self.workers.push(Listed { entry, banned });
-        self.rules.set_worker_hash(at, mark);
-        self.rules.banned(at, banned);
+            (self.peer_names.insert(outbox::address(entry.address)), self.bans.contains(&entry.name));
+        self.worker_indices.insert(entry.name.as_str().into(), at);
+        self.workers.push(KnownWorker { entry, banned });
+        self.policy.set_worker_hash(at, mark);
+        self.policy.banned(at, banned);
     }
 }
--- a/crates/scheduler/src/keep/mod.rs
+++ b/crates/scheduler/src/keep/mod.rs
@@ -8,7 +8,7 @@
 pub mod processes;
 pub mod standing;
 
-use crate::operators::calls::each;
+use crate::operators::calls::map_parallel;
 use control::{Asked, Call};
 use processes::Processes;
 use serde_json::json;
@@ -109,7 +109,7 @@
     }
 
     fn look(&mut self) {
-        let sights = each(&mut self.all, |one| one.processes.look());
+        let sights = map_parallel(&mut self.all, |one| one.processes.look());
         let now = self.now();
         for (one, sights) in self.all.iter_mut().zip(sights) {
             sights.into_iter().enumerate().for_each(|(place, sight)| one.keeping.observe(place, sight, now));
--- a/crates/scheduler/src/list/wire.rs
+++ b/crates/scheduler/src/list/connector.rs
@@ -11,17 +11,17 @@
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Stream for S {}
 
-pub type Dialled = Pin<Box<dyn Future<Output = io::Result<Box<dyn Stream>>>>>;
+pub type Connecting = Pin<Box<dyn Future<Output = io::Result<Box<dyn Stream>>>>>;
 
-pub trait Wire {
+pub trait Connector {
     /// Opens a connection; dropping the future gives it up.
-    fn dial(&self, to: SocketAddr) -> Dialled;
+    fn connect(&self, to: SocketAddr) -> Connecting;
 }
 
 pub struct Tcp;
 
-impl Wire for Tcp {
-    fn dial(&self, to: SocketAddr) -> Dialled {
+impl Connector for Tcp {
+    fn connect(&self, to: SocketAddr) -> Connecting {
         Box::pin(async move {
             let stream = TcpStream::connect(to).await?;
             let _ = stream.set_nodelay(true);
--- a/crates/scheduler/src/list/discovery.rs
+++ b/crates/scheduler/src/list/discovery.rs
@@ -1,8 +1,8 @@
 //! Keeps the list of workers: carries out what `ListClient` decides, on connections to the discovery agent.
 
 use crate::exchange::Exchange;
-use crate::list::muster::Muster;
-use crate::list::wire::Wire;
+use crate::list::worker_list::WorkerList;
+use crate::list::connector::Connector;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -21,34 +21,34 @@
 use tokio::time::Instant;
 
 /// A list of some thousand workers fits; an endless one does not.
-const MOST_LIST: usize = 4 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 /// While the list stays out, a line is written this often: an outage leaves some lines, not one a try.
-const STILL_OUT: Duration = Duration::from_secs(10);
+const OUTAGE_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 pub struct Discovery {
     pub exchange: Rc<Exchange>,
-    pub wire: Rc<dyn Wire>,
-    pub muster: Rc<Muster>,
+    pub connector: Rc<dyn Connector>,
+    pub worker_list: Rc<WorkerList>,
     /// Where it is; another address may come at any time.
     pub address: watch::Receiver<SocketAddr>,
-    pub asking: ListClient,
+    pub client: ListClient,
     pub log: Logger,
 }
 
 /// What came of a step on a connection.
-enum Came {
-    Up,
+enum LinkEvent {
+    Connected,
     Answer(Bytes),
-    Nothing(String),
+    Failed(String),
 }
 
 /// One connection: its calls go in, what comes of them goes to the channel that all share.
-struct Line {
-    calls: mpsc::UnboundedSender<String>,
+struct Link {
+    queries: mpsc::UnboundedSender<String>,
     task: JoinHandle<()>,
 }
 
-impl Drop for Line {
+impl Drop for Link {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -66,57 +66,57 @@
 /// An outage is told of when it begins, now and then while it lasts, and when it is over.
 struct Outage {
     began: Instant,
-    told: Instant,
-    calls: u64,
+    last_logged: Instant,
+    failures: u64,
 }
 
 impl Discovery {
     /// Keeps the list for as long as the process lives, wherever discovery moves to.
-    pub async fn keep(mut self) {
-        let (mut outage, mut lines) = (None, BTreeMap::new());
+    pub async fn run(mut self) {
+        let (mut outage, mut links) = (None, BTreeMap::new());
         // Not bounded by itself: a connection has one call under way, and there are few.
-        let (tell, mut told) = mpsc::unbounded_channel();
-        let mut place = self.address.clone();
-        let mut address = *place.borrow_and_update();
+        let (events, mut received) = mpsc::unbounded_channel();
+        let mut moves = self.address.clone();
+        let mut address = *moves.borrow_and_update();
         loop {
-            while let Some(step) = self.asking.next_step(self.exchange.now()) {
+            while let Some(step) = self.client.next_step(self.exchange.now()) {
                 match step {
-                    Step::Connect { connection: line } => {
-                        let (wire, tell) = (self.wire.clone(), tell.clone());
-                        let (calls, asked) = mpsc::unbounded_channel();
+                    Step::Connect { connection: link } => {
+                        let (connector, events) = (self.connector.clone(), events.clone());
+                        let (queries, query_queue) = mpsc::unbounded_channel();
                         let task = tokio::task::spawn_local(async move {
-                            let why = serve(&*wire, address, line, asked, &tell).await;
+                            let why = serve(&*connector, address, link, query_queue, &events).await;
                             // Nobody listens any more where the process ends.
-                            let _ = tell.send((line, Came::Nothing(why)));
+                            let _ = events.send((link, LinkEvent::Failed(why)));
                         });
-                        lines.insert(line, Line { calls, task });
+                        links.insert(link, Link { queries, task });
                     }
-                    Step::Query { connection: line, after, wait } => {
+                    Step::Query { connection: link, after, wait } => {
                         let target = match after {
                             Some(index) => format!("/v1/servers?after={index}&wait_ms={}", wait.as_millis()),
                             None => "/v1/servers".into(),
                         };
                         // One that is gone has told so, or will.
-                        lines.get(&line).into_iter().for_each(|l| drop(l.calls.send(target.clone())));
+                        links.get(&link).into_iter().for_each(|l| drop(l.queries.send(target.clone())));
                     }
-                    Step::Close { connection: line } => {
-                        if lines.remove(&line).is_some() && self.asking.failures() > 0 {
-                            self.tell(&mut outage, "nothing in time");
+                    Step::Close { connection: link } => {
+                        if links.remove(&link).is_some() && self.client.failures() > 0 {
+                            self.report_outage(&mut outage, "no response in time");
                         }
                     }
                 }
             }
-            let due = self.exchange.until(self.asking.next_due());
+            let due = self.exchange.time_until(self.client.next_due());
             tokio::select! {
-                Some((line, came)) = told.recv() => {
+                Some((link, event)) = received.recv() => {
                     // What a closed connection had still to tell counts for nothing.
-                    if lines.contains_key(&line) && !self.take_in(line, came, &mut outage) {
-                        lines.remove(&line);
+                    if links.contains_key(&link) && !self.handle(link, event, &mut outage) {
+                        links.remove(&link);
                     }
                 }
-                Ok(()) = place.changed() => {
-                    address = *place.borrow_and_update();
-                    self.asking.relocated();
+                Ok(()) = moves.changed() => {
+                    address = *moves.borrow_and_update();
+                    self.client.relocated();
                 }
                 () = tokio::time::sleep(due) => {}
             }
@@ -124,58 +124,58 @@
     }
 
     /// Takes in what came on a connection; whether it stays.
-    fn take_in(&mut self, line: u64, came: Came, outage: &mut Option<Outage>) -> bool {
+    fn handle(&mut self, link: u64, event: LinkEvent, outage: &mut Option<Outage>) -> bool {
         let now = self.exchange.now();
-        let why = match came {
-            Came::Up => {
-                self.asking.connected(line);
+        let why = match event {
+            LinkEvent::Connected => {
+                self.client.connected(link);
                 return true;
             }
-            Came::Nothing(why) => why,
-            Came::Answer(body) => match self.muster.decode(&body) {
+            LinkEvent::Failed(why) => why,
+            LinkEvent::Answer(body) => match self.worker_list.decode(&body) {
                 Ok(listing) => {
-                    self.judge(line, listing, outage);
+                    self.apply(link, listing, outage);
                     return true;
                 }
-                Err(why) => format!("a list that will not do: {why}"),
+                Err(why) => format!("an invalid list: {why}"),
             },
         };
-        self.asking.on_failure(now, line);
-        self.tell(outage, &why);
+        self.client.on_failure(now, link);
+        self.report_outage(outage, &why);
         false
     }
 
-    fn judge(&mut self, line: u64, listing: Listing, outage: &mut Option<Outage>) {
+    fn apply(&mut self, link: u64, listing: Listing, outage: &mut Option<Outage>) {
         let (index, whole) = (listing.index, listing.whole);
-        match self.asking.on_response(self.exchange.now(), line, index, whole) {
+        match self.client.on_response(self.exchange.now(), link, index, whole) {
             Verdict::Accept => {
                 if let Some(over) = outage.take() {
-                    let (out, calls) = (over.began.elapsed().as_secs_f64(), over.calls);
-                    info!(self.log, "discovery is back after {out:.2} s, {calls} calls came to nothing");
+                    let (out, failures) = (over.began.elapsed().as_secs_f64(), over.failures);
+                    info!(self.log, "discovery is back after {out:.2} s, {failures} failed queries");
                 }
                 if whole || !listing.entries.is_empty() {
                     info!(self.log, "list {index}: {} workers named", listing.entries.len());
                 }
-                self.muster.told(listing);
+                self.worker_list.discovery_update(listing);
             }
-            Verdict::Stale => self.tell(outage, &format!("list {index} is older than the one held")),
+            Verdict::Stale => self.report_outage(outage, &format!("list {index} is older than the one held")),
         }
     }
 
-    fn tell(&self, outage: &mut Option<Outage>, why: &str) {
+    fn report_outage(&self, outage: &mut Option<Outage>, why: &str) {
         let now = Instant::now();
         match outage {
             None => {
                 warn!(self.log, "discovery is out, the list is kept: {why}");
-                *outage = Some(Outage { began: now, told: now, calls: 1 });
+                *outage = Some(Outage { began: now, last_logged: now, failures: 1 });
             }
             Some(outage) => {
-                outage.calls += 1;
+                outage.failures += 1;
                 debug!(self.log, "discovery is out: {why}");
-                if now - outage.told >= STILL_OUT {
-                    outage.told = now;
+                if now - outage.last_logged >= OUTAGE_LOG_INTERVAL {
+                    outage.last_logged = now;
                     let out = outage.began.elapsed().as_secs_f64();
-                    warn!(self.log, "discovery is out for {out:.0} s, {} calls: {why}", outage.calls);
+                    warn!(self.log, "discovery is out for {out:.0} s, {} failed queries: {why}", outage.failures);
                 }
             }
         }
@@ -184,31 +184,31 @@
 
 /// One connection from its opening to its end, which is told in words.
 async fn serve(
-    wire: &dyn Wire,
+    connector: &dyn Connector,
     address: SocketAddr,
-    line: u64,
-    mut calls: mpsc::UnboundedReceiver<String>,
-    tell: &mpsc::UnboundedSender<(u64, Came)>,
+    link: u64,
+    mut queries: mpsc::UnboundedReceiver<String>,
+    events: &mpsc::UnboundedSender<(u64, LinkEvent)>,
 ) -> String {
-    let whole = async {
-        let stream = wire.dial(address).await.map_err(|e| e.to_string())?;
-        let shaken = http1::Builder::new().handshake(TokioIo::new(stream)).await;
-        let (mut sender, connection) = shaken.map_err(|e| e.to_string())?;
+    let session = async {
+        let stream = connector.connect(address).await.map_err(|e| e.to_string())?;
+        let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
+        let (mut sender, connection) = handshake.map_err(|e| e.to_string())?;
         let driver = tokio::task::spawn_local(async move {
             let _ = connection.await;
         });
         let _driver = Driver(driver);
-        let _ = tell.send((line, Came::Up));
-        while let Some(target) = calls.recv().await {
-            let body = ask(&mut sender, address, &target).await?;
-            let _ = tell.send((line, Came::Answer(body)));
+        let _ = events.send((link, LinkEvent::Connected));
+        while let Some(target) = queries.recv().await {
+            let body = query(&mut sender, address, &target).await?;
+            let _ = events.send((link, LinkEvent::Answer(body)));
         }
         Ok::<(), String>(())
     };
-    whole.await.err().unwrap_or_default()
+    session.await.err().unwrap_or_default()
 }
 
-async fn ask(
+async fn query(
     sender: &mut SendRequest<Empty<Bytes>>,
     address: SocketAddr,
     target: &str,
@@ -220,6 +220,6 @@
     if answer.status() != StatusCode::OK {
         return Err(format!("answered {}", answer.status().as_u16()));
     }
-    let body = Limited::new(answer.into_body(), MOST_LIST).collect().await;
+    let body = Limited::new(answer.into_body(), MAX_LIST_BYTES).collect().await;
     Ok(body.map_err(|e| e.to_string())?.to_bytes())
 }
--- a/crates/scheduler/src/list/shelves.rs
+++ b/crates/scheduler/src/list/inventory_files.rs
@@ -10,12 +10,12 @@
 };
 
 /// Files of one folder; a folder of millions is no inventory.
-const MOST_FILES: usize = 1000;
+const MAX_FILES: usize = 1000;
 
 /// What tells two states of a file apart: which one it is, how long, and when it was written. A clock that steps back
 /// gives another time, not an older state.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mark {
+pub struct FileVersion {
     device: u64,
     inode: u64,
     size: u64,
@@ -24,16 +24,16 @@
 }
 
 /// The files by name, in the order in which they are read.
-pub type Marks = BTreeMap<PathBuf, Mark>;
+pub type FileVersions = BTreeMap<PathBuf, FileVersion>;
 
 fn at(path: &Path) -> Place {
     Place::start(&path.display().to_string())
 }
 
-fn mark(path: &Path) -> Result<(Mark, bool), Problem> {
+fn version_of(path: &Path) -> Result<(FileVersion, bool), Problem> {
     // Through links: what they lead to is what is read.
     let meta = fs::metadata(path).map_err(|e| at(path).problem(e.to_string()))?;
-    let mark = Mark {
+    let version = FileVersion {
         device: meta.dev(),
         inode: meta.ino(),
         size: meta.len(),
@@ -43,59 +43,59 @@
     if !meta.is_dir() && !meta.is_file() {
         return Err(at(path).problem("is neither a file nor a folder"));
     }
-    Ok((mark, meta.is_dir()))
+    Ok((version, meta.is_dir()))
 }
 
 /// Looks at all files: those named, and in named folders those whose ending tells a form; hidden ones are passed over.
-pub fn look(paths: &[PathBuf]) -> Result<Marks, Vec<Problem>> {
-    let (mut marks, mut problems) = (Marks::new(), Vec::new());
+pub fn scan(paths: &[PathBuf]) -> Result<FileVersions, Vec<Problem>> {
+    let (mut versions, mut problems) = (FileVersions::new(), Vec::new());
     for path in paths {
-        match mark(path) {
+        match version_of(path) {
             Err(problem) => problems.push(problem),
-            Ok((mark, false)) => drop(marks.insert(path.clone(), mark)),
-            Ok((_, true)) => match folder(path) {
-                Ok(found) => marks.extend(found),
+            Ok((version, false)) => drop(versions.insert(path.clone(), version)),
+            Ok((_, true)) => match scan_folder(path) {
+                Ok(found) => versions.extend(found),
                 Err(problem) => problems.push(problem),
             },
         }
     }
-    unless(problems, marks)
+    unless(problems, versions)
 }
 
-fn folder(path: &Path) -> Result<Marks, Problem> {
+fn scan_folder(path: &Path) -> Result<FileVersions, Problem> {
     let wrong = |e: std::io::Error| at(path).problem(e.to_string());
-    let mut marks = Marks::new();
+    let mut versions = FileVersions::new();
     for entry in fs::read_dir(path).map_err(wrong)? {
         let name = entry.map_err(wrong)?.file_name();
         let Some(name) = name.to_str().filter(|n| !n.starts_with('.') && Form::of(n).is_some()) else {
             continue;
         };
         let file = path.join(name);
-        let (mark, is_folder) = mark(&file)?;
+        let (version, is_folder) = version_of(&file)?;
         if !is_folder {
-            marks.insert(file, mark);
+            versions.insert(file, version);
         }
-        if marks.len() > MOST_FILES {
-            return Err(at(path).problem(format!("holds more than {MOST_FILES} files")));
+        if versions.len() > MAX_FILES {
+            return Err(at(path).problem(format!("holds more than {MAX_FILES} files")));
         }
     }
-    if marks.is_empty() {
+    if versions.is_empty() {
         return Err(at(path).problem("holds no file in .csv, .yaml or .yml"));
     }
-    Ok(marks)
+    Ok(versions)
 }
 
 /// Reads all files, and puts them together with the workers that are named elsewhere.
-pub fn take(marks: &Marks, columns: &Columns, fixed: &[Entry]) -> Result<Inventory, Vec<Problem>> {
+pub fn read_all(versions: &FileVersions, columns: &Columns, fixed: &[Entry]) -> Result<Inventory, Vec<Problem>> {
     let (mut files, mut problems) = (vec![fixed.to_vec()], Vec::new());
-    for (path, mark) in marks {
+    for (path, version) in versions {
         let name = path.display().to_string();
         let Some(form) = Form::of(&name) else {
             problems.push(at(path).problem("its ending is none of .csv, .yaml, .yml"));
             continue;
         };
-        if mark.size > MOST_BYTES as u64 {
-            let what = format!("has {} bytes; {MOST_BYTES} at the most are read", mark.size);
+        if version.size > MOST_BYTES as u64 {
+            let what = format!("has {} bytes; {MOST_BYTES} at the most are read", version.size);
             problems.push(at(path).problem(what));
             continue;
         }
@@ -114,7 +114,7 @@
 }
 
 /// The one address of each worker. A name that leads to none or to several is no address of a worker.
-pub fn find(inventory: &Inventory) -> Result<Vec<SocketAddr>, Vec<Problem>> {
+pub fn resolve(inventory: &Inventory) -> Result<Vec<SocketAddr>, Vec<Problem>> {
     let (mut found, mut problems) = (Vec::with_capacity(inventory.entries.len()), Vec::new());
     let mut known: BTreeMap<(&str, u16), Result<SocketAddr, String>> = BTreeMap::new();
     for entry in &inventory.entries {
@@ -122,7 +122,7 @@
             Host::Ip(ip) => Ok(SocketAddr::new(*ip, entry.address.port)),
             Host::Name(name) => {
                 let key = (name.as_str(), entry.address.port);
-                known.entry(key).or_insert_with(|| look_up(name, key.1)).clone()
+                known.entry(key).or_insert_with(|| resolve_name(name, key.1)).clone()
             }
         };
         match address {
@@ -136,7 +136,7 @@
     unless(problems, found)
 }
 
-fn look_up(name: &str, port: u16) -> Result<SocketAddr, String> {
+fn resolve_name(name: &str, port: u16) -> Result<SocketAddr, String> {
     let found =
         (name, port).to_socket_addrs().map_err(|e| format!("host {name:?} cannot be looked up: {e}"))?;
     let mut found: Vec<SocketAddr> = found.collect();
--- a/crates/scheduler/src/list/stocking.rs
+++ b/crates/scheduler/src/list/inventory_watch.rs
@@ -1,6 +1,6 @@
 //! Watches the inventory's files on a thread of its own: looks, reads, checks, and hands on what changed.
 
-use crate::list::shelves::{self, Marks};
+use crate::list::inventory_files::{self, FileVersions};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,20 +11,20 @@
 use tokio::sync::mpsc::Sender;
 
 /// How often the files are looked at. Two looks that agree say that the writing is over: that is seen within 0.4 s.
-const LOOK: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Read anew after so long even if nothing seems to have changed: some file systems keep times of whole seconds.
-const READ_ANEW: Duration = Duration::from_secs(10);
+const REREAD_INTERVAL: Duration = Duration::from_secs(10);
 /// Problems that are told in the log; `tindock inventory check` tells all.
-const MOST_TOLD: usize = 5;
+const MAX_PROBLEMS: usize = 5;
 
 /// What the files say of a worker now: where it is and what it is; none where they do not name it any more.
-pub type Filed = (String, Option<(Entry, SocketAddr)>);
+pub type FileEntry = (String, Option<(Entry, SocketAddr)>);
 
 /// What the serving thread is told.
 #[derive(Debug)]
-pub enum Told {
+pub enum InventoryEvent {
     /// Put in force.
-    Changes(Vec<Filed>),
+    Changes(Vec<FileEntry>),
     /// For the log: the last good list stays in force.
     Problem(String),
     Note(String),
@@ -35,57 +35,57 @@
     folder.join(".tindock-accepted")
 }
 
-pub struct Stocking {
-    pub stock: Stock,
+pub struct InventoryThread {
+    pub settings: Stock,
     /// The configuration's folder.
     pub folder: PathBuf,
-    pub tell: Sender<Told>,
+    pub events: Sender<InventoryEvent>,
 }
 
 /// What is known of the files, from one look to the next.
-pub struct Watching {
-    stock: Stock,
+pub struct InventoryWatch {
+    settings: Stock,
     folder: PathBuf,
     in_force: Inventory,
-    found: Vec<SocketAddr>,
+    addresses: Vec<SocketAddr>,
     guard: Guard,
     /// What was read last, and when.
-    read: Option<(Marks, Duration)>,
+    last_read: Option<(FileVersions, Duration)>,
     /// A reading that is held back, and when it is let through by itself.
     held: Option<(u64, Duration)>,
     /// What the last look saw.
-    seen: Option<Marks>,
+    last_seen: Option<FileVersions>,
     /// The last problem that was told.
-    told: String,
+    last_problem: String,
 }
 
-impl Stocking {
+impl InventoryThread {
     /// Runs until the serving side is gone.
     pub fn run(self) {
         let began = Instant::now();
-        let mut watching = Watching::new(self.stock, self.folder);
+        let mut watch = InventoryWatch::new(self.settings, self.folder);
         loop {
-            let told = watching.look(began.elapsed());
-            if told.into_iter().any(|told| self.tell.blocking_send(told).is_err()) || self.tell.is_closed() {
+            let events = watch.poll(began.elapsed());
+            if events.into_iter().any(|events| self.events.blocking_send(events).is_err()) || self.events.is_closed() {
                 return;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
-impl Watching {
-    pub fn new(stock: Stock, folder: PathBuf) -> Self {
-        Watching {
-            guard: Guard::new(stock.guard_share, stock.confirm_after),
-            stock,
+impl InventoryWatch {
+    pub fn new(settings: Stock, folder: PathBuf) -> Self {
+        InventoryWatch {
+            guard: Guard::new(settings.guard_share, settings.confirm_after),
+            settings,
             folder,
             in_force: Inventory::default(),
-            found: Vec::new(),
-            read: None,
+            addresses: Vec::new(),
+            last_read: None,
             held: None,
-            seen: None,
-            told: String::new(),
+            last_seen: None,
+            last_problem: String::new(),
         }
     }
 
@@ -100,49 +100,49 @@
     }
 
     /// One look at the files, and what is to be told of it.
-    pub fn look(&mut self, now: Duration) -> Vec<Told> {
-        let marks = match shelves::look(&self.stock.files) {
-            Ok(marks) => marks,
+    pub fn poll(&mut self, now: Duration) -> Vec<InventoryEvent> {
+        let versions = match inventory_files::scan(&self.settings.files) {
+            Ok(versions) => versions,
             Err(problems) => {
-                self.seen = None;
+                self.last_seen = None;
                 return self.problem(&problems);
             }
         };
-        let settled = self.seen.as_ref() == Some(&marks);
-        self.seen = Some(marks.clone());
+        let settled = self.last_seen.as_ref() == Some(&versions);
+        self.last_seen = Some(versions.clone());
         let fresh = self
-            .read
+            .last_read
             .as_ref()
-            .is_some_and(|(read, when)| *read == marks && now.saturating_sub(*when) < READ_ANEW);
+            .is_some_and(|(read, when)| *read == versions && now.saturating_sub(*when) < REREAD_INTERVAL);
         // What is held back is not read again until it may be let through.
-        let let_through =
+        let released =
             self.held.is_some_and(|(digest, until)| now >= until || self.accepted() == Some(digest));
-        if fresh && !let_through || !settled {
+        if fresh && !released || !settled {
             return Vec::new();
         }
-        let read = shelves::take(&marks, &self.stock.columns, &self.stock.fixed);
+        let read = inventory_files::read_all(&versions, &self.settings.columns, &self.settings.fixed);
         // Guards against a file that was written while it was read.
-        if shelves::look(&self.stock.files).ok().as_ref() != Some(&marks) {
-            self.seen = None;
+        if inventory_files::scan(&self.settings.files).ok().as_ref() != Some(&versions) {
+            self.last_seen = None;
             return Vec::new();
         }
-        let whole = read.and_then(|inventory| shelves::find(&inventory).map(|found| (inventory, found)));
+        let whole = read.and_then(|inventory| inventory_files::resolve(&inventory).map(|addresses| (inventory, addresses)));
         match whole {
             Err(problems) => {
-                self.read = Some((marks, now));
+                self.last_read = Some((versions, now));
                 self.problem(&problems)
             }
-            Ok((inventory, found)) => self.offer(inventory, found, marks, now),
+            Ok((inventory, addresses)) => self.offer(inventory, addresses, versions, now),
         }
     }
 
     fn offer(
         &mut self,
         inventory: Inventory,
-        found: Vec<SocketAddr>,
-        marks: Marks,
+        addresses: Vec<SocketAddr>,
+        versions: FileVersions,
         now: Duration,
-    ) -> Vec<Told> {
+    ) -> Vec<InventoryEvent> {
         let changes = diff(&self.in_force, &inventory);
         let active = |e: &Entry| e.state == State::Active;
         let ready = self.in_force.entries.iter().filter(|e| active(e)).count();
@@ -156,101 +156,101 @@
             Snapshot { digest: inventory.digest(), ready, removed: changes.iter().filter(out).count() };
         match self.guard.check(now, reading, self.accepted()) {
             Verdict::Hold { first, until } => {
-                self.read = Some((marks, now));
+                self.last_read = Some((versions, now));
                 self.held = Some((reading.digest, until));
                 if !first {
                     return Vec::new();
                 }
                 let (gone, wait) = (reading.removed, (until - now).as_secs_f64());
-                vec![Told::Problem(format!(
+                vec![InventoryEvent::Problem(format!(
                     "held back: it would take out {gone} of {ready} workers; in force after {wait:.0} s if it \
                      stays so, or at once by `tindock inventory accept` ({:016x})",
                     reading.digest
                 ))]
             }
             Verdict::Accept => {
-                self.read = Some((marks, now));
+                self.last_read = Some((versions, now));
                 self.held = None;
-                self.told.clear();
-                let mut told = Vec::new();
-                let filed = self.filed(&inventory, &found);
-                if !filed.is_empty() {
-                    let (all, some) = (inventory.entries.len(), filed.len());
-                    told.push(Told::Note(format!("in force: {all} workers, {some} of them new or changed")));
-                    told.push(Told::Changes(filed));
+                self.last_problem.clear();
+                let mut events = Vec::new();
+                let entries = self.changed_entries(&inventory, &addresses);
+                if !entries.is_empty() {
+                    let (all, some) = (inventory.entries.len(), entries.len());
+                    events.push(InventoryEvent::Note(format!("in force: {all} workers, {some} of them new or changed")));
+                    events.push(InventoryEvent::Changes(entries));
                 }
-                if let Some(path) = &self.stock.last_good {
+                if let Some(path) = &self.settings.last_good {
                     if *self.in_force.entries != inventory.entries {
-                        told.extend(keep(path, &inventory).err().map(Told::Problem));
+                        events.extend(write_last_good(path, &inventory).err().map(InventoryEvent::Problem));
                     }
                 }
-                (self.in_force, self.found) = (inventory, found);
-                told
+                (self.in_force, self.addresses) = (inventory, addresses);
+                events
             }
         }
     }
 
     /// What changed by name, addresses as they were found included.
-    fn filed(&self, inventory: &Inventory, found: &[SocketAddr]) -> Vec<Filed> {
-        let before = self.in_force.entries.iter().zip(&self.found);
+    fn changed_entries(&self, inventory: &Inventory, addresses: &[SocketAddr]) -> Vec<FileEntry> {
+        let before = self.in_force.entries.iter().zip(&self.addresses);
         let mut before: BTreeMap<&str, (&Entry, &SocketAddr)> =
             before.map(|(e, at)| (e.name.as_str(), (e, at))).collect();
-        let mut filed = Vec::new();
-        for (entry, at) in inventory.entries.iter().zip(found) {
+        let mut entries = Vec::new();
+        for (entry, at) in inventory.entries.iter().zip(addresses) {
             let same = before.remove(entry.name.as_str());
             if !same.is_some_and(|(old, was)| old.says_the_same(entry) && was == at) {
-                filed.push((entry.name.clone(), Some((entry.clone(), *at))));
+                entries.push((entry.name.clone(), Some((entry.clone(), *at))));
             }
         }
-        filed.extend(before.into_keys().map(|name| (name.to_string(), None)));
-        filed
+        entries.extend(before.into_keys().map(|name| (name.to_string(), None)));
+        entries
     }
 
     /// A problem is told once, until another takes its place. At the start, the list that was last good is taken.
-    fn problem(&mut self, problems: &[Problem]) -> Vec<Told> {
+    fn problem(&mut self, problems: &[Problem]) -> Vec<InventoryEvent> {
         self.guard.reset();
         self.held = None;
-        let mut lines: Vec<String> = problems.iter().take(MOST_TOLD).map(Problem::to_string).collect();
-        if problems.len() > MOST_TOLD {
-            lines.push(format!("and {} more", problems.len() - MOST_TOLD));
+        let mut lines: Vec<String> = problems.iter().take(MAX_PROBLEMS).map(Problem::to_string).collect();
+        if problems.len() > MAX_PROBLEMS {
+            lines.push(format!("and {} more", problems.len() - MAX_PROBLEMS));
         }
         let line = lines.join("; ");
-        if line == self.told {
+        if line == self.last_problem {
             return Vec::new();
         }
-        self.told.clone_from(&line);
-        let mut told = vec![Told::Problem(format!("turned down, the last good list stays: {line}"))];
+        self.last_problem.clone_from(&line);
+        let mut events = vec![InventoryEvent::Problem(format!("turned down, the last good list stays: {line}"))];
         if self.in_force.entries.is_empty() {
-            if let Some((inventory, found)) = self.stock.last_good.as_deref().and_then(kept) {
-                let filed = self.filed(&inventory, &found);
-                told.push(Told::Note(format!(
+            if let Some((inventory, addresses)) = self.settings.last_good.as_deref().and_then(read_last_good) {
+                let entries = self.changed_entries(&inventory, &addresses);
+                events.push(InventoryEvent::Note(format!(
                     "the list that was last good is in force: {} workers",
-                    filed.len()
+                    entries.len()
                 )));
-                told.push(Told::Changes(filed));
-                (self.in_force, self.found) = (inventory, found);
+                events.push(InventoryEvent::Changes(entries));
+                (self.in_force, self.addresses) = (inventory, addresses);
             }
         }
-        told
+        events
     }
 }
 
 /// Written beside and renamed, so that a reader finds the old file or the new one.
 pub fn replace(path: &Path, text: impl AsRef<[u8]>) -> std::io::Result<()> {
-    let beside = path.with_extension("new");
-    std::fs::write(&beside, text)?;
-    std::fs::rename(&beside, path)
+    let temporary = path.with_extension("new");
+    std::fs::write(&temporary, text)?;
+    std::fs::rename(&temporary, path)
 }
 
 /// Keeps the list in force for the next start: whole, or not at all.
-fn keep(path: &Path, inventory: &Inventory) -> Result<(), String> {
-    let kept = replace(path, write(inventory, Written::Csv));
-    kept.map_err(|e| format!("in force, but cannot be kept in {} for the next start: {e}", path.display()))
+fn write_last_good(path: &Path, inventory: &Inventory) -> Result<(), String> {
+    let written = replace(path, write(inventory, Written::Csv));
+    written.map_err(|e| format!("in force, but cannot be kept in {} for the next start: {e}", path.display()))
 }
 
-fn kept(path: &Path) -> Option<(Inventory, Vec<SocketAddr>)> {
-    let marks = shelves::look(&[path.to_path_buf()]).ok()?;
-    let inventory = shelves::take(&marks, &Columns::default(), &[]).ok()?;
-    let found = shelves::find(&inventory).ok()?;
-    Some((inventory, found))
+fn read_last_good(path: &Path) -> Option<(Inventory, Vec<SocketAddr>)> {
+    let versions = inventory_files::scan(&[path.to_path_buf()]).ok()?;
+    let inventory = inventory_files::read_all(&versions, &Columns::default(), &[]).ok()?;
+    let addresses = inventory_files::resolve(&inventory).ok()?;
+    Some((inventory, addresses))
 }
--- a/crates/scheduler/src/list/probing.rs
+++ b/crates/scheduler/src/list/probing.rs
@@ -2,8 +2,8 @@
 //! is good.
 
 use crate::berth::HealthTerms;
-use crate::list::muster::Muster;
-use crate::list::wire::Wire;
+use crate::list::worker_list::WorkerList;
+use crate::list::connector::Connector;
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::client::conn::http1;
@@ -16,23 +16,23 @@
 use tokio::time::timeout;
 
 /// Looks for as long as the process lives.
-pub async fn keep(muster: Rc<Muster>, wire: Rc<dyn Wire>, terms: HealthTerms) {
+pub async fn run(worker_list: Rc<WorkerList>, connector: Rc<dyn Connector>, terms: HealthTerms) {
     let terms = Rc::new(terms);
     loop {
         // How many are under way is bounded by whoever tells whom to look at.
-        let (name, number, address) = muster.look().await;
-        let (muster, wire, terms) = (muster.clone(), wire.clone(), terms.clone());
+        let (name, number, address) = worker_list.next_check().await;
+        let (worker_list, connector, terms) = (worker_list.clone(), connector.clone(), terms.clone());
         tokio::task::spawn_local(async move {
-            let look = timeout(terms.within, look(&*wire, address, &terms.path));
-            let well = matches!(look.await, Ok(Some(true)));
-            muster.looked(&name, number, well);
+            let check = timeout(terms.within, check(&*connector, address, &terms.path));
+            let healthy = matches!(check.await, Ok(Some(true)));
+            worker_list.record_check(&name, number, healthy);
         });
     }
 }
 
 /// Whether it answers well; none where it does not answer.
-async fn look(wire: &dyn Wire, address: SocketAddr, path: &str) -> Option<bool> {
-    let stream = wire.dial(address).await.ok()?;
+async fn check(connector: &dyn Connector, address: SocketAddr, path: &str) -> Option<bool> {
+    let stream = connector.connect(address).await.ok()?;
     let (mut sender, connection) = http1::Builder::new().handshake(TokioIo::new(stream)).await.ok()?;
     let message = Request::get(path).header(HOST, address.to_string()).header(CONNECTION, "close");
     let message = message.body(Empty::<Bytes>::new()).ok()?;
--- a/crates/scheduler/src/list/muster.rs
+++ b/crates/scheduler/src/list/worker_list.rs
@@ -2,7 +2,7 @@
 //! discovery and health.
 
 use crate::exchange::Exchange;
-use crate::list::stocking::{Filed, Told};
+use crate::list::inventory_watch::{FileEntry, InventoryEvent};
 use slog::{info, warn, Logger};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -16,30 +16,30 @@
 use tokio::sync::{mpsc, Notify};
 
 /// Lines handed to the exchange in one go: so few that no task waits for a long list.
-const SLICE: usize = 16;
+const BATCH: usize = 16;
 /// How often workers that drain are looked at for their last task.
-const LOOK: Duration = Duration::from_millis(250);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Where the list is kept in files.
-struct Files {
-    merging: RefCell<WorkerListMerge<Entry>>,
+struct FileSources {
+    merge: RefCell<WorkerListMerge<Entry>>,
     health: Option<RefCell<HealthChecker>>,
     /// There may be somebody to look at.
-    looks: Notify,
+    checks_due: Notify,
 }
 
-pub struct Muster {
+pub struct WorkerList {
     exchange: Rc<Exchange>,
     words: RefCell<Words>,
-    files: Option<Files>,
-    handed_on: Cell<u64>,
+    files: Option<FileSources>,
+    forwarded: Cell<u64>,
     log: Logger,
 }
 
-impl Muster {
+impl WorkerList {
     /// Without files, what discovery says goes on as it is.
-    pub fn of_discovery(exchange: Rc<Exchange>, words: Words, log: Logger) -> Rc<Self> {
-        Rc::new(Muster { exchange, words: RefCell::new(words), files: None, handed_on: Cell::new(0), log })
+    pub fn from_discovery(exchange: Rc<Exchange>, words: Words, log: Logger) -> Rc<Self> {
+        Rc::new(WorkerList { exchange, words: RefCell::new(words), files: None, forwarded: Cell::new(0), log })
     }
 
     pub fn with_files(
@@ -48,9 +48,9 @@
         health: Option<HealthChecker>,
         log: Logger,
     ) -> Rc<Self> {
-        let merging = RefCell::new(WorkerListMerge::new(|one: &Entry, other| one.address == other.address));
-        let files = Some(Files { merging, health: health.map(RefCell::new), looks: Notify::new() });
-        Rc::new(Muster { exchange, words: RefCell::new(words), files, handed_on: Cell::new(0), log })
+        let merge = RefCell::new(WorkerListMerge::new(|one: &Entry, other| one.address == other.address));
+        let files = Some(FileSources { merge, health: health.map(RefCell::new), checks_due: Notify::new() });
+        Rc::new(WorkerList { exchange, words: RefCell::new(words), files, forwarded: Cell::new(0), log })
     }
 
     /// The words of all that was listed.
@@ -69,40 +69,40 @@
     }
 
     /// Discovery's answer.
-    pub fn told(&self, listing: Listing) {
-        let Some(files) = &self.files else { return self.exchange.list(listing) };
-        let mut merging = files.merging.borrow_mut();
+    pub fn discovery_update(&self, listing: Listing) {
+        let Some(files) = &self.files else { return self.exchange.update_list(listing) };
+        let mut merge = files.merge.borrow_mut();
         if listing.whole {
-            merging.begin_full_list();
+            merge.begin_full_list();
         }
         for entry in listing.entries {
             let (name, condition) = (entry.name.clone(), entry.condition);
-            merging.set_discovery_entry(&name, plain(entry), condition);
+            merge.set_discovery_entry(&name, without_condition(entry), condition);
         }
-        drop(merging);
-        self.exchange.list(Listing { index: listing.index, whole: false, entries: Vec::new() });
-        while self.hand_on() {}
+        drop(merge);
+        self.exchange.update_list(Listing { index: listing.index, whole: false, entries: Vec::new() });
+        while self.forward() {}
     }
 
     /// Takes in what the files say, for as long as the process lives.
-    pub async fn keep(&self, mut told: mpsc::Receiver<Told>) {
+    pub async fn run(&self, mut events: mpsc::Receiver<InventoryEvent>) {
         loop {
             tokio::select! {
-                told = told.recv() => match told {
+                event = events.recv() => match event {
                     None => return,
-                    Some(Told::Note(line)) => info!(self.log, "inventory {line}"),
-                    Some(Told::Problem(line)) => warn!(self.log, "inventory {line}"),
-                    Some(Told::Changes(filed)) => self.filed(filed).await,
+                    Some(InventoryEvent::Note(line)) => info!(self.log, "inventory {line}"),
+                    Some(InventoryEvent::Problem(line)) => warn!(self.log, "inventory {line}"),
+                    Some(InventoryEvent::Changes(file_entries)) => self.apply_file_entries(file_entries).await,
                 },
-                () = tokio::time::sleep(LOOK) => self.tend(),
+                () = tokio::time::sleep(DRAIN_CHECK_INTERVAL) => self.remove_drained(),
             }
         }
     }
 
-    async fn filed(&self, filed: Vec<Filed>) {
+    async fn apply_file_entries(&self, file_entries: Vec<FileEntry>) {
         let Some(files) = &self.files else { return };
-        for (number, (name, says)) in filed.into_iter().enumerate() {
-            let member = says.and_then(|(entry, address)| {
+        for (number, (name, found)) in file_entries.into_iter().enumerate() {
+            let member = found.and_then(|(entry, address)| {
                 let leaving = entry.state == State::Leaving;
                 let site = self.words.borrow_mut().site(entry.zone, entry.kind, entry.group as usize);
                 let site = site.map_err(|why| warn!(self.log, "worker {name} is passed over: {why}")).ok()?;
@@ -116,67 +116,67 @@
                     None => health.borrow_mut().remove(&name),
                 }
             }
-            files.merging.borrow_mut().set_file_entry(&name, member);
-            if number % SLICE == SLICE - 1 {
-                self.hand_on();
+            files.merge.borrow_mut().set_file_entry(&name, member);
+            if number % BATCH == BATCH - 1 {
+                self.forward();
                 // Tasks go first: a list of thousands comes in beside them.
                 tokio::task::yield_now().await;
             }
         }
-        while self.hand_on() {
+        while self.forward() {
             tokio::task::yield_now().await;
         }
-        files.looks.notify_one();
+        files.checks_due.notify_one();
     }
 
     /// Hands a slice of changed lines to the exchange; whether there may be more.
-    fn hand_on(&self) -> bool {
+    fn forward(&self) -> bool {
         let Some(files) = &self.files else { return false };
-        let mut merging = files.merging.borrow_mut();
+        let mut merge = files.merge.borrow_mut();
         let mut entries = Vec::new();
-        while entries.len() < SLICE {
-            let Some(line) = merging.next_update() else { break };
+        while entries.len() < BATCH {
+            let Some(line) = merge.next_update() else { break };
             // Guards against pushing over a worker that came back to life: it counts as one that starts now.
             let booted_ms = if line.revived { Some(unix_ms()) } else { line.member.booted_ms };
             entries.push(Entry { condition: line.condition, booted_ms, ..line.member });
         }
-        drop(merging);
-        self.handed_on.set(self.handed_on.get() + entries.len() as u64);
-        let more = entries.len() == SLICE;
+        drop(merge);
+        self.forwarded.set(self.forwarded.get() + entries.len() as u64);
+        let more = entries.len() == BATCH;
         if !entries.is_empty() {
-            self.exchange.change(entries);
+            self.exchange.update_entries(entries);
         }
         more
     }
 
     /// Workers that drain are gone with their last task.
-    fn tend(&self) {
+    fn remove_drained(&self) {
         let Some(files) = &self.files else { return };
-        let ending: Vec<String> = files.merging.borrow().unlisted_draining().map(String::from).collect();
+        let ending: Vec<String> = files.merge.borrow().unlisted_draining().map(String::from).collect();
         for name in ending {
             if !self.exchange.is_busy(&name) {
-                files.merging.borrow_mut().mark_idle(&name);
+                files.merge.borrow_mut().mark_idle(&name);
             }
         }
-        while self.hand_on() {}
+        while self.forward() {}
     }
 
     /// Lines of the list that were handed to the exchange since the start.
-    pub fn handed_on(&self) -> u64 {
-        self.handed_on.get()
+    pub fn forwarded(&self) -> u64 {
+        self.forwarded.get()
     }
 
     // ---- for those who look at the workers ----
 
     /// Whom to look at, and where; waits until there is somebody.
-    pub async fn look(&self) -> (String, u64, std::net::SocketAddr) {
-        let Some(Files { health: Some(health), looks, .. }) = &self.files else {
+    pub async fn next_check(&self) -> (String, u64, std::net::SocketAddr) {
+        let Some(FileSources { health: Some(health), checks_due, .. }) = &self.files else {
             return std::future::pending().await;
         };
         loop {
             let now = self.exchange.now();
-            let turn = health.borrow_mut().next_check(now);
-            if let Some((name, number)) = turn {
+            let check = health.borrow_mut().next_check(now);
+            if let Some((name, number)) = check {
                 if let Some(address) = self.exchange.address_of(&name) {
                     return (name, number, address);
                 }
@@ -186,18 +186,18 @@
             }
             let due = health.borrow().next_due();
             tokio::select! {
-                () = tokio::time::sleep(self.exchange.until(due)) => {}
-                () = looks.notified() => {}
+                () = tokio::time::sleep(self.exchange.time_until(due)) => {}
+                () = checks_due.notified() => {}
             }
         }
     }
 
-    pub fn looked(&self, name: &str, number: u64, well: bool) {
-        let Some(Files { health: Some(health), merging, looks }) = &self.files else { return };
+    pub fn record_check(&self, name: &str, number: u64, healthy: bool) {
+        let Some(FileSources { health: Some(health), merge, checks_due }) = &self.files else { return };
         let mut health = health.borrow_mut();
-        let panicked = health.panic_mode;
-        health.record_check(self.exchange.now(), name, number, well);
-        if health.panic_mode != panicked {
+        let was_panicking = health.panic_mode;
+        health.record_check(self.exchange.now(), name, number, healthy);
+        if health.panic_mode != was_panicking {
             let what = match health.panic_mode {
                 true => "too many workers are down to be believed: none is left out",
                 false => "enough workers are up again: those that are down are left out",
@@ -207,16 +207,16 @@
         while let Some((name, down)) = health.next_change() {
             let what = if down { "down: left out" } else { "back: takes part again" };
             info!(self.log, "worker {name} is {what}");
-            merging.borrow_mut().set_down(&name, down);
+            merge.borrow_mut().set_down(&name, down);
         }
         drop(health);
-        while self.hand_on() {}
-        looks.notify_one();
+        while self.forward() {}
+        checks_due.notify_one();
     }
 }
 
 /// Without its condition, which is kept apart.
-fn plain(entry: Entry) -> Entry {
+fn without_condition(entry: Entry) -> Entry {
     Entry { condition: Condition::Ready, ..entry }
 }
 
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -2,7 +2,7 @@
 //! left something as it should not be).
 
 use clap::{CommandFactory, FromArgMatches};
-use slog::{o, Drain, Level as Least, LevelFilter, Logger};
+use slog::{o, Drain, Level as SlogLevel, LevelFilter, Logger};
 use slog_async::AsyncGuard;
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -17,16 +17,16 @@
 use tindock_soak::command::Verdict;
 
 /// Lines that may wait for the log's reader; beyond that they are dropped, and their number is told.
-const LINES_WAITING: usize = 4096;
+const QUEUED_LINES: usize = 4096;
 /// How long the end of the process waits for lines to be written.
-const LAST_LINES: Duration = Duration::from_millis(100);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
-fn least(level: Level) -> Least {
+fn minimum(level: Level) -> SlogLevel {
     match level {
-        Level::Error => Least::Error,
-        Level::Warning => Least::Warning,
-        Level::Info => Least::Info,
-        Level::Debug => Least::Debug,
+        Level::Error => SlogLevel::Error,
+        Level::Warning => SlogLevel::Warning,
+        Level::Info => SlogLevel::Info,
+        Level::Debug => SlogLevel::Debug,
     }
 }
 
@@ -40,35 +40,35 @@
         let lines = slog_term::PlainDecorator::new(out);
         Box::new(slog_term::FullFormat::new(lines).build().ignore_res())
     };
-    let drain = LevelFilter::new(drain, least(form.level)).ignore_res();
-    let (drain, rest) = slog_async::Async::new(drain).chan_size(LINES_WAITING).build_with_guard();
-    (Logger::root(drain.ignore_res(), o!()), rest)
+    let drain = LevelFilter::new(drain, minimum(form.level)).ignore_res();
+    let (drain, guard) = slog_async::Async::new(drain).chan_size(QUEUED_LINES).build_with_guard();
+    (Logger::root(drain.ignore_res(), o!()), guard)
 }
 
 /// The lines still waiting are written by a thread of their own, which the end does not wait for long.
-fn last_lines(rest: AsyncGuard) {
+fn flush(guard: AsyncGuard) {
     let (written, all) = mpsc::channel::<()>();
-    std::thread::spawn(move || drop((rest, written)));
-    let _ = all.recv_timeout(LAST_LINES);
+    std::thread::spawn(move || drop((guard, written)));
+    let _ = all.recv_timeout(FLUSH_TIMEOUT);
 }
 
-fn run(path: PathBuf, layers: Layers, over: impl Fn(&mut LogForm)) -> Result<(), String> {
+fn run(path: PathBuf, layers: Layers, override_log: impl Fn(&mut LogForm)) -> Result<(), String> {
     let mut berth = berth::from_file(&path, &layers)?;
-    over(&mut berth.log);
-    let (log, rest) = logger(berth.log);
+    override_log(&mut berth.log);
+    let (log, guard) = logger(berth.log);
     let ended = start::run(berth, path, layers, &log);
-    last_lines(rest);
+    flush(guard);
     ended
 }
 
 fn keep(file: &Path, form: LogFormat) -> Result<(), Vec<String>> {
-    let (log, rest) = logger(LogForm { json: form == LogFormat::Json, ..LogForm::default() });
+    let (log, guard) = logger(LogForm { json: form == LogFormat::Json, ..LogForm::default() });
     let ended = keep::run(file, &log);
-    last_lines(rest);
+    flush(guard);
     ended
 }
 
-fn go() -> Result<String, Wrong> {
+fn dispatch() -> Result<String, Wrong> {
     let one_line = |why: String| vec![format!("tindock: {}", why.replace('\n', " "))];
     let named = || std::env::var_os("GW_CONFIG").map(PathBuf::from).ok_or("GW_CONFIG names no configuration");
     let whole = Cli::command()
@@ -85,20 +85,20 @@
         return Ok(tindock_standins::run(given).map_err(one_line)?);
     }
     if let Some(("soak", given)) = matches.subcommand() {
-        let played = tindock_soak::command::run(given);
-        let played = played.map_err(|why| Wrong { code: 2, lines: one_line(why.to_string()) })?;
-        let _ = std::io::stdout().write_all(played.text.as_bytes());
-        return match played.verdict {
+        let run = tindock_soak::command::run(given);
+        let run = run.map_err(|why| Wrong { code: 2, lines: one_line(why.to_string()) })?;
+        let _ = std::io::stdout().write_all(run.text.as_bytes());
+        return match run.verdict {
             Verdict::Kept => Ok(String::new()),
             Verdict::Broken => Err(Wrong { code: 1, lines: one_line("a rule is broken".into()) }),
         };
     }
     if let Some(("play", given)) = matches.subcommand() {
-        let played = tindock_rehearsal::run(given).map_err(one_line)?;
-        if played.held {
-            return Ok(played.text);
+        let run = tindock_rehearsal::run(given).map_err(one_line)?;
+        if run.held {
+            return Ok(run.text);
         }
-        let _ = std::io::stdout().write_all(played.text.as_bytes());
+        let _ = std::io::stdout().write_all(run.text.as_bytes());
         return Err(Wrong { code: 3, lines: one_line("a rule or an expectation is broken".into()) });
     }
     match Cli::from_arg_matches(&matches).map_err(|e| e.exit()).map(|cli| cli.command).unwrap_or(None) {
@@ -106,9 +106,9 @@
             let path = named().map_err(|why| one_line(why.into()))?;
             run(path, Layers::default(), |_| ()).map_err(one_line)?;
         }
-        Some(Command::Run { file, over, log_format, log_level }) => {
+        Some(Command::Run { file, overrides, log_format, log_level }) => {
             let path = file.map_or_else(named, Ok).map_err(|why| one_line(why.into()))?;
-            let said = |form: &mut LogForm| {
+            let log_overrides = |form: &mut LogForm| {
                 form.json = log_format.map_or(form.json, |f| f == LogFormat::Json);
                 form.level = match log_level {
                     None => form.level,
@@ -118,11 +118,11 @@
                     Some(LogLevel::Debug) => Level::Debug,
                 };
             };
-            run(path, over.layers(), said)
+            run(path, overrides.layers(), log_overrides)
                 .map_err(|why| why.lines().map(String::from).collect::<Vec<_>>())?;
         }
-        Some(Command::Check { file, over }) => return Ok(cli::check(&file, &over)?),
-        Some(Command::Show { file, over }) => return Ok(cli::show(&file, &over)?),
+        Some(Command::Check { file, overrides }) => return Ok(cli::check(&file, &overrides)?),
+        Some(Command::Show { file, overrides }) => return Ok(cli::show(&file, &overrides)?),
         Some(Command::Manage { at, config, call }) => return Ok(cli::manage(at, config.as_deref(), &call)?),
         Some(Command::Keep { file, log_format }) => keep(&file, log_format)?,
         Some(Command::Policy(command)) => return accord::commands::command(&command),
@@ -138,10 +138,10 @@
 }
 
 fn main() {
-    let code = match go() {
-        Ok(said) => {
+    let code = match dispatch() {
+        Ok(output) => {
             // A reader that went away wants no more of it.
-            let _ = std::io::stdout().write_all(said.as_bytes());
+            let _ = std::io::stdout().write_all(output.as_bytes());
             0
         }
         Err(Wrong { code, lines }) => {
--- a/crates/scheduler/src/operators/bans.rs
+++ b/crates/scheduler/src/operators/bans.rs
@@ -1,6 +1,6 @@
 //! Workers taken out by hand, kept in a file of the runtime folder for the process that follows.
 
-use crate::list::stocking;
+use crate::list::inventory_watch;
 use serde::{Deserialize, Serialize};
 use slog::{warn, Logger};
 use std::collections::BTreeSet;
@@ -48,6 +48,6 @@
 
     pub fn write(&self, banned: BTreeSet<String>) -> std::io::Result<()> {
         let Some(path) = &self.path else { return Ok(()) };
-        stocking::replace(path, serde_json::to_vec(&Doc { version: VERSION, banned })?)
+        inventory_watch::replace(path, serde_json::to_vec(&Doc { version: VERSION, banned })?)
     }
 }
--- a/crates/scheduler/src/operators/calls.rs
+++ b/crates/scheduler/src/operators/calls.rs
@@ -5,32 +5,32 @@
 use std::time::{Duration, Instant};
 
 /// Figures of some thousand workloads fit.
-const LONGEST_ANSWER: usize = 4 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
 /// The whole answer to a line, all of it within that time.
-pub fn ask(at: SocketAddr, line: &str, within: Duration) -> Result<String> {
-    ask_with(at, line, &[], within)
+pub fn request(at: SocketAddr, line: &str, limit: Duration) -> Result<String> {
+    request_with_body(at, line, &[], limit)
 }
 
 /// The same of a line with bytes behind it, whose number the line says.
-pub fn ask_with(at: SocketAddr, line: &str, bytes: &[u8], within: Duration) -> Result<String> {
-    let ends = Instant::now() + within;
+pub fn request_with_body(at: SocketAddr, line: &str, bytes: &[u8], limit: Duration) -> Result<String> {
+    let deadline = Instant::now() + limit;
     // Of no time at all a socket would wait for ever.
-    let rest = || Some(ends.saturating_duration_since(Instant::now())).filter(|rest| !rest.is_zero());
-    let late = || Error::new(ErrorKind::TimedOut, format!("no whole answer in {within:?}"));
-    let mut stream = TcpStream::connect_timeout(&at, rest().ok_or_else(late)?)?;
-    stream.set_write_timeout(rest())?;
+    let remaining = || Some(deadline.saturating_duration_since(Instant::now())).filter(|remaining| !remaining.is_zero());
+    let late = || Error::new(ErrorKind::TimedOut, format!("no whole answer in {limit:?}"));
+    let mut stream = TcpStream::connect_timeout(&at, remaining().ok_or_else(late)?)?;
+    stream.set_write_timeout(remaining())?;
     stream.write_all(&[line.as_bytes(), b"\n", bytes].concat())?;
-    let (mut answer, mut some) = (Vec::new(), [0; 16 * 1024]);
+    let (mut answer, mut chunk) = (Vec::new(), [0; 16 * 1024]);
     loop {
-        stream.set_read_timeout(Some(rest().ok_or_else(late)?))?;
-        match stream.read(&mut some) {
+        stream.set_read_timeout(Some(remaining().ok_or_else(late)?))?;
+        match stream.read(&mut chunk) {
             Ok(0) => break,
-            Ok(read) => answer.extend_from_slice(&some[..read]),
+            Ok(read) => answer.extend_from_slice(&chunk[..read]),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => return Err(late()),
             Err(e) => return Err(e),
         }
-        if answer.len() > LONGEST_ANSWER {
+        if answer.len() > MAX_ANSWER_BYTES {
             return Err(Error::new(ErrorKind::InvalidData, "an answer that is too long"));
         }
     }
@@ -42,10 +42,10 @@
 }
 
 /// Something for each, at once: one that does not answer holds up none of the others.
-pub fn each<T: Send, R: Send>(all: impl IntoIterator<Item = T>, act: impl Fn(T) -> R + Sync) -> Vec<R> {
-    let act = &act;
+pub fn map_parallel<T: Send, R: Send>(all: impl IntoIterator<Item = T>, f: impl Fn(T) -> R + Sync) -> Vec<R> {
+    let f = &f;
     std::thread::scope(|scope| {
-        let threads: Vec<_> = all.into_iter().map(|one| scope.spawn(move || act(one))).collect();
+        let threads: Vec<_> = all.into_iter().map(|one| scope.spawn(move || f(one))).collect();
         let join = |thread: std::thread::ScopedJoinHandle<R>| {
             thread.join().unwrap_or_else(|why| std::panic::resume_unwind(why))
         };
@@ -54,7 +54,7 @@
 }
 
 /// What a yes says before its last line, or what is said against the call.
-pub fn yes(answer: &str) -> std::result::Result<&str, String> {
+pub fn parse_answer(answer: &str) -> std::result::Result<&str, String> {
     let whole = answer.trim_end();
     let (before, last) = whole.rsplit_once('\n').unwrap_or(("", whole));
     match last {
@@ -78,7 +78,7 @@
             let _ = stream.read(&mut [0; 64]);
             stream.write_all(with.as_bytes()).expect("room to write");
         });
-        let answer = ask(at, "readyz", Duration::from_secs(10));
+        let answer = request(at, "readyz", Duration::from_secs(10));
         server.join().expect("a server");
         answer
     }
@@ -88,9 +88,9 @@
     fn a_cut_answer_is_none() {
         assert_eq!(answered("don").expect_err("cut").kind(), ErrorKind::UnexpectedEof);
         assert_eq!(answered("error lease: n").expect_err("cut").kind(), ErrorKind::UnexpectedEof);
-        assert_eq!(yes(&answered("done\n").expect("whole")), Ok(""));
-        assert_eq!(yes(&answered("{}\nend\n").expect("whole")), Ok("{}"));
-        assert_eq!(yes(&answered("error not now\n").expect("whole")), Err("not now".into()));
-        assert_eq!(yes(&answered("").expect("whole")), Err("closed without an answer".into()));
+        assert_eq!(parse_answer(&answered("done\n").expect("whole")), Ok(""));
+        assert_eq!(parse_answer(&answered("{}\nend\n").expect("whole")), Ok("{}"));
+        assert_eq!(parse_answer(&answered("error not now\n").expect("whole")), Err("not now".into()));
+        assert_eq!(parse_answer(&answered("").expect("whole")), Err("closed without an answer".into()));
     }
 }
--- a/crates/scheduler/src/operators/management.rs
+++ b/crates/scheduler/src/operators/management.rs
@@ -2,10 +2,10 @@
 //! figures and a line `end`.
 
 use crate::accord::{Accord, Change};
-use crate::clients::door::SHORT_OF_DESCRIPTORS;
+use crate::clients::listener::SHORT_OF_DESCRIPTORS;
 use crate::exchange::Exchange;
 use crate::operators::bans::Bans;
-use crate::operators::reloading::Reread;
+use crate::operators::reload::Reread;
 use crate::operators::telemetry::Telemetry;
 use crate::operators::version::Version;
 use crate::succession::line::Line;
@@ -21,13 +21,13 @@
 use tokio::time::timeout;
 
 /// The longest call is a word and a worker's name.
-const LONGEST_LINE: usize = 256;
+const MAX_LINE_BYTES: usize = 256;
 /// Time for a call and for its answer: a caller that needs more has gone, or never meant to ask.
-const WHOLE: Duration = Duration::from_secs(5);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Callers at a time, within the scheduler's own descriptors. One more puts out the one that has been here for
 /// longest: whoever has sent a whole line is answered at once, so that one has not. Guards against callers that
 /// connect and say nothing.
-const MOST_CALLERS: usize = 12;
+const MAX_CALLERS: usize = 12;
 
 pub struct Management {
     pub exchange: Rc<Exchange>,
@@ -37,7 +37,7 @@
     /// To who reads the configuration.
     pub rereads: mpsc::Sender<Reread>,
     /// To the process beside this one, during an upgrade.
-    pub line: Rc<Line>,
+    pub handover: Rc<Line>,
     /// Where a group decides the policy.
     pub group: Option<Rc<Accord>>,
     /// Clients are let in, and nothing that is handed over is still to come.
@@ -56,23 +56,23 @@
             };
             let mut callers = callers.borrow_mut();
             callers.retain(|caller| !caller.is_finished());
-            if callers.len() >= MOST_CALLERS {
+            if callers.len() >= MAX_CALLERS {
                 callers.pop_front().iter().for_each(AbortHandle::abort);
             }
-            callers.push_back(spawn_local(self.clone().attend(stream)).abort_handle());
+            callers.push_back(spawn_local(self.clone().serve(stream)).abort_handle());
         }
     }
 
-    async fn attend(self: Rc<Self>, mut stream: TcpStream) {
-        let line = match timeout(WHOLE, line(&mut stream)).await {
+    async fn serve(self: Rc<Self>, mut stream: TcpStream) {
+        let line = match timeout(CALLER_TIMEOUT, read_line(&mut stream)).await {
             Ok(line) => line,
-            Err(_) => Err(format!("no whole line in {} s", WHOLE.as_secs())),
+            Err(_) => Err(format!("no whole line in {} s", CALLER_TIMEOUT.as_secs())),
         };
         let answer = match line {
             Ok(None) => return,
-            Ok(Some((line, behind))) => match line.split_ascii_whitespace().collect::<Vec<_>>()[..] {
+            Ok(Some((line, rest))) => match line.split_ascii_whitespace().collect::<Vec<_>>()[..] {
                 ["propose", ending, digest, count] => {
-                    self.propose(&mut stream, behind, ending, digest, count).await
+                    self.propose(&mut stream, rest, ending, digest, count).await
                 }
                 _ => self.answer(&line).await,
             },
@@ -80,7 +80,7 @@
         };
         // Lines of answers are the program's own; what they quote was escaped.
         let text = answer.unwrap_or_else(|why| format!("error {why}\n"));
-        let _ = timeout(WHOLE, async {
+        let _ = timeout(CALLER_TIMEOUT, async {
             stream.write_all(text.as_bytes()).await?;
             stream.shutdown().await
         })
@@ -93,10 +93,10 @@
         let takes = |call, wants| Err(format!("{call} takes {wants} words, not {}", words.len() - 1));
         match words[..] {
             [] => Err("an empty line; a call was expected".into()),
-            ["readyz"] => self.why_not_ready().map_or_else(|| Ok(done()), |why| Err(why.into())),
-            ["telemetry"] => Ok(self.telemetry.figures(self.exchange.moment()) + "\nend\n"),
+            ["readyz"] => self.not_ready_reason().map_or_else(|| Ok(done()), |why| Err(why.into())),
+            ["telemetry"] => Ok(self.telemetry.figures(self.exchange.snapshot()) + "\nend\n"),
             [call @ ("exclude" | "include"), name] => self.ban(name, call == "exclude").map(|()| done()),
-            ["version"] => Ok(self.version.line(self.why_not_ready().is_none()) + "\nend\n"),
+            ["version"] => Ok(self.version.line(self.not_ready_reason().is_none()) + "\nend\n"),
             ["lease", run, number] => self.version.lease(run, number).map(|()| done()),
             ["release", run, number] => self.version.release(run, number).map(|()| done()),
             ["reread", run, number, digest] => {
@@ -145,20 +145,20 @@
         count: &str,
     ) -> Result<String, String> {
         self.group()?;
-        let longest = tindock_accord::MAX_TEXT_BYTES;
+        let max_bytes = tindock_accord::MAX_TEXT_BYTES;
         let count: usize = count
             .parse()
             .ok()
-            .filter(|count| *count <= longest)
-            .ok_or_else(|| format!("{count:?} bytes; a number up to {longest} was expected"))?;
+            .filter(|count| *count <= max_bytes)
+            .ok_or_else(|| format!("{count:?} bytes; a number up to {max_bytes} was expected"))?;
         if !matches!(ending, "toml" | "json") {
             return Err(format!("{ending:?}; toml or json was expected"));
         }
         policy.truncate(count);
-        let begins = policy.len();
+        let received = policy.len();
         policy.resize(count, 0);
-        let whole = timeout(WHOLE, stream.read_exact(&mut policy[begins..])).await;
-        if !matches!(whole, Ok(Ok(_))) || tindock_berth::digest(&policy) != digest {
+        let read = timeout(CALLER_TIMEOUT, stream.read_exact(&mut policy[received..])).await;
+        if !matches!(read, Ok(Ok(_))) || tindock_berth::digest(&policy) != digest {
             return Err("the policy did not come whole".into());
         }
         let policy = String::from_utf8(policy).map_err(|_| "a policy that is no UTF-8")?;
@@ -166,13 +166,13 @@
     }
 
     async fn reread(&self, digest: String) -> Result<(), String> {
-        let (answer, told) = oneshot::channel();
+        let (answer, result) = oneshot::channel();
         let full = |_| "too many such calls at once";
         self.rereads.try_send(Reread { digest, answer }).map_err(full)?;
-        told.await.unwrap_or_else(|_| Err("not done: the scheduler ends".into()))
+        result.await.unwrap_or_else(|_| Err("not done: the scheduler ends".into()))
     }
 
-    fn why_not_ready(&self) -> Option<&'static str> {
+    fn not_ready_reason(&self) -> Option<&'static str> {
         if !self.open.get() {
             return Some("not ready: clients are not let in");
         }
@@ -189,7 +189,7 @@
             return Err(format!("worker {name:?} was never listed"));
         };
         if changed {
-            self.line.tell_ban(name, banned);
+            self.handover.tell_ban(name, banned);
             let what = if banned { "taken out" } else { "put back" };
             info!(self.log, "worker {name} {what} by hand");
             if let Err(e) = self.bans.write(self.exchange.bans()) {
@@ -201,22 +201,22 @@
 }
 
 /// The one line of a caller and what came behind it; none where it left before the end of it.
-async fn line(stream: &mut TcpStream) -> Result<Option<(String, Vec<u8>)>, String> {
-    let (mut buffer, mut filled) = ([0; LONGEST_LINE], 0);
+async fn read_line(stream: &mut TcpStream) -> Result<Option<(String, Vec<u8>)>, String> {
+    let (mut buffer, mut filled) = ([0; MAX_LINE_BYTES], 0);
     loop {
         if filled == buffer.len() {
-            return Err(format!("a line of over {LONGEST_LINE} bytes"));
+            return Err(format!("a line of over {MAX_LINE_BYTES} bytes"));
         }
-        let Ok(came) = stream.read(&mut buffer[filled..]).await else { return Ok(None) };
-        if came == 0 {
+        let Ok(read) = stream.read(&mut buffer[filled..]).await else { return Ok(None) };
+        if read == 0 {
             return Ok(None);
         }
         let before = filled;
-        filled += came;
+        filled += read;
         if let Some(at) = buffer[before..filled].iter().position(|&b| b == b'\n') {
             let text = std::str::from_utf8(&buffer[..before + at]);
-            let behind = buffer[before + at + 1..filled].to_vec();
-            return text.map(|t| Some((t.into(), behind))).map_err(|_| "a line that is no UTF-8".into());
+            let rest = buffer[before + at + 1..filled].to_vec();
+            return text.map(|t| Some((t.into(), rest))).map_err(|_| "a line that is no UTF-8".into());
         }
     }
 }
--- a/crates/scheduler/src/operators/mod.rs
+++ b/crates/scheduler/src/operators/mod.rs
@@ -3,6 +3,6 @@
 pub mod bans;
 pub mod calls;
 pub mod management;
-pub mod reloading;
+pub mod reload;
 pub mod telemetry;
 pub mod version;
--- a/crates/scheduler/src/operators/reloading.rs
+++ b/crates/scheduler/src/operators/reload.rs
@@ -5,9 +5,9 @@
 use crate::accord::text::Text;
 use crate::accord::{policy, Policies};
 use crate::berth::{self, Berth, Layers};
-use crate::clients::door::Door;
+use crate::clients::listener::ClientListener;
 use crate::exchange::Exchange;
-use crate::list::muster::Muster;
+use crate::list::worker_list::WorkerList;
 use crate::operators::telemetry::Telemetry;
 use crate::operators::version::Version;
 use crate::succession::stopping::Stopping;
@@ -21,7 +21,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 /// Calls to read again that may wait; callers are few, and each waits for its answer.
-pub const ASKED: usize = 4;
+pub const QUEUED_REREADS: usize = 4;
 
 /// A call to read again what has this digest; the answer is given when it is in force, or says why it is not.
 pub struct Reread {
@@ -32,11 +32,11 @@
 /// What the own file says of the things that a group decides, as it was at the start, and the policy in force in its
 /// place.
 pub struct Group {
-    pub says: String,
+    pub initial: String,
     pub policy: RefCell<Option<Rc<Text>>>,
 }
 
-pub struct Reloading {
+pub struct ConfigReloader {
     pub path: PathBuf,
     pub layers: Layers,
     /// What the file in force says at all.
@@ -45,26 +45,26 @@
     pub group: Option<Group>,
     pub discovery: Option<watch::Sender<SocketAddr>>,
     pub exchange: Rc<Exchange>,
-    pub muster: Rc<Muster>,
-    pub door: Rc<Door>,
+    pub worker_list: Rc<WorkerList>,
+    pub clients: Rc<ClientListener>,
     pub stopping: Rc<Stopping>,
     pub telemetry: Rc<Telemetry>,
     pub version: Rc<Version>,
     pub log: Logger,
 }
 
-impl Reloading {
+impl ConfigReloader {
     /// Reads again after each signal and call. Several signals at once are one, and the file is read after the last.
-    pub async fn keep(self: Rc<Self>, mut told: Signal, mut asked: mpsc::Receiver<Reread>) {
+    pub async fn run(self: Rc<Self>, mut hang_up: Signal, mut rereads: mpsc::Receiver<Reread>) {
         loop {
             tokio::select! {
-                came = told.recv() => match came {
-                    Some(()) => drop(self.again(None)),
+                signalled = hang_up.recv() => match signalled {
+                    Some(()) => drop(self.reload(None)),
                     None => return,
                 },
-                Some(Reread { digest, answer }) = asked.recv() => {
+                Some(Reread { digest, answer }) = rereads.recv() => {
                     // Guards against a call that comes twice: what is in force already is in force.
-                    let done = if digest == self.version.settings() { Ok(()) } else { self.again(Some(&digest)) };
+                    let done = if digest == self.version.settings() { Ok(()) } else { self.reload(Some(&digest)) };
                     let _ = answer.send(done);
                 }
             }
@@ -72,19 +72,19 @@
     }
 
     /// The file is small and on the own machine: read at once, in the midst of all else.
-    fn again(&self, wanted: Option<&str>) -> Result<(), String> {
-        let meant = |berth: Berth| match wanted {
+    fn reload(&self, wanted: Option<&str>) -> Result<(), String> {
+        let check_digest = |berth: Berth| match wanted {
             // Guards against a file that was replaced since the call was sent: nobody vouches for it.
             Some(digest) if digest != berth.digest => {
                 Err(format!("the file has digest {}, not {digest}", berth.digest))
             }
             _ => Ok(berth),
         };
-        let read = self.read().and_then(meant).and_then(|berth| self.whole(berth));
+        let read = self.read().and_then(check_digest).and_then(|berth| self.validate(berth));
         self.telemetry.reloaded(read.is_ok());
         match read {
             Ok(berth) => {
-                self.take_in(berth);
+                self.apply(berth);
                 Ok(())
             }
             Err(why) => {
@@ -97,10 +97,10 @@
 
     /// The file; under a policy that a group has decided, with that one in it.
     fn read(&self) -> Result<Berth, String> {
-        let own = berth::from_file(&self.path, &self.layers)?;
+        let local = berth::from_file(&self.path, &self.layers)?;
         let policy = self.group.as_ref().and_then(|group| Some((group, group.policy.borrow().clone()?)));
-        let Some((group, text)) = policy else { return Ok(own) };
-        if policy::says(&own) != group.says {
+        let Some((group, text)) = policy else { return Ok(local) };
+        if policy::says(&local) != group.initial {
             // Guards against a scheduler that decides by a file of its own beside others.
             return Err(format!(
                 "workloads, customers and workers are decided by the group (number {}): undo what was changed by hand, \
@@ -113,7 +113,7 @@
 
     /// Guards against a file that was cut and still can be read, and against words that nobody could hold: nothing is
     /// taken from it.
-    fn whole(&self, mut berth: Berth) -> Result<Berth, String> {
+    fn validate(&self, mut berth: Berth) -> Result<Berth, String> {
         if let Some(missing) = self.keys.borrow().difference(&berth.keys).next() {
             return Err(format!("no {missing}, which the file before had"));
         }
@@ -121,17 +121,17 @@
         for row in &mut berth.sheet.workloads {
             if let Some(kind) = row.kind {
                 let name = kinds.get(kind).ok_or_else(|| format!("no machine kind {kind}"))?;
-                row.kind = Some(self.muster.kind(name.clone())?);
+                row.kind = Some(self.worker_list.kind(name.clone())?);
             }
         }
         Ok(berth)
     }
 
-    fn take_in(&self, berth: Berth) {
+    fn apply(&self, berth: Berth) {
         self.keys.replace(berth.keys);
-        self.version.took(berth.digest);
-        self.stopping.reaches(self.exchange.retune(berth.sheet, &berth.words));
-        self.door.rename();
+        self.version.set_settings(berth.digest);
+        self.stopping.reaches(self.exchange.reconfigure(berth.sheet, &berth.words));
+        self.clients.reload_names();
         let names = berth.words.workloads.join(", ");
         let at = self.discovery.as_ref().map(|discovery| {
             let moved = discovery.send_if_modified(|at| {
@@ -145,18 +145,18 @@
     }
 }
 
-impl Policies for Reloading {
+impl Policies for ConfigReloader {
     fn check(&self, text: &Text) -> Result<(), String> {
-        policy::over(&self.path, &self.layers, text).and_then(|berth| self.whole(berth)).map(|_| ())
+        policy::over(&self.path, &self.layers, text).and_then(|berth| self.validate(berth)).map(|_| ())
     }
 
     /// Goes through the same step as a file that is read again.
     fn take_up(&self, text: &Rc<Text>) -> Result<(), String> {
-        let berth = policy::over(&self.path, &self.layers, text).and_then(|berth| self.whole(berth))?;
+        let berth = policy::over(&self.path, &self.layers, text).and_then(|berth| self.validate(berth))?;
         if let Some(group) = &self.group {
             group.policy.replace(Some(text.clone()));
         }
-        self.take_in(berth);
+        self.apply(berth);
         Ok(())
     }
 }
--- a/crates/scheduler/src/operators/telemetry.rs
+++ b/crates/scheduler/src/operators/telemetry.rs
@@ -10,7 +10,7 @@
 pub enum Outcome {
     Finished,
     Shed,
-    BrokenOff,
+    Failed,
 }
 
 #[derive(Default)]
@@ -24,15 +24,15 @@
 
 /// What the exchange knows of the moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Moment {
-    pub in_hand: usize,
+pub struct Snapshot {
+    pub in_flight: usize,
     pub listed: usize,
-    pub avoided: usize,
+    pub excluded: usize,
 }
 
 /// The words of the operators' page.
 #[derive(Serialize)]
-struct Figures<'a> {
+struct TelemetryDoc<'a> {
     served: BTreeMap<&'a str, u64>,
     refused: BTreeMap<&'a str, u64>,
     failed: BTreeMap<&'a str, u64>,
@@ -46,7 +46,7 @@
 
 impl Telemetry {
     /// A workload that can be handed in from now on.
-    pub fn open(&self, workload: &str) {
+    pub fn register_workload(&self, workload: &str) {
         self.ends.borrow_mut().entry(workload.into()).or_default();
     }
 
@@ -57,24 +57,24 @@
     }
 
     pub fn reloaded(&self, taken: bool) {
-        let (ok, turned_down) = self.reloads.get();
-        self.reloads.set((ok + u64::from(taken), turned_down + u64::from(!taken)));
+        let (ok, rejected) = self.reloads.get();
+        self.reloads.set((ok + u64::from(taken), rejected + u64::from(!taken)));
     }
 
     /// All of it as one line of JSON.
-    pub fn figures(&self, moment: Moment) -> String {
+    pub fn figures(&self, snapshot: Snapshot) -> String {
         let ends = self.ends.borrow();
         let by =
             |outcome: Outcome| ends.iter().map(|(name, n)| (name.as_str(), n[outcome as usize])).collect();
         let (reloads_ok, reloads_failed) = self.reloads.get();
-        let figures = Figures {
+        let figures = TelemetryDoc {
             served: by(Outcome::Finished),
             refused: by(Outcome::Shed),
-            failed: by(Outcome::BrokenOff),
+            failed: by(Outcome::Failed),
             attempts: self.assignments.get(),
-            in_flight: moment.in_hand,
-            workers_known: moment.listed,
-            workers_excluded: moment.avoided,
+            in_flight: snapshot.in_flight,
+            workers_known: snapshot.listed,
+            workers_excluded: snapshot.excluded,
             reloads_ok,
             reloads_failed,
         };
--- a/crates/scheduler/src/operators/version.rs
+++ b/crates/scheduler/src/operators/version.rs
@@ -15,7 +15,7 @@
     settings: RefCell<String>,
     /// Of the program's file; found out when it is first asked for, since that reads some megabytes.
     program: OnceCell<String>,
-    reads: RefCell<Option<Receiver<String>>>,
+    digest_reader: RefCell<Option<Receiver<String>>>,
     began_ms: u64,
     lease: RefCell<Lease>,
     clock: Clock,
@@ -23,7 +23,7 @@
 
 /// The words of the answer.
 #[derive(Serialize)]
-struct Words<'a> {
+struct VersionDoc<'a> {
     version: u32,
     settings: &'a str,
     /// None while it is not known yet.
@@ -37,7 +37,7 @@
     run: &'a str,
 }
 
-fn whole(number: &str) -> Result<u64, String> {
+fn parse_number(number: &str) -> Result<u64, String> {
     number.parse().map_err(|_| format!("{number:?} is no number"))
 }
 
@@ -47,7 +47,7 @@
         Version {
             settings,
             program: OnceCell::new(),
-            reads: RefCell::default(),
+            digest_reader: RefCell::default(),
             began_ms,
             lease: RefCell::default(),
             clock,
@@ -59,18 +59,18 @@
     }
 
     /// Another configuration is in force.
-    pub fn took(&self, settings: String) {
+    pub fn set_settings(&self, settings: String) {
         self.settings.replace(settings);
     }
 
     /// Takes or renews the lease of a run; one line says why not.
     pub fn lease(&self, run: &str, number: &str) -> Result<(), String> {
-        self.lease.borrow_mut().take(run, whole(number)?, self.clock.now())
+        self.lease.borrow_mut().take(run, parse_number(number)?, self.clock.now())
     }
 
     /// A run that has ended lets go.
     pub fn release(&self, run: &str, number: &str) -> Result<(), String> {
-        self.lease.borrow_mut().release(run, whole(number)?);
+        self.lease.borrow_mut().release(run, parse_number(number)?);
         Ok(())
     }
 
@@ -81,29 +81,29 @@
         let (settings, lease) = (self.settings.borrow(), self.lease.borrow());
         let ((fence, run), program) = (lease.holder(), self.program.get().map(String::as_str));
         let (version, began_ms, pid) = (VERSION, self.began_ms, std::process::id());
-        let words = Words { version, settings: &settings, program, began_ms, pid, ready, fence, run };
-        serde_json::to_string(&words).unwrap_or_default()
+        let doc = VersionDoc { version, settings: &settings, program, began_ms, pid, ready, fence, run };
+        serde_json::to_string(&doc).unwrap_or_default()
     }
 
     fn find_program(&self) {
         if self.program.get().is_some() {
             return;
         }
-        let mut reads = self.reads.borrow_mut();
-        if reads.is_none() {
-            let (tell, told) = mpsc::channel();
+        let mut digest_reader = self.digest_reader.borrow_mut();
+        if digest_reader.is_none() {
+            let (sender, receiver) = mpsc::channel();
             let read = move || {
                 // By the process's own link: the file may be another one by now.
                 let digest = File::open("/proc/self/exe").and_then(tindock_berth::digest_of);
-                let _ = tell.send(digest.unwrap_or_default());
+                let _ = sender.send(digest.unwrap_or_default());
             };
             if std::thread::Builder::new().name("digest".into()).spawn(read).is_ok() {
-                *reads = Some(told);
+                *digest_reader = Some(receiver);
             }
         }
-        if let Some(digest) = reads.as_ref().and_then(|told| told.try_recv().ok()) {
+        if let Some(digest) = digest_reader.as_ref().and_then(|receiver| receiver.try_recv().ok()) {
             let _ = self.program.set(digest);
-            *reads = None;
+            *digest_reader = None;
         }
     }
 }
--- a/crates/scheduler/src/others/mod.rs
+++ /dev/null
@@ -1,4 +0,0 @@
-//! Words between schedulers.
-
-pub mod peers;
-pub mod telling;
--- /dev/null
+++ b/crates/scheduler/src/peers/mod.rs
@@ -0,0 +1,4 @@
+//! Words between schedulers.
+
+pub mod socket;
+pub mod outbox;
--- a/crates/scheduler/src/others/telling.rs
+++ b/crates/scheduler/src/peers/outbox.rs
@@ -16,27 +16,27 @@
 
 /// Collects what the module says at one time: what is out goes into common messages.
 #[derive(Default)]
-pub struct Telling {
-    held: words::Announcements,
+pub struct Outbox {
+    usage: words::Announcements,
     messages: Vec<Message>,
 }
 
-impl Telling {
-    pub fn say(&mut self, decision: &Decision, names: &words::WorkerNames) {
+impl Outbox {
+    pub fn push(&mut self, decision: &Decision, names: &words::WorkerNames) {
         match *decision {
             Decision::Grant { to, worker, slots } => {
                 let message = names.address(worker).map(|at| (Some(to), words::grant(at, slots).to_vec()));
                 self.messages.extend(message);
             }
             Decision::RequestSlots { to } => self.messages.push((Some(to), words::slot_request().to_vec())),
-            Decision::Announce { worker, slots } => self.held.add(names.short_id(worker), slots),
+            Decision::Announce { worker, slots } => self.usage.add(names.short_id(worker), slots),
             _ => {}
         }
     }
 
     /// The messages of this time.
-    pub fn messages(&mut self) -> impl Iterator<Item = Message> + '_ {
-        self.messages.extend(self.held.messages().into_iter().map(|message| (None, message)));
+    pub fn drain(&mut self) -> impl Iterator<Item = Message> + '_ {
+        self.messages.extend(self.usage.messages().into_iter().map(|message| (None, message)));
         self.messages.drain(..)
     }
 }
--- a/crates/scheduler/src/rollout/coordinator.rs
+++ b/crates/scheduler/src/rollout/coordinator.rs
@@ -7,7 +7,7 @@
 use super::Wrong;
 use crate::berth::{self, Layers};
 use crate::cli::LogFormat;
-use crate::operators::calls::each;
+use crate::operators::calls::map_parallel;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -98,7 +98,7 @@
 fn programs(plan: &Plan, program: &Path) -> Result<Vec<Member>, Vec<String>> {
     let new = std::fs::File::open(program).and_then(digest_of);
     let new = new.map_err(|e| vec![format!("{}: {e}", program.display())])?;
-    let found = each(&plan.schedulers, |is| {
+    let found = map_parallel(&plan.schedulers, |is| {
         let began = Instant::now();
         loop {
             let standing = looking::way(is).and_then(|(at, _)| looking::standing(at));
@@ -119,7 +119,7 @@
 /// Whether a run could begin: its files are whole, all schedulers are ready with what the files say. The largest number
 /// that any run had there.
 fn ready(plan: &Plan, members: &[Member]) -> Result<u64, Vec<String>> {
-    let found = each(members, |member| {
+    let found = map_parallel(members, |member| {
         let name = &member.is.name;
         let (at, kept) = looking::way(&member.is).map_err(|why| format!("{name}: {why}"))?;
         let standing = looking::standing(at).map_err(|why| format!("{name}: {why}"))?;
@@ -225,7 +225,7 @@
             (Some(story), _) => Self::recorded(&plan, &record, story).map_err(one)?,
         };
         // Guards against a run that takes the files from one that works there: it asks the schedulers first.
-        let leased = each(&members, |member| looking::lease(&member.is, &id, number));
+        let leased = map_parallel(&members, |member| looking::lease(&member.is, &id, number));
         let held = leased.into_iter().zip(&members).filter_map(|(said, member)| match said {
             Said::Outrun(why) | Said::Refused(why) => Some(format!("{}: {why}", member.is.name)),
             // A run begins with all; one that goes on does what it can.
@@ -236,7 +236,7 @@
         // Guards against runs that hold one another up for ever, each with a part of the fleet: who does not get all
         // lets go of what it got.
         let let_go = |lines| {
-            each(&members, |member| looking::release(&member.is, &id, number));
+            map_parallel(&members, |member| looking::release(&member.is, &id, number));
             not_begun(lines)
         };
         if !held.is_empty() {
@@ -318,7 +318,7 @@
         if story.run != plan.name || story.kept.len() != members.len() {
             return Err(format!("the record is of run {} over {} schedulers", story.run, story.kept.len()));
         }
-        let held = each(&members, |member| {
+        let held = map_parallel(&members, |member| {
             let number = files::holder(&member.is.configuration).map_or(0, |(number, _)| number);
             let Ok((at, kept)) = looking::way(&member.is) else { return number };
             let told = looking::standing(at).map_or(0, |told| told.fence);
@@ -382,7 +382,7 @@
     fn look(&mut self) {
         let renews = self.renewed.is_none_or(|at| at.elapsed() >= RENEW);
         let (run, number) = (&self.id, self.number);
-        let looks = each(&self.members, |member| {
+        let looks = map_parallel(&self.members, |member| {
             let said = renews.then(|| looking::lease(&member.is, run, number));
             (looking::look(&member.is), said)
         });
@@ -439,7 +439,7 @@
                     Order::Undo(who) => Step::Undo { who: self.name(*who) },
                 })?;
             }
-            let outcomes = each(&orders, |order| self.carry_out(*order));
+            let outcomes = map_parallel(&orders, |order| self.carry_out(*order));
             for (order, outcome) in orders.into_iter().zip(outcomes) {
                 let outcome = match outcome {
                     Ok(outcome) => outcome,
@@ -631,7 +631,7 @@
     }
 
     fn end(self) -> Result<String, Wrong> {
-        each(&self.members, |member| {
+        map_parallel(&self.members, |member| {
             Hand { path: &member.is.configuration, run: &self.id, number: self.number }.tidy();
             looking::release(&member.is, &self.id, self.number);
         });
--- a/crates/scheduler/src/rollout/files.rs
+++ b/crates/scheduler/src/rollout/files.rs
@@ -1,7 +1,7 @@
 //! The configurations on disk. Each is replaced under a lock, by a run that holds the largest number seen there: a run
 //! that was stopped in the midst and wakes after another has begun replaces nothing any more.
 
-use crate::disk::{beside, locked, replace};
+use crate::disk::{with_suffix, locked, replace};
 use std::fs;
 use std::io::ErrorKind;
 use std::path::Path;
@@ -34,7 +34,7 @@
 
 /// The number and the run that last said they have this file; 0 with none.
 pub fn holder(path: &Path) -> Result<(u64, String), Wrong> {
-    let fence = beside(path, ".fence");
+    let fence = with_suffix(path, ".fence");
     let text = match fs::read_to_string(&fence) {
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok((0, String::new())),
         text => text.map_err(out(&fence))?,
@@ -54,7 +54,7 @@
 impl Hand<'_> {
     /// Under the lock of the file, with no larger number in its fence.
     fn held<T>(&self, act: impl FnOnce() -> Result<T, Wrong>) -> Result<T, Wrong> {
-        let path = beside(self.path, ".lock");
+        let path = with_suffix(self.path, ".lock");
         let lock = locked(&path, LOCK_WITHIN).map_err(out(&path))?;
         let _held = lock.ok_or_else(|| Wrong::Out(format!("{}: held by another process", path.display())))?;
         let (number, run) = holder(self.path)?;
@@ -67,7 +67,7 @@
     /// From now on no run with a smaller number replaces the file.
     pub fn fence(&self) -> Result<(), Wrong> {
         self.held(|| {
-            let fence = beside(self.path, ".fence");
+            let fence = with_suffix(self.path, ".fence");
             replace(&fence, format!("{} {}\n", self.number, self.run).as_bytes()).map_err(out(&fence))
         })
     }
@@ -84,7 +84,7 @@
                 let why = format!("{}: was changed by hand meanwhile", self.path.display());
                 return Err(Wrong::ByHand(why));
             }
-            let before = beside(self.path, ".before");
+            let before = with_suffix(self.path, ".before");
             replace(&before, &now).map_err(out(&before))?;
             replace(self.path, to.as_bytes()).map_err(out(self.path))
         })
@@ -92,7 +92,7 @@
 
     /// The run has ended: the file of before goes.
     pub fn tidy(&self) {
-        let _ = self.held(|| fs::remove_file(beside(self.path, ".before")).map_err(out(self.path)));
+        let _ = self.held(|| fs::remove_file(with_suffix(self.path, ".before")).map_err(out(self.path)));
     }
 }
 
@@ -130,7 +130,7 @@
         fs::write(&path, "mine").expect("written");
         assert!(matches!(hand("second", 2).swap(&old, "new"), Err(Wrong::ByHand(_))));
         assert_eq!(fs::read_to_string(&path).expect("text"), "mine");
-        fs::write(beside(&path, ".fence"), "torn").expect("written");
+        fs::write(with_suffix(&path, ".fence"), "torn").expect("written");
         assert!(matches!(hand("third", 3).fence(), Err(Wrong::Out(_))));
         fs::remove_dir_all(&folder).expect("removed");
     }
@@ -141,7 +141,7 @@
         let folder = folder("held");
         let path = folder.join("n0.json");
         fs::write(&path, "old").expect("written");
-        let lock = File::create(beside(&path, ".lock")).expect("a lock");
+        let lock = File::create(with_suffix(&path, ".lock")).expect("a lock");
         lock.lock().expect("held");
         let late = Hand { path: &path, run: "first", number: 1 }.swap(&digest("old"), "new");
         assert!(matches!(late, Err(Wrong::Out(_))), "{late:?}");
--- a/crates/scheduler/src/rollout/looking.rs
+++ b/crates/scheduler/src/rollout/looking.rs
@@ -95,8 +95,8 @@
 }
 
 fn asked(at: SocketAddr, call: &str, within: Duration) -> Result<String, String> {
-    let answer = calls::ask(at, call, within).map_err(|e| e.to_string())?;
-    calls::yes(&answer).map(String::from)
+    let answer = calls::request(at, call, within).map_err(|e| e.to_string())?;
+    calls::parse_answer(&answer).map(String::from)
 }
 
 pub fn standing(at: SocketAddr) -> Result<Standing, String> {
@@ -137,10 +137,10 @@
 }
 
 fn tell(at: SocketAddr, call: &str, within: Duration) -> Said {
-    match calls::ask(at, call, within) {
+    match calls::request(at, call, within) {
         Err(e) => Said::Nothing(e.to_string()),
         Ok(answer) if answer.is_empty() => Said::Nothing("closed without an answer".into()),
-        Ok(answer) => match calls::yes(&answer) {
+        Ok(answer) => match calls::parse_answer(&answer) {
             Ok(_) => Said::Done,
             Err(why) if why.starts_with("lease: ") => Said::Outrun(why),
             Err(why) => Said::Refused(why),
--- a/crates/scheduler/src/rollout/record.rs
+++ b/crates/scheduler/src/rollout/record.rs
@@ -221,7 +221,7 @@
     /// For `status`, which may read it at any time; not needed to go on.
     pub fn tell(&self, status: &serde_json::Value) {
         let path = self.folder.join(STATUS);
-        let _ = crate::list::stocking::replace(&path, status.to_string());
+        let _ = crate::list::inventory_watch::replace(&path, status.to_string());
     }
 
     pub fn is_told_to_stop(&self) -> bool {
--- a/crates/scheduler/src/start.rs
+++ b/crates/scheduler/src/start.rs
@@ -2,22 +2,22 @@
 
 use crate::accord::{policy, Accord, Opened};
 use crate::berth::{self, Berth, Layers};
-use crate::clients::door::Door;
-use crate::clients::reading::Rooms;
+use crate::clients::listener::ClientListener;
+use crate::clients::requests::BodyBudget;
 use crate::clock::Clock;
 use crate::exchange::Exchange;
 use crate::list::discovery::Discovery;
-use crate::list::muster::Muster;
+use crate::list::worker_list::WorkerList;
 use crate::list::probing;
-use crate::list::stocking::Stocking;
-use crate::list::wire::Tcp;
+use crate::list::inventory_watch::InventoryThread;
+use crate::list::connector::Tcp;
 use crate::operators::bans::Bans;
 use crate::operators::management::Management;
-use crate::operators::reloading::{self, Group, Reloading};
+use crate::operators::reload::{self, Group, ConfigReloader};
 use crate::operators::telemetry::Telemetry;
 use crate::operators::version::Version;
-use crate::others::peers::{self, Peers};
-use crate::rows::Rows;
+use crate::peers::socket::{self, PeerSocket};
+use crate::workload_table::WorkloadTable;
 use crate::succession::handover::{self, Handover};
 use crate::succession::leaving;
 use crate::succession::line::Line;
@@ -38,7 +38,7 @@
 use tokio::task::{spawn_local, LocalSet};
 
 /// Readings of the inventory that may wait to be taken in.
-const READINGS: usize = 4;
+const QUEUED_EVENTS: usize = 4;
 
 /// Connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
@@ -85,7 +85,7 @@
     };
     // After the process that runs has let go of its place in the group.
     let opened = berth.accord.as_ref().map(|told| Opened::folder(told, &berth.name)).transpose()?;
-    let mut group = berth.accord.as_ref().map(|_| Group { says: policy::says(&berth), policy: None.into() });
+    let mut group = berth.accord.as_ref().map(|_| Group { initial: policy::says(&berth), policy: None.into() });
     if let Some((text, group)) = opened.as_ref().and_then(Opened::in_force).zip(group.as_mut()) {
         group.policy = RefCell::new(Some(text.clone()));
         match policy::over(&path, &layers, text) {
@@ -108,17 +108,17 @@
     let version = Rc::new(Version::new(std::mem::take(&mut berth.digest), clock));
     let stopping = Rc::new(Stopping::new(part("stopping")));
     stopping.reaches(berth.sheet.workloads.iter().map(|row| row.hard_limit).max().unwrap_or_default());
-    let rows = Rows::new(&berth.sheet, &berth.words);
+    let rows = WorkloadTable::new(&berth.sheet, &berth.words);
     let began = clock.now();
     let rules = Policy::new(berth.sheet, berth.seed, began);
     let now = Box::new(move || clock.now());
     let (exchange, orders) = Exchange::new(rules, rows, clock, now, part("rules"));
     let bans = Bans::new(berth.runtime.as_deref(), &berth.name, part("management"));
-    exchange.banned_before(heritage.as_ref().map_or_else(|| bans.read(), |h| h.banned.clone()));
-    exchange.begin(began, known);
-    heritage.iter().for_each(|heritage| exchange.inherit(heritage, &berth.words));
-    let muster = match &berth.inventory {
-        None => Muster::of_discovery(exchange.clone(), berth.words.clone(), part("inventory")),
+    exchange.restore_bans(heritage.as_ref().map_or_else(|| bans.read(), |h| h.banned.clone()));
+    exchange.start(began, known);
+    heritage.iter().for_each(|heritage| exchange.import_state(heritage, &berth.words));
+    let worker_list = match &berth.inventory {
+        None => WorkerList::from_discovery(exchange.clone(), berth.words.clone(), part("inventory")),
         Some(stock) => {
             let terms = stock.health.clone();
             let health = terms.as_ref().map(|h| {
@@ -128,20 +128,20 @@
                     berth.seed,
                 )
             });
-            let muster = Muster::with_files(exchange.clone(), berth.words.clone(), health, part("inventory"));
+            let worker_list = WorkerList::with_files(exchange.clone(), berth.words.clone(), health, part("inventory"));
             if let Some(terms) = terms {
-                spawn_local(probing::keep(muster.clone(), Rc::new(Tcp), terms));
+                spawn_local(probing::run(worker_list.clone(), Rc::new(Tcp), terms));
             }
-            let (tell, told) = mpsc::channel(READINGS);
+            let (events_sender, events) = mpsc::channel(QUEUED_EVENTS);
             let folder = path.parent().map(PathBuf::from).unwrap_or_default();
-            let stocking = Stocking { stock: stock.clone(), folder, tell };
+            let inventory = InventoryThread { settings: stock.clone(), folder, events: events_sender };
             std::thread::Builder::new()
                 .name("inventory".into())
-                .spawn(move || stocking.run())
+                .spawn(move || inventory.run())
                 .map_err(|e| format!("inventory: {e}"))?;
-            let keeps = muster.clone();
-            spawn_local(async move { keeps.keep(told).await });
-            muster
+            let files = worker_list.clone();
+            spawn_local(async move { files.run(events).await });
+            worker_list
         }
     };
     let mut moved = None;
@@ -150,17 +150,17 @@
             let (tell, address) = watch::channel(at);
             moved = Some(tell);
             // It is an agent on the own machine, whatever the settings say of the service behind it.
-            let asking = ListClient::new(Service::Agent { max_wait: LONG_WAIT }, index, berth.seed);
+            let client = ListClient::new(Service::Agent { max_wait: LONG_WAIT }, index, berth.seed);
             let log = part("discovery");
             let discovery = Discovery {
                 exchange: exchange.clone(),
-                wire: Rc::new(Tcp),
-                muster: muster.clone(),
+                connector: Rc::new(Tcp),
+                worker_list: worker_list.clone(),
                 address,
-                asking,
+                client,
                 log,
             };
-            spawn_local(discovery.keep());
+            spawn_local(discovery.run());
         }
         None => exchange.without_discovery(),
     }
@@ -171,33 +171,33 @@
     if let Some(others) = berth.others {
         let at = others.all[others.position];
         let socket = UdpSocket::bind(at).await.map_err(|e| format!("peers, {at}: {e}"))?;
-        let (socket, (tell, messages)) = (Rc::new(socket), mpsc::channel(peers::WAITING));
+        let (socket, (tell, messages)) = (Rc::new(socket), mpsc::channel(socket::QUEUED_MESSAGES));
         told = Some(tell);
-        spawn_local(Peers::send(socket.clone(), others.clone(), messages));
-        let peers = Peers { exchange: exchange.clone(), socket, others, log: part("peers") };
-        spawn_local(peers.hear());
+        spawn_local(PeerSocket::send(socket.clone(), others.clone(), messages));
+        let peers = PeerSocket { exchange: exchange.clone(), socket, others, log: part("peers") };
+        spawn_local(peers.receive());
     }
-    exchange.equip(berth.words.reports.clone(), told);
+    exchange.configure(berth.words.reports.clone(), told);
     let line = Rc::new(Line::default());
-    let door = Door::new(
+    let clients = ClientListener::new(
         exchange.clone(),
         stopping.clone(),
         berth.rooms.for_clients,
         line.clone(),
-        Rooms::new(berth.rooms.for_bodies),
+        BodyBudget::new(berth.rooms.for_bodies),
         telemetry.clone(),
         part("clients"),
     );
-    door.rename();
-    let reloading = Rc::new(Reloading {
+    clients.reload_names();
+    let reloading = Rc::new(ConfigReloader {
         path,
         layers,
         keys: berth.keys.into(),
         group,
         discovery: moved,
         exchange: exchange.clone(),
-        muster: muster.clone(),
-        door: door.clone(),
+        worker_list: worker_list.clone(),
+        clients: clients.clone(),
         stopping: stopping.clone(),
         telemetry: telemetry.clone(),
         version: version.clone(),
@@ -207,31 +207,31 @@
     if let Some((told, opened)) = berth.accord.zip(opened) {
         let policies = reloading.clone();
         let group = Accord::new(told, berth.name.clone(), opened, clock, policies, part("accord"))?;
-        door.under(group.clone());
+        clients.set_group(group.clone());
         spawn_local(group.clone().keep());
         group.first_word().await;
         accord = Some(group);
     }
-    let (rereads, asked) = mpsc::channel(reloading::ASKED);
-    spawn_local(reloading.keep(hang_up, asked));
-    spawn_local(sending.carry_out(orders));
+    let (rereads, asked) = mpsc::channel(reload::QUEUED_REREADS);
+    spawn_local(reloading.run(hang_up, asked));
+    spawn_local(sending.run(orders));
     let tends = pool.clone();
-    spawn_local(async move { tends.tend().await });
+    spawn_local(async move { tends.retire_idle().await });
     let timer = exchange.clone();
-    spawn_local(async move { timer.keep_time().await });
+    spawn_local(async move { timer.run_timers().await });
     let listener = Rc::new(listener);
     let listens = listener.local_addr().map_err(|e| e.to_string())?;
     info!(log, "{} listens on {listens}", berth.name);
-    let sums = door.clone();
-    spawn_local(async move { sums.tell_sums().await });
-    spawn_local(door.clone().accept(listener.clone()));
+    let counts = clients.clone();
+    spawn_local(async move { counts.log_counts().await });
+    spawn_local(clients.clone().accept(listener.clone()));
     let handover = Rc::new(Handover {
         place,
         line: line.clone(),
         listener,
         exchange: exchange.clone(),
-        muster,
-        door: door.clone(),
+        muster: worker_list,
+        door: clients.clone(),
         pool,
         stopping: stopping.clone(),
         group: accord.clone(),
@@ -248,10 +248,10 @@
         let (exchange, open) = (exchange.clone(), open.clone());
         let log = part("management");
         let management =
-            Management { exchange, telemetry, bans, version, rereads, line, group: accord, open, log };
+            Management { exchange, telemetry, bans, version, rereads, handover: line, group: accord, open, log };
         spawn_local(Rc::new(management).accept(listener));
     }
-    leaving::over(&stopping, terminate, &door, &exchange, &open).await;
+    leaving::over(&stopping, terminate, &clients, &exchange, &open).await;
     info!(log, "{} ends", berth.name);
     Ok(())
 }
--- a/crates/scheduler/src/succession/handover.rs
+++ b/crates/scheduler/src/succession/handover.rs
@@ -3,14 +3,14 @@
 //! Unix socket in the runtime folder.
 
 use crate::accord::Accord;
-use crate::clients::door::{Door, SHORT_OF_DESCRIPTORS};
+use crate::clients::listener::{ClientListener, SHORT_OF_DESCRIPTORS};
 use crate::exchange::Exchange;
-use crate::list::muster::Muster;
+use crate::list::worker_list::WorkerList;
 use crate::succession::heritage::{Heritage, VERSION};
 use crate::succession::line::{frame, read_frame, room, Line, Partner, Word, PATIENCE, WAITING};
 use crate::succession::passing;
 use crate::succession::stopping::Stopping;
-use crate::workers::news;
+use crate::workers::updates;
 use crate::workers::pool::Pool;
 use slog::{info, warn, Logger};
 use std::cell::Cell;
@@ -75,8 +75,8 @@
     /// The clients' listening socket.
     pub listener: Rc<tokio::net::TcpListener>,
     pub exchange: Rc<Exchange>,
-    pub muster: Rc<Muster>,
-    pub door: Rc<Door>,
+    pub muster: Rc<WorkerList>,
+    pub door: Rc<ClientListener>,
     pub pool: Rc<Pool>,
     pub stopping: Rc<Stopping>,
     /// Where a group decides the policy: its place there goes along.
@@ -91,11 +91,11 @@
 impl Handover {
     /// This process took over: it tells the one before that it serves, and has all of the room once that one is gone.
     pub async fn after(self: Rc<Self>, stream: UnixStream) {
-        let (clients, workers) = (self.door.half(), self.pool.half());
+        let (clients, workers) = (self.door.give_up_half(), self.pool.give_up_half());
         self.talk(stream, Some(Word::Serving), || ()).await;
         info!(self.log, "the process before this one has ended");
-        self.door.widen(clients);
-        self.pool.widen(workers);
+        self.door.raise_limit(clients);
+        self.pool.add_permits(workers);
     }
 
     /// The place where the process that is started beside this one asks. Bound before anybody can take this one for
@@ -137,7 +137,7 @@
         self.open.set(false);
         self.door.pause(true);
         self.group.iter().for_each(|group| group.rest());
-        let heritage = self.exchange.bequeath(&self.muster.words());
+        let heritage = self.exchange.export_state(&self.muster.words());
         let sent = async {
             stream.writable().await?;
             passing::pass(&stream, &*self.listener)?;
@@ -150,7 +150,7 @@
                 let begins = || {
                     serves.set(true);
                     self.stopping.succeeded(true);
-                    self.door.dismiss_all();
+                    self.door.close_all();
                 };
                 let in_time = async {
                     tokio::time::sleep(TO_SERVE).await;
@@ -170,7 +170,7 @@
         if !self.stopping.is_told() {
             warn!(self.log, "the process started beside this one is gone: this one goes on");
             self.stopping.succeeded(false);
-            self.exchange.yielded(false);
+            self.exchange.set_yielded(false);
             self.group.iter().for_each(|group| drop(spawn_local(group.clone().resume())));
             self.door.pause(false);
             self.open.set(true);
@@ -196,13 +196,13 @@
                     Word::Hello { .. } => {}
                     Word::Serving => serves(),
                     Word::News { number, body } => {
-                        if let Ok(news) = news::decode(body.as_bytes()) {
-                            self.exchange.news(news);
+                        if let Ok(news) = updates::decode(body.as_bytes()) {
+                            self.exchange.apply_update(news);
                         }
                         self.line.say(Word::Heard { number });
                     }
                     Word::Heard { number } => self.line.heard(number),
-                    Word::Ban { name, banned } => self.exchange.ban_told(&name, banned),
+                    Word::Ban { name, banned } => self.exchange.apply_remote_ban(&name, banned),
                 }
             }
         };
--- a/crates/scheduler/src/succession/heritage.rs
+++ b/crates/scheduler/src/succession/heritage.rs
@@ -2,7 +2,7 @@
 //! each process's own.
 
 use crate::clock::Clock;
-use crate::rows::Rows;
+use crate::workload_table::WorkloadTable;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -43,7 +43,7 @@
 
 pub fn leave<'a, I: Iterator<Item = &'a Entry>>(
     rules: &Policy,
-    rows: &Rows,
+    rows: &WorkloadTable,
     entries: impl Fn() -> I,
     banned: BTreeSet<String>,
     words: &Words,
@@ -93,7 +93,7 @@
     pub fn take(
         &self,
         rules: &mut Policy,
-        rows: &Rows,
+        rows: &WorkloadTable,
         index: impl Fn(&str) -> Option<usize>,
         words: &Words,
         clock: &Clock,
--- a/crates/scheduler/src/succession/leaving.rs
+++ b/crates/scheduler/src/succession/leaving.rs
@@ -1,6 +1,6 @@
 //! The end of a planned restart: answers all that was taken, then ends.
 
-use crate::clients::door::Door;
+use crate::clients::listener::ClientListener;
 use crate::exchange::Exchange;
 use crate::succession::stopping::Stopping;
 use std::cell::Cell;
@@ -20,18 +20,18 @@
 pub async fn over(
     stopping: &Stopping,
     mut told: Signal,
-    door: &Door,
+    door: &ClientListener,
     exchange: &Exchange,
     open: &Cell<bool>,
 ) {
     told.recv().await;
     open.set(false);
     let (told, longest) = (Instant::now(), stopping.begin());
-    door.dismiss_all();
+    door.close_all();
     loop {
         tokio::time::sleep(LOOK).await;
         if told.elapsed() >= longest {
-            exchange.close();
+            exchange.abort_all();
         }
         let (last_clients, nobody_comes) = match stopping.is_succeeded() {
             true => (told, true),
--- a/crates/scheduler/src/workers/endings.rs
+++ b/crates/scheduler/src/workers/endings.rs
@@ -8,7 +8,7 @@
     /// News: done, with the result.
     Done,
     /// News: the worker erred at it.
-    Erred,
+    Failed,
     /// News: handed back unstarted.
     Returned,
     /// News: it was killed, or its machine saw the worker die.
@@ -16,23 +16,23 @@
     /// Answered that the task itself cannot be used: no worker could.
     Unusable(u16),
     /// Answered with a status that means neither taken nor never ran.
-    Odd(u16),
+    UnexpectedStatus(u16),
     /// Answered as turned away, with the mark that it never ran.
-    TurnedAway,
+    Rejected,
     /// The connection was turned down, or broke while it came up.
-    NotConnected,
+    ConnectFailed,
     /// The connection did not come up in time.
-    DialOverdue,
+    ConnectTimeout,
     /// It broke before the last byte was written.
-    BrokeUnsent,
+    BrokeBeforeSent,
     /// It broke or ended after the last byte, before an answer.
-    BrokeSent,
+    BrokeAfterSent,
     /// The worker let a kept connection go early, while it was idle, and none is asked of it on an old list.
-    LetGo,
+    ClosedIdle,
     /// The task's hard limit came first.
-    Overdue,
+    TimedOut,
     /// The module called it off.
-    CalledOff,
+    Cancelled,
     /// Not a byte was written, and none will be.
     NeverSent,
 }
@@ -40,8 +40,8 @@
 impl Close {
     /// What a worker that goes on would hardly do: a sign of leaving, where no list says who leaves.
     pub fn is_sign_of_leaving(self) -> bool {
-        use Close::{BrokeUnsent, DialOverdue, LetGo, NotConnected, Returned, TurnedAway};
-        matches!(self, TurnedAway | Returned | NotConnected | DialOverdue | BrokeUnsent | LetGo)
+        use Close::{BrokeBeforeSent, ConnectTimeout, ClosedIdle, ConnectFailed, Returned, Rejected};
+        matches!(self, Rejected | Returned | ConnectFailed | ConnectTimeout | BrokeBeforeSent | ClosedIdle)
     }
 }
 
@@ -49,14 +49,14 @@
     fn from(close: Close) -> Ending {
         match close {
             Close::Done => Ending::Finished,
-            Close::Erred | Close::Odd(_) => Ending::Error,
-            Close::Returned | Close::TurnedAway => Ending::Full,
-            Close::NotConnected | Close::DialOverdue | Close::BrokeUnsent => Ending::ConnectFailed,
-            Close::Lost | Close::BrokeSent => Ending::Reset,
-            Close::Overdue => Ending::TimedOut,
-            Close::CalledOff => Ending::Cancelled,
+            Close::Failed | Close::UnexpectedStatus(_) => Ending::Error,
+            Close::Returned | Close::Rejected => Ending::Full,
+            Close::ConnectFailed | Close::ConnectTimeout | Close::BrokeBeforeSent => Ending::ConnectFailed,
+            Close::Lost | Close::BrokeAfterSent => Ending::Reset,
+            Close::TimedOut => Ending::TimedOut,
+            Close::Cancelled => Ending::Cancelled,
             // Guards against workers barred for what bad clients send: it is not theirs, and nothing ran.
-            Close::Unusable(_) | Close::NeverSent | Close::LetGo => Ending::NotSent,
+            Close::Unusable(_) | Close::NeverSent | Close::ClosedIdle => Ending::NotSent,
         }
     }
 }
