--- a/crates/scheduler/src/workers/sending.rs
+++ b/crates/scheduler/src/workers/sending.rs
@@ -1,9 +1,9 @@
 //! The client side: carries out the exchange's orders at the workers.
 
-use crate::clients::reading;
-use crate::exchange::{Call, Exchange, Order, Ticket};
+use crate::clients::requests;
+use crate::exchange::{TaskRequest, Exchange, Command, AssignmentKey};
 use crate::workers::endings::Close;
-use crate::workers::pool::{Line, Pool};
+use crate::workers::pool::{Connection, Pool};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderValue, HOST};
@@ -18,10 +18,10 @@
 use tokio::time::{timeout, Instant};
 
 /// How long the word that a task is called off may take before it counts as told.
-const CALL_OFF_WAIT: Duration = Duration::from_millis(300);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// A worker that did not answer for this long may be cut off, and the idle connections to it with it.
-const CUT_OFF: Duration = Duration::from_millis(250);
+const UNREACHABLE_AFTER: Duration = Duration::from_millis(250);
 const TRACE: &str = "x-trace-id";
 const EXPIRES: &str = "x-expires-in-ms";
 const NEVER_RAN: &str = "x-never-ran";
@@ -30,9 +30,9 @@
     exchange: Rc<Exchange>,
     pool: Rc<Pool>,
     /// Counts assignments that were written whole.
-    whole: Rc<Cell<u64>>,
+    completed: Rc<Cell<u64>>,
     /// Assignments whose 202 has not come.
-    under_way: RefCell<HashMap<Ticket, AbortHandle>>,
+    unaccepted: RefCell<HashMap<AssignmentKey, AbortHandle>>,
     log: Logger,
 }
 
@@ -52,110 +52,110 @@
 
 impl Drop for Unanswered<'_> {
     fn drop(&mut self) {
-        if self.since.elapsed() >= CUT_OFF {
-            self.pool.release(self.worker);
+        if self.since.elapsed() >= UNREACHABLE_AFTER {
+            self.pool.drop_idle(self.worker);
         }
     }
 }
 
 /// What came back for an assignment.
-enum Taken {
-    Yes,
-    No(Close),
+enum SendOutcome {
+    Accepted,
+    Ended(Close),
 }
 
 impl Sending {
-    pub fn new(exchange: Rc<Exchange>, pool: Rc<Pool>, whole: Rc<Cell<u64>>, log: Logger) -> Rc<Self> {
-        Rc::new(Sending { exchange, pool, whole, under_way: RefCell::default(), log })
+    pub fn new(exchange: Rc<Exchange>, pool: Rc<Pool>, completed: Rc<Cell<u64>>, log: Logger) -> Rc<Self> {
+        Rc::new(Sending { exchange, pool, completed, unaccepted: RefCell::default(), log })
     }
 
-    pub async fn carry_out(self: Rc<Self>, mut orders: mpsc::UnboundedReceiver<Order>) {
-        while let Some(order) = orders.recv().await {
-            match order {
-                Order::Send { ticket, worker, call, limit } => {
-                    let sent = tokio::task::spawn_local(self.clone().send(ticket, worker, call, limit));
-                    self.under_way.borrow_mut().insert(ticket, sent.abort_handle());
+    pub async fn run(self: Rc<Self>, mut commands: mpsc::UnboundedReceiver<Command>) {
+        while let Some(command) = commands.recv().await {
+            match command {
+                Command::Send { key, worker, request, limit } => {
+                    let task = tokio::task::spawn_local(self.clone().send(key, worker, request, limit));
+                    self.unaccepted.borrow_mut().insert(key, task.abort_handle());
                 }
-                Order::CallOff { ticket, worker, id } => {
-                    if self.close(ticket) {
-                        self.exchange.ended(ticket, Close::CalledOff);
+                Command::Cancel { key, worker, id } => {
+                    if self.close(key) {
+                        self.exchange.assignment_ended(key, Close::Cancelled);
                     } else {
-                        tokio::task::spawn_local(self.clone().call_off(ticket, worker, id));
+                        tokio::task::spawn_local(self.clone().cancel(key, worker, id));
                     }
                 }
-                Order::Drop { ticket } => drop(self.close(ticket)),
+                Command::Drop { key } => drop(self.close(key)),
             }
         }
     }
 
     /// Closes the connection of an assignment that was not taken yet; false if it was.
-    fn close(&self, ticket: Ticket) -> bool {
-        let under_way = self.under_way.borrow_mut().remove(&ticket);
-        under_way.inspect(AbortHandle::abort).is_some()
+    fn close(&self, key: AssignmentKey) -> bool {
+        let unaccepted = self.unaccepted.borrow_mut().remove(&key);
+        unaccepted.inspect(AbortHandle::abort).is_some()
     }
 
-    async fn send(self: Rc<Self>, ticket: Ticket, worker: usize, call: Rc<Call>, limit: Duration) {
+    async fn send(self: Rc<Self>, key: AssignmentKey, worker: usize, request: Rc<TaskRequest>, limit: Duration) {
         // Guards against a worker that says nothing and holds a connection for ever: news of the end may have
         // come without the 202, and then nobody closes it.
-        let taken = timeout(self.exchange.until(limit), self.try_send(ticket, worker, &call, limit)).await;
-        self.under_way.borrow_mut().remove(&ticket);
-        let taken = taken.unwrap_or(Taken::No(Close::Overdue));
-        if let Taken::No(close) = taken {
-            info!(self.log, "task {} at worker {worker}: {close:?}", call.id);
-            self.exchange.ended(ticket, close);
+        let outcome = timeout(self.exchange.time_until(limit), self.try_send(key, worker, &request, limit)).await;
+        self.unaccepted.borrow_mut().remove(&key);
+        let outcome = outcome.unwrap_or(SendOutcome::Ended(Close::TimedOut));
+        if let SendOutcome::Ended(close) = outcome {
+            info!(self.log, "task {} at worker {worker}: {close:?}", request.id);
+            self.exchange.assignment_ended(key, close);
         }
     }
 
-    async fn try_send(&self, ticket: Ticket, worker: usize, call: &Call, limit: Duration) -> Taken {
+    async fn try_send(&self, key: AssignmentKey, worker: usize, request: &TaskRequest, limit: Duration) -> SendOutcome {
         loop {
             let address = self.exchange.address(worker);
-            let mut line = match self.pool.line(worker, address).await {
-                Ok(line) => line,
-                Err(close) => return Taken::No(close),
+            let mut connection = match self.pool.acquire(worker, address).await {
+                Ok(connection) => connection,
+                Err(close) => return SendOutcome::Ended(close),
             };
             // While the connection came up the worker may have begun to drain, or the task have ended.
-            if !self.exchange.still_wanted(ticket) {
-                self.pool.give_back(worker, line).await;
-                return Taken::No(Close::NeverSent);
+            if !self.exchange.is_still_wanted(key) {
+                self.pool.release(worker, connection).await;
+                return SendOutcome::Ended(Close::NeverSent);
             }
             // Guards against a task on a connection that just came up, or was left, at a worker that ends.
-            if line.let_go && self.exchange.list_is_old() {
-                self.pool.give_back(worker, line).await;
-                return Taken::No(Close::LetGo);
+            if connection.found_closed && self.exchange.is_list_stale() {
+                self.pool.release(worker, connection).await;
+                return SendOutcome::Ended(Close::ClosedIdle);
             }
-            let left = self.exchange.until(limit).as_millis() as u64;
-            let mut message = Request::new(Full::new(call.body.clone()));
+            let left = self.exchange.time_until(limit).as_millis() as u64;
+            let mut message = Request::new(Full::new(request.body.clone()));
             *message.method_mut() = Method::POST;
-            let Ok(target) = call.target.parse() else { return Taken::No(Close::NeverSent) };
+            let Ok(target) = request.target.parse() else { return SendOutcome::Ended(Close::NeverSent) };
             *message.uri_mut() = target;
-            *message.headers_mut() = call.headers.clone();
-            head(&mut message, address, &call.id);
+            *message.headers_mut() = request.headers.clone();
+            head(&mut message, address, &request.id);
             message.headers_mut().insert(EXPIRES, HeaderValue::from(left));
-            line.gauge.begin(call.body.len());
-            line.gauge.count_in(&self.whole);
+            connection.progress.start_message(request.body.len());
+            connection.progress.count_in(&self.completed);
             let unanswered = Unanswered { pool: &self.pool, worker, since: Instant::now() };
-            match line.sender.try_send_request(message).await {
-                Ok(answer) => {
+            match connection.sender.try_send_request(message).await {
+                Ok(response) => {
                     unanswered.answered();
-                    let taken = judge(&answer);
+                    let outcome = classify(&response);
                     // From here on the worker has it: closing would no longer call it off.
-                    self.under_way.borrow_mut().remove(&ticket);
-                    self.finish(worker, line, answer).await;
-                    return taken;
+                    self.unaccepted.borrow_mut().remove(&key);
+                    self.finish(worker, connection, response).await;
+                    return outcome;
                 }
                 // The worker let a kept connection go before it had all: it has nothing, so a new one takes its
                 // place. Guards against tasks that may have run, and workers barred, for the connection's sake.
-                Err(_) if !line.gauge.whole() && line.used => {
-                    self.pool.broke();
+                Err(_) if !connection.progress.is_complete() && connection.used => {
+                    self.pool.on_break();
                     continue;
                 }
-                Err(_) if line.gauge.whole() => {
-                    if line.used {
-                        self.pool.broke();
+                Err(_) if connection.progress.is_complete() => {
+                    if connection.used {
+                        self.pool.on_break();
                     }
-                    return Taken::No(Close::BrokeSent);
+                    return SendOutcome::Ended(Close::BrokeAfterSent);
                 }
-                Err(_) => return Taken::No(Close::BrokeUnsent),
+                Err(_) => return SendOutcome::Ended(Close::BrokeBeforeSent),
             }
         }
     }
@@ -164,42 +164,42 @@
     async fn finish(
         &self,
         worker: usize,
-        line: Line,
-        answer: Response<hyper::body::Incoming>,
+        connection: Connection,
+        response: Response<hyper::body::Incoming>,
     ) -> Option<Bytes> {
-        let body = reading::body(answer.into_body()).await.ok()?;
-        self.pool.give_back(worker, line).await;
+        let body = requests::body(response.into_body()).await.ok()?;
+        self.pool.release(worker, connection).await;
         Some(body)
     }
 
-    async fn call_off(self: Rc<Self>, ticket: Ticket, worker: usize, id: Rc<str>) {
+    async fn cancel(self: Rc<Self>, key: AssignmentKey, worker: usize, id: Rc<str>) {
         let path = format!("/jobs/{id}");
-        let told = timeout(CALL_OFF_WAIT, self.ask(worker, Method::DELETE, &path, &id));
-        if !matches!(told.await, Ok(Some(_))) {
-            debug!(self.log, "task {id} called off at worker {worker} without an answer");
+        let cancelled = timeout(CANCEL_TIMEOUT, self.exchange_message(worker, Method::DELETE, &path, &id));
+        if !matches!(cancelled.await, Ok(Some(_))) {
+            debug!(self.log, "task {id} cancelled at worker {worker} without a response");
         }
-        self.exchange.ended(ticket, Close::CalledOff);
+        self.exchange.assignment_ended(key, Close::Cancelled);
     }
 
     /// A message without a body, and its whole answer.
-    async fn ask(&self, worker: usize, method: Method, path: &str, id: &str) -> Option<(StatusCode, Bytes)> {
+    async fn exchange_message(&self, worker: usize, method: Method, path: &str, id: &str) -> Option<(StatusCode, Bytes)> {
         loop {
             let address = self.exchange.address(worker);
-            let mut line = self.pool.line(worker, address).await.ok()?;
+            let mut connection = self.pool.acquire(worker, address).await.ok()?;
             let mut message = Request::new(Full::default());
             *message.method_mut() = method.clone();
             *message.uri_mut() = path.parse().ok()?;
             head(&mut message, address, id);
-            line.gauge.begin(0);
+            connection.progress.start_message(0);
             let unanswered = Unanswered { pool: &self.pool, worker, since: Instant::now() };
-            match line.sender.send_request(message).await {
-                Ok(answer) => {
+            match connection.sender.send_request(message).await {
+                Ok(response) => {
                     unanswered.answered();
-                    let status = answer.status();
-                    return Some((status, self.finish(worker, line, answer).await?));
+                    let status = response.status();
+                    return Some((status, self.finish(worker, connection, response).await?));
                 }
                 // Asking twice does no harm.
-                Err(_) if line.used => continue,
+                Err(_) if connection.used => continue,
                 Err(_) => return None,
             }
         }
@@ -214,20 +214,20 @@
     }
 }
 
-fn judge<B>(answer: &Response<B>) -> Taken {
-    let status = answer.status();
-    let never = answer.headers().get(NEVER_RAN).is_some_and(|mark| mark == "1");
+fn classify<B>(response: &Response<B>) -> SendOutcome {
+    let status = response.status();
+    let never_ran = response.headers().get(NEVER_RAN).is_some_and(|mark| mark == "1");
     match status {
-        StatusCode::ACCEPTED => Taken::Yes,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never => {
-            Taken::No(Close::TurnedAway)
+        StatusCode::ACCEPTED => SendOutcome::Accepted,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => {
+            SendOutcome::Ended(Close::Rejected)
         }
         // These may pass, or are about the sender: another worker may take the task.
         StatusCode::REQUEST_TIMEOUT
         | StatusCode::CONFLICT
         | StatusCode::TOO_EARLY
-        | StatusCode::TOO_MANY_REQUESTS => Taken::No(Close::Odd(status.as_u16())),
-        other if other.is_client_error() => Taken::No(Close::Unusable(other.as_u16())),
-        other => Taken::No(Close::Odd(other.as_u16())),
+        | StatusCode::TOO_MANY_REQUESTS => SendOutcome::Ended(Close::UnexpectedStatus(status.as_u16())),
+        other if other.is_client_error() => SendOutcome::Ended(Close::Unusable(other.as_u16())),
+        other => SendOutcome::Ended(Close::UnexpectedStatus(other.as_u16())),
     }
 }
--- a/crates/scheduler/src/workers/news.rs
+++ b/crates/scheduler/src/workers/updates.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 #[derive(Debug, PartialEq)]
-pub struct News {
+pub struct Update {
     pub id: String,
     pub from: String,
     pub state: State,
@@ -18,7 +18,7 @@
     Started,
     Running { share: f64 },
     Done { result: Bytes },
-    Erred,
+    Failed,
     Returned,
     Lost,
 }
@@ -34,18 +34,18 @@
     load: Option<Value>,
 }
 
-pub fn decode(body: &[u8]) -> Result<News, String> {
+pub fn decode(body: &[u8]) -> Result<Update, String> {
     let doc: Doc = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     let state = match doc.state.as_str() {
         "started" => State::Started,
         "running" => State::Running { share: doc.share },
         "done" => State::Done { result: doc.result.ok_or("done without a result")?.into() },
-        "failed" => State::Erred,
+        "failed" => State::Failed,
         "returned" => State::Returned,
         "lost" => State::Lost,
         other => return Err(format!("unknown state {other:?}")),
     };
     // A text, or an object by names: what it holds is looked at where the names are known.
     let load = doc.load.map(|load| load.as_str().map_or_else(|| load.to_string(), String::from));
-    Ok(News { id: doc.id, from: doc.from, state, load })
+    Ok(Update { id: doc.id, from: doc.from, state, load })
 }
--- a/crates/scheduler/src/workers/gauge.rs
+++ b/crates/scheduler/src/workers/write_progress.rs
@@ -15,7 +15,7 @@
 
 /// How far the message now being sent has come.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Count {
+enum WriteState {
     Nothing,
     /// Within the head; so many bytes of the blank line that ends it have come.
     Head(u8),
@@ -23,120 +23,120 @@
 }
 
 /// Shared between a connection's socket and whoever sends on it.
-pub struct Gauge {
-    count: Cell<Count>,
-    body: Cell<usize>,
+pub struct WriteProgress {
+    state: Cell<WriteState>,
+    body_bytes: Cell<usize>,
     /// The last byte waits for as long as this is set.
-    holds: Cell<bool>,
+    hold_last_byte: Cell<bool>,
     /// Counts messages that are whole, where this one is to be counted.
-    counts: RefCell<Option<Rc<Cell<u64>>>>,
+    counter: RefCell<Option<Rc<Cell<u64>>>>,
 }
 
-impl Default for Gauge {
+impl Default for WriteProgress {
     fn default() -> Self {
-        Gauge {
-            count: Cell::new(Count::Nothing),
-            body: Cell::new(0),
-            holds: Cell::new(false),
-            counts: RefCell::default(),
+        WriteProgress {
+            state: Cell::new(WriteState::Nothing),
+            body_bytes: Cell::new(0),
+            hold_last_byte: Cell::new(false),
+            counter: RefCell::default(),
         }
     }
 }
 
-impl Gauge {
+impl WriteProgress {
     /// The next message has a body of this length.
-    pub fn begin(&self, body: usize) {
-        self.count.set(Count::Nothing);
-        self.body.set(body);
-        self.holds.set(true);
-        self.counts.take();
+    pub fn start_message(&self, body_bytes: usize) {
+        self.state.set(WriteState::Nothing);
+        self.body_bytes.set(body_bytes);
+        self.hold_last_byte.set(true);
+        self.counter.take();
     }
 
     /// The message that has begun is counted there once it is whole.
     pub fn count_in(&self, counter: &Rc<Cell<u64>>) {
-        self.counts.replace(Some(counter.clone()));
+        self.counter.replace(Some(counter.clone()));
     }
 
-    pub fn untouched(&self) -> bool {
-        self.count.get() == Count::Nothing
+    pub fn nothing_written(&self) -> bool {
+        self.state.get() == WriteState::Nothing
     }
 
     /// The last byte was handed to the kernel.
-    pub fn whole(&self) -> bool {
-        self.completes(self.count.get())
+    pub fn is_complete(&self) -> bool {
+        self.completes(self.state.get())
     }
 
-    fn completes(&self, count: Count) -> bool {
-        matches!(count, Count::Body(written) if written >= self.body.get())
+    fn completes(&self, state: WriteState) -> bool {
+        matches!(state, WriteState::Body(written) if written >= self.body_bytes.get())
     }
 
     /// How many of these bytes may be written: all, or all but the last one of the message.
-    pub fn may_write(&self, bytes: &[u8]) -> usize {
-        bytes.len() - usize::from(self.holds.get() && self.completes(self.after(bytes)))
+    pub fn writable(&self, bytes: &[u8]) -> usize {
+        bytes.len() - usize::from(self.hold_last_byte.get() && self.completes(self.after(bytes)))
     }
 
-    pub fn written(&self, bytes: &[u8]) {
-        self.count.set(self.after(bytes));
-        if self.whole() {
-            self.counts.take().iter().for_each(|counter| counter.set(counter.get() + 1));
+    pub fn record_write(&self, bytes: &[u8]) {
+        self.state.set(self.after(bytes));
+        if self.is_complete() {
+            self.counter.take().iter().for_each(|counter| counter.set(counter.get() + 1));
         }
     }
 
-    fn after(&self, bytes: &[u8]) -> Count {
-        let mut count = self.count.get();
+    fn after(&self, bytes: &[u8]) -> WriteState {
+        let mut state = self.state.get();
         for (at, &byte) in bytes.iter().enumerate() {
-            let matched = match count {
-                Count::Nothing => 0,
-                Count::Head(matched) => matched,
-                Count::Body(written) => return Count::Body(written + bytes.len() - at),
+            let matched = match state {
+                WriteState::Nothing => 0,
+                WriteState::Head(matched) => matched,
+                WriteState::Body(written) => return WriteState::Body(written + bytes.len() - at),
             };
             let matched = match (matched, byte) {
                 (0 | 2, b'\r') | (1 | 3, b'\n') => matched + 1,
                 (_, b'\r') => 1,
                 _ => 0,
             };
-            count = if matched == 4 { Count::Body(0) } else { Count::Head(matched) };
+            state = if matched == 4 { WriteState::Body(0) } else { WriteState::Head(matched) };
         }
-        count
+        state
     }
 }
 
 /// How long the last byte is held back: a way to the worker and back, between zones too. A connection that the
 /// worker, or something on the way, let go without a word answers the first bytes with a reset in that time.
-const HOLD: Duration = Duration::from_millis(2);
+const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
 
-pub struct Counted {
+pub struct CountingStream {
     stream: TokioIo<TcpStream>,
-    gauge: Rc<Gauge>,
-    hold: Pin<Box<Sleep>>,
+    progress: Rc<WriteProgress>,
+    delay: Pin<Box<Sleep>>,
 }
 
-impl Counted {
-    pub fn new(stream: TcpStream, gauge: Rc<Gauge>) -> Self {
-        Counted { stream: TokioIo::new(stream), gauge, hold: Box::pin(tokio::time::sleep(HOLD)) }
+impl CountingStream {
+    pub fn new(stream: TcpStream, progress: Rc<WriteProgress>) -> Self {
+        CountingStream { stream: TokioIo::new(stream), progress, delay: Box::pin(tokio::time::sleep(LAST_BYTE_DELAY)) }
     }
 }
 
-impl Read for Counted {
+impl Read for CountingStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: ReadBufCursor) -> Poll<Result<(), Error>> {
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
 // Vectored writes stay off, as by default: hyper then hands over one slice at a time, and all of it is counted.
-impl Write for Counted {
+impl Write for CountingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<Result<usize, Error>> {
-        let mut may = self.gauge.may_write(buf);
-        if may == 0 && !buf.is_empty() {
+        let mut allowed = self.progress.writable(buf);
+        if allowed == 0 && !buf.is_empty() {
             // Only the last byte is left. A reset comes by the reading side meanwhile, and ends the connection.
-            ready!(self.hold.as_mut().poll(cx));
-            self.gauge.holds.set(false);
-            may = buf.len();
+            ready!(self.delay.as_mut().poll(cx));
+            self.progress.hold_last_byte.set(false);
+            allowed = buf.len();
         }
-        let written = ready!(Pin::new(&mut self.stream).poll_write(cx, &buf[..may]))?;
-        self.gauge.written(&buf[..written]);
-        if may < buf.len() && written == may {
-            self.hold.as_mut().reset(Instant::now() + HOLD);
+        let written = ready!(Pin::new(&mut self.stream).poll_write(cx, &buf[..allowed]))?;
+        self.progress.record_write(&buf[..written]);
+        if allowed < buf.len() && written == allowed {
+            self.delay.as_mut().reset(Instant::now() + LAST_BYTE_DELAY);
         }
         Poll::Ready(Ok(written))
     }
--- a/crates/scheduler/tests/decoding.rs
+++ b/crates/scheduler/tests/decoding.rs
@@ -2,16 +2,16 @@
 
 use insta::assert_snapshot;
 use tindock_scheduler::berth::Words;
-use tindock_scheduler::clients::heads::Heads;
+use tindock_scheduler::clients::head_scanner::HeadScanner;
 use tindock_scheduler::listing;
-use tindock_scheduler::workers::gauge::Gauge;
-use tindock_scheduler::workers::loads;
+use tindock_scheduler::workers::write_progress::WriteProgress;
+use tindock_scheduler::workers::load_reports;
 
 /// Guards against tasks of several slots shed for want of a report: workers write it as text or as JSON.
 #[test]
 fn load_reports_are_read_in_either_form() {
     let names = ["backlog".to_string(), "x0".to_string()];
-    let read = |body: &str| loads::decode(body.as_bytes(), &names);
+    let read = |body: &str| load_reports::decode(body.as_bytes(), &names);
     assert_eq!(read("TEXT x0=3.8, backlog=0\n"), Some(vec![0.0, 3.8]));
     assert_eq!(read(r#"JSON {"named_metrics": {"backlog": 2, "x0": 1}}"#), Some(vec![2.0, 1.0]));
     assert_eq!(read(r#"{"backlog": 2, "x0": 1.5}"#), Some(vec![2.0, 1.5]));
@@ -51,27 +51,27 @@
 fn the_gauge_knows_the_first_and_the_last_byte() {
     let message = b"POST /a HTTP/1.1\r\nX: \r\r\n\r\nbody";
     for cut in 1..message.len() {
-        let gauge = Gauge::default();
+        let progress = WriteProgress::default();
         for sent in 0..2 {
-            gauge.begin(4);
-            assert!(gauge.untouched() && !gauge.whole(), "message {sent}");
+            progress.start_message(4);
+            assert!(progress.nothing_written() && !progress.is_complete(), "message {sent}");
             // All but the last byte may go at once: what breaks before it never ran.
             assert_eq!(
-                (gauge.may_write(&message[..cut]), gauge.may_write(message)),
+                (progress.writable(&message[..cut]), progress.writable(message)),
                 (cut, message.len() - 1)
             );
-            gauge.written(&message[..cut]);
-            assert!(!gauge.untouched() && !gauge.whole(), "cut at {cut}");
-            gauge.written(&message[cut..]);
-            assert!(gauge.whole(), "cut at {cut}");
+            progress.record_write(&message[..cut]);
+            assert!(!progress.nothing_written() && !progress.is_complete(), "cut at {cut}");
+            progress.record_write(&message[cut..]);
+            assert!(progress.is_complete(), "cut at {cut}");
         }
     }
-    let gauge = Gauge::default();
-    gauge.begin(0);
-    gauge.written(b"DELETE /jobs/a HTTP/1.1\r\n\r");
-    assert!(!gauge.whole());
-    gauge.written(b"\n");
-    assert!(gauge.whole());
+    let progress = WriteProgress::default();
+    progress.start_message(0);
+    progress.record_write(b"DELETE /jobs/a HTTP/1.1\r\n\r");
+    assert!(!progress.is_complete());
+    progress.record_write(b"\n");
+    assert!(progress.is_complete());
 }
 
 /// Guards against a head whose lengths are not what hyper makes of them, however the reads are cut.
@@ -87,9 +87,9 @@
         "POST /a HTTP/1.1\r\nContent-Length:                                          4\r\n\r\n",
     ];
     let read = |parts: &[&[u8]]| {
-        let mut heads = Heads::default();
-        parts.iter().for_each(|part| heads.came(part));
-        (format!("{:?}", [(); 3].map(|()| heads.take())), heads.begun())
+        let mut heads = HeadScanner::default();
+        parts.iter().for_each(|part| heads.feed(part));
+        (format!("{:?}", [(); 3].map(|()| heads.take())), heads.has_message())
     };
     let mut trace = String::new();
     for text in texts {
--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -19,9 +19,9 @@
 use tindock_scheduler::clock::Clock;
 use tindock_scheduler::exchange::Exchange;
 use tindock_scheduler::list::discovery::Discovery;
-use tindock_scheduler::list::muster::Muster;
-use tindock_scheduler::list::wire::{Dialled, Stream, Wire};
-use tindock_scheduler::rows::Rows;
+use tindock_scheduler::list::worker_list::WorkerList;
+use tindock_scheduler::list::connector::{Connecting, Stream, Connector};
+use tindock_scheduler::workload_table::WorkloadTable;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::sync::watch;
 use tokio::task::{spawn_local, LocalSet};
@@ -118,8 +118,8 @@
 
 struct Script(Rc<Agent>);
 
-impl Wire for Script {
-    fn dial(&self, to: SocketAddr) -> Dialled {
+impl Connector for Script {
+    fn connect(&self, to: SocketAddr) -> Connecting {
         let agent = self.0.clone();
         agent.dials.borrow_mut().push(to);
         Box::pin(async move {
@@ -147,16 +147,16 @@
         let clock = Clock::start();
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let sheet = settings_for(&[Effect::Idempotent]);
-        let hard = Rows::new(&sheet, &Words::default());
+        let hard = WorkloadTable::new(&sheet, &Words::default());
         let rules = Policy::new(sheet, 7, clock.now());
         let now = Box::new(move || clock.now());
         let (exchange, _orders) = Exchange::new(rules, hard, clock, now, log.clone());
         let (address, place) = watch::channel(([127, 0, 0, 1], 1).into());
-        let asking = ListClient::new(Service::Agent { max_wait: SHORT_WAIT }, None, 7);
-        let wire = Rc::new(Script(agent.clone()));
-        let muster = Muster::of_discovery(exchange.clone(), Words::default(), log.clone());
-        let client = Discovery { exchange: exchange.clone(), wire, muster, address: place, asking, log };
-        spawn_local(client.keep());
+        let client = ListClient::new(Service::Agent { max_wait: SHORT_WAIT }, None, 7);
+        let connector = Rc::new(Script(agent.clone()));
+        let worker_list = WorkerList::from_discovery(exchange.clone(), Words::default(), log.clone());
+        let client = Discovery { exchange: exchange.clone(), connector, worker_list, address: place, client, log };
+        spawn_local(client.run());
         Held { exchange, address }
     }
 
--- a/crates/scheduler/tests/exchange.rs
+++ b/crates/scheduler/tests/exchange.rs
@@ -13,20 +13,20 @@
 use tindock::types::{Condition, Effect, PolicySettings, Site};
 use tindock_scheduler::berth::Words;
 use tindock_scheduler::clock::Clock;
-use tindock_scheduler::exchange::{Call, Exchange, Hold, Order, Ticket};
+use tindock_scheduler::exchange::{AssignmentKey, Command, Exchange, TaskHandle, TaskRequest};
 use tindock_scheduler::listing::{Entry, Listing};
-use tindock_scheduler::rows::Rows;
+use tindock_scheduler::workload_table::WorkloadTable;
 use tindock_scheduler::workers::endings::Close;
-use tindock_scheduler::workers::news;
+use tindock_scheduler::workers::updates;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-struct Floor {
+struct Fixture {
     exchange: Rc<Exchange>,
-    orders: UnboundedReceiver<Order>,
+    commands: UnboundedReceiver<Command>,
     now: Rc<Cell<Duration>>,
-    holds: Vec<(String, Hold)>,
+    handles: Vec<(String, TaskHandle)>,
     /// The tickets given out, in their order.
-    tickets: Vec<Ticket>,
+    keys: Vec<AssignmentKey>,
     trace: String,
 }
 
@@ -41,63 +41,63 @@
     }
 }
 
-impl Floor {
+impl Fixture {
     fn new(sheet: PolicySettings, workers: usize) -> Self {
         let now = Rc::new(Cell::new(ms(1_000_000)));
-        let (reads, hard) = (now.clone(), Rows::new(&sheet, &Words::default()));
+        let (reads, hard) = (now.clone(), WorkloadTable::new(&sheet, &Words::default()));
         let rules = Policy::new(sheet, 7, now.get());
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let (exchange, orders) =
+        let (exchange, commands) =
             Exchange::new(rules, hard, Clock::start(), Box::new(move || reads.get()), log);
-        let (holds, tickets, trace) = (Vec::new(), Vec::new(), String::new());
+        let (handles, keys, trace) = (Vec::new(), Vec::new(), String::new());
         let entries = (0..workers).map(|w| entry(w, Condition::Ready)).collect();
-        exchange.begin(now.get(), (workers > 0).then_some(Listing { index: 1, whole: true, entries }));
-        let mut floor = Floor { exchange, orders, now, holds, tickets, trace };
-        floor.look();
+        exchange.start(now.get(), (workers > 0).then_some(Listing { index: 1, whole: true, entries }));
+        let mut floor = Fixture { exchange, commands, now, handles, keys, trace };
+        floor.record_outputs();
         floor
     }
 
     fn list(&mut self, entries: Vec<Entry>, whole: bool) {
-        self.exchange.list(Listing { index: 1, whole, entries });
-        self.look();
+        self.exchange.update_list(Listing { index: 1, whole, entries });
+        self.record_outputs();
     }
 
     fn arrive(&mut self, id: &str) {
-        let call = Call {
+        let request = TaskRequest {
             id: id.into(),
             workload: 0,
-            customer: 0,
+            tenant: 0,
             size: 1.0,
-            left: None,
+            time_left: None,
             target: "/plan".into(),
             headers: Default::default(),
             body: Default::default(),
         };
-        match self.exchange.arrived(call) {
-            Some(hold) => self.holds.push((id.into(), hold)),
+        match self.exchange.submit(request) {
+            Some(handle) => self.handles.push((id.into(), handle)),
             None => self.note(&format!("{id} is in hand already")),
         }
-        self.look();
+        self.record_outputs();
     }
 
     fn news(&mut self, text: &str) {
         self.note(text);
-        self.exchange.news(news::decode(text.as_bytes()).expect("news"));
-        self.look();
+        self.exchange.apply_update(updates::decode(text.as_bytes()).expect("an update"));
+        self.record_outputs();
     }
 
     fn end(&mut self, ticket: usize, close: Close) {
         self.note(&format!("ticket {ticket}: {close:?}"));
-        self.exchange.ended(self.tickets[ticket], close);
-        self.look();
+        self.exchange.assignment_ended(self.keys[ticket], close);
+        self.record_outputs();
     }
 
     /// Lets time pass, looking at what is due every 5 ms.
     fn pass(&mut self, span: u64) {
         for _ in 0..span / 5 {
             self.now.set(self.now.get() + ms(5));
-            self.exchange.ring();
-            self.look();
+            self.exchange.fire_timers();
+            self.record_outputs();
         }
     }
 
@@ -107,23 +107,23 @@
     }
 
     /// Prints new orders and answers.
-    fn look(&mut self) {
-        while let Ok(order) = self.orders.try_recv() {
-            let number = |tickets: &[Ticket], t| tickets.iter().position(|x| *x == t);
-            let line = match order {
-                Order::Send { ticket, worker, call, .. } => {
-                    self.tickets.push(ticket);
-                    format!("  send {} to w{worker}: ticket {}", call.id, self.tickets.len() - 1)
+    fn record_outputs(&mut self) {
+        while let Ok(command) = self.commands.try_recv() {
+            let number = |keys: &[AssignmentKey], t| keys.iter().position(|x| *x == t);
+            let line = match command {
+                Command::Send { key, worker, request, .. } => {
+                    self.keys.push(key);
+                    format!("  send {} to w{worker}: ticket {}", request.id, self.keys.len() - 1)
                 }
-                Order::CallOff { ticket, worker, id } => {
-                    format!("  call off {id} at w{worker}: ticket {:?}", number(&self.tickets, ticket))
+                Command::Cancel { key, worker, id } => {
+                    format!("  call off {id} at w{worker}: ticket {:?}", number(&self.keys, key))
                 }
-                Order::Drop { ticket } => format!("  drop ticket {:?}", number(&self.tickets, ticket)),
+                Command::Drop { key } => format!("  drop ticket {:?}", number(&self.keys, key)),
             };
             self.note(&line);
         }
         let mut answers = Vec::new();
-        self.holds.retain_mut(|(id, hold)| match hold.answer.try_recv() {
+        self.handles.retain_mut(|(id, handle)| match handle.answer.try_recv() {
             Ok(answer) => {
                 answers.push(format!("  answer to {id}: {answer:?}"));
                 false
@@ -138,31 +138,31 @@
 /// about a task of an earlier life.
 #[test]
 fn news_counts_once_and_for_its_own_assignment() {
-    let mut floor = Floor::new(settings_for(&[Effect::Idempotent]), 2);
+    let mut floor = Fixture::new(settings_for(&[Effect::Idempotent]), 2);
     floor.news(r#"{"id":"old","from":"w0","state":"done","result":"of an earlier life"}"#);
     floor.arrive("a");
     floor.news(r#"{"id":"a","from":"w9","state":"done","result":"of a worker never listed"}"#);
     floor.pass(100);
     let (first, second) = ("w1", "w0");
-    floor.end(0, Close::CalledOff);
+    floor.end(0, Close::Cancelled);
     floor.news(&format!(r#"{{"id":"a","from":"{first}","state":"failed"}}"#));
     floor.news(&format!(r#"{{"id":"a","from":"{second}","state":"started"}}"#));
     floor.pass(200);
     floor.news(&format!(r#"{{"id":"a","from":"{second}","state":"done","result":"the plan"}}"#));
     floor.news(&format!(r#"{{"id":"a","from":"{second}","state":"done","result":"again"}}"#));
-    floor.end(1, Close::BrokeSent);
+    floor.end(1, Close::BrokeAfterSent);
     assert_snapshot!(floor.trace);
 }
 
 /// Guards against late words on a place that another task has by now.
 #[test]
 fn a_place_used_again_hears_nothing_of_its_earlier_task() {
-    let mut floor = Floor::new(settings_for(&[Effect::Unrepeatable]), 1);
+    let mut floor = Fixture::new(settings_for(&[Effect::Unrepeatable]), 1);
     floor.arrive("a");
     floor.arrive("a");
     floor.news(r#"{"id":"a","from":"w0","state":"done","result":"one"}"#);
     floor.arrive("b");
-    floor.end(0, Close::BrokeSent);
+    floor.end(0, Close::BrokeAfterSent);
     floor.news(r#"{"id":"a","from":"w0","state":"lost"}"#);
     floor.news(r#"{"id":"b","from":"w0","state":"done","result":"two"}"#);
     assert_snapshot!(floor.trace);
@@ -171,14 +171,14 @@
 /// Guards against work for nobody: what a client leaves is called off, and not answered.
 #[test]
 fn what_its_client_left_is_called_off() {
-    let mut floor = Floor::new(settings_for(&[Effect::Idempotent]), 2);
+    let mut floor = Fixture::new(settings_for(&[Effect::Idempotent]), 2);
     floor.arrive("a");
-    let (_, hold) = floor.holds.remove(0);
+    let (_, handle) = floor.handles.remove(0);
     floor.note("the client goes away");
-    floor.exchange.left(hold.place, hold.life);
-    floor.exchange.left(hold.place, hold.life);
-    floor.look();
-    floor.end(0, Close::CalledOff);
+    floor.exchange.client_left(handle.index, handle.generation);
+    floor.exchange.client_left(handle.index, handle.generation);
+    floor.record_outputs();
+    floor.end(0, Close::Cancelled);
     floor.pass(50);
     assert_snapshot!(floor.trace);
 }
@@ -186,24 +186,24 @@
 /// Guards against tasks that end with the process: each has its answer before that, and its worker is told.
 #[test]
 fn what_is_unanswered_at_the_end_is_broken_off() {
-    let mut floor = Floor::new(settings_for(&[Effect::Unrepeatable]), 2);
+    let mut floor = Fixture::new(settings_for(&[Effect::Unrepeatable]), 2);
     floor.arrive("a");
     floor.news(r#"{"id":"a","from":"w1","state":"started"}"#);
     floor.arrive("b");
     floor.news(r#"{"id":"b","from":"w0","state":"done","result":"in time"}"#);
     floor.note("the process ends");
-    floor.exchange.close();
-    floor.exchange.close();
-    floor.look();
+    floor.exchange.abort_all();
+    floor.exchange.abort_all();
+    floor.record_outputs();
     assert_snapshot!(floor.trace);
 }
 
 /// Guards against sends that were decided before a drain, a call-off or the final answer, and not yet begun.
 #[test]
 fn what_is_not_begun_is_asked_about_again() {
-    let mut floor = Floor::new(settings_for(&[Effect::Idempotent]), 1);
+    let mut floor = Fixture::new(settings_for(&[Effect::Idempotent]), 1);
     floor.arrive("a");
-    let wanted = |floor: &Floor| floor.exchange.still_wanted(floor.tickets[0]);
+    let wanted = |floor: &Fixture| floor.exchange.is_still_wanted(floor.keys[0]);
     assert!(wanted(&floor));
     floor.list(vec![entry(0, Condition::Draining)], false);
     assert!(!wanted(&floor));
@@ -212,8 +212,8 @@
     floor.list(vec![], true);
     assert!(!wanted(&floor));
     floor.list(vec![entry(0, Condition::Ready)], true);
-    let (_, hold) = floor.holds.remove(0);
-    floor.exchange.left(hold.place, hold.life);
+    let (_, handle) = floor.handles.remove(0);
+    floor.exchange.client_left(handle.index, handle.generation);
     assert!(!wanted(&floor));
 }
 
@@ -221,7 +221,7 @@
 #[test]
 fn a_silent_end_is_overdue_at_the_hard_limit() {
     let mut floor =
-        Floor::new(PolicySettings { may_cancel: false, ..settings_for(&[Effect::Unrepeatable]) }, 1);
+        Fixture::new(PolicySettings { may_cancel: false, ..settings_for(&[Effect::Unrepeatable]) }, 1);
     floor.arrive("a");
     floor.news(r#"{"id":"a","from":"w0","state":"started"}"#);
     floor.pass(8200);
@@ -235,20 +235,20 @@
     use Close::*;
     let all = [
         Done,
-        Erred,
+        Failed,
         Returned,
         Lost,
         Unusable(400),
-        Odd(500),
-        TurnedAway,
-        NotConnected,
-        DialOverdue,
-        BrokeUnsent,
-        BrokeSent,
-        Overdue,
-        CalledOff,
+        UnexpectedStatus(500),
+        Rejected,
+        ConnectFailed,
+        ConnectTimeout,
+        BrokeBeforeSent,
+        BrokeAfterSent,
+        TimedOut,
+        Cancelled,
         NeverSent,
-        LetGo,
+        ClosedIdle,
     ];
     let line = |c: &Close| {
         let ending = tindock::types::Ending::from(*c);
@@ -261,18 +261,18 @@
 /// first sign, and a task is not passed round among workers that all leave; while lists come, signs change nothing.
 #[test]
 fn on_an_old_list_one_sign_leaves_a_worker_out() {
-    let mut floor = Floor::new(settings_for(&[Effect::Unrepeatable]), 2);
+    let mut floor = Fixture::new(settings_for(&[Effect::Unrepeatable]), 2);
     floor.note("the list is fresh: turned away, and the next task may go there again");
     floor.arrive("a");
-    floor.end(0, Close::TurnedAway);
-    floor.end(1, Close::TurnedAway);
+    floor.end(0, Close::Rejected);
+    floor.end(1, Close::Rejected);
     floor.arrive("b");
     floor.note("no answer from discovery for a second");
     floor.pass(1000);
-    floor.end(2, Close::NotConnected);
+    floor.end(2, Close::ConnectFailed);
     floor.arrive("c");
     floor.note("the other one gives a sign too: both are left out, and c waits for a list");
-    floor.end(3, Close::TurnedAway);
+    floor.end(3, Close::Rejected);
     floor.arrive("d");
     floor.note("an answer that names nobody is a list all the same");
     floor.list(Vec::new(), false);
--- a/crates/scheduler/tests/stocking.rs
+++ b/crates/scheduler/tests/stocking.rs
@@ -8,11 +8,11 @@
 use std::time::{Duration, SystemTime};
 use tindock_berth::Stock;
 use tindock_inventory::{Columns, Form};
-use tindock_scheduler::list::stocking::{accept_file, Told, Watching};
+use tindock_scheduler::list::inventory_watch::{accept_file, InventoryEvent, InventoryWatch};
 
 struct Shelf {
     folder: PathBuf,
-    watching: Watching,
+    watch: InventoryWatch,
     now: Duration,
 }
 
@@ -29,8 +29,8 @@
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("stocking-{name}"));
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(folder.join("inventory")).expect("a folder");
-        let watching = Watching::new(Self::stock(&folder), folder.clone());
-        Shelf { folder, watching, now: Duration::from_secs(1) }
+        let watch = InventoryWatch::new(Self::stock(&folder), folder.clone());
+        Shelf { folder, watch, now: Duration::from_secs(1) }
     }
 
     fn stock(folder: &Path) -> Stock {
@@ -56,13 +56,13 @@
     /// One look, 0.2 s after the last one: the lines that it tells.
     fn look(&mut self) -> Vec<String> {
         self.now += Duration::from_millis(200);
-        let told = self.watching.look(self.now);
-        let line = |told| match told {
-            Told::Problem(line) => Some(line),
-            Told::Note(line) => Some(line),
-            Told::Changes(_) => None,
+        let events = self.watch.poll(self.now);
+        let line = |events| match events {
+            InventoryEvent::Problem(line) => Some(line),
+            InventoryEvent::Note(line) => Some(line),
+            InventoryEvent::Changes(_) => None,
         };
-        told.into_iter().filter_map(line).collect()
+        events.into_iter().filter_map(line).collect()
     }
 
     /// Looks until the writing counts as over.
@@ -71,7 +71,7 @@
     }
 
     fn names(&self) -> Vec<&str> {
-        self.watching.in_force().entries.iter().map(|e| e.name.as_str()).collect()
+        self.watch.in_force().entries.iter().map(|e| e.name.as_str()).collect()
     }
 
     fn stocked(name: &str, workers: usize) -> Self {
@@ -90,12 +90,12 @@
     for (number, case) in cases::all().into_iter().enumerate() {
         let name = if case.form == Form::Csv { "a.csv" } else { "a.yaml" };
         shelf.write(name, &case.bytes);
-        let told = shelf.settle();
+        let events = shelf.settle();
         let line = case.at.split(':').next().unwrap_or_default();
         let place = format!("{}:{line}", shelf.file(name).display());
         assert!(
-            told.contains(&place) && told.contains(case.says.split(" f:").next().unwrap_or_default()),
-            "case {number}: {told:?} lacks {place:?} and {:?}",
+            events.contains(&place) && events.contains(case.says.split(" f:").next().unwrap_or_default()),
+            "case {number}: {events:?} lacks {place:?} and {:?}",
             case.says
         );
         assert_eq!(shelf.names().len(), 8, "case {number}");
@@ -109,27 +109,27 @@
 fn a_cut_file_never_makes_the_list_silently_smaller() {
     let mut shelf = Shelf::stocked("cut", 200);
     let whole = csv(0..200);
-    let (mut let_through, mut held) = (0, 0);
+    let (mut released, mut held) = (0, 0);
     // Each line's end and its neighbours, and a byte in every line.
     let ends: Vec<usize> = whole.match_indices('\n').map(|(at, _)| at).collect();
     for at in ends.into_iter().flat_map(|end| [end - 7, end, end + 1]) {
         shelf.write("yard.csv", &whole.as_bytes()[..at]);
-        let told = shelf.settle();
+        let events = shelf.settle();
         let left = shelf.names().len();
         let named = whole[..at].matches('\n').count().saturating_sub(1);
         if left < 200 {
             assert!(left == named && left >= 160, "{left} of 200 after a cut at {at}");
-            let_through += 1;
+            released += 1;
             shelf.write("yard.csv", &whole);
             shelf.settle();
-        } else if told.contains("held back") {
+        } else if events.contains("held back") {
             held += 1;
         } else {
-            assert!(told.contains("yard.csv:") || named == 200 || told.is_empty(), "cut at {at}: {told}");
+            assert!(events.contains("yard.csv:") || named == 200 || events.is_empty(), "cut at {at}: {events}");
         }
         assert_eq!(shelf.names().len(), 200);
     }
-    assert!(let_through == 40 && held > 100, "{let_through} let through, {held} held back");
+    assert!(released == 40 && held > 100, "{released} applied, {held} held back");
 }
 
 /// Writing that goes on is waited for: nothing is read until two looks agree.
@@ -204,15 +204,15 @@
 fn what_is_held_back_waits_for_time_or_somebodys_word() {
     let mut shelf = Shelf::stocked("held", 10);
     shelf.write("yard.csv", csv(0..5));
-    let told = shelf.settle();
-    assert!(told.contains("held back: it would take out 5 of 10 workers"), "{told}");
-    assert_eq!((shelf.settle(), shelf.names().len()), (String::new(), 10), "it is told once");
+    let events = shelf.settle();
+    assert!(events.contains("held back: it would take out 5 of 10 workers"), "{events}");
+    assert_eq!((shelf.settle(), shelf.names().len()), (String::new(), 10), "it is reported once");
     shelf.now += Duration::from_secs(60);
     shelf.settle();
     assert_eq!(shelf.names().len(), 5);
     shelf.write("yard.csv", csv(0..2));
-    let told = shelf.settle();
-    let digest = told.rsplit_once('(').and_then(|(_, rest)| rest.split(')').next()).expect("a digest");
+    let events = shelf.settle();
+    let digest = events.rsplit_once('(').and_then(|(_, rest)| rest.split(')').next()).expect("a digest");
     fs::write(accept_file(&shelf.folder), format!("{digest}\n")).expect("a word");
     shelf.settle();
     assert_eq!(shelf.names().len(), 2);
@@ -224,9 +224,9 @@
     let shelf = Shelf::stocked("restart", 5);
     shelf.write("yard.csv", "nonsense\n");
     let mut again =
-        Shelf { watching: Watching::new(Shelf::stock(&shelf.folder), shelf.folder.clone()), ..shelf };
-    let told = again.settle();
-    assert!(told.contains("yard.csv:1:1") && told.contains("last good is in force: 5 workers"), "{told}");
+        Shelf { watch: InventoryWatch::new(Shelf::stock(&shelf.folder), shelf.folder.clone()), ..shelf };
+    let events = again.settle();
+    assert!(events.contains("yard.csv:1:1") && events.contains("last good is in force: 5 workers"), "{events}");
     assert_eq!(again.names().len(), 5);
 }
 
@@ -236,6 +236,6 @@
     let mut shelf = Shelf::new("names");
     let text = "name,address,zone,kind,slots\na,localhost.invalid:5000,n,s,1\n";
     shelf.write("yard.csv", text);
-    let told = shelf.settle();
-    assert!(told.contains("yard.csv:2:1: host \"localhost.invalid\" cannot be looked up"), "{told}");
+    let events = shelf.settle();
+    assert!(events.contains("yard.csv:2:1: host \"localhost.invalid\" cannot be looked up"), "{events}");
 }
