--- a/crates/scheduler/benches/applying.rs
+++ b/crates/scheduler/benches/applying.rs
@@ -11,8 +11,8 @@
 use tindock_inventory::{read, Columns, Entry, Form, Host};
 use tindock_scheduler::clock::Clock;
 use tindock_scheduler::exchange::Exchange;
-use tindock_scheduler::list::worker_list::WorkerList;
 use tindock_scheduler::list::inventory_watch::{FileEntry, InventoryEvent};
+use tindock_scheduler::list::worker_list::WorkerList;
 use tindock_scheduler::workload_table::WorkloadTable;
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, LocalSet};
@@ -30,7 +30,11 @@
     entries.into_iter().map(|e| (e.name.clone(), Some((e.clone(), at(&e))))).collect()
 }
 
-async fn apply(tell: &mpsc::Sender<InventoryEvent>, changes: Vec<FileEntry>, worker_list: &WorkerList) -> (Duration, Duration) {
+async fn apply(
+    tell: &mpsc::Sender<InventoryEvent>,
+    changes: Vec<FileEntry>,
+    worker_list: &WorkerList,
+) -> (Duration, Duration) {
     let wanted = worker_list.forwarded() + changes.len() as u64;
     let (began, worst) = (Instant::now(), Rc::new(Cell::new(Duration::ZERO)));
     let noted = worst.clone();
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what it takes, and the commands that end by themselves.
+//! The command line and the commands that do not serve.
 
 use crate::accord::commands::Policies;
 use crate::berth::{self, open, Layers, Problem, Shown, Stock};
@@ -27,14 +27,14 @@
         file: Option<PathBuf>,
         #[command(flatten)]
         overrides: Overrides,
-        /// How the log is written, over what the configuration says
+        /// How the log is written; overrides the configuration
         #[arg(long, value_name = "FORM")]
         log_format: Option<LogFormat>,
-        /// The least that is logged, over what the configuration says
+        /// The lowest level that is logged; overrides the configuration
         #[arg(long, value_name = "LEVEL")]
         log_level: Option<LogLevel>,
     },
-    /// Read a configuration and its inventory, and tell every problem
+    /// Read a configuration and its inventory, and report every problem
     Check {
         file: PathBuf,
         #[command(flatten)]
@@ -52,25 +52,26 @@
     /// Change the settings of many schedulers in stages, stopped and undone when a stage does worse
     #[command(subcommand)]
     Rollout(Rollouts),
-    /// Change a policy that takes hold at all schedulers of a group or at none
+    /// Change a policy that is applied by all schedulers of a group or by none
     #[command(subcommand)]
     Policy(Policies),
-    /// Stand over the schedulers of this machine: start them, start them again, bring a new program beside the old one
+    /// Supervise the schedulers of this machine: start and restart them, and run a new program beside the old
+    /// one
     Keep {
         file: PathBuf,
         /// How the log is written
         #[arg(long, value_name = "FORM", default_value = "text")]
         log_format: LogFormat,
     },
-    /// Ask a scheduler at its operators' address: readyz, telemetry, exclude ID, include ID, version
+    /// Query a scheduler at its operators' address: readyz, telemetry, exclude ID, include ID, version
     Manage {
-        /// The address; without it $GW_MGMT, or what the configuration says
+        /// The address; defaults to $GW_MGMT or the configuration's
         #[arg(long, value_name = "ADDRESS:PORT")]
         at: Option<SocketAddr>,
-        /// A configuration that says the address
+        /// A configuration that names the address
         #[arg(long, conflicts_with = "at")]
         config: Option<PathBuf>,
-        /// Words, as they go out in one line
+        /// The words of the call, sent as one line
         #[arg(required = true)]
         call: Vec<String>,
     },
@@ -78,10 +79,10 @@
     Completions { shell: clap_complete::Shell },
 }
 
-/// How long an answer to an operator may take; it is owed in one second.
+/// Time limit for an answer to an operator; answers are due within one second.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The operators' address that is meant.
+/// Finds the operators' address: from the argument, a configuration or the environment.
 pub fn management(at: Option<SocketAddr>, config: Option<&Path>) -> Result<SocketAddr, Vec<String>> {
     let from_config = |config: &Path| {
         let (berth, _) = open(config, &Overrides::default().layers())?;
@@ -95,10 +96,11 @@
     }
 }
 
-/// Asks a scheduler; its answer, or what it says against the call.
+/// Sends a call to a scheduler; returns its answer, or the error that it reports.
 pub fn manage(at: Option<SocketAddr>, config: Option<&Path>, call: &[String]) -> Result<String, Vec<String>> {
     let at = management(at, config)?;
-    let answer = calls::request(at, &call.join(" "), ANSWER_TIMEOUT).map_err(|e| vec![format!("{at}: {e}")])?;
+    let answer =
+        calls::request(at, &call.join(" "), ANSWER_TIMEOUT).map_err(|e| vec![format!("{at}: {e}")])?;
     match calls::parse_answer(&answer) {
         Ok(_) => Ok(answer),
         Err(_) if answer.is_empty() => Err(vec![format!("{at}: closed without an answer")]),
@@ -106,21 +108,21 @@
     }
 }
 
-/// What is said over the file and the TINDOCK_... variables.
+/// Values that override the file and the TINDOCK_... variables.
 #[derive(Debug, Default, Args)]
 pub struct Overrides {
-    /// A value over the file's, as --set limits.sockets=2048
+    /// A value that overrides the file's, as --set limits.sockets=2048
     #[arg(long = "set", value_name = "KEY=VALUE", value_parser = pair)]
     set: Vec<(String, String)>,
 }
 
 #[derive(Debug, Subcommand)]
 pub enum Inventories {
-    /// Read files or folders as one inventory, and tell every problem
+    /// Read files or folders as one inventory, and report every problem
     Check {
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// A configuration whose [inventory] says what the tools call things
+        /// A configuration whose [inventory] names the columns
         #[arg(long)]
         config: Option<PathBuf>,
     },
@@ -140,9 +142,9 @@
         #[arg(long, default_value = "csv")]
         format: Format,
     },
-    /// Let through what a running scheduler holds back: the inventory as it is now
+    /// Accept an inventory that a running scheduler holds back, as it is now
     Accept {
-        /// The configuration that the scheduler runs with
+        /// The configuration of the running scheduler
         config: PathBuf,
     },
 }
@@ -180,7 +182,7 @@
     }
 }
 
-/// What a command that ends by itself has to say: lines for standard output, or for standard error.
+/// The output of a command: text for standard output, or lines for standard error.
 pub type CommandResult = Result<String, Vec<String>>;
 
 fn lines(problems: Vec<Problem>) -> Vec<String> {
@@ -217,7 +219,7 @@
     Ok(shown.iter().map(line).collect())
 }
 
-/// Files of one inventory, as the configuration says they are to be read.
+/// Reads the files of one inventory with the columns that the configuration names.
 fn inventory(files: &[PathBuf], config: Option<&Path>) -> Result<Inventory, Vec<String>> {
     let columns = match config {
         None => Columns::default(),
--- a/crates/scheduler/src/clients/connection.rs
+++ b/crates/scheduler/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One connection that was let in, as the door sees it, and its socket.
+//! The state of one accepted connection, and its socket.
 
 use crate::clients::head_scanner::HeadScanner;
 use std::cell::{Cell, RefCell};
@@ -12,14 +12,15 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Time for a message from its first byte to its last, and for the first one from when its connection came:
-/// some usual clients take two seconds, and who is owed an answer within three seconds has one in time.
+/// Time limit for a message from its first to its last byte, and for the first message from the connection's
+/// start: some ordinary clients take two seconds, and a client that is owed an answer within three seconds
+/// still gets it.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2600);
 
-/// A client that writes slowly pauses no longer than this.
+/// The longest pause of an ordinary client that writes slowly.
 const MAX_WRITE_PAUSE: Duration = Duration::from_secs(1);
 
-/// How well a connection keeps its place, the worst first.
+/// Order in which connections are evicted, first ones first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
     Answered,
@@ -28,34 +29,34 @@
     Receiving,
 }
 
-/// How far it has shown itself to be one of ours; strangers leave first.
+/// What the peer has proved to be; unknown peers are evicted first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Has asked for nothing yet that could be given.
+    /// Has sent no valid request yet.
     #[default]
     Unknown,
     Client,
-    /// Told news last: without such words tasks in hand do not end.
+    /// Last sent an update: without updates, tasks in flight do not end.
     Worker,
 }
 
 pub struct ClientConnection {
-    /// Busy with a whole message since it was read until it was answered.
+    /// Whether a completely read message is being handled.
     pub busy: Cell<bool>,
-    /// Its last byte came, or it was answered.
+    /// When its last byte arrived, or its last response was sent.
     pub last_active: Cell<Instant>,
     reading_body: Cell<bool>,
     pub connected_at: Instant,
     /// Has sent no message yet.
     pub silent: Cell<bool>,
     pub role: Cell<Role>,
-    /// By when the message that is coming must be whole.
+    /// The time by which the arriving message must be complete.
     pub deadline: Cell<Option<Instant>>,
     deadline_changed: Notify,
     pub heads: RefCell<HeadScanner>,
     pub close_requested: Notify,
     pub closing: Cell<bool>,
-    /// Its place is needed: it leaves at once if nothing is under way for it.
+    /// Set on eviction: the connection is closed at once if nothing is in progress on it.
     pub evicted: Cell<bool>,
 }
 
@@ -82,15 +83,16 @@
         self.close_requested.notify_one();
     }
 
-    /// Its place is needed.
+    /// Closes the connection to free capacity.
     pub fn evict(&self) {
         self.evicted.set(true);
         self.request_close();
     }
 
-    /// Who leaves first when places are short: strangers that had their answer; who says nothing, from the start or half
-    /// way, for longer than a usual client does; strangers, clients, workers with nothing under way; and last whose
-    /// message is coming. Guards against slow messages, and those about to begin, cut off for ones that idle.
+    /// Eviction order under a shortage of connections: first unknown peers that had their response; then
+    /// those silent, from the start or within a message, for longer than an ordinary client; then idle
+    /// unknown peers, clients and workers; last those whose message is arriving. Guards against cutting off
+    /// slow messages, or ones about to begin, in favour of idle connections.
     pub fn rank(&self, now: Instant) -> (Rank, Role, Instant) {
         let (role, last_active) = (self.role.get(), self.last_active.get());
         let rank = match (self.is_receiving(), self.silent.get()) {
@@ -102,28 +104,28 @@
         (rank, role, last_active)
     }
 
-    /// A message of it has begun, head or body, and is not whole.
+    /// Whether a message has begun, head or body, and is incomplete.
     pub fn is_receiving(&self) -> bool {
         self.reading_body.get() || self.heads.borrow().has_message()
     }
 
-    /// Its head is whole, and its body is read.
+    /// Its head is complete; its body is read next.
     pub fn head_read(&self) {
         self.silent.set(false);
         self.reading_body.set(true);
     }
 
-    /// Nothing was given to it yet, and nothing is under way for it.
+    /// Whether it never had a valid request and has nothing in progress.
     pub fn is_unknown(&self) -> bool {
         self.role.get() == Role::Unknown && !self.busy.get()
     }
 
-    /// Ends once a message is not whole by when it must be.
+    /// Returns once a message is incomplete at its deadline.
     pub async fn overdue(&self) {
         loop {
             match self.deadline.get() {
                 Some(at) if at <= Instant::now() => return,
-                // It may be cleared, or set anew, before then.
+                // The deadline may be cleared or set again before then.
                 Some(at) => tokio::time::sleep_until(at).await,
                 None => self.deadline_changed.notified().await,
             }
@@ -135,14 +137,14 @@
         self.deadline_changed.notify_one();
     }
 
-    /// A whole message came.
+    /// A complete message was read.
     pub fn message_read(&self) {
         self.busy.set(true);
         self.reading_body.set(false);
         self.deadline.set(None);
     }
 
-    /// It was answered, and the next one may have begun by then.
+    /// The response was sent; the next message may have begun already.
     pub fn answered(&self) {
         self.busy.set(false);
         self.reading_body.set(false);
@@ -162,7 +164,7 @@
     }
 }
 
-/// Its socket: what comes is looked at before it is read.
+/// The client's socket: scans incoming bytes before hyper reads them.
 pub struct ClientSocket {
     pub stream: TcpStream,
     pub client: Rc<ClientConnection>,
@@ -195,9 +197,10 @@
 mod tests {
     use super::*;
 
-    /// Guards against crowds that push out who is about to write or writes slowly: the order in which places are given up.
+    /// Guards against idle connections that displace peers about to write or writing slowly: the eviction
+    /// order.
     #[test]
-    fn who_idles_leaves_before_who_writes() {
+    fn idle_connections_are_evicted_before_receiving_ones() {
         let now = Instant::now() + Duration::from_secs(60);
         let client = |idle_ms: u64, sent: &[u8], with_head: bool, role: Role| {
             let client = ClientConnection::new(now - Duration::from_millis(idle_ms));
--- a/crates/scheduler/src/clients/head_scanner.rs
+++ b/crates/scheduler/src/clients/head_scanner.rs
@@ -1,19 +1,19 @@
-//! Looks at what clients send as it comes off the socket: where messages begin, and what their heads say of their
-//! length. hyper passes over a second length, or one beside chunks, and does not tell; but who reads such a
-//! message in another way sees another one in its body.
+//! Scans incoming bytes for the start of messages and for the lengths in their heads. hyper silently accepts
+//! a second Content-Length, or one beside chunked encoding; a peer that reads such a message differently
+//! would see another message within its body (request smuggling).
 
 use std::collections::VecDeque;
 
-/// As much of a line as is looked at: the longer name, and a length.
+/// The scanned prefix of a line: the longer header name, and a length.
 const MAX_SCANNED_LINE: usize = 48;
 
-/// What a head says of where its message ends.
+/// How a head determines the end of its message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Framing {
     Known,
-    /// It comes in chunks: what follows it is not looked at, so it is the last on its connection.
+    /// Chunked: what follows is not scanned, so this message is the last one on its connection.
     Chunked,
-    /// Several lengths, one that is no number, or one beside chunks.
+    /// Several lengths, an invalid one, or one beside chunked encoding.
     Ambiguous,
 }
 
@@ -23,7 +23,7 @@
     Between,
     Head,
     Body(u64),
-    /// Nothing is looked at any more.
+    /// Nothing is scanned any more.
     Unscanned,
 }
 
@@ -35,17 +35,17 @@
     length: u64,
     chunked: u32,
     ambiguous: bool,
-    /// Of the heads that came whole and were not asked about yet.
+    /// Results for complete heads that were not taken yet.
     complete: VecDeque<Framing>,
 }
 
 impl HeadScanner {
-    /// Whether a message has begun whose head was not asked about yet.
+    /// Whether a message has begun whose head was not taken yet.
     pub fn has_message(&self) -> bool {
         matches!(self.position, Position::Head) || !self.complete.is_empty()
     }
 
-    /// What the next head said; one for each message, in their order.
+    /// The result for the next head; one for each message, in order.
     pub fn take(&mut self) -> Framing {
         self.complete.pop_front().unwrap_or(Framing::Ambiguous)
     }
@@ -57,10 +57,11 @@
                 Position::Body(left) => {
                     let here = left.min(bytes.len() as u64);
                     bytes = &bytes[here as usize..];
-                    self.position = if left == here { Position::Between } else { Position::Body(left - here) };
+                    self.position =
+                        if left == here { Position::Between } else { Position::Body(left - here) };
                     continue;
                 }
-                // Empty lines may come before a message.
+                // Empty lines may precede a message.
                 Position::Between if first == b'\r' || first == b'\n' => {}
                 Position::Between => {
                     self.position = Position::Head;
--- a/crates/scheduler/src/clients/listener.rs
+++ b/crates/scheduler/src/clients/listener.rs
@@ -1,15 +1,15 @@
-//! The server side: accepts connections of clients and workers, and answers what they ask.
+//! The server side: accepts connections of clients and workers, and responds to their requests.
 
 use crate::accord::Accord;
-use crate::clients::responses::{self, Reply};
-use crate::clients::connection::{ClientConnection, Role, ClientSocket};
+use crate::clients::connection::{ClientConnection, ClientSocket, Role};
 use crate::clients::head_scanner::Framing;
-use crate::clients::requests::{self, Rejection, Message, BodyBudget};
+use crate::clients::requests::{self, BodyBudget, Message, Rejection};
+use crate::clients::responses::{self, Reply};
 use crate::exchange::{Answer, Exchange};
 use crate::operators::telemetry::{Outcome, Telemetry};
-use crate::workload_table::TaskNames;
 use crate::succession::line::Line;
 use crate::succession::stopping::Stopping;
+use crate::workload_table::TaskNames;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -27,19 +27,20 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::Instant;
 
-/// A peer that sends nothing for this long loses its connection: it would hold a descriptor for ever.
+/// A connection without data for this long is closed; otherwise it would hold a descriptor for ever.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// The same while stopping, which would otherwise wait for it.
+/// The same while stopping, which waits for connections to end.
 const STOPPING_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// What was turned down or closed is told in sums, this often: a line each would cost more than the answer.
+/// Rejected requests and closed connections are logged as counts at this interval: a line each would cost
+/// more than the response.
 const COUNTS_INTERVAL: Duration = Duration::from_secs(10);
-/// When no descriptor is left, some connection ends within this time.
+/// Once descriptors have run out, some connection ends within this time.
 pub const SHORT_OF_DESCRIPTORS: Duration = Duration::from_millis(20);
-/// Without the word of its group a scheduler asks clients to come back after this, where it may say so.
+/// Retry-After, where it may be sent, while the scheduler's policy group does not allow it to serve.
 const NO_LEADER_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// A process that ends asks clients to come back after this: others serve, or its successor does.
+/// Retry-After while the process is stopping: other schedulers or the next process serve by then.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Room for a head in reading: the least that hyper takes.
+/// Read buffer for the head of a request: the minimum that hyper accepts.
 const READ_BUFFER: usize = 8 * 1024;
 
 pub struct ClientListener {
@@ -53,17 +54,17 @@
     next: Cell<u64>,
     disconnected: Notify,
     body_budget: BodyBudget,
-    /// The group whose word it takes to serve, where there is one.
+    /// The policy group whose permission is needed to serve, if there is one.
     group: OnceCell<Rc<Accord>>,
     telemetry: Rc<Telemetry>,
-    /// How long tasks of each workload are in hand until they are finished.
+    /// Time from arrival to completion of the tasks of each workload.
     completion_times: RefCell<RunTimes<Rc<str>>>,
     counts: RefCell<BTreeMap<&'static str, u64>>,
     log: Logger,
 }
 
-/// Tells the exchange that the client went away, unless it was answered: hyper drops what a closed
-/// connection still worked on.
+/// Reports to the exchange that the client disconnected, unless its task was answered: hyper drops the
+/// request future of a closed connection.
 struct Waiting<'a> {
     exchange: &'a Exchange,
     index: usize,
@@ -107,21 +108,21 @@
         })
     }
 
-    /// From now on tasks are taken on this group's word only.
+    /// From now on tasks are accepted only while this group permits it.
     pub fn set_group(&self, group: Rc<Accord>) {
         let _ = self.group.set(group);
     }
 
-    /// Whether tasks may be taken now.
+    /// Whether tasks may be accepted now.
     fn may_serve(&self) -> bool {
         self.group.get().is_none_or(|group| group.serves().is_ok())
     }
 
-    /// Accepts until the process ends.
+    /// Accepts connections until the process ends.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         let (mut short, mut paused) = (false, self.paused.subscribe());
         loop {
-            // It lives for as long as the door.
+            // The sender lives as long as the listener.
             let _ = paused.wait_for(|paused| !paused).await;
             self.wait_for_capacity().await;
             let accepted = tokio::select! {
@@ -132,12 +133,13 @@
             match accepted {
                 Ok((stream, _)) => {
                     short = false;
-                    // Guards against a burst that passes the limit: who is accepted counts from here on.
+                    // Guards against a burst that exceeds the limit: an accepted connection counts from here
+                    // on.
                     let number = self.register();
                     tokio::task::spawn_local(self.clone().serve(stream, number));
                 }
                 Err(e) => {
-                    // Guards against a loop without pause, and an end, when descriptors have run out.
+                    // Guards against a busy loop, or the end of the process, when descriptors have run out.
                     if !short {
                         warn!(self.log, "cannot accept: {e}");
                     }
@@ -149,7 +151,8 @@
         }
     }
 
-    /// At the most guests, the one that stood idle for longest leaves before another is let in.
+    /// At the limit of connections, the one that has been idle for longest is closed before another is
+    /// accepted.
     async fn wait_for_capacity(&self) {
         while self.clients.borrow().len() >= self.max_clients.get() {
             self.close_idle();
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Guards against peers that crowd out clients and workers.
+    /// Guards against idle connections that keep out clients and workers.
     fn close_idle(&self) {
         let clients = self.clients.borrow();
         let idle = clients.values().filter(|c| !c.busy.get() && !c.closing.get());
@@ -173,24 +176,30 @@
         *self.counts.borrow_mut().entry(what).or_default() += 1;
     }
 
-    /// Tells what was turned down or closed, in sums.
+    /// Logs at intervals how many requests were rejected and connections closed.
     pub async fn log_counts(&self) {
         loop {
             tokio::time::sleep(COUNTS_INTERVAL).await;
             let counts = std::mem::take(&mut *self.counts.borrow_mut());
             if !counts.is_empty() {
                 let counts: Vec<String> = counts.iter().map(|(what, n)| format!("{n} {what}")).collect();
-                warn!(self.log, "turned down or closed in {} s: {}", COUNTS_INTERVAL.as_secs(), counts.join(", "));
+                warn!(
+                    self.log,
+                    "rejected or closed in {} s: {}",
+                    COUNTS_INTERVAL.as_secs(),
+                    counts.join(", ")
+                );
             }
         }
     }
 
-    /// Lets nobody in any more, or again.
+    /// Stops or resumes accepting connections.
     pub fn pause(&self, paused: bool) {
         self.paused.send_replace(paused);
     }
 
-    /// Keeps to half of the connections while another process lives beside this one; how many it leaves.
+    /// Gives up half of the connections while another process of this scheduler runs. Returns how many were
+    /// given up.
     pub fn give_up_half(&self) -> usize {
         let given_up = self.max_clients.get() / 2;
         self.max_clients.set(self.max_clients.get() - given_up);
@@ -201,20 +210,21 @@
         self.max_clients.set(self.max_clients.get() + by);
     }
 
-    /// Takes tasks by what is in force now.
+    /// Accepts tasks by the names that are in force now.
     pub fn reload_names(&self) {
         let names = self.exchange.task_names();
         names.workloads.iter().flatten().for_each(|name| self.telemetry.register_workload(name));
         self.names.replace(names);
     }
 
-    /// Every connection ends after the message in hand, idle ones now.
+    /// Closes every connection after its current message; idle ones now.
     pub fn close_all(&self) {
         self.clients.borrow().values().for_each(|client| client.request_close());
     }
 
-    /// Nobody is here but some that have not said anything, and some that came later than clients do and were given
-    /// nothing. Guards against a message that is under way, and against crowds for which the end would wait.
+    /// Whether only connections remain that have sent nothing, or that came after `last_clients` and have no
+    /// request in progress. Guards against closing on a message that is arriving, and against waiting at the
+    /// end for connections that send nothing.
     pub fn is_quiet(&self, last_clients: Instant) -> bool {
         let clients = self.clients.borrow();
         clients.values().all(|client| {
@@ -267,7 +277,8 @@
                     self.count("too slow");
                     break;
                 }
-                // Guards against peers that connect and say nothing: hyper would wait for their first message.
+                // Guards against peers that connect and send nothing: hyper would wait for their first
+                // message.
                 () = client.close_requested.notified() => match client.is_unknown() && (client.evicted.get() || !self.stopping.is_closing()) {
                     true => break,
                     false => connection.as_mut().graceful_shutdown(),
@@ -288,7 +299,7 @@
             Ok(Message::Health) => responses::health(self.exchange.can_decide() && self.may_serve()),
             Ok(Message::Update(update, body)) => {
                 client.role.set(Role::Worker);
-                // Guards against news lost between two processes at one address.
+                // Guards against updates lost between two processes at one address.
                 if self.exchange.is_unknown_task(&update.id) {
                     self.line.hand_on(&body).await;
                 }
@@ -298,9 +309,11 @@
             Ok(Message::Task(request, _permit)) => {
                 let workload = self.names.borrow().workloads[request.workload].clone();
                 if !self.may_serve() {
-                    // It never came in, so that it can be shed whatever its effect is.
+                    // The task was never submitted, so it can be shed whatever its effect is.
                     self.telemetry.ended(workload.as_deref().unwrap_or_default(), Outcome::Shed);
-                    return responses::answer(Answer::Shed { retry_after: self.exchange.retry_after(NO_LEADER_RETRY_AFTER) });
+                    return responses::answer(Answer::Shed {
+                        retry_after: self.exchange.retry_after(NO_LEADER_RETRY_AFTER),
+                    });
                 }
                 if !self.finishes_in_time(workload.as_ref(), request.time_left) {
                     self.telemetry.ended(workload.as_deref().unwrap_or_default(), Outcome::Shed);
@@ -314,7 +327,8 @@
                 if client.role.replace(Role::Client) != Role::Client {
                     self.stopping.newcomer();
                 }
-                let waiting = Waiting { exchange: &self.exchange, index: handle.index, generation: handle.generation };
+                let waiting =
+                    Waiting { exchange: &self.exchange, index: handle.index, generation: handle.generation };
                 let answer = handle.answer.await.unwrap_or(Answer::Aborted);
                 drop(waiting);
                 let outcome = match answer {
@@ -332,8 +346,8 @@
         }
     }
 
-    /// Whether a task that has just come is finished before this process ends, as far as its workload's times tell. One
-    /// that is given up sooner by its client is answered in time, too.
+    /// Whether a task that has just arrived will finish before this process ends, judged by the completion
+    /// times of its workload. One whose client gives up earlier is answered in time as well.
     fn finishes_in_time(&self, workload: Option<&Rc<str>>, client_limit: Option<Duration>) -> bool {
         let (Some(time_left), Some(workload)) = (self.stopping.time_left(), workload) else { return true };
         let longest = self.completion_times.borrow().longest(workload, Duration::ZERO);
--- a/crates/scheduler/src/clients/mod.rs
+++ b/crates/scheduler/src/clients/mod.rs
@@ -1,7 +1,7 @@
-//! The clients' side: connections are accepted, bounded, read once, and answered once.
+//! The clients' side: accepts and limits connections, parses requests and sends responses.
 
-pub mod responses;
-pub mod listener;
 pub mod connection;
 pub mod head_scanner;
+pub mod listener;
 pub mod requests;
+pub mod responses;
--- a/crates/scheduler/src/clients/requests.rs
+++ b/crates/scheduler/src/clients/requests.rs
@@ -1,8 +1,8 @@
-//! A message from outside, decoded once into what it asks for, or the status that turns it down.
+//! Parses a request into a message, or into the status that rejects it.
 
 use crate::exchange::TaskRequest;
-use crate::workload_table::TaskNames;
 use crate::workers::updates::{self, Update};
+use crate::workload_table::TaskNames;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
@@ -14,26 +14,26 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// A usual body is no longer, so it never waits for room.
+/// An ordinary body is no longer than this, so it never waits for memory.
 pub const SHORT_BODY_BYTES: usize = 4 * 1024;
-/// Figures beyond this are no machine's; sums of them must stay meaningful.
+/// No machine has more slots than this; sums of sizes must stay meaningful.
 const MAX_SLOTS: f64 = 1024.0;
 const WRONG_METHOD: &str = "with a method that is not allowed";
 const INVALID_PROPS: &str = "with invalid x-props";
 const BODY_TOO_LONG: &str = "with a body that is too long";
-/// An id is written into a path at the worker, so it is short and plain.
+/// An id becomes part of a path at the worker, so it is short and plain.
 const MAX_ID_BYTES: usize = 64;
 
 #[derive(Debug)]
 pub enum Message {
-    /// With the room that its body takes, for as long as it is in hand.
+    /// With the memory reserved for its body for as long as the task is in flight.
     Task(TaskRequest, Option<OwnedSemaphorePermit>),
-    /// With the words as they came.
+    /// With the undecoded body.
     Update(Update, Bytes),
     Health,
 }
 
-/// A call that is turned down, and why, for the log: always the same words, since they are counted.
+/// A rejected request, and the reason for the log: a fixed text, because occurrences are counted by it.
 #[derive(Debug, PartialEq)]
 pub struct Rejection(pub StatusCode, pub &'static str);
 
@@ -41,23 +41,27 @@
     Err(Rejection(status, why))
 }
 
-/// Memory for the bodies that are longer than most, of tasks in hand and of news. Short ones count as a part of
-/// their connection. News has room of its own: without it, the tasks that hold the other would not end.
+/// Memory for bodies above the ordinary length, of tasks in flight and of updates. Short bodies count as part
+/// of their connection. Updates have a budget of their own: without it, the tasks that hold the other one
+/// could not end.
 pub struct BodyBudget {
     tasks: Arc<Semaphore>,
     updates: Arc<Semaphore>,
 }
 
 impl BodyBudget {
-    /// Each of so many bytes.
+    /// Both budgets have this many bytes.
     pub fn new(bytes_each: usize) -> Self {
         let semaphore = || Arc::new(Semaphore::new(bytes_each.clamp(MAX_BODY_BYTES, Semaphore::MAX_PERMITS)));
         BodyBudget { tasks: semaphore(), updates: semaphore() }
     }
 }
 
-/// Waits for room for a body; none is needed for a short one.
-async fn reserve<B: Body>(body: &B, budget: &Arc<Semaphore>) -> Result<Option<OwnedSemaphorePermit>, Rejection> {
+/// Waits for memory for a body; a short one needs none.
+async fn reserve<B: Body>(
+    body: &B,
+    budget: &Arc<Semaphore>,
+) -> Result<Option<OwnedSemaphorePermit>, Rejection> {
     let hint = body.size_hint();
     if hint.lower() > MAX_BODY_BYTES as u64 {
         return reject(StatusCode::PAYLOAD_TOO_LARGE, BODY_TOO_LONG);
@@ -72,10 +76,12 @@
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Rejection> {
     let value = headers.get(name).map(HeaderValue::to_str).transpose();
-    value.map(|v| v.map(str::trim)).or_else(|_| reject(StatusCode::BAD_REQUEST, "with a header that is not text"))
+    value
+        .map(|v| v.map(str::trim))
+        .or_else(|_| reject(StatusCode::BAD_REQUEST, "with a header that is not text"))
 }
 
-/// A whole body, no longer than may be.
+/// Reads a whole body, up to the limit.
 pub async fn body<B: Body<Data = Bytes>>(body: B) -> Result<Bytes, Rejection>
 where
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -85,12 +91,18 @@
     }
     match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(whole) => Ok(whole.to_bytes()),
-        Err(e) if e.is::<http_body_util::LengthLimitError>() => reject(StatusCode::PAYLOAD_TOO_LARGE, BODY_TOO_LONG),
+        Err(e) if e.is::<http_body_util::LengthLimitError>() => {
+            reject(StatusCode::PAYLOAD_TOO_LARGE, BODY_TOO_LONG)
+        }
         Err(_) => reject(StatusCode::BAD_REQUEST, "with a body that broke off"),
     }
 }
 
-pub async fn read(request: Request<Incoming>, names: &RefCell<TaskNames>, budget: &BodyBudget) -> Result<Message, Rejection> {
+pub async fn read(
+    request: Request<Incoming>,
+    names: &RefCell<TaskNames>,
+    budget: &BodyBudget,
+) -> Result<Message, Rejection> {
     let (head, rest) = request.into_parts();
     let path = head.uri.path();
     match path {
@@ -106,8 +118,10 @@
         _ => {}
     }
     let first = path.trim_start_matches('/').split('/').next().unwrap_or_default();
-    // By the time that it is whole its workload may have changed: what is in force then binds.
-    let row = || names.borrow().row(first).map_or_else(|| reject(StatusCode::NOT_FOUND, "for an unknown workload"), Ok);
+    // The workloads may change while the body is read: those in force at its end apply.
+    let row = || {
+        names.borrow().row(first).map_or_else(|| reject(StatusCode::NOT_FOUND, "for an unknown workload"), Ok)
+    };
     row()?;
     if head.method != Method::POST {
         return reject(StatusCode::METHOD_NOT_ALLOWED, WRONG_METHOD);
@@ -123,7 +137,7 @@
         Some(Err(_)) => return reject(StatusCode::BAD_REQUEST, "with an x-expires-in-ms that is no number"),
     };
     let size = size(text(&head.headers, "x-props")?.unwrap_or_default())?;
-    // A customer that is not listed has no share to keep to.
+    // A tenant that is not configured has no share to keep to.
     let tenant = text(&head.headers, "x-customer")?;
     let tenant = names.borrow().customers.iter().position(|name| Some(name.as_str()) == tenant);
     let target = head.uri.path_and_query().map_or(path, |whole| whole.as_str()).to_owned();
@@ -135,7 +149,7 @@
     Ok(Message::Task(TaskRequest { id, workload, tenant, size, time_left, target, headers, body }, permit))
 }
 
-/// What concerns one connection only, and what is written anew for each assignment.
+/// Headers that concern one connection only, or are set anew for each assignment.
 const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -148,8 +162,8 @@
     header::HOST,
 ];
 
-/// Guards against effects done twice at the worker: a deduplicated task carries its mark in a header, so all
-/// headers go on that are meant for the other end.
+/// Guards against effects applied twice at the worker: the deduplication key of a task is a header, so all
+/// end-to-end headers are forwarded.
 fn forwarded(mut headers: HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
@@ -162,7 +176,7 @@
     headers
 }
 
-/// What a task needs of a worker: slots, or units of memory if that is more, since a slot has one.
+/// The size of a task: slots, or units of memory if that is more, since each slot has one unit.
 fn size(props: &str) -> Result<f64, Rejection> {
     let mut size: f64 = 1.0;
     for prop in props.split(',').map(str::trim).filter(|prop| !prop.is_empty()) {
--- a/crates/scheduler/src/clients/responses.rs
+++ b/crates/scheduler/src/clients/responses.rs
@@ -1,4 +1,4 @@
-//! An answer, encoded once.
+//! Encodes responses to clients and workers.
 
 use crate::clients::requests::Rejection;
 use crate::exchange::Answer;
@@ -37,17 +37,18 @@
     plain(StatusCode::NO_CONTENT, Bytes::new())
 }
 
-/// 500, not 503, where nothing can be decided yet: a 503 is a shed, and only the module sheds.
+/// 500, not 503, if nothing can be decided yet: a 503 means shed, and only the module sheds.
 pub fn health(ready: bool) -> Reply {
     plain(if ready { StatusCode::OK } else { StatusCode::INTERNAL_SERVER_ERROR }, Bytes::new())
 }
 
-/// The connection ends with this answer.
+/// Closes the connection after this response.
 pub fn close(reply: &mut Reply) {
     reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// Who sends what cannot be taken is asked to begin anew: it holds no connection for the next try.
+/// The sender of an unusable request has to reconnect, so that it does not hold a connection until its next
+/// try.
 pub fn rejected(rejection: Rejection) -> Reply {
     let mut reply = plain(rejection.0, Bytes::new());
     close(&mut reply);
--- a/crates/scheduler/src/clock.rs
+++ b/crates/scheduler/src/clock.rs
@@ -1,9 +1,10 @@
-//! The module's clock: spans since some days before the start, because workers may be older than us.
+//! The clock of the decision module. It starts at some days rather than at zero, because workers may have
+//! started before this process.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The clock's reading at the start. Workers that are older count as started long ago.
+/// The clock's reading at the start. Workers that started earlier than this range count as started long ago.
 const AT_START: Duration = Duration::from_secs(10 * 24 * 3600);
 
 #[derive(Clone, Copy)]
@@ -26,12 +27,12 @@
         self.origin + at.saturating_sub(AT_START)
     }
 
-    /// A moment of this clock in Unix time.
+    /// Converts a time of this clock to Unix time.
     pub fn to_unix_ms(&self, at: Duration) -> u64 {
         (self.unix + at).saturating_sub(AT_START).as_millis() as u64
     }
 
-    /// A moment of Unix time on this clock; none if it lies before the clock's beginning.
+    /// Converts Unix time to this clock; none if it lies before the clock's zero.
     pub fn from_unix_ms(&self, ms: u64) -> Option<Duration> {
         (AT_START + Duration::from_millis(ms)).checked_sub(self.unix).filter(|at| !at.is_zero())
     }
--- a/crates/scheduler/src/exchange.rs
+++ b/crates/scheduler/src/exchange.rs
@@ -1,14 +1,15 @@
-//! Where client side and server side meet. The exchange alone owns the module: it turns what either side
-//! reports into the module's inputs, pulls its decisions and hands them out. It decides nothing itself.
+//! Connects the server side (clients) and the client side (workers). The exchange is the only owner of the
+//! decision module: it turns what either side reports into inputs of the module, reads the module's decisions
+//! and passes them on. It makes no decisions itself.
 
 use crate::clock::Clock;
 use crate::operators::telemetry::Snapshot;
 use crate::peers::outbox::{self, Message, Outbox};
-use crate::workload_table::{WorkloadTable, TaskNames};
 use crate::succession::heritage::{self, Heritage};
 use crate::workers::endings::Close;
 use crate::workers::load_reports;
-use crate::workers::updates::{Update, State as UpdateState};
+use crate::workers::updates::{State as UpdateState, Update};
+use crate::workload_table::{TaskNames, WorkloadTable};
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use slog::{info, Logger};
@@ -25,17 +26,17 @@
 use tindock_words::{Address, WorkerNames};
 use tokio::sync::{mpsc, oneshot, Notify};
 
-/// A task as a client handed it in.
+/// A task as submitted by a client.
 #[derive(Debug)]
 pub struct TaskRequest {
     pub id: Rc<str>,
     pub workload: usize,
     pub tenant: usize,
     pub size: f64,
-    /// How long the client will wait; none where it did not say.
+    /// How long the client waits for the result, if it gave a limit.
     pub time_left: Option<Duration>,
     pub target: String,
-    /// Those of its headers that are meant for the worker.
+    /// The request headers that are forwarded to the worker.
     pub headers: HeaderMap,
     pub body: Bytes,
 }
@@ -48,11 +49,12 @@
         retry_after: Option<Duration>,
     },
     Aborted,
-    /// A worker's word that the task cannot be used, by its status.
+    /// A worker answered with this status that the task itself is unusable.
     Rejected(u16),
 }
 
-/// Names one assignment for as long as the scheduler lives; places are used again, lives are not.
+/// Identifies one assignment for the lifetime of the process: indices of tasks are reused, generations are
+/// not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AssignmentKey {
     pub index: usize,
@@ -60,7 +62,7 @@
     pub number: usize,
 }
 
-/// What the client side is to do.
+/// A command to the client side.
 #[derive(Debug)]
 pub enum Command {
     Send {
@@ -69,19 +71,20 @@
         request: Rc<TaskRequest>,
         limit: Duration,
     },
-    /// Stop waiting: tell the worker where it has taken the task, and report `CalledOff`.
+    /// Stop waiting for the assignment: cancel it at the worker if the worker has accepted it, then report
+    /// `Cancelled`.
     Cancel {
         key: AssignmentKey,
         worker: usize,
         id: Rc<str>,
     },
-    /// The limit came: nobody waits for it any more, and nothing is to be reported.
+    /// The hard limit has passed: close the connection and report nothing.
     Drop {
         key: AssignmentKey,
     },
 }
 
-/// A client's hold on its task; the answer comes on `answer`.
+/// A client's handle to its submitted task; the answer arrives on `answer`.
 pub struct TaskHandle {
     pub index: usize,
     pub generation: u64,
@@ -96,11 +99,11 @@
 struct TaskRecord {
     id: Rc<str>,
     workload: usize,
-    /// Until the final answer: its body takes memory.
+    /// Dropped with the final answer, because the body takes memory.
     request: Option<Rc<TaskRequest>>,
     generation: u64,
     limit: Duration,
-    /// Taken away by the final answer.
+    /// Taken by the final answer.
     answer: Option<oneshot::Sender<Answer>>,
     assignments: Vec<Assignment>,
 }
@@ -119,14 +122,14 @@
     last_generation: u64,
     workers: Vec<KnownWorker>,
     worker_indices: HashMap<Rc<str>, usize>,
-    /// Taken out by hand, also those that are not listed yet.
+    /// Workers excluded by operators, including those that are not listed yet.
     bans: BTreeSet<String>,
     report_names: Vec<String>,
-    /// The workers' names in words between schedulers, and the words themselves.
+    /// Addresses and short ids of workers in messages between schedulers.
     peer_names: WorkerNames,
     outbox: Outbox,
     peer_messages: Option<mpsc::Sender<Message>>,
-    /// Hard limits of tasks in hand, soonest first.
+    /// Hard limits of the tasks in flight, earliest first.
     hard_limits: BTreeSet<(Duration, usize, u64)>,
     wake_at: Option<Duration>,
 }
@@ -135,7 +138,7 @@
     state: RefCell<State>,
     now: Box<dyn Fn() -> Duration>,
     clock: Clock,
-    /// Not bounded by itself: it is emptied at once, and tasks in hand are bounded by the door.
+    /// Unbounded, because it is drained at once and the listener bounds the number of tasks in flight.
     commands: mpsc::UnboundedSender<Command>,
     timer_changed: Notify,
     log: Logger,
@@ -171,13 +174,13 @@
         (Rc::new(Exchange { state, now, clock, commands, timer_changed, log }), receiver)
     }
 
-    /// The start: the list as it was last had, at the very time that the module was made. Guards against
-    /// workers that count as new because they are named a moment after the start.
+    /// Applies the last known worker list, with the timestamp at which the module was created. Guards against
+    /// workers that count as new because they were listed a moment after the start.
     pub fn start(&self, began: Duration, known: Option<Listing>) {
         self.feed_at(began, |state| known.into_iter().for_each(|known| self.apply_list(state, known)));
     }
 
-    /// Feeds inputs at the present time, then carries out what the module decides.
+    /// Feeds inputs with the current time, then carries out the module's decisions.
     fn feed<T>(&self, inputs: impl FnOnce(&mut State) -> T) -> T {
         self.feed_at((self.now)(), inputs)
     }
@@ -195,21 +198,26 @@
             match decision {
                 Decision::Assign { task, worker } => {
                     let record = &mut state.tasks[task];
-                    let key = AssignmentKey { index: task, generation: record.generation, number: record.assignments.len() };
+                    let key = AssignmentKey {
+                        index: task,
+                        generation: record.generation,
+                        number: record.assignments.len(),
+                    };
                     record.assignments.push(Assignment { worker, ended: false });
                     let limit = record.limit;
                     if let Some(request) = record.request.clone() {
                         self.send_command(Command::Send { key, worker, request, limit });
                     }
                 }
-                Decision::Shed { task, retry_after } => {
-                    state.answer(task, Answer::Shed { retry_after })
-                }
+                Decision::Shed { task, retry_after } => state.answer(task, Answer::Shed { retry_after }),
                 Decision::Abandon { task } => state.answer(task, Answer::Aborted),
                 Decision::Cancel { task, assignment } => {
                     let record = &state.tasks[task];
-                    let key = AssignmentKey { index: task, generation: record.generation, number: assignment };
-                    if let Some(assignment) = record.assignments.get(assignment).filter(|assignment| !assignment.ended) {
+                    let key =
+                        AssignmentKey { index: task, generation: record.generation, number: assignment };
+                    if let Some(assignment) =
+                        record.assignments.get(assignment).filter(|assignment| !assignment.ended)
+                    {
                         let id = record.id.clone();
                         self.send_command(Command::Cancel { key, worker: assignment.worker, id });
                     }
@@ -226,25 +234,27 @@
         }
         let peer_messages = state.peer_messages.clone();
         for message in state.outbox.drain() {
-            // One that finds no room is lost, as any may be.
+            // A message that does not fit in the queue is dropped; messages between schedulers may be lost
+            // anyway.
             peer_messages.iter().for_each(|peer_messages| drop(peer_messages.try_send(message.clone())));
         }
     }
 
-    /// The names of the values in load reports, and where words to other schedulers go, if there are any.
+    /// Sets the names of the values in load reports, and the channel for messages to other schedulers, if
+    /// any.
     pub fn configure(&self, report_names: Vec<String>, peer_messages: Option<mpsc::Sender<Message>>) {
         let mut state = self.state.borrow_mut();
         (state.report_names, state.peer_messages) = (report_names, peer_messages);
     }
 
     fn send_command(&self, command: Command) {
-        // Only a client side that is gone takes no orders: then the process ends.
+        // Fails only if the client side has ended; then the process ends as well.
         let _ = self.commands.send(command);
     }
 
     // ---- the server side ----
 
-    /// A task came in; none if one of that id is in hand already.
+    /// Submits a task. Returns none if a task with the same id is in flight.
     pub fn submit(&self, request: TaskRequest) -> Option<TaskHandle> {
         if self.state.borrow().is_in_flight(&request.id) {
             return None;
@@ -259,8 +269,15 @@
             let (generation, limit) = (state.last_generation, now + left);
             state.task_indices.insert(request.id.clone(), index);
             let (id, workload, answer) = (request.id.clone(), request.workload, Some(answer));
-            let record =
-                TaskRecord { id, workload, request: Some(Rc::new(request)), generation, limit, answer, assignments: Vec::new() };
+            let record = TaskRecord {
+                id,
+                workload,
+                request: Some(Rc::new(request)),
+                generation,
+                limit,
+                answer,
+                assignments: Vec::new(),
+            };
             if index == state.tasks.len() {
                 state.tasks.push(record);
             } else {
@@ -277,7 +294,7 @@
         Some(handle)
     }
 
-    /// The client went away without its answer.
+    /// The client disconnected before its answer.
     pub fn client_left(&self, index: usize, generation: u64) {
         self.feed(|state| {
             let record = &mut state.tasks[index];
@@ -288,7 +305,8 @@
         });
     }
 
-    /// The process ends: what is still unanswered is broken off, and called off as if its client had left.
+    /// At the end of the process: aborts each unanswered task and cancels its assignments as if its client
+    /// had left.
     pub fn abort_all(&self) {
         self.feed(|state| {
             for index in 0..state.tasks.len() {
@@ -300,16 +318,22 @@
         });
     }
 
-    /// What a worker tells of a task. Applied once, and only to the assignment that it is about.
+    /// A worker's update on a task. Applied once, and only to the assignment that it is about.
     pub fn apply_update(&self, update: Update) {
         self.feed(|state| {
             let index = state.task_indices.get(&*update.id).copied();
             let worker = state.worker_indices.get(&*update.from).copied();
-            let report = update.load.and_then(|load| load_reports::decode(load.as_bytes(), &state.report_names));
+            let report =
+                update.load.and_then(|load| load_reports::decode(load.as_bytes(), &state.report_names));
             let (Some(index), Some(worker)) = (index, worker) else { return };
-            // The module sends a task to a worker once, so id and name tell the assignment.
+            // The module sends a task to a worker at most once, so task id and worker name identify the
+            // assignment.
             let assignments = &state.tasks[index].assignments;
-            let Some(number) = assignments.iter().position(|assignment| assignment.worker == worker && !assignment.ended) else { return };
+            let Some(number) =
+                assignments.iter().position(|assignment| assignment.worker == worker && !assignment.ended)
+            else {
+                return;
+            };
             match update.state {
                 UpdateState::Started => state.policy.started(index, number),
                 UpdateState::Running { share } => state.policy.progressed(index, number, share),
@@ -329,7 +353,7 @@
 
     // ---- the client side ----
 
-    /// How an assignment ended; late words on one that is over count for nothing.
+    /// Records how an assignment ended; a report on one that has already ended is ignored.
     pub fn assignment_ended(&self, key: AssignmentKey, close: Close) {
         self.feed(|state| {
             if state.is_open(key) {
@@ -342,7 +366,7 @@
         });
     }
 
-    /// Where no list can be had, what the worker itself shows decides whether it is left out.
+    /// While discovery is unavailable, the worker's own behaviour decides whether it is avoided.
     fn record_sign(&self, state: &mut State, index: usize, number: usize, close: Close) {
         let (now, worker) = ((self.now)(), state.tasks[index].assignments[number].worker);
         if !close.is_sign_of_leaving() || state.suspicion.is_suspected(now, worker) {
@@ -350,15 +374,13 @@
         }
         if let Some(until) = state.suspicion.report_sign(now, worker) {
             let max_s = (until - now).as_secs_f64();
-            info!(
-                self.log,
-                "worker {worker} avoided until the next list, for at most {max_s} s: {close:?}"
-            );
+            info!(self.log, "worker {worker} avoided until the next list, for at most {max_s} s: {close:?}");
             state.policy.avoid_until(worker, until);
         }
     }
 
-    /// Asked before the first byte: whether the assignment is still wanted and its worker takes new ones.
+    /// Checked before the first byte is sent: whether the assignment is still needed and its worker accepts
+    /// new ones.
     pub fn is_still_wanted(&self, key: AssignmentKey) -> bool {
         let state = self.state.borrow();
         state.is_open(key) && {
@@ -370,7 +392,7 @@
         }
     }
 
-    /// Whether a sign that a worker gives weighs more than the list by now.
+    /// Whether the list is so old that a sign of leaving from a worker outweighs it.
     pub fn is_list_stale(&self) -> bool {
         self.state.borrow().suspicion.is_stale((self.now)())
     }
@@ -393,9 +415,9 @@
         });
     }
 
-    pub fn peer_usage(&self, from: usize, number: u16, words: &[[u8; 3]]) {
+    pub fn peer_usage(&self, from: usize, number: u16, usage: &[[u8; 3]]) {
         self.feed(|state| {
-            for (worker, slots) in state.peer_names.resolve(words) {
+            for (worker, slots) in state.peer_names.resolve(usage) {
                 state.policy.peer_usage(worker, from, number, slots);
             }
         });
@@ -403,7 +425,7 @@
 
     // ---- discovery ----
 
-    /// Discovery answered; an answer that names nobody confirms the list.
+    /// A response from discovery; one without entries confirms the current list.
     pub fn update_list(&self, listing: Listing) {
         let is_empty = !listing.whole && listing.entries.is_empty();
         let now = (self.now)();
@@ -421,12 +443,13 @@
         });
     }
 
-    /// Lines that changed by another's word than discovery's, which says nothing of how fresh its list is.
+    /// Applies entries that changed for other reasons than a discovery response, so it does not confirm the
+    /// list.
     pub fn update_entries(&self, entries: Vec<Entry>) {
         self.feed(|state| self.apply_list(state, Listing { index: 0, whole: false, entries }));
     }
 
-    /// There is no discovery that could be out: signs of workers are the module's alone.
+    /// Without discovery there is no outage to account for: signs of leaving are left to the module.
     pub fn without_discovery(&self) {
         self.state.borrow_mut().suspicion.set_always_fresh();
     }
@@ -436,11 +459,13 @@
         state.worker_indices.get(name).map(|&worker| state.workers[worker].entry.address)
     }
 
-    /// Whether a worker has tasks of ours that are not over.
+    /// Whether a worker has unfinished assignments from this scheduler.
     pub fn is_busy(&self, name: &str) -> bool {
         let state = self.state.borrow();
         let Some(&worker) = state.worker_indices.get(name) else { return false };
-        state.tasks.iter().any(|record| record.assignments.iter().any(|assignment| assignment.worker == worker && !assignment.ended))
+        state.tasks.iter().any(|record| {
+            record.assignments.iter().any(|assignment| assignment.worker == worker && !assignment.ended)
+        })
     }
 
     fn apply_list(&self, state: &mut State, listing: Listing) {
@@ -454,19 +479,20 @@
         }
     }
 
-    /// Whether any worker was ever listed: only then can anything be decided.
+    /// Whether any worker was ever listed: without one, nothing can be decided.
     pub fn can_decide(&self) -> bool {
         !self.state.borrow().workers.is_empty()
     }
 
     // ---- the process that takes over, or that this one took over from ----
 
-    /// Whether news of that task can only be another process's.
+    /// Whether an update on this task can only concern another process of this scheduler.
     pub fn is_unknown_task(&self, id: &str) -> bool {
         !self.state.borrow().task_indices.contains_key(id)
     }
 
-    /// All that this process knows of workers and workloads; from now on another one takes the tasks.
+    /// Exports all that this process knows of workers and workloads; from now on another process accepts the
+    /// tasks.
     pub fn export_state(&self, words: &Words) -> Heritage {
         self.set_yielded(true);
         let state = self.state.borrow();
@@ -474,20 +500,21 @@
         heritage::leave(&state.policy, &state.workloads, entries, state.bans.clone(), words, &self.clock)
     }
 
-    /// Whether another process takes the tasks.
+    /// Sets whether another process accepts the tasks.
     pub fn set_yielded(&self, yielded: bool) {
         self.feed(|state| state.policy.yielded(yielded));
     }
 
-    /// What the process before this one left, once its list was taken in.
+    /// Imports the state exported by the previous process, after its list was applied.
     pub fn import_state(&self, heritage: &Heritage, words: &Words) {
         self.feed(|state| {
-            let (worker_indices, workloads, policy) = (&state.worker_indices, &state.workloads, &mut state.policy);
+            let (worker_indices, workloads, policy) =
+                (&state.worker_indices, &state.workloads, &mut state.policy);
             heritage.take(policy, workloads, |name| worker_indices.get(name).copied(), words, &self.clock);
         });
     }
 
-    /// A ban that an operator told the other process.
+    /// A ban that an operator sent to the other process.
     pub fn apply_remote_ban(&self, name: &str, banned: bool) {
         if self.ban(name, banned).is_none() && banned {
             self.state.borrow_mut().bans.insert(name.into());
@@ -496,21 +523,23 @@
 
     // ---- operators ----
 
-    /// After which time a client may be asked to come back, if it may: this, or the most that is allowed.
+    /// The delay to name in Retry-After, if one may be sent: this one, capped at the configured maximum.
     pub fn retry_after(&self, after: Duration) -> Option<Duration> {
         self.state.borrow().workloads.max_retry_after.map(|cap| cap.min(after))
     }
 
-    /// The names by which tasks are taken now.
+    /// The names by which tasks are accepted now.
     pub fn task_names(&self) -> TaskNames {
         self.state.borrow().workloads.task_names()
     }
 
-    /// The sheet of a new file, whole and checked; the longest hard limit from now on.
+    /// Applies the settings of a new, validated file. Returns the longest hard limit from now on.
     pub fn reconfigure(&self, settings: PolicySettings, words: &Words) -> Duration {
         self.feed(|state| {
             let tasks = &state.tasks;
-            let is_busy = |record: &TaskRecord| record.answer.is_some() || record.assignments.iter().any(|assignment| !assignment.ended);
+            let is_busy = |record: &TaskRecord| {
+                record.answer.is_some() || record.assignments.iter().any(|assignment| !assignment.ended)
+            };
             let busy = |row| tasks.iter().any(|record| record.workload == row && is_busy(record));
             let before = state.workloads.reconfigure(&words.workloads, &settings.workloads, busy);
             state.workloads.customers.clone_from(&words.customers);
@@ -520,7 +549,8 @@
         })
     }
 
-    /// Takes a worker out by hand, or puts it back; whether that changes anything, none if it was never listed.
+    /// Excludes a worker or includes it again. Returns whether that changed anything; none if it was never
+    /// listed.
     pub fn ban(&self, name: &str, banned: bool) -> Option<bool> {
         let worker = *self.state.borrow().worker_indices.get(name)?;
         Some(self.feed(|state| {
@@ -537,7 +567,7 @@
         self.state.borrow().bans.clone()
     }
 
-    /// Who was out by hand before the start, whether listed yet or not.
+    /// Restores the bans from before the start, including workers that are not listed yet.
     pub fn restore_bans(&self, worker_indices: BTreeSet<String>) {
         self.state.borrow_mut().bans = worker_indices;
     }
@@ -558,7 +588,7 @@
         state.wake_at.into_iter().chain(limit).min()
     }
 
-    /// What is due by now: the bell that the module asked for, and hard limits.
+    /// Handles what is due: the wake-up requested by the module, and hard limits.
     pub fn fire_timers(&self) {
         self.feed(|state| {
             let now = (self.now)();
@@ -566,7 +596,9 @@
                 state.wake_at = None;
                 state.policy.timer_fired();
             }
-            while let Some(&(at, index, generation)) = state.hard_limits.first().filter(|&&(at, ..)| at <= now) {
+            while let Some(&(at, index, generation)) =
+                state.hard_limits.first().filter(|&&(at, ..)| at <= now)
+            {
                 state.hard_limits.remove(&(at, index, generation));
                 for number in 0..state.tasks[index].assignments.len() {
                     let key = AssignmentKey { index, generation, number };
@@ -579,7 +611,7 @@
         });
     }
 
-    /// The one timer: sleeps until the next thing is due.
+    /// The only timer: sleeps until the next deadline.
     pub async fn run_timers(&self) {
         loop {
             let due = self.next();
@@ -615,14 +647,16 @@
 
     fn is_open(&self, key: AssignmentKey) -> bool {
         let record = self.tasks.get(key.index).filter(|record| record.generation == key.generation);
-        record.and_then(|record| record.assignments.get(key.number)).is_some_and(|assignment| !assignment.ended)
+        record
+            .and_then(|record| record.assignments.get(key.number))
+            .is_some_and(|assignment| !assignment.ended)
     }
 
     fn answer(&mut self, index: usize, answer: Answer) {
         let record = &mut self.tasks[index];
         if let Some(client) = record.answer.take() {
             record.request = None;
-            // A client that just went away wants none.
+            // Fails if the client has just disconnected.
             let _ = client.send(answer);
         }
     }
--- a/crates/scheduler/src/keep/processes.rs
+++ b/crates/scheduler/src/keep/processes.rs
@@ -68,7 +68,8 @@
                 }
                 self.places[place] = Some(Process { id, began, child: None });
             }
-            let ready = calls::request(at, "readyz", ANSWER).is_ok_and(|answer| calls::parse_answer(&answer).is_ok());
+            let ready =
+                calls::request(at, "readyz", ANSWER).is_ok_and(|answer| calls::parse_answer(&answer).is_ok());
             if ready {
                 ProcessStatus::Ready
             } else {
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,7 +1,8 @@
-//! The scheduler on sockets. A task's way: `clients` (accepted, read), `exchange` (decided), `workers` (sent, ended), `clients`
-//! (answered). Beside it `list` (who the workers are), `others` (words between schedulers), `operators` and `succession` (the
-//! process before, the one after, the end). `accord` is its part in a group that decides its policy together.
-//! `rollout` and `keep` are processes of their own.
+//! The scheduler on sockets. A task passes through `clients` (accepted, parsed), `exchange` (decided),
+//! `workers` (sent, ended) and `clients` again (answered). Beside these: `list` (worker lists), `peers`
+//! (messages between schedulers), `operators`, and `succession` (hand-over between processes, shutdown).
+//! `accord` is its membership of a group that agrees on a policy. `rollout` and `keep` are processes of their
+//! own.
 
 pub use tindock_berth as berth;
 pub use tindock_berth::listing;
@@ -17,7 +18,7 @@
 pub mod operators;
 pub mod peers;
 pub mod rollout;
-pub mod workload_table;
 pub mod start;
 pub mod succession;
 pub mod workers;
+pub mod workload_table;
--- a/crates/scheduler/src/list/connector.rs
+++ b/crates/scheduler/src/list/connector.rs
@@ -1,4 +1,4 @@
-//! How connections are opened: TCP in service, something scripted in a test.
+//! Opens connections: over TCP in production, scripted in tests.
 
 use std::future::Future;
 use std::io;
@@ -14,7 +14,7 @@
 pub type Connecting = Pin<Box<dyn Future<Output = io::Result<Box<dyn Stream>>>>>;
 
 pub trait Connector {
-    /// Opens a connection; dropping the future gives it up.
+    /// Opens a connection; dropping the future cancels it.
     fn connect(&self, to: SocketAddr) -> Connecting;
 }
 
--- a/crates/scheduler/src/list/discovery.rs
+++ b/crates/scheduler/src/list/discovery.rs
@@ -1,8 +1,8 @@
-//! Keeps the list of workers: carries out what `ListClient` decides, on connections to the discovery agent.
+//! Maintains the worker list: carries out the steps of `ListClient` on connections to the discovery agent.
 
 use crate::exchange::Exchange;
-use crate::list::worker_list::WorkerList;
 use crate::list::connector::Connector;
+use crate::list::worker_list::WorkerList;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -20,29 +20,29 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// A list of some thousand workers fits; an endless one does not.
+/// Enough for a list of some thousand workers, but bounded.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
-/// While the list stays out, a line is written this often: an outage leaves some lines, not one a try.
+/// The interval of log lines during an outage, which leaves a few lines rather than one for each query.
 const OUTAGE_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 pub struct Discovery {
     pub exchange: Rc<Exchange>,
     pub connector: Rc<dyn Connector>,
     pub worker_list: Rc<WorkerList>,
-    /// Where it is; another address may come at any time.
+    /// The agent's address, which may change at any time.
     pub address: watch::Receiver<SocketAddr>,
     pub client: ListClient,
     pub log: Logger,
 }
 
-/// What came of a step on a connection.
+/// The result of a step on a connection.
 enum LinkEvent {
     Connected,
     Answer(Bytes),
     Failed(String),
 }
 
-/// One connection: its calls go in, what comes of them goes to the channel that all share.
+/// One connection: queries go in, and their results are sent to the channel that all connections share.
 struct Link {
     queries: mpsc::UnboundedSender<String>,
     task: JoinHandle<()>,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Ends the connection's driver with whoever uses it.
+/// Aborts the connection's driver task when it is dropped.
 struct Driver(JoinHandle<()>);
 
 impl Drop for Driver {
@@ -63,7 +63,7 @@
     }
 }
 
-/// An outage is told of when it begins, now and then while it lasts, and when it is over.
+/// An outage is logged when it begins, at intervals while it lasts, and when it is over.
 struct Outage {
     began: Instant,
     last_logged: Instant,
@@ -71,10 +71,10 @@
 }
 
 impl Discovery {
-    /// Keeps the list for as long as the process lives, wherever discovery moves to.
+    /// Maintains the list until the process ends, also when discovery moves.
     pub async fn run(mut self) {
         let (mut outage, mut links) = (None, BTreeMap::new());
-        // Not bounded by itself: a connection has one call under way, and there are few.
+        // Unbounded, but each of the few connections has only one query in progress.
         let (events, mut received) = mpsc::unbounded_channel();
         let mut moves = self.address.clone();
         let mut address = *moves.borrow_and_update();
@@ -86,7 +86,7 @@
                         let (queries, query_queue) = mpsc::unbounded_channel();
                         let task = tokio::task::spawn_local(async move {
                             let why = serve(&*connector, address, link, query_queue, &events).await;
-                            // Nobody listens any more where the process ends.
+                            // Fails only if the process ends.
                             let _ = events.send((link, LinkEvent::Failed(why)));
                         });
                         links.insert(link, Link { queries, task });
@@ -96,7 +96,7 @@
                             Some(index) => format!("/v1/servers?after={index}&wait_ms={}", wait.as_millis()),
                             None => "/v1/servers".into(),
                         };
-                        // One that is gone has told so, or will.
+                        // A closed connection has reported its failure, or will.
                         links.get(&link).into_iter().for_each(|l| drop(l.queries.send(target.clone())));
                     }
                     Step::Close { connection: link } => {
@@ -109,7 +109,7 @@
             let due = self.exchange.time_until(self.client.next_due());
             tokio::select! {
                 Some((link, event)) = received.recv() => {
-                    // What a closed connection had still to tell counts for nothing.
+                    // Results of a connection that was closed are ignored.
                     if links.contains_key(&link) && !self.handle(link, event, &mut outage) {
                         links.remove(&link);
                     }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Takes in what came on a connection; whether it stays.
+    /// Handles a result of a connection; returns whether the connection stays open.
     fn handle(&mut self, link: u64, event: LinkEvent, outage: &mut Option<Outage>) -> bool {
         let now = self.exchange.now();
         let why = match event {
@@ -175,14 +175,17 @@
                 if now - outage.last_logged >= OUTAGE_LOG_INTERVAL {
                     outage.last_logged = now;
                     let out = outage.began.elapsed().as_secs_f64();
-                    warn!(self.log, "discovery is out for {out:.0} s, {} failed queries: {why}", outage.failures);
+                    warn!(
+                        self.log,
+                        "discovery is out for {out:.0} s, {} failed queries: {why}", outage.failures
+                    );
                 }
             }
         }
     }
 }
 
-/// One connection from its opening to its end, which is told in words.
+/// Runs one connection until it ends; returns the reason.
 async fn serve(
     connector: &dyn Connector,
     address: SocketAddr,
--- a/crates/scheduler/src/list/inventory_files.rs
+++ b/crates/scheduler/src/list/inventory_files.rs
@@ -1,4 +1,4 @@
-//! The inventory's files on disk: which there are, what they say, and whether they changed.
+//! The inventory's files on disk: finding them, detecting changes and reading them.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -9,11 +9,11 @@
     merge, read, twice_by_address, unless, Columns, Entry, Form, Host, Inventory, Place, Problem, MOST_BYTES,
 };
 
-/// Files of one folder; a folder of millions is no inventory.
+/// Limit for the files of one folder.
 const MAX_FILES: usize = 1000;
 
-/// What tells two states of a file apart: which one it is, how long, and when it was written. A clock that steps back
-/// gives another time, not an older state.
+/// Identifies a version of a file: which file it is, its size and its times. If the clock steps back, the
+/// time differs, which counts as a change too.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileVersion {
     device: u64,
@@ -23,7 +23,7 @@
     changed: (i64, i64),
 }
 
-/// The files by name, in the order in which they are read.
+/// The files by path, in the order in which they are read.
 pub type FileVersions = BTreeMap<PathBuf, FileVersion>;
 
 fn at(path: &Path) -> Place {
@@ -31,7 +31,7 @@
 }
 
 fn version_of(path: &Path) -> Result<(FileVersion, bool), Problem> {
-    // Through links: what they lead to is what is read.
+    // Follows links: their target is what is read.
     let meta = fs::metadata(path).map_err(|e| at(path).problem(e.to_string()))?;
     let version = FileVersion {
         device: meta.dev(),
@@ -46,7 +46,7 @@
     Ok((version, meta.is_dir()))
 }
 
-/// Looks at all files: those named, and in named folders those whose ending tells a form; hidden ones are passed over.
+/// Finds all files: those named, and those in named folders with a known extension; hidden files are skipped.
 pub fn scan(paths: &[PathBuf]) -> Result<FileVersions, Vec<Problem>> {
     let (mut versions, mut problems) = (FileVersions::new(), Vec::new());
     for path in paths {
@@ -85,8 +85,12 @@
     Ok(versions)
 }
 
-/// Reads all files, and puts them together with the workers that are named elsewhere.
-pub fn read_all(versions: &FileVersions, columns: &Columns, fixed: &[Entry]) -> Result<Inventory, Vec<Problem>> {
+/// Reads all files and merges them with the workers named elsewhere.
+pub fn read_all(
+    versions: &FileVersions,
+    columns: &Columns,
+    fixed: &[Entry],
+) -> Result<Inventory, Vec<Problem>> {
     let (mut files, mut problems) = (vec![fixed.to_vec()], Vec::new());
     for (path, version) in versions {
         let name = path.display().to_string();
@@ -113,7 +117,8 @@
     merge(files)
 }
 
-/// The one address of each worker. A name that leads to none or to several is no address of a worker.
+/// Resolves the one address of each worker. A name that resolves to none or to several addresses is a
+/// problem.
 pub fn resolve(inventory: &Inventory) -> Result<Vec<SocketAddr>, Vec<Problem>> {
     let (mut found, mut problems) = (Vec::with_capacity(inventory.entries.len()), Vec::new());
     let mut known: BTreeMap<(&str, u16), Result<SocketAddr, String>> = BTreeMap::new();
--- a/crates/scheduler/src/list/inventory_watch.rs
+++ b/crates/scheduler/src/list/inventory_watch.rs
@@ -1,4 +1,5 @@
-//! Watches the inventory's files on a thread of its own: looks, reads, checks, and hands on what changed.
+//! Watches the inventory's files on a thread of its own: detects, reads and checks changes, and sends them to
+//! the serving thread.
 
 use crate::list::inventory_files::{self, FileVersions};
 use std::collections::BTreeMap;
@@ -10,63 +11,66 @@
 use tindock_roster::guard::{Guard, Snapshot, Verdict};
 use tokio::sync::mpsc::Sender;
 
-/// How often the files are looked at. Two looks that agree say that the writing is over: that is seen within 0.4 s.
+/// How often the files are polled. Two equal polls mean that writing has ended, which is seen within 0.4 s.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Read anew after so long even if nothing seems to have changed: some file systems keep times of whole seconds.
+/// Files are reread after this time even if nothing seems to have changed: some file systems store times in
+/// whole seconds.
 const REREAD_INTERVAL: Duration = Duration::from_secs(10);
-/// Problems that are told in the log; `tindock inventory check` tells all.
+/// The number of problems in a log line; `tindock inventory check` prints all.
 const MAX_PROBLEMS: usize = 5;
 
-/// What the files say of a worker now: where it is and what it is; none where they do not name it any more.
+/// The name of a worker with its present entry and address in the files; none if they no longer name it.
 pub type FileEntry = (String, Option<(Entry, SocketAddr)>);
 
-/// What the serving thread is told.
+/// An event for the serving thread.
 #[derive(Debug)]
 pub enum InventoryEvent {
-    /// Put in force.
+    /// Changed entries to apply.
     Changes(Vec<FileEntry>),
     /// For the log: the last good list stays in force.
     Problem(String),
     Note(String),
 }
 
-/// Where the digest of an accepted reading is left, beside the configuration.
+/// The file beside the configuration in which the digest of an accepted reading is stored.
 pub fn accept_file(folder: &Path) -> PathBuf {
     folder.join(".tindock-accepted")
 }
 
 pub struct InventoryThread {
     pub settings: Stock,
-    /// The configuration's folder.
+    /// The folder of the configuration.
     pub folder: PathBuf,
     pub events: Sender<InventoryEvent>,
 }
 
-/// What is known of the files, from one look to the next.
+/// The state of the watch between polls.
 pub struct InventoryWatch {
     settings: Stock,
     folder: PathBuf,
     in_force: Inventory,
     addresses: Vec<SocketAddr>,
     guard: Guard,
-    /// What was read last, and when.
+    /// The last versions read, and when.
     last_read: Option<(FileVersions, Duration)>,
-    /// A reading that is held back, and when it is let through by itself.
+    /// The digest of a reading that is held back, and when it is applied without an operator.
     held: Option<(u64, Duration)>,
-    /// What the last look saw.
+    /// The versions found by the last poll.
     last_seen: Option<FileVersions>,
-    /// The last problem that was told.
+    /// The last problem that was reported.
     last_problem: String,
 }
 
 impl InventoryThread {
-    /// Runs until the serving side is gone.
+    /// Runs until the serving thread has ended.
     pub fn run(self) {
         let began = Instant::now();
         let mut watch = InventoryWatch::new(self.settings, self.folder);
         loop {
             let events = watch.poll(began.elapsed());
-            if events.into_iter().any(|events| self.events.blocking_send(events).is_err()) || self.events.is_closed() {
+            if events.into_iter().any(|events| self.events.blocking_send(events).is_err())
+                || self.events.is_closed()
+            {
                 return;
             }
             std::thread::sleep(POLL_INTERVAL);
@@ -99,7 +103,7 @@
         u64::from_str_radix(text.trim(), 16).ok()
     }
 
-    /// One look at the files, and what is to be told of it.
+    /// Polls the files once; returns the events to send.
     pub fn poll(&mut self, now: Duration) -> Vec<InventoryEvent> {
         let versions = match inventory_files::scan(&self.settings.files) {
             Ok(versions) => versions,
@@ -114,7 +118,7 @@
             .last_read
             .as_ref()
             .is_some_and(|(read, when)| *read == versions && now.saturating_sub(*when) < REREAD_INTERVAL);
-        // What is held back is not read again until it may be let through.
+        // A reading that is held back is not read again until it may be applied.
         let released =
             self.held.is_some_and(|(digest, until)| now >= until || self.accepted() == Some(digest));
         if fresh && !released || !settled {
@@ -126,7 +130,9 @@
             self.last_seen = None;
             return Vec::new();
         }
-        let whole = read.and_then(|inventory| inventory_files::resolve(&inventory).map(|addresses| (inventory, addresses)));
+        let whole = read.and_then(|inventory| {
+            inventory_files::resolve(&inventory).map(|addresses| (inventory, addresses))
+        });
         match whole {
             Err(problems) => {
                 self.last_read = Some((versions, now));
@@ -176,7 +182,9 @@
                 let entries = self.changed_entries(&inventory, &addresses);
                 if !entries.is_empty() {
                     let (all, some) = (inventory.entries.len(), entries.len());
-                    events.push(InventoryEvent::Note(format!("in force: {all} workers, {some} of them new or changed")));
+                    events.push(InventoryEvent::Note(format!(
+                        "in force: {all} workers, {some} of them new or changed"
+                    )));
                     events.push(InventoryEvent::Changes(entries));
                 }
                 if let Some(path) = &self.settings.last_good {
@@ -190,7 +198,7 @@
         }
     }
 
-    /// What changed by name, addresses as they were found included.
+    /// The entries that changed, by name, including changes of resolved addresses.
     fn changed_entries(&self, inventory: &Inventory, addresses: &[SocketAddr]) -> Vec<FileEntry> {
         let before = self.in_force.entries.iter().zip(&self.addresses);
         let mut before: BTreeMap<&str, (&Entry, &SocketAddr)> =
@@ -206,7 +214,7 @@
         entries
     }
 
-    /// A problem is told once, until another takes its place. At the start, the list that was last good is taken.
+    /// Reports a problem once, until another one replaces it. At the start, the last good list is loaded.
     fn problem(&mut self, problems: &[Problem]) -> Vec<InventoryEvent> {
         self.guard.reset();
         self.held = None;
@@ -219,9 +227,11 @@
             return Vec::new();
         }
         self.last_problem.clone_from(&line);
-        let mut events = vec![InventoryEvent::Problem(format!("turned down, the last good list stays: {line}"))];
+        let mut events =
+            vec![InventoryEvent::Problem(format!("turned down, the last good list stays: {line}"))];
         if self.in_force.entries.is_empty() {
-            if let Some((inventory, addresses)) = self.settings.last_good.as_deref().and_then(read_last_good) {
+            if let Some((inventory, addresses)) = self.settings.last_good.as_deref().and_then(read_last_good)
+            {
                 let entries = self.changed_entries(&inventory, &addresses);
                 events.push(InventoryEvent::Note(format!(
                     "the list that was last good is in force: {} workers",
@@ -235,14 +245,14 @@
     }
 }
 
-/// Written beside and renamed, so that a reader finds the old file or the new one.
+/// Writes a temporary file and renames it, so that a reader finds the old file or the new one.
 pub fn replace(path: &Path, text: impl AsRef<[u8]>) -> std::io::Result<()> {
     let temporary = path.with_extension("new");
     std::fs::write(&temporary, text)?;
     std::fs::rename(&temporary, path)
 }
 
-/// Keeps the list in force for the next start: whole, or not at all.
+/// Stores the list in force for the next start, atomically.
 fn write_last_good(path: &Path, inventory: &Inventory) -> Result<(), String> {
     let written = replace(path, write(inventory, Written::Csv));
     written.map_err(|e| format!("in force, but cannot be kept in {} for the next start: {e}", path.display()))
--- a/crates/scheduler/src/list/mod.rs
+++ b/crates/scheduler/src/list/mod.rs
@@ -1,8 +1,8 @@
-//! Who the workers are: discovery, files and health, carried out as `crates/roster` decides.
+//! The list of workers from discovery, files and health checks; the decisions are in `crates/roster`.
 
+pub mod connector;
 pub mod discovery;
-pub mod worker_list;
-pub mod probing;
 pub mod inventory_files;
 pub mod inventory_watch;
-pub mod connector;
+pub mod probing;
+pub mod worker_list;
--- a/crates/scheduler/src/list/probing.rs
+++ b/crates/scheduler/src/list/probing.rs
@@ -1,9 +1,9 @@
-//! Looks at the workers that files name: `GET` on the stated path, one connection a look, and any answer from 200 to 299
-//! is good.
+//! Health checks of the workers named in files: `GET` on the configured path, one connection for each check;
+//! any status from 200 to 299 is healthy.
 
 use crate::berth::HealthTerms;
-use crate::list::worker_list::WorkerList;
 use crate::list::connector::Connector;
+use crate::list::worker_list::WorkerList;
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::client::conn::http1;
@@ -15,11 +15,11 @@
 use std::rc::Rc;
 use tokio::time::timeout;
 
-/// Looks for as long as the process lives.
+/// Checks until the process ends.
 pub async fn run(worker_list: Rc<WorkerList>, connector: Rc<dyn Connector>, terms: HealthTerms) {
     let terms = Rc::new(terms);
     loop {
-        // How many are under way is bounded by whoever tells whom to look at.
+        // The worker list limits the number of concurrent checks.
         let (name, number, address) = worker_list.next_check().await;
         let (worker_list, connector, terms) = (worker_list.clone(), connector.clone(), terms.clone());
         tokio::task::spawn_local(async move {
@@ -30,17 +30,17 @@
     }
 }
 
-/// Whether it answers well; none where it does not answer.
+/// Whether the worker responds with success; none if it does not respond.
 async fn check(connector: &dyn Connector, address: SocketAddr, path: &str) -> Option<bool> {
     let stream = connector.connect(address).await.ok()?;
     let (mut sender, connection) = http1::Builder::new().handshake(TokioIo::new(stream)).await.ok()?;
     let message = Request::get(path).header(HOST, address.to_string()).header(CONNECTION, "close");
     let message = message.body(Empty::<Bytes>::new()).ok()?;
-    // Both on this task, so that dropping it ends the connection; the head is all that counts.
+    // Both on this task, so that dropping it closes the connection; only the head of the response matters.
     let mut answer = pin!(sender.send_request(message));
     let answer = tokio::select! {
         answer = answer.as_mut() => answer,
-        // It ends with the answer, which may be there by now.
+        // The connection ends with the response, which may have arrived by now.
         _ = connection => answer.await,
     };
     Some(answer.ok()?.status().is_success())
--- a/crates/scheduler/src/list/worker_list.rs
+++ b/crates/scheduler/src/list/worker_list.rs
@@ -1,5 +1,5 @@
-//! The list of workers on its way to the exchange: discovery's word, or where there are files, one list from files,
-//! discovery and health.
+//! Prepares the list of workers for the exchange: from discovery alone, or merged from files, discovery and
+//! health checks.
 
 use crate::exchange::Exchange;
 use crate::list::inventory_watch::{FileEntry, InventoryEvent};
@@ -15,16 +15,16 @@
 use tindock_roster::merge::WorkerListMerge;
 use tokio::sync::{mpsc, Notify};
 
-/// Lines handed to the exchange in one go: so few that no task waits for a long list.
+/// Entries passed to the exchange at once: few enough that no task waits for a long list.
 const BATCH: usize = 16;
-/// How often workers that drain are looked at for their last task.
+/// How often draining workers are checked for unfinished tasks.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Where the list is kept in files.
+/// Present if the list is also kept in files.
 struct FileSources {
     merge: RefCell<WorkerListMerge<Entry>>,
     health: Option<RefCell<HealthChecker>>,
-    /// There may be somebody to look at.
+    /// Notified when a health check may be due.
     checks_due: Notify,
 }
 
@@ -37,9 +37,15 @@
 }
 
 impl WorkerList {
-    /// Without files, what discovery says goes on as it is.
+    /// Without files, discovery responses are passed on unchanged.
     pub fn from_discovery(exchange: Rc<Exchange>, words: Words, log: Logger) -> Rc<Self> {
-        Rc::new(WorkerList { exchange, words: RefCell::new(words), files: None, forwarded: Cell::new(0), log })
+        Rc::new(WorkerList {
+            exchange,
+            words: RefCell::new(words),
+            files: None,
+            forwarded: Cell::new(0),
+            log,
+        })
     }
 
     pub fn with_files(
@@ -53,22 +59,22 @@
         Rc::new(WorkerList { exchange, words: RefCell::new(words), files, forwarded: Cell::new(0), log })
     }
 
-    /// The words of all that was listed.
+    /// The names of all zones, kinds and workloads listed so far.
     pub fn words(&self) -> Words {
         self.words.borrow().clone()
     }
 
-    /// The index of a machine kind at all who know it by name.
+    /// The index of a machine kind, shared by all users of the name.
     pub fn kind(&self, kind: String) -> Result<usize, String> {
         self.words.borrow_mut().kind(kind)
     }
 
-    /// Decodes an answer of discovery, which may bring words that are new to all.
+    /// Decodes a discovery response, which may add new names.
     pub fn decode(&self, body: &[u8]) -> Result<Listing, String> {
         listing::decode(body, &mut self.words.borrow_mut())
     }
 
-    /// Discovery's answer.
+    /// Applies a discovery response.
     pub fn discovery_update(&self, listing: Listing) {
         let Some(files) = &self.files else { return self.exchange.update_list(listing) };
         let mut merge = files.merge.borrow_mut();
@@ -84,7 +90,7 @@
         while self.forward() {}
     }
 
-    /// Takes in what the files say, for as long as the process lives.
+    /// Applies inventory events until the process ends.
     pub async fn run(&self, mut events: mpsc::Receiver<InventoryEvent>) {
         loop {
             tokio::select! {
@@ -105,7 +111,7 @@
             let member = found.and_then(|(entry, address)| {
                 let leaving = entry.state == State::Leaving;
                 let site = self.words.borrow_mut().site(entry.zone, entry.kind, entry.group as usize);
-                let site = site.map_err(|why| warn!(self.log, "worker {name} is passed over: {why}")).ok()?;
+                let site = site.map_err(|why| warn!(self.log, "worker {name} is ignored: {why}")).ok()?;
                 let (weight, condition, booted_ms) = (entry.slots, Condition::Ready, None);
                 let entry = Entry { name: entry.name, address, site, weight, condition, booted_ms };
                 Some((entry, leaving))
@@ -119,7 +125,7 @@
             files.merge.borrow_mut().set_file_entry(&name, member);
             if number % BATCH == BATCH - 1 {
                 self.forward();
-                // Tasks go first: a list of thousands comes in beside them.
+                // Tasks take precedence: a list of thousands is applied in between.
                 tokio::task::yield_now().await;
             }
         }
@@ -129,14 +135,14 @@
         files.checks_due.notify_one();
     }
 
-    /// Hands a slice of changed lines to the exchange; whether there may be more.
+    /// Passes a batch of changed entries to the exchange; returns whether there may be more.
     fn forward(&self) -> bool {
         let Some(files) = &self.files else { return false };
         let mut merge = files.merge.borrow_mut();
         let mut entries = Vec::new();
         while entries.len() < BATCH {
             let Some(line) = merge.next_update() else { break };
-            // Guards against pushing over a worker that came back to life: it counts as one that starts now.
+            // Guards against overloading a worker that has recovered: it counts as started now.
             let booted_ms = if line.revived { Some(unix_ms()) } else { line.member.booted_ms };
             entries.push(Entry { condition: line.condition, booted_ms, ..line.member });
         }
@@ -149,7 +155,7 @@
         more
     }
 
-    /// Workers that drain are gone with their last task.
+    /// A draining worker is removed after its last task.
     fn remove_drained(&self) {
         let Some(files) = &self.files else { return };
         let ending: Vec<String> = files.merge.borrow().unlisted_draining().map(String::from).collect();
@@ -161,14 +167,14 @@
         while self.forward() {}
     }
 
-    /// Lines of the list that were handed to the exchange since the start.
+    /// The number of entries passed to the exchange since the start.
     pub fn forwarded(&self) -> u64 {
         self.forwarded.get()
     }
 
-    // ---- for those who look at the workers ----
+    // ---- health checks ----
 
-    /// Whom to look at, and where; waits until there is somebody.
+    /// The next worker to check, with its address; waits until a check is due.
     pub async fn next_check(&self) -> (String, u64, std::net::SocketAddr) {
         let Some(FileSources { health: Some(health), checks_due, .. }) = &self.files else {
             return std::future::pending().await;
@@ -215,7 +221,7 @@
     }
 }
 
-/// Without its condition, which is kept apart.
+/// The entry without its condition, which is kept separately.
 fn without_condition(entry: Entry) -> Entry {
     Entry { condition: Condition::Ready, ..entry }
 }
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -1,5 +1,5 @@
-//! The scheduler as a process: its command line, its log, its exit code (0 fine, 1 found wrong, 2 used wrongly, 3 a run
-//! left something as it should not be).
+//! The scheduler as a process: command line, log and exit code (0 success, 1 a check failed, 2 usage error, 3
+//! a run left something in an unwanted state).
 
 use clap::{CommandFactory, FromArgMatches};
 use slog::{o, Drain, Level as SlogLevel, LevelFilter, Logger};
@@ -16,9 +16,9 @@
 use tindock_scheduler::start;
 use tindock_soak::command::Verdict;
 
-/// Lines that may wait for the log's reader; beyond that they are dropped, and their number is told.
+/// Log lines that may be queued for the log's reader; more are dropped, and their number is logged.
 const QUEUED_LINES: usize = 4096;
-/// How long the end of the process waits for lines to be written.
+/// How long the end of the process waits for queued log lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
 fn minimum(level: Level) -> SlogLevel {
@@ -30,10 +30,10 @@
     }
 }
 
-/// A log to standard output, and what has to live until its last lines are written.
+/// A log to standard output, and a guard that must live until its last lines are written.
 fn logger(form: LogForm) -> (Logger, AsyncGuard) {
     let out = std::io::stdout();
-    // Lines that cannot be written or must not wait are lost: no log may block or end the scheduler.
+    // Lines that cannot be written or queued are dropped: no log may block or end the scheduler.
     let drain: Box<dyn Drain<Ok = (), Err = slog::Never> + Send> = if form.json {
         Box::new(slog_json::Json::default(out).ignore_res())
     } else {
@@ -45,7 +45,7 @@
     (Logger::root(drain.ignore_res(), o!()), guard)
 }
 
-/// The lines still waiting are written by a thread of their own, which the end does not wait for long.
+/// The queued lines are written by a thread of their own, so that the end of the process waits only briefly.
 fn flush(guard: AsyncGuard) {
     let (written, all) = mpsc::channel::<()>();
     std::thread::spawn(move || drop((guard, written)));
@@ -77,7 +77,7 @@
         .subcommand(tindock_soak::command::command())
         .subcommand(tindock_rehearsal::command());
     let matches = whole.get_matches();
-    // The whole system's commands are built beside this scheduler's own.
+    // The commands of the whole system are built alongside those of the scheduler.
     if let Some((name, given)) = matches.subcommand().filter(|(name, _)| tindock_house::cli::is_ours(name)) {
         return Ok(tindock_house::cli::run(name, given).map_err(one_line)?);
     }
@@ -140,7 +140,7 @@
 fn main() {
     let code = match dispatch() {
         Ok(output) => {
-            // A reader that went away wants no more of it.
+            // Fails only if the reader has closed the pipe.
             let _ = std::io::stdout().write_all(output.as_bytes());
             0
         }
--- a/crates/scheduler/src/operators/bans.rs
+++ b/crates/scheduler/src/operators/bans.rs
@@ -1,4 +1,4 @@
-//! Workers taken out by hand, kept in a file of the runtime folder for the process that follows.
+//! Workers excluded by operators, stored in the runtime folder for the next process.
 
 use crate::list::inventory_watch;
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,7 @@
     banned: BTreeSet<String>,
 }
 
-/// The file, if there is a folder for it.
+/// The file, if a runtime folder is configured.
 pub struct Bans {
     path: Option<PathBuf>,
     log: Logger,
@@ -26,7 +26,7 @@
         Bans { path: runtime.map(|folder| folder.join(format!("tindock-{name}.bans"))), log }
     }
 
-    /// Who is out; nobody where there is no file. Guards against a start that fails for a damaged one.
+    /// The excluded workers; none if there is no file. Guards against a start that fails on a damaged file.
     pub fn read(&self) -> BTreeSet<String> {
         let Some(path) = &self.path else { return BTreeSet::new() };
         let text = match std::fs::read(path) {
@@ -42,7 +42,7 @@
     }
 
     fn unread(&self, why: &str) -> BTreeSet<String> {
-        warn!(self.log, "workers taken out by hand before are not known: {why}");
+        warn!(self.log, "the stored exclusions of workers cannot be read: {why}");
         BTreeSet::new()
     }
 
--- a/crates/scheduler/src/operators/calls.rs
+++ b/crates/scheduler/src/operators/calls.rs
@@ -1,22 +1,23 @@
-//! Calls to a scheduler's operators' address, from another process.
+//! Calls to a scheduler's operators' address from another process.
 
 use std::io::{Error, ErrorKind, Read, Result, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Figures of some thousand workloads fit.
+/// Enough for the figures of some thousand workloads.
 const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 
-/// The whole answer to a line, all of it within that time.
+/// Sends a line and returns the whole answer, within the time limit.
 pub fn request(at: SocketAddr, line: &str, limit: Duration) -> Result<String> {
     request_with_body(at, line, &[], limit)
 }
 
-/// The same of a line with bytes behind it, whose number the line says.
+/// The same with a body after the line; the line states its length.
 pub fn request_with_body(at: SocketAddr, line: &str, bytes: &[u8], limit: Duration) -> Result<String> {
     let deadline = Instant::now() + limit;
-    // Of no time at all a socket would wait for ever.
-    let remaining = || Some(deadline.saturating_duration_since(Instant::now())).filter(|remaining| !remaining.is_zero());
+    // A socket time-out of zero would mean no time-out.
+    let remaining =
+        || Some(deadline.saturating_duration_since(Instant::now())).filter(|remaining| !remaining.is_zero());
     let late = || Error::new(ErrorKind::TimedOut, format!("no whole answer in {limit:?}"));
     let mut stream = TcpStream::connect_timeout(&at, remaining().ok_or_else(late)?)?;
     stream.set_write_timeout(remaining())?;
@@ -34,14 +35,14 @@
             return Err(Error::new(ErrorKind::InvalidData, "an answer that is too long"));
         }
     }
-    // Guards against an answer that was cut on its way: read as it stands, the beginning of a yes is a no.
+    // Guards against a truncated answer: the beginning of a success could be read as an error.
     if answer.last().is_some_and(|&last| last != b'\n') {
         return Err(Error::new(ErrorKind::UnexpectedEof, "an answer that was cut"));
     }
     String::from_utf8(answer).map_err(|_| Error::new(ErrorKind::InvalidData, "an answer that is no text"))
 }
 
-/// Something for each, at once: one that does not answer holds up none of the others.
+/// Applies `f` to all items in parallel, so that a slow one delays none of the others.
 pub fn map_parallel<T: Send, R: Send>(all: impl IntoIterator<Item = T>, f: impl Fn(T) -> R + Sync) -> Vec<R> {
     let f = &f;
     std::thread::scope(|scope| {
@@ -53,7 +54,7 @@
     })
 }
 
-/// What a yes says before its last line, or what is said against the call.
+/// The text before the last line of a successful answer, or the reported error.
 pub fn parse_answer(answer: &str) -> std::result::Result<&str, String> {
     let whole = answer.trim_end();
     let (before, last) = whole.rsplit_once('\n').unwrap_or(("", whole));
@@ -83,9 +84,9 @@
         answer
     }
 
-    /// Guards against an answer that was cut: it tells nothing, and may not be taken for a no.
+    /// Guards against a truncated answer that is taken for an error: it says neither.
     #[test]
-    fn a_cut_answer_is_none() {
+    fn truncated_answers_are_errors() {
         assert_eq!(answered("don").expect_err("cut").kind(), ErrorKind::UnexpectedEof);
         assert_eq!(answered("error lease: n").expect_err("cut").kind(), ErrorKind::UnexpectedEof);
         assert_eq!(parse_answer(&answered("done\n").expect("whole")), Ok(""));
--- a/crates/scheduler/src/operators/management.rs
+++ b/crates/scheduler/src/operators/management.rs
@@ -1,5 +1,5 @@
-//! The operators' address: one line a connection, answered by a line that begins with `done` or `error`, or by the
-//! figures and a line `end`.
+//! The operators' address: one line for each connection, answered by a line that begins with `done` or
+//! `error`, or by figures and a line `end`.
 
 use crate::accord::{Accord, Change};
 use crate::clients::listener::SHORT_OF_DESCRIPTORS;
@@ -20,13 +20,13 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::timeout;
 
-/// The longest call is a word and a worker's name.
+/// The longest call is a command and a worker's name.
 const MAX_LINE_BYTES: usize = 256;
-/// Time for a call and for its answer: a caller that needs more has gone, or never meant to ask.
+/// Time limit for a call and for its answer, each.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Callers at a time, within the scheduler's own descriptors. One more puts out the one that has been here for
-/// longest: whoever has sent a whole line is answered at once, so that one has not. Guards against callers that
-/// connect and say nothing.
+/// Concurrent callers, within the descriptors that the scheduler reserves for itself. One more replaces the
+/// oldest: a caller that has sent a whole line is answered at once, so the oldest has not. Guards against
+/// callers that connect and send nothing.
 const MAX_CALLERS: usize = 12;
 
 pub struct Management {
@@ -34,19 +34,19 @@
     pub telemetry: Rc<Telemetry>,
     pub bans: Bans,
     pub version: Rc<Version>,
-    /// To who reads the configuration.
+    /// To the task that rereads the configuration.
     pub rereads: mpsc::Sender<Reread>,
-    /// To the process beside this one, during an upgrade.
+    /// The connection to the other process during an upgrade.
     pub handover: Rc<Line>,
-    /// Where a group decides the policy.
+    /// The group that decides the policy, if there is one.
     pub group: Option<Rc<Accord>>,
-    /// Clients are let in, and nothing that is handed over is still to come.
+    /// Clients are accepted, and nothing is left to be handed over.
     pub open: Rc<Cell<bool>>,
     pub log: Logger,
 }
 
 impl Management {
-    /// Answers until the process ends.
+    /// Answers calls until the process ends.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let callers = RefCell::new(VecDeque::<AbortHandle>::new());
         loop {
@@ -78,7 +78,7 @@
             },
             Err(why) => Err(why),
         };
-        // Lines of answers are the program's own; what they quote was escaped.
+        // Answers contain the program's own text; what they quote was escaped.
         let text = answer.unwrap_or_else(|why| format!("error {why}\n"));
         let _ = timeout(CALLER_TIMEOUT, async {
             stream.write_all(text.as_bytes()).await?;
@@ -135,7 +135,7 @@
         Ok(format!("done {number} {digest}\n"))
     }
 
-    /// A policy comes behind its line, with its digest. Guards against one that was cut on its way.
+    /// Reads a policy that follows its line, and checks its digest. Guards against a truncated policy.
     async fn propose(
         &self,
         stream: &mut TcpStream,
@@ -183,7 +183,7 @@
         group.map(|_| "not ready: the group does not say that the policy here is in force; ask policy")
     }
 
-    /// In force, and in the file, before the yes.
+    /// Applied, and stored in the file, before the answer.
     fn ban(&self, name: &str, banned: bool) -> Result<(), String> {
         let Some(changed) = self.exchange.ban(name, banned) else {
             return Err(format!("worker {name:?} was never listed"));
@@ -193,14 +193,14 @@
             let what = if banned { "taken out" } else { "put back" };
             info!(self.log, "worker {name} {what} by hand");
             if let Err(e) = self.bans.write(self.exchange.bans()) {
-                warn!(self.log, "who is out by hand will be forgotten at the next start: {e}");
+                warn!(self.log, "exclusions of workers cannot be stored for the next start: {e}");
             }
         }
         Ok(())
     }
 }
 
-/// The one line of a caller and what came behind it; none where it left before the end of it.
+/// Reads the line of a caller and the bytes after it; none if the caller disconnects before its end.
 async fn read_line(stream: &mut TcpStream) -> Result<Option<(String, Vec<u8>)>, String> {
     let (mut buffer, mut filled) = ([0; MAX_LINE_BYTES], 0);
     loop {
--- a/crates/scheduler/src/operators/mod.rs
+++ b/crates/scheduler/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' side: their address, figures, bans, the configuration read again.
+//! The operators' side: their address, telemetry, exclusion of workers, and rereading the configuration.
 
 pub mod bans;
 pub mod calls;
--- a/crates/scheduler/src/operators/reload.rs
+++ b/crates/scheduler/src/operators/reload.rs
@@ -1,6 +1,6 @@
-//! SIGHUP, or a run's call: the configuration is read again, whole or not at all. In force at once are the settings (workloads, customers,
-//! limits of assignments, what workers are held to) and a new discovery address; what else has changed in it counts
-//! from the next start on.
+//! Rereads the configuration on SIGHUP or on a call from a rollout: it is applied as a whole or not at all.
+//! Applied at once are the settings (workloads, tenants, limits on assignments, requirements on workers) and
+//! a new discovery address; other changes take effect at the next start.
 
 use crate::accord::text::Text;
 use crate::accord::{policy, Policies};
@@ -20,17 +20,17 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Calls to read again that may wait; callers are few, and each waits for its answer.
+/// Queued calls to reread; callers are few, and each waits for its answer.
 pub const QUEUED_REREADS: usize = 4;
 
-/// A call to read again what has this digest; the answer is given when it is in force, or says why it is not.
+/// A call to reread the file with this digest; answered when it is in force, or with the reason why it is
+/// not.
 pub struct Reread {
     pub digest: String,
     pub answer: oneshot::Sender<Result<(), String>>,
 }
 
-/// What the own file says of the things that a group decides, as it was at the start, and the policy in force in its
-/// place.
+/// The settings decided by a group: those in the local file at the start, and the policy that replaces them.
 pub struct Group {
     pub initial: String,
     pub policy: RefCell<Option<Rc<Text>>>,
@@ -39,9 +39,9 @@
 pub struct ConfigReloader {
     pub path: PathBuf,
     pub layers: Layers,
-    /// What the file in force says at all.
+    /// The keys that the file in force contains.
     pub keys: RefCell<BTreeSet<String>>,
-    /// Where a group decides the policy.
+    /// The group that decides the policy, if there is one.
     pub group: Option<Group>,
     pub discovery: Option<watch::Sender<SocketAddr>>,
     pub exchange: Rc<Exchange>,
@@ -54,7 +54,8 @@
 }
 
 impl ConfigReloader {
-    /// Reads again after each signal and call. Several signals at once are one, and the file is read after the last.
+    /// Rereads after each signal and call. Several pending signals count as one, and the file is read after
+    /// the last.
     pub async fn run(self: Rc<Self>, mut hang_up: Signal, mut rereads: mpsc::Receiver<Reread>) {
         loop {
             tokio::select! {
@@ -63,7 +64,7 @@
                     None => return,
                 },
                 Some(Reread { digest, answer }) = rereads.recv() => {
-                    // Guards against a call that comes twice: what is in force already is in force.
+                    // Guards against a repeated call: what it asks for is already in force.
                     let done = if digest == self.version.settings() { Ok(()) } else { self.reload(Some(&digest)) };
                     let _ = answer.send(done);
                 }
@@ -71,10 +72,10 @@
         }
     }
 
-    /// The file is small and on the own machine: read at once, in the midst of all else.
+    /// The file is small and local, so it is read synchronously.
     fn reload(&self, wanted: Option<&str>) -> Result<(), String> {
         let check_digest = |berth: Berth| match wanted {
-            // Guards against a file that was replaced since the call was sent: nobody vouches for it.
+            // Guards against a file that was replaced after the call was sent and that nobody has approved.
             Some(digest) if digest != berth.digest => {
                 Err(format!("the file has digest {}, not {digest}", berth.digest))
             }
@@ -89,19 +90,19 @@
             }
             Err(why) => {
                 let why = why.replace('\n', " ");
-                warn!(self.log, "new configuration turned down, the old one is kept: {why}");
+                warn!(self.log, "new configuration rejected, the old one stays in force: {why}");
                 Err(why)
             }
         }
     }
 
-    /// The file; under a policy that a group has decided, with that one in it.
+    /// Reads the file; where a group has decided a policy, with that policy applied.
     fn read(&self) -> Result<Berth, String> {
         let local = berth::from_file(&self.path, &self.layers)?;
         let policy = self.group.as_ref().and_then(|group| Some((group, group.policy.borrow().clone()?)));
         let Some((group, text)) = policy else { return Ok(local) };
         if policy::says(&local) != group.initial {
-            // Guards against a scheduler that decides by a file of its own beside others.
+            // Guards against a scheduler that decides by its own file next to others that follow the policy.
             return Err(format!(
                 "workloads, customers and workers are decided by the group (number {}): undo what was changed by hand, \
                  or propose it with tindock policy propose",
@@ -111,8 +112,8 @@
         policy::over(&self.path, &self.layers, &text)
     }
 
-    /// Guards against a file that was cut and still can be read, and against words that nobody could hold: nothing is
-    /// taken from it.
+    /// Guards against a truncated file that still parses, and against names beyond the limits of the tables:
+    /// nothing of it is applied.
     fn validate(&self, mut berth: Berth) -> Result<Berth, String> {
         if let Some(missing) = self.keys.borrow().difference(&berth.keys).next() {
             return Err(format!("no {missing}, which the file before had"));
@@ -134,11 +135,11 @@
         self.clients.reload_names();
         let names = berth.words.workloads.join(", ");
         let at = self.discovery.as_ref().map(|discovery| {
-            let moved = discovery.send_if_modified(|at| {
+            let changed = discovery.send_if_modified(|at| {
                 let new = berth.discovery.unwrap_or(*at);
                 std::mem::replace(at, new) != new
             });
-            let what = if moved { "discovery is now" } else { "discovery is still" };
+            let what = if changed { "discovery is now" } else { "discovery is still" };
             format!("{what} at {}, ", *discovery.borrow())
         });
         info!(self.log, "configuration read again: {}workloads {names}", at.unwrap_or_default());
@@ -150,7 +151,7 @@
         policy::over(&self.path, &self.layers, text).and_then(|berth| self.validate(berth)).map(|_| ())
     }
 
-    /// Goes through the same step as a file that is read again.
+    /// The same steps as for a file that is reread.
     fn take_up(&self, text: &Rc<Text>) -> Result<(), String> {
         let berth = policy::over(&self.path, &self.layers, text).and_then(|berth| self.validate(berth))?;
         if let Some(group) = &self.group {
--- a/crates/scheduler/src/operators/telemetry.rs
+++ b/crates/scheduler/src/operators/telemetry.rs
@@ -1,11 +1,11 @@
-//! The figures that operators read. Each is counted at the one place where it happens, and starts at 0 with the process.
+//! The figures for operators. Each is counted in one place, and starts at 0 with the process.
 
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How a task ended, as its client was told.
+/// How a task ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Finished,
@@ -15,14 +15,14 @@
 
 #[derive(Default)]
 pub struct Telemetry {
-    /// By the workload's name: one that is dropped keeps its counts, one that comes back goes on with them.
+    /// By the workload's name: a removed workload keeps its counts, and continues them if it returns.
     ends: RefCell<BTreeMap<String, [u64; 3]>>,
-    /// Assignments whose last byte was handed to the kernel.
+    /// Assignments whose last byte was passed to the kernel.
     pub assignments: Rc<Cell<u64>>,
     reloads: Cell<(u64, u64)>,
 }
 
-/// What the exchange knows of the moment.
+/// The present figures of the exchange.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
     pub in_flight: usize,
@@ -30,7 +30,7 @@
     pub excluded: usize,
 }
 
-/// The words of the operators' page.
+/// The serialized form for operators.
 #[derive(Serialize)]
 struct TelemetryDoc<'a> {
     served: BTreeMap<&'a str, u64>,
@@ -45,7 +45,7 @@
 }
 
 impl Telemetry {
-    /// A workload that can be handed in from now on.
+    /// A workload that clients may submit from now on.
     pub fn register_workload(&self, workload: &str) {
         self.ends.borrow_mut().entry(workload.into()).or_default();
     }
@@ -61,7 +61,7 @@
         self.reloads.set((ok + u64::from(taken), rejected + u64::from(!taken)));
     }
 
-    /// All of it as one line of JSON.
+    /// All figures as one line of JSON.
     pub fn figures(&self, snapshot: Snapshot) -> String {
         let ends = self.ends.borrow();
         let by =
--- a/crates/scheduler/src/operators/version.rs
+++ b/crates/scheduler/src/operators/version.rs
@@ -1,4 +1,5 @@
-//! What runs here, for whoever changes it: which settings, which program, since when, and which run may change it.
+//! Reports what runs in this process to rollouts: configuration, program, start time, and the run that holds
+//! the lease on it.
 
 use crate::clock::Clock;
 use serde::Serialize;
@@ -7,13 +8,13 @@
 use std::sync::mpsc::{self, Receiver};
 use tindock_rollout::Lease;
 
-/// The form of the answer; readers take any that they know all words of.
+/// The format of the answer; readers accept any whose fields they all know.
 const VERSION: u32 = 1;
 
 pub struct Version {
     /// Digest of the configuration in force.
     settings: RefCell<String>,
-    /// Of the program's file; found out when it is first asked for, since that reads some megabytes.
+    /// Digest of the program file; computed on the first call, because that reads some megabytes.
     program: OnceCell<String>,
     digest_reader: RefCell<Option<Receiver<String>>>,
     began_ms: u64,
@@ -21,18 +22,18 @@
     clock: Clock,
 }
 
-/// The words of the answer.
+/// The serialized answer.
 #[derive(Serialize)]
 struct VersionDoc<'a> {
     version: u32,
     settings: &'a str,
-    /// None while it is not known yet.
+    /// None until it is computed.
     program: Option<&'a str>,
-    /// Which process of this name it is: when it began, in Unix milliseconds.
+    /// Identifies the process: its start in Unix milliseconds.
     began_ms: u64,
     pid: u32,
     ready: bool,
-    /// The largest number of a run, and that run.
+    /// The largest fence number of a run, and that run.
     fence: u64,
     run: &'a str,
 }
@@ -58,24 +59,24 @@
         self.settings.borrow().clone()
     }
 
-    /// Another configuration is in force.
+    /// Sets the digest of the configuration now in force.
     pub fn set_settings(&self, settings: String) {
         self.settings.replace(settings);
     }
 
-    /// Takes or renews the lease of a run; one line says why not.
+    /// Acquires or renews the lease of a run, or returns the reason why not.
     pub fn lease(&self, run: &str, number: &str) -> Result<(), String> {
         self.lease.borrow_mut().take(run, parse_number(number)?, self.clock.now())
     }
 
-    /// A run that has ended lets go.
+    /// Releases the lease of a run that has ended.
     pub fn release(&self, run: &str, number: &str) -> Result<(), String> {
         self.lease.borrow_mut().release(run, parse_number(number)?);
         Ok(())
     }
 
-    /// One line of JSON. Guards against an answer that comes late: the program's file is read on a thread of its own
-    /// from the first call on, and nothing stands for it until that has ended.
+    /// One line of JSON. Guards against a late answer: the program file is read on a separate thread, started
+    /// by the first call, and its digest is omitted until then.
     pub fn line(&self, ready: bool) -> String {
         self.find_program();
         let (settings, lease) = (self.settings.borrow(), self.lease.borrow());
@@ -93,7 +94,7 @@
         if digest_reader.is_none() {
             let (sender, receiver) = mpsc::channel();
             let read = move || {
-                // By the process's own link: the file may be another one by now.
+                // Through the process's own link: the file at its path may have been replaced.
                 let digest = File::open("/proc/self/exe").and_then(tindock_berth::digest_of);
                 let _ = sender.send(digest.unwrap_or_default());
             };
--- a/crates/scheduler/src/peers/mod.rs
+++ b/crates/scheduler/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Words between schedulers.
+//! Messages between schedulers.
 
-pub mod socket;
 pub mod outbox;
+pub mod socket;
--- a/crates/scheduler/src/peers/outbox.rs
+++ b/crates/scheduler/src/peers/outbox.rs
@@ -1,4 +1,4 @@
-//! What the module says to other schedulers at one time, packed into messages.
+//! Packs the module's announcements to other schedulers into messages.
 
 use std::net::{IpAddr, SocketAddr};
 use tindock::types::Decision;
@@ -7,14 +7,14 @@
 /// A message and the scheduler it is for; none: for all.
 pub type Message = (Option<usize>, Vec<u8>);
 
-/// A worker's address as it stands in messages; none where it does not fit.
+/// A worker's address as it is encoded in messages; none if it is not IPv4.
 pub fn address(of: SocketAddr) -> Option<Address> {
     let IpAddr::V4(ip) = of.ip() else { return None };
     let ([a, b, c, d], [high, low]) = (ip.octets(), of.port().to_be_bytes());
     Some([a, b, c, d, high, low])
 }
 
-/// Collects what the module says at one time: what is out goes into common messages.
+/// Collects the announcements made at one time; those on usage share messages.
 #[derive(Default)]
 pub struct Outbox {
     usage: words::Announcements,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The messages of this time.
+    /// The messages collected since the last call.
     pub fn drain(&mut self) -> impl Iterator<Item = Message> + '_ {
         self.messages.extend(self.usage.messages().into_iter().map(|message| (None, message)));
         self.messages.drain(..)
--- a/crates/scheduler/src/peers/socket.rs
+++ b/crates/scheduler/src/peers/socket.rs
@@ -1,4 +1,5 @@
-//! Words between schedulers as datagrams: sent, and read. What comes from a stranger, cannot be read or names nobody is dropped and counted.
+//! Sends and receives messages between schedulers as datagrams. A message from an unknown sender, or one that
+//! cannot be decoded, is dropped and counted.
 
 use crate::exchange::Exchange;
 use crate::peers::outbox::Message;
@@ -12,9 +13,9 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-/// Sums of what was dropped are told this often, if anything was.
+/// The number of dropped messages is logged at this interval, if there were any.
 const DROPPED_LOG_INTERVAL: Duration = Duration::from_secs(60);
-/// Messages that wait to be sent; beyond them words are lost, which is harmless.
+/// Messages queued for sending; more are lost, which is harmless.
 pub const QUEUED_MESSAGES: usize = 256;
 
 pub struct PeerSocket {
@@ -29,13 +30,13 @@
         while let Some((to, message)) = messages.recv().await {
             let all = others.all.iter().enumerate().filter(|(position, _)| *position != others.position);
             for (_, &address) in all.filter(|(position, _)| to.is_none_or(|to| to == *position)) {
-                // A scheduler that is not there hears nothing: words may be lost.
+                // The scheduler may be down: messages may be lost.
                 let _ = socket.send_to(&message, address).await;
             }
         }
     }
 
-    /// Hears the others until the process ends.
+    /// Receives messages until the process ends.
     pub async fn receive(self) {
         let positions: HashMap<SocketAddr, usize> =
             self.others.all.iter().enumerate().map(|(position, &at)| (at, position)).collect();
@@ -44,7 +45,7 @@
         loop {
             tokio::select! {
                 received = self.socket.recv_from(&mut bytes) => {
-                    // An error here tells of an earlier message that met nobody.
+                    // An error here reports that an earlier message was not delivered.
                     let Ok((length, from)) = received else { continue };
                     let position = positions.get(&from).copied().filter(|&position| position != self.others.position);
                     match position.zip(words::decode(&bytes[..length])) {
@@ -54,7 +55,7 @@
                 }
                 _ = log_timer.tick() => {
                     if dropped > 0 {
-                        info!(self.log, "{dropped} messages dropped that no known scheduler sent or nobody can read");
+                        info!(self.log, "{dropped} messages dropped: unknown sender or undecodable");
                         dropped = 0;
                     }
                 }
--- a/crates/scheduler/src/rollout/files.rs
+++ b/crates/scheduler/src/rollout/files.rs
@@ -1,7 +1,7 @@
 //! The configurations on disk. Each is replaced under a lock, by a run that holds the largest number seen there: a run
 //! that was stopped in the midst and wakes after another has begun replaces nothing any more.
 
-use crate::disk::{with_suffix, locked, replace};
+use crate::disk::{locked, replace, with_suffix};
 use std::fs;
 use std::io::ErrorKind;
 use std::path::Path;
--- a/crates/scheduler/src/start.rs
+++ b/crates/scheduler/src/start.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together and runs them on one thread until the scheduler was told to stop.
+//! Builds the parts and runs them on one thread until the scheduler is stopped.
 
 use crate::accord::{policy, Accord, Opened};
 use crate::berth::{self, Berth, Layers};
@@ -6,24 +6,24 @@
 use crate::clients::requests::BodyBudget;
 use crate::clock::Clock;
 use crate::exchange::Exchange;
+use crate::list::connector::Tcp;
 use crate::list::discovery::Discovery;
-use crate::list::worker_list::WorkerList;
-use crate::list::probing;
 use crate::list::inventory_watch::InventoryThread;
-use crate::list::connector::Tcp;
+use crate::list::probing;
+use crate::list::worker_list::WorkerList;
 use crate::operators::bans::Bans;
 use crate::operators::management::Management;
-use crate::operators::reload::{self, Group, ConfigReloader};
+use crate::operators::reload::{self, ConfigReloader, Group};
 use crate::operators::telemetry::Telemetry;
 use crate::operators::version::Version;
 use crate::peers::socket::{self, PeerSocket};
-use crate::workload_table::WorkloadTable;
 use crate::succession::handover::{self, Handover};
 use crate::succession::leaving;
 use crate::succession::line::Line;
 use crate::succession::stopping::Stopping;
 use crate::workers::pool::Pool;
 use crate::workers::sending::Sending;
+use crate::workload_table::WorkloadTable;
 use slog::{info, o, warn, Logger};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -37,13 +37,13 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::{spawn_local, LocalSet};
 
-/// Readings of the inventory that may wait to be taken in.
+/// Inventory events that may be queued for the serving thread.
 const QUEUED_EVENTS: usize = 4;
 
-/// Connections that wait to be accepted.
+/// The kernel's queue of connections that are not accepted yet.
 const BACKLOG: u32 = 1024;
 
-/// A listener; a shared address is open to the process that takes over, too.
+/// Opens a listener. A shared address can also be bound by the process that takes over.
 fn listen(at: SocketAddr, shared: bool) -> std::io::Result<TcpListener> {
     let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
@@ -52,7 +52,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Serves until told to stop and all is answered; an error only where it could not start.
+/// Serves until it is stopped and every task is answered; an error only if it could not start.
 pub fn run(berth: Berth, path: PathBuf, layers: Layers, log: &Logger) -> Result<(), String> {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_io().enable_time().build().map_err(|e| format!("runtime: {e}"))?;
@@ -60,44 +60,46 @@
 }
 
 async fn serve(mut berth: Berth, path: PathBuf, layers: Layers, log: &Logger) -> Result<(), String> {
-    // Guards against an end by a signal that comes early: both are caught before anybody can take us for ready.
+    // Guards against a signal that ends the process early: both are caught before anyone can see the process
+    // as ready.
     let caught = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
     let (hang_up, terminate) = (caught(SignalKind::hangup())?, caught(SignalKind::terminate())?);
-    let manages = match berth.management {
+    let management_listener = match berth.management {
         None => None,
         Some(at) => Some(listen(at, false).map_err(|e| format!("management, {at}: {e}"))?),
     };
     let telemetry = Rc::new(Telemetry::default());
     let place = berth.runtime.as_deref().map(|runtime| handover::place(runtime, &berth.name));
-    let taken = place.as_deref().map_or(Ok(None), |place| handover::ask(place, berth.listen));
-    let taken = taken.unwrap_or_else(|e| {
-        warn!(log, "nothing is taken over from the process that runs: {e}");
+    let takeover = place.as_deref().map_or(Ok(None), |place| handover::ask(place, berth.listen));
+    let takeover = takeover.unwrap_or_else(|e| {
+        warn!(log, "cannot take over from the running process: {e}");
         None
     });
-    let (mut before, mut heritage) = (None, None);
-    let listener = match taken {
+    let (mut before, mut inherited) = (None, None);
+    let listener = match takeover {
         None => listen(berth.listen, place.is_some()).map_err(|e| format!("{}: {e}", berth.listen))?,
-        Some(taken) => {
-            before = Some(UnixStream::from_std(taken.stream).map_err(|e| e.to_string())?);
-            heritage = Some(taken.heritage);
-            TcpListener::from_std(taken.listener).map_err(|e| e.to_string())?
+        Some(takeover) => {
+            before = Some(UnixStream::from_std(takeover.stream).map_err(|e| e.to_string())?);
+            inherited = Some(takeover.heritage);
+            TcpListener::from_std(takeover.listener).map_err(|e| e.to_string())?
         }
     };
-    // After the process that runs has let go of its place in the group.
-    let opened = berth.accord.as_ref().map(|told| Opened::folder(told, &berth.name)).transpose()?;
-    let mut group = berth.accord.as_ref().map(|_| Group { initial: policy::says(&berth), policy: None.into() });
+    // Opened only after the running process has released its membership of the group.
+    let opened = berth.accord.as_ref().map(|settings| Opened::folder(settings, &berth.name)).transpose()?;
+    let mut group =
+        berth.accord.as_ref().map(|_| Group { initial: policy::says(&berth), policy: None.into() });
     if let Some((text, group)) = opened.as_ref().and_then(Opened::in_force).zip(group.as_mut()) {
         group.policy = RefCell::new(Some(text.clone()));
         match policy::over(&path, &layers, text) {
-            Ok(under) => berth = berth::Berth { accord: berth.accord, known: berth.known, ..under },
-            // It is no member that can serve, and says so for as long as it lives.
-            Err(why) => warn!(log, "the policy in force cannot be read here: {why}"),
+            Ok(applied) => berth = berth::Berth { accord: berth.accord, known: berth.known, ..applied },
+            // It cannot serve as a member of the group, and reports that for as long as it runs.
+            Err(why) => warn!(log, "this process cannot read the policy in force: {why}"),
         }
     }
-    // What the other process has is newer than what the file says.
-    let list = heritage.as_mut().and_then(|h| h.list.take()).filter(|_| berth.inventory.is_none());
+    // The state of the other process is newer than the file.
+    let list = inherited.as_mut().and_then(|h| h.list.take()).filter(|_| berth.inventory.is_none());
     let list = list.map(|list| list.decode(&mut berth.words)).transpose().unwrap_or_else(|why| {
-        warn!(log, "the list of the process that runs is not taken over: {why}");
+        warn!(log, "the worker list of the running process is not taken over: {why}");
         None
     });
     let index = berth.known.as_ref().map(|known| known.index).filter(|_| list.is_none());
@@ -108,29 +110,30 @@
     let version = Rc::new(Version::new(std::mem::take(&mut berth.digest), clock));
     let stopping = Rc::new(Stopping::new(part("stopping")));
     stopping.reaches(berth.sheet.workloads.iter().map(|row| row.hard_limit).max().unwrap_or_default());
-    let rows = WorkloadTable::new(&berth.sheet, &berth.words);
+    let workloads = WorkloadTable::new(&berth.sheet, &berth.words);
     let began = clock.now();
-    let rules = Policy::new(berth.sheet, berth.seed, began);
+    let decision_module = Policy::new(berth.sheet, berth.seed, began);
     let now = Box::new(move || clock.now());
-    let (exchange, orders) = Exchange::new(rules, rows, clock, now, part("rules"));
+    let (exchange, commands) = Exchange::new(decision_module, workloads, clock, now, part("rules"));
     let bans = Bans::new(berth.runtime.as_deref(), &berth.name, part("management"));
-    exchange.restore_bans(heritage.as_ref().map_or_else(|| bans.read(), |h| h.banned.clone()));
+    exchange.restore_bans(inherited.as_ref().map_or_else(|| bans.read(), |h| h.banned.clone()));
     exchange.start(began, known);
-    heritage.iter().for_each(|heritage| exchange.import_state(heritage, &berth.words));
+    inherited.iter().for_each(|inherited| exchange.import_state(inherited, &berth.words));
     let worker_list = match &berth.inventory {
         None => WorkerList::from_discovery(exchange.clone(), berth.words.clone(), part("inventory")),
         Some(stock) => {
-            let terms = stock.health.clone();
-            let health = terms.as_ref().map(|h| {
+            let health_settings = stock.health.clone();
+            let health = health_settings.as_ref().map(|h| {
                 let (down_after, up_after, panic_share) = (h.down_after, h.up_after, h.panic_share);
                 HealthChecker::new(
                     HealthSettings { interval: h.every, down_after, up_after, panic_share },
                     berth.seed,
                 )
             });
-            let worker_list = WorkerList::with_files(exchange.clone(), berth.words.clone(), health, part("inventory"));
-            if let Some(terms) = terms {
-                spawn_local(probing::run(worker_list.clone(), Rc::new(Tcp), terms));
+            let worker_list =
+                WorkerList::with_files(exchange.clone(), berth.words.clone(), health, part("inventory"));
+            if let Some(health_settings) = health_settings {
+                spawn_local(probing::run(worker_list.clone(), Rc::new(Tcp), health_settings));
             }
             let (events_sender, events) = mpsc::channel(QUEUED_EVENTS);
             let folder = path.parent().map(PathBuf::from).unwrap_or_default();
@@ -144,12 +147,13 @@
             worker_list
         }
     };
-    let mut moved = None;
+    let mut discovery_address = None;
     match berth.discovery {
         Some(at) => {
-            let (tell, address) = watch::channel(at);
-            moved = Some(tell);
-            // It is an agent on the own machine, whatever the settings say of the service behind it.
+            let (address_sender, address) = watch::channel(at);
+            discovery_address = Some(address_sender);
+            // The service is an agent on the local machine, whatever the settings say of the service behind
+            // it.
             let client = ListClient::new(Service::Agent { max_wait: LONG_WAIT }, index, berth.seed);
             let log = part("discovery");
             let discovery = Discovery {
@@ -167,17 +171,17 @@
     let pool = Rc::new(Pool::new(berth.rooms.for_workers, berth.dial, berth.keep));
     let sending =
         Sending::new(exchange.clone(), pool.clone(), telemetry.assignments.clone(), part("workers"));
-    let mut told = None;
+    let mut peer_messages = None;
     if let Some(others) = berth.others {
         let at = others.all[others.position];
         let socket = UdpSocket::bind(at).await.map_err(|e| format!("peers, {at}: {e}"))?;
-        let (socket, (tell, messages)) = (Rc::new(socket), mpsc::channel(socket::QUEUED_MESSAGES));
-        told = Some(tell);
+        let (socket, (sender, messages)) = (Rc::new(socket), mpsc::channel(socket::QUEUED_MESSAGES));
+        peer_messages = Some(sender);
         spawn_local(PeerSocket::send(socket.clone(), others.clone(), messages));
         let peers = PeerSocket { exchange: exchange.clone(), socket, others, log: part("peers") };
         spawn_local(peers.receive());
     }
-    exchange.configure(berth.words.reports.clone(), told);
+    exchange.configure(berth.words.reports.clone(), peer_messages);
     let line = Rc::new(Line::default());
     let clients = ClientListener::new(
         exchange.clone(),
@@ -189,12 +193,12 @@
         part("clients"),
     );
     clients.reload_names();
-    let reloading = Rc::new(ConfigReloader {
+    let reloader = Rc::new(ConfigReloader {
         path,
         layers,
         keys: berth.keys.into(),
         group,
-        discovery: moved,
+        discovery: discovery_address,
         exchange: exchange.clone(),
         worker_list: worker_list.clone(),
         clients: clients.clone(),
@@ -204,24 +208,24 @@
         log: part("configuration"),
     });
     let mut accord = None;
-    if let Some((told, opened)) = berth.accord.zip(opened) {
-        let policies = reloading.clone();
-        let group = Accord::new(told, berth.name.clone(), opened, clock, policies, part("accord"))?;
+    if let Some((settings, opened)) = berth.accord.zip(opened) {
+        let policies = reloader.clone();
+        let group = Accord::new(settings, berth.name.clone(), opened, clock, policies, part("accord"))?;
         clients.set_group(group.clone());
         spawn_local(group.clone().keep());
         group.first_word().await;
         accord = Some(group);
     }
-    let (rereads, asked) = mpsc::channel(reload::QUEUED_REREADS);
-    spawn_local(reloading.run(hang_up, asked));
-    spawn_local(sending.run(orders));
-    let tends = pool.clone();
-    spawn_local(async move { tends.retire_idle().await });
+    let (rereads, reread_queue) = mpsc::channel(reload::QUEUED_REREADS);
+    spawn_local(reloader.run(hang_up, reread_queue));
+    spawn_local(sending.run(commands));
+    let idle_pool = pool.clone();
+    spawn_local(async move { idle_pool.retire_idle().await });
     let timer = exchange.clone();
     spawn_local(async move { timer.run_timers().await });
     let listener = Rc::new(listener);
-    let listens = listener.local_addr().map_err(|e| e.to_string())?;
-    info!(log, "{} listens on {listens}", berth.name);
+    let local_address = listener.local_addr().map_err(|e| e.to_string())?;
+    info!(log, "{} listens on {local_address}", berth.name);
     let counts = clients.clone();
     spawn_local(async move { counts.log_counts().await });
     spawn_local(clients.clone().accept(listener.clone()));
@@ -243,12 +247,21 @@
     before.into_iter().for_each(|stream| drop(spawn_local(handover.clone().after(stream))));
     spawn_local(handover.keep(place));
     open.set(true);
-    if let Some(listener) = manages {
+    if let Some(listener) = management_listener {
         info!(log, "operators' address is {}", listener.local_addr().map_err(|e| e.to_string())?);
         let (exchange, open) = (exchange.clone(), open.clone());
         let log = part("management");
-        let management =
-            Management { exchange, telemetry, bans, version, rereads, handover: line, group: accord, open, log };
+        let management = Management {
+            exchange,
+            telemetry,
+            bans,
+            version,
+            rereads,
+            handover: line,
+            group: accord,
+            open,
+            log,
+        };
         spawn_local(Rc::new(management).accept(listener));
     }
     leaving::over(&stopping, terminate, &clients, &exchange, &open).await;
--- a/crates/scheduler/src/workers/endings.rs
+++ b/crates/scheduler/src/workers/endings.rs
@@ -1,46 +1,48 @@
-//! Every way in which an assignment, and the connection that carries it, can end.
+//! All ways in which an assignment, and the connection that carries it, can end.
 
 use tindock::types::Ending;
 
-/// One value for each way; `None` of a status means that no answer came.
+/// One value for each way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Close {
-    /// News: done, with the result.
+    /// Update: done, with the result.
     Done,
-    /// News: the worker erred at it.
+    /// Update: the worker failed on it.
     Failed,
-    /// News: handed back unstarted.
+    /// Update: returned without having been started.
     Returned,
-    /// News: it was killed, or its machine saw the worker die.
+    /// Update: it was killed, or its machine reported that the worker died.
     Lost,
-    /// Answered that the task itself cannot be used: no worker could.
+    /// Response: the task itself is unusable for any worker.
     Unusable(u16),
-    /// Answered with a status that means neither taken nor never ran.
+    /// Response: a status that neither accepts the task nor says that it never ran.
     UnexpectedStatus(u16),
-    /// Answered as turned away, with the mark that it never ran.
+    /// Response: rejected, with the header that says it never ran.
     Rejected,
-    /// The connection was turned down, or broke while it came up.
+    /// The connection was refused, or broke while it was being established.
     ConnectFailed,
-    /// The connection did not come up in time.
+    /// The connection was not established in time.
     ConnectTimeout,
-    /// It broke before the last byte was written.
+    /// The connection broke before the last byte was written.
     BrokeBeforeSent,
-    /// It broke or ended after the last byte, before an answer.
+    /// The connection broke or ended after the last byte, before a response.
     BrokeAfterSent,
-    /// The worker let a kept connection go early, while it was idle, and none is asked of it on an old list.
+    /// The worker closed an idle connection before its idle time-out, and the list is too old to use a new
+    /// one.
     ClosedIdle,
-    /// The task's hard limit came first.
+    /// The hard limit of the task passed first.
     TimedOut,
-    /// The module called it off.
+    /// Cancelled by the module.
     Cancelled,
     /// Not a byte was written, and none will be.
     NeverSent,
 }
 
 impl Close {
-    /// What a worker that goes on would hardly do: a sign of leaving, where no list says who leaves.
+    /// Behaviour that is unlikely for a worker that stays: a sign that it is leaving, while no list is
+    /// available.
     pub fn is_sign_of_leaving(self) -> bool {
-        use Close::{BrokeBeforeSent, ConnectTimeout, ClosedIdle, ConnectFailed, Returned, Rejected};
+        use Close::{BrokeBeforeSent, ClosedIdle, ConnectFailed, ConnectTimeout, Rejected, Returned};
         matches!(self, Rejected | Returned | ConnectFailed | ConnectTimeout | BrokeBeforeSent | ClosedIdle)
     }
 }
@@ -55,7 +57,8 @@
             Close::Lost | Close::BrokeAfterSent => Ending::Reset,
             Close::TimedOut => Ending::TimedOut,
             Close::Cancelled => Ending::Cancelled,
-            // Guards against workers barred for what bad clients send: it is not theirs, and nothing ran.
+            // Guards against barring workers for requests of faulty clients: nothing ran, and the worker is
+            // not at fault.
             Close::Unusable(_) | Close::NeverSent | Close::ClosedIdle => Ending::NotSent,
         }
     }
--- a/crates/scheduler/src/workers/load_reports.rs
+++ b/crates/scheduler/src/workers/load_reports.rs
@@ -1,10 +1,10 @@
-//! A worker's load report, decoded once: the ORCA forms, a first word and what it names.
+//! Decodes a worker's load report in the ORCA formats: a format name, then the named metrics.
 //!
 //! `TEXT backlog=0, x0=3.8` or `JSON {"named_metrics": {"backlog": 0, "x0": 3.8}}`.
 
 use serde_json::Value;
 
-/// The values of these names, in this order; none unless all are there.
+/// The values of these names, in this order; none unless all are present.
 pub fn decode(body: &[u8], names: &[String]) -> Option<Vec<f64>> {
     let body = std::str::from_utf8(body).ok()?.trim();
     if let Some(text) = body.strip_prefix("TEXT ") {
--- a/crates/scheduler/src/workers/mod.rs
+++ b/crates/scheduler/src/workers/mod.rs
@@ -1,8 +1,9 @@
-//! The workers' side: orders carried out over kept connections, every ending as one `Close`, and what workers tell.
+//! The workers' side: carries out commands over pooled connections, maps every ending to a `Close`, and
+//! decodes the updates that workers send.
 
 pub mod endings;
-pub mod write_progress;
 pub mod load_reports;
-pub mod updates;
 pub mod pool;
 pub mod sending;
+pub mod updates;
+pub mod write_progress;
--- a/crates/scheduler/src/workers/pool.rs
+++ b/crates/scheduler/src/workers/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to workers, one task at a time on each.
+//! Pooled connections to workers, with one task at a time on each.
 
 use crate::workers::endings::Close;
 use crate::workers::write_progress::{CountingStream, WriteProgress};
@@ -16,25 +16,25 @@
 use tokio::task::JoinHandle;
 use tokio::time::{timeout, Instant};
 
-/// The part of the settings' idle time after which a connection is retired: the worker counts from its own
-/// last byte, and a task that crosses its close would end as a reset.
+/// The fraction of the configured idle time after which a connection is retired: the worker measures from its
+/// own last byte, and a task sent while the worker closes the connection would end as a reset.
 const RETIRE_FRACTION: f64 = 0.5;
-/// How long no connection is used twice after one broke so: whatever drops them goes on for longer than a moment,
-/// and a break in each such span costs less than many.
+/// How long no connection is reused after a reused one broke: whatever drops connections usually persists for
+/// longer than a moment, and one break in each such period costs less than many.
 const NO_REUSE_PERIOD: Duration = Duration::from_secs(20);
-/// Room for an answer's head in reading.
+/// Read buffer for the head of a response.
 const READ_BUFFER: usize = 8 * 1024;
 
-/// A connection to a worker. Dropping it closes the socket, whatever is under way.
+/// A connection to a worker. Dropping it closes the socket, even during a message.
 pub struct Connection {
     pub sender: SendRequest<Full<Bytes>>,
     pub progress: Rc<WriteProgress>,
     address: SocketAddr,
     driver: JoinHandle<()>,
     idle_since: Instant,
-    /// Whether it carried a message before.
+    /// Whether it has carried a message before.
     pub used: bool,
-    /// Whether the worker was found to have let others go before their time when this one was taken.
+    /// Whether idle connections to the worker were found closed early when this one was taken.
     pub found_closed: bool,
     _permit: OwnedSemaphorePermit,
 }
@@ -50,17 +50,24 @@
     permits: Arc<Semaphore>,
     connect_timeout: Duration,
     idle_timeout: Duration,
-    /// Until then no connection is used twice.
+    /// No connection is reused before this time.
     no_reuse_until: Cell<Option<Instant>>,
 }
 
 impl Pool {
     pub fn new(max_connections: usize, connect_timeout: Duration, idle_timeout: Duration) -> Self {
         let permits = Arc::new(Semaphore::new(max_connections));
-        Pool { idle: RefCell::default(), permits, connect_timeout, idle_timeout: idle_timeout.mul_f64(RETIRE_FRACTION), no_reuse_until: Cell::default() }
+        Pool {
+            idle: RefCell::default(),
+            permits,
+            connect_timeout,
+            idle_timeout: idle_timeout.mul_f64(RETIRE_FRACTION),
+            no_reuse_until: Cell::default(),
+        }
     }
 
-    /// Keeps to half of the connections while another process lives beside this one; how many it leaves.
+    /// Gives up half of the connections while another process of this scheduler runs. Returns how many were
+    /// given up.
     pub fn give_up_half(&self) -> usize {
         self.permits.forget_permits(self.permits.available_permits() / 2)
     }
@@ -69,7 +76,7 @@
         self.permits.add_permits(by);
     }
 
-    /// An idle connection to the worker, the one used last, or a new one.
+    /// The most recently used idle connection to the worker, or a new one.
     pub async fn acquire(&self, worker: usize, address: SocketAddr) -> Result<Connection, Close> {
         let mut found_closed = false;
         let mut connection = match self.take(worker, address, &mut found_closed) {
@@ -80,8 +87,9 @@
         Ok(connection)
     }
 
-    /// A kept connection broke under a message: others may have been let go in the same way, by a worker or by
-    /// something on the way, without a word. Guards against tasks that may have run for that alone.
+    /// Called when a reused connection broke under a message: other idle connections may have been dropped
+    /// silently in the same way, by a worker or by a device on the path. Guards against tasks that count as
+    /// possibly run for this reason alone.
     pub fn on_break(&self) {
         self.no_reuse_until.set(Some(Instant::now() + NO_REUSE_PERIOD));
         self.idle.borrow_mut().clear();
@@ -104,7 +112,7 @@
         let permit = match self.permits.clone().try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
-                // The share of descriptors is used up: the one idle for longest makes room.
+                // All permits are in use: the connection that has been idle for longest is closed.
                 self.close_oldest_idle();
                 self.permits.clone().acquire_owned().await.map_err(|_| Close::NeverSent)?
             }
@@ -118,7 +126,7 @@
         let handshake = http.handshake(CountingStream::new(stream, progress.clone())).await;
         let (sender, driven) = handshake.map_err(|_| Close::ConnectFailed)?;
         let driver = tokio::task::spawn_local(async move {
-            // How it ended is told to whoever waits for an answer on it.
+            // The sender that waits for a response learns how the connection ended.
             let _ = driven.await;
         });
         Ok(Connection {
@@ -133,7 +141,7 @@
         })
     }
 
-    /// Takes a connection back once its message was answered whole.
+    /// Returns a connection to the pool once its response was read completely.
     pub async fn release(&self, worker: usize, mut connection: Connection) {
         let no_reuse = self.no_reuse_until.get().is_some_and(|until| Instant::now() < until);
         if !no_reuse && connection.sender.ready().await.is_ok() {
@@ -148,11 +156,12 @@
 
     fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|connections| !connections.is_empty()).min_by_key(|c| c[0].idle_since);
+        let oldest =
+            idle.values_mut().filter(|connections| !connections.is_empty()).min_by_key(|c| c[0].idle_since);
         oldest.into_iter().for_each(|connections| drop(connections.remove(0)));
     }
 
-    /// Retires connections that stood idle for long, or were closed by the worker.
+    /// Retires connections that were idle for too long or that the worker closed.
     pub async fn retire_idle(&self) {
         loop {
             tokio::time::sleep(self.idle_timeout.div_f64(8.0).max(Duration::from_millis(50))).await;
--- a/crates/scheduler/src/workers/sending.rs
+++ b/crates/scheduler/src/workers/sending.rs
@@ -1,7 +1,7 @@
-//! The client side: carries out the exchange's orders at the workers.
+//! The client side: carries out the exchange's commands at the workers.
 
 use crate::clients::requests;
-use crate::exchange::{TaskRequest, Exchange, Command, AssignmentKey};
+use crate::exchange::{AssignmentKey, Command, Exchange, TaskRequest};
 use crate::workers::endings::Close;
 use crate::workers::pool::{Connection, Pool};
 use bytes::Bytes;
@@ -17,10 +17,11 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, Instant};
 
-/// How long the word that a task is called off may take before it counts as told.
+/// How long a cancel request may take before the assignment counts as cancelled.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A worker that did not answer for this long may be cut off, and the idle connections to it with it.
+/// A worker that left a request unanswered for this long may be unreachable, so the idle connections to it
+/// are dropped.
 const UNREACHABLE_AFTER: Duration = Duration::from_millis(250);
 const TRACE: &str = "x-trace-id";
 const EXPIRES: &str = "x-expires-in-ms";
@@ -29,15 +30,16 @@
 pub struct Sending {
     exchange: Rc<Exchange>,
     pool: Rc<Pool>,
-    /// Counts assignments that were written whole.
+    /// Number of completely written assignments.
     completed: Rc<Cell<u64>>,
-    /// Assignments whose 202 has not come.
+    /// Assignments without a 202 so far.
     unaccepted: RefCell<HashMap<AssignmentKey, AbortHandle>>,
     log: Logger,
 }
 
-/// Counts how long a worker leaves something unanswered. Guards against a machine that vanished: what is
-/// written to its open connections may have run, while a new one never comes up, so that nothing ran.
+/// Measures how long a worker leaves a request unanswered. Guards against a machine that vanished: what is
+/// written to its open connections may have run, while a new connection is never established, so that nothing
+/// ran.
 struct Unanswered<'a> {
     pool: &'a Pool,
     worker: usize,
@@ -58,7 +60,7 @@
     }
 }
 
-/// What came back for an assignment.
+/// The outcome of sending an assignment.
 enum SendOutcome {
     Accepted,
     Ended(Close),
@@ -88,16 +90,23 @@
         }
     }
 
-    /// Closes the connection of an assignment that was not taken yet; false if it was.
+    /// Closes the connection of an assignment that was not accepted yet; false if it was accepted.
     fn close(&self, key: AssignmentKey) -> bool {
         let unaccepted = self.unaccepted.borrow_mut().remove(&key);
         unaccepted.inspect(AbortHandle::abort).is_some()
     }
 
-    async fn send(self: Rc<Self>, key: AssignmentKey, worker: usize, request: Rc<TaskRequest>, limit: Duration) {
-        // Guards against a worker that says nothing and holds a connection for ever: news of the end may have
-        // come without the 202, and then nobody closes it.
-        let outcome = timeout(self.exchange.time_until(limit), self.try_send(key, worker, &request, limit)).await;
+    async fn send(
+        self: Rc<Self>,
+        key: AssignmentKey,
+        worker: usize,
+        request: Rc<TaskRequest>,
+        limit: Duration,
+    ) {
+        // Guards against a worker that holds a connection for ever without responding: the update on the end
+        // may have arrived without the 202, and then nothing else closes the connection.
+        let outcome =
+            timeout(self.exchange.time_until(limit), self.try_send(key, worker, &request, limit)).await;
         self.unaccepted.borrow_mut().remove(&key);
         let outcome = outcome.unwrap_or(SendOutcome::Ended(Close::TimedOut));
         if let SendOutcome::Ended(close) = outcome {
@@ -106,19 +115,26 @@
         }
     }
 
-    async fn try_send(&self, key: AssignmentKey, worker: usize, request: &TaskRequest, limit: Duration) -> SendOutcome {
+    async fn try_send(
+        &self,
+        key: AssignmentKey,
+        worker: usize,
+        request: &TaskRequest,
+        limit: Duration,
+    ) -> SendOutcome {
         loop {
             let address = self.exchange.address(worker);
             let mut connection = match self.pool.acquire(worker, address).await {
                 Ok(connection) => connection,
                 Err(close) => return SendOutcome::Ended(close),
             };
-            // While the connection came up the worker may have begun to drain, or the task have ended.
+            // While the connection was established, the worker may have begun to drain or the task may have
+            // ended.
             if !self.exchange.is_still_wanted(key) {
                 self.pool.release(worker, connection).await;
                 return SendOutcome::Ended(Close::NeverSent);
             }
-            // Guards against a task on a connection that just came up, or was left, at a worker that ends.
+            // Guards against sending a task over a new or remaining connection to a worker that is stopping.
             if connection.found_closed && self.exchange.is_list_stale() {
                 self.pool.release(worker, connection).await;
                 return SendOutcome::Ended(Close::ClosedIdle);
@@ -138,13 +154,14 @@
                 Ok(response) => {
                     unanswered.answered();
                     let outcome = classify(&response);
-                    // From here on the worker has it: closing would no longer call it off.
+                    // The worker has accepted it: closing the connection would no longer cancel it.
                     self.unaccepted.borrow_mut().remove(&key);
                     self.finish(worker, connection, response).await;
                     return outcome;
                 }
-                // The worker let a kept connection go before it had all: it has nothing, so a new one takes its
-                // place. Guards against tasks that may have run, and workers barred, for the connection's sake.
+                // The worker closed a reused connection before it had the whole message, so nothing ran: it
+                // is sent again over a new connection. Guards against tasks that count as possibly run, and
+                // workers that are barred, because of a closed connection.
                 Err(_) if !connection.progress.is_complete() && connection.used => {
                     self.pool.on_break();
                     continue;
@@ -160,7 +177,7 @@
         }
     }
 
-    /// Reads an answer to its end, so that the connection can be used again.
+    /// Reads a response to its end, so that the connection can be reused.
     async fn finish(
         &self,
         worker: usize,
@@ -181,8 +198,14 @@
         self.exchange.assignment_ended(key, Close::Cancelled);
     }
 
-    /// A message without a body, and its whole answer.
-    async fn exchange_message(&self, worker: usize, method: Method, path: &str, id: &str) -> Option<(StatusCode, Bytes)> {
+    /// Sends a message without a body and returns the whole response.
+    async fn exchange_message(
+        &self,
+        worker: usize,
+        method: Method,
+        path: &str,
+        id: &str,
+    ) -> Option<(StatusCode, Bytes)> {
         loop {
             let address = self.exchange.address(worker);
             let mut connection = self.pool.acquire(worker, address).await.ok()?;
@@ -198,7 +221,7 @@
                     let status = response.status();
                     return Some((status, self.finish(worker, connection, response).await?));
                 }
-                // Asking twice does no harm.
+                // These requests are idempotent, so they can be sent again.
                 Err(_) if connection.used => continue,
                 Err(_) => return None,
             }
@@ -222,7 +245,7 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => {
             SendOutcome::Ended(Close::Rejected)
         }
-        // These may pass, or are about the sender: another worker may take the task.
+        // Temporary, or about the sender: another worker may accept the task.
         StatusCode::REQUEST_TIMEOUT
         | StatusCode::CONFLICT
         | StatusCode::TOO_EARLY
--- a/crates/scheduler/src/workers/updates.rs
+++ b/crates/scheduler/src/workers/updates.rs
@@ -1,4 +1,4 @@
-//! What workers tell of their tasks, decoded once.
+//! Decodes the updates that workers send on their tasks.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -9,7 +9,7 @@
     pub id: String,
     pub from: String,
     pub state: State,
-    /// The worker's load report, as it came.
+    /// The worker's load report, undecoded.
     pub load: Option<String>,
 }
 
@@ -45,7 +45,7 @@
         "lost" => State::Lost,
         other => return Err(format!("unknown state {other:?}")),
     };
-    // A text, or an object by names: what it holds is looked at where the names are known.
+    // A string, or an object with named values: decoded where the names are known.
     let load = doc.load.map(|load| load.as_str().map_or_else(|| load.to_string(), String::from));
     Ok(Update { id: doc.id, from: doc.from, state, load })
 }
--- a/crates/scheduler/src/workers/write_progress.rs
+++ b/crates/scheduler/src/workers/write_progress.rs
@@ -1,5 +1,6 @@
-//! Counts at the socket: whether the first and the last byte of what is being sent were written. The last byte is
-//! held back for a moment, so that a connection which the worker has let go breaks before it.
+//! Tracks at the socket whether the first and the last byte of the current message were written. The last
+//! byte is delayed for a moment, so that a connection which the worker has already closed breaks before it is
+//! sent.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -13,22 +14,22 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep};
 
-/// How far the message now being sent has come.
+/// How much of the current message was written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum WriteState {
     Nothing,
-    /// Within the head; so many bytes of the blank line that ends it have come.
+    /// Within the head: the number of bytes matched of the blank line that ends it.
     Head(u8),
     Body(usize),
 }
 
-/// Shared between a connection's socket and whoever sends on it.
+/// Shared between a connection's socket and the sender.
 pub struct WriteProgress {
     state: Cell<WriteState>,
     body_bytes: Cell<usize>,
-    /// The last byte waits for as long as this is set.
+    /// The last byte is held back while this is set.
     hold_last_byte: Cell<bool>,
-    /// Counts messages that are whole, where this one is to be counted.
+    /// Counter of completely written messages, if this message is to be counted.
     counter: RefCell<Option<Rc<Cell<u64>>>>,
 }
 
@@ -44,7 +45,7 @@
 }
 
 impl WriteProgress {
-    /// The next message has a body of this length.
+    /// Starts the next message, which has a body of this length.
     pub fn start_message(&self, body_bytes: usize) {
         self.state.set(WriteState::Nothing);
         self.body_bytes.set(body_bytes);
@@ -52,7 +53,7 @@
         self.counter.take();
     }
 
-    /// The message that has begun is counted there once it is whole.
+    /// Counts the current message in `counter` once it is completely written.
     pub fn count_in(&self, counter: &Rc<Cell<u64>>) {
         self.counter.replace(Some(counter.clone()));
     }
@@ -61,7 +62,7 @@
         self.state.get() == WriteState::Nothing
     }
 
-    /// The last byte was handed to the kernel.
+    /// Whether the last byte was passed to the kernel.
     pub fn is_complete(&self) -> bool {
         self.completes(self.state.get())
     }
@@ -70,7 +71,7 @@
         matches!(state, WriteState::Body(written) if written >= self.body_bytes.get())
     }
 
-    /// How many of these bytes may be written: all, or all but the last one of the message.
+    /// How many of these bytes may be written: all, or all but the last byte of the message.
     pub fn writable(&self, bytes: &[u8]) -> usize {
         bytes.len() - usize::from(self.hold_last_byte.get() && self.completes(self.after(bytes)))
     }
@@ -101,8 +102,9 @@
     }
 }
 
-/// How long the last byte is held back: a way to the worker and back, between zones too. A connection that the
-/// worker, or something on the way, let go without a word answers the first bytes with a reset in that time.
+/// How long the last byte is held back: one round trip to the worker, also between zones. Within that time, a
+/// connection that was silently closed by the worker or by a device on the path answers the first bytes with
+/// a reset.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
 
 pub struct CountingStream {
@@ -113,7 +115,11 @@
 
 impl CountingStream {
     pub fn new(stream: TcpStream, progress: Rc<WriteProgress>) -> Self {
-        CountingStream { stream: TokioIo::new(stream), progress, delay: Box::pin(tokio::time::sleep(LAST_BYTE_DELAY)) }
+        CountingStream {
+            stream: TokioIo::new(stream),
+            progress,
+            delay: Box::pin(tokio::time::sleep(LAST_BYTE_DELAY)),
+        }
     }
 }
 
@@ -123,12 +129,14 @@
     }
 }
 
-// Vectored writes stay off, as by default: hyper then hands over one slice at a time, and all of it is counted.
+// Vectored writes stay disabled, as by default: hyper then passes one slice at a time, and all of it is
+// counted.
 impl Write for CountingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<Result<usize, Error>> {
         let mut allowed = self.progress.writable(buf);
         if allowed == 0 && !buf.is_empty() {
-            // Only the last byte is left. A reset comes by the reading side meanwhile, and ends the connection.
+            // Only the last byte is left. A reset would arrive on the reading side meanwhile and end the
+            // connection.
             ready!(self.delay.as_mut().poll(cx));
             self.progress.hold_last_byte.set(false);
             allowed = buf.len();
--- a/crates/scheduler/src/workload_table.rs
+++ b/crates/scheduler/src/workload_table.rs
@@ -1,12 +1,12 @@
-//! The rows of the module's table of workloads, by name. A task keeps the row under which it came, so a workload that
-//! changes gets another row, and one that is dropped keeps its own until its last task is over.
+//! The rows of the decision module's workload table, by name. A task keeps the row under which it arrived: a
+//! changed workload gets a new row, and a removed one keeps its row until its last task has ended.
 
 use std::rc::Rc;
 use std::time::Duration;
 use tindock::types::{PolicySettings, Workload};
 use tindock_berth::Words;
 
-/// The outside words that a task's head may name, the workloads by row; a row without a name takes none.
+/// The names that a request may use. Workloads are indexed by row; a row without a name accepts no tasks.
 #[derive(Clone, Debug, Default)]
 pub struct TaskNames {
     pub workloads: Vec<Option<Rc<str>>>,
@@ -24,9 +24,9 @@
     pub names: Vec<Option<Rc<str>>>,
     pub table: Vec<Workload>,
     pub customers: Vec<String>,
-    /// The longest time after which clients may be asked to come back, if they may.
+    /// The longest delay to name in Retry-After, if one may be sent.
     pub max_retry_after: Option<Duration>,
-    /// Where it stands among the schedulers: `members`, `position` and `zone` of the start.
+    /// `members`, `position` and `zone` among the schedulers, as they were at the start.
     membership: (usize, usize, usize),
 }
 
@@ -35,22 +35,29 @@
         let names = words.workloads.iter().map(|name| Some(name.as_str().into())).collect();
         let (table, customers) = (settings.workloads.clone(), words.customers.clone());
         let max_retry_after = settings.max_retry_after;
-        WorkloadTable { names, table, customers, max_retry_after, membership: (settings.members, settings.position, settings.zone) }
+        WorkloadTable {
+            names,
+            table,
+            customers,
+            max_retry_after,
+            membership: (settings.members, settings.position, settings.zone),
+        }
     }
 
-    /// The names by which tasks are taken now.
+    /// The names by which tasks are accepted now.
     pub fn task_names(&self) -> TaskNames {
         TaskNames { workloads: self.names.clone(), customers: self.customers.clone() }
     }
 
-    /// The sheet of a new file with the rows of this table. What sockets and workers stand on is as it was at the start.
+    /// The settings of a new file with the rows of this table. What sockets and workers depend on stays as it
+    /// was at the start.
     pub fn settings(&self, settings: PolicySettings) -> PolicySettings {
         let (members, position, zone) = self.membership;
         PolicySettings { workloads: self.table.clone(), members, position, zone, ..settings }
     }
 
-    /// Takes in what a new file says. Gives for each row the one before whose figures it goes on with, none for
-    /// one that begins anew.
+    /// Applies the workloads of a new file. Returns for each row the earlier row whose learned figures it
+    /// continues, or none if it starts fresh.
     pub fn reconfigure(
         &mut self,
         names: &[String],
@@ -78,8 +85,8 @@
         }
         for (row, name) in self.table.iter_mut().zip(&self.names) {
             if name.is_none() {
-                // Guards against more assignments than either file allows, and against a utility that nothing
-                // brings any more and by which the others would be judged.
+                // Guards against more assignments than either file allows, and against a utility that no task
+                // earns any more but that the other workloads are compared with.
                 (row.utility, row.max_assignments) = (0.0, row.max_assignments.min(max_assignments));
             }
         }
@@ -111,9 +118,10 @@
         words.iter().map(|w| w.to_string()).collect()
     }
 
-    /// Guards against a task in hand that is judged by what came after it, and against a table without end.
+    /// Guards against tasks in flight that are judged by later settings, and against a table that grows
+    /// without bound.
     #[test]
-    fn tasks_in_hand_keep_their_row_and_rows_are_used_again() {
+    fn tasks_in_flight_keep_their_row_and_free_rows_are_reused() {
         let (idempotent, once) = (row(Effect::Idempotent, 4), row(Effect::Unrepeatable, 4));
         let mut rows = WorkloadTable::new(
             &PolicySettings {
@@ -122,19 +130,23 @@
             },
             &Words { workloads: words(&["a", "b"]), ..Words::default() },
         );
-        // b changes while a task of it is in hand: another row, which goes on with what was learned.
+        // b changes while one of its tasks is in flight: it gets a new row, which continues with the learned
+        // figures.
         let from =
-            rows.reconfigure(&words(&["a", "b"]), &[idempotent.clone(), row(Effect::Idempotent, 2)], |r| r == 1);
+            rows.reconfigure(&words(&["a", "b"]), &[idempotent.clone(), row(Effect::Idempotent, 2)], |r| {
+                r == 1
+            });
         assert_eq!(from, [Some(0), Some(1), Some(1)]);
         assert_eq!((rows.names[1].as_deref(), rows.names[2].as_deref()), (None, Some("b")));
         assert_eq!((rows.table[1].effect, rows.table[1].max_assignments), (Effect::Unrepeatable, 4));
-        // c comes when that task is over: it takes the unused row and begins anew; a is dropped.
-        let from = rows.reconfigure(&words(&["b", "c"]), &[row(Effect::Idempotent, 2), once.clone()], |_| false);
+        // c is added after that task has ended: it reuses the free row and starts fresh; a is removed.
+        let from =
+            rows.reconfigure(&words(&["b", "c"]), &[row(Effect::Idempotent, 2), once.clone()], |_| false);
         assert_eq!(from, [Some(0), None, Some(2)]);
         let names: Vec<_> = rows.names.iter().map(|n| n.as_deref()).collect();
         assert_eq!(names, [None, Some("c"), Some("b")]);
         assert_eq!(rows.table[0].max_assignments, 4);
-        // Fewer assignments for all: also for what is in hand under an old row.
+        // Fewer assignments for all, including tasks in flight under an old row.
         rows.reconfigure(&words(&["c"]), &[row(Effect::Unrepeatable, 1)], |_| true);
         assert!(rows.table.iter().all(|row| row.max_assignments == 1), "{rows:?}");
         assert_eq!(rows.table.len(), 4);
--- a/crates/scheduler/tests/decoding.rs
+++ b/crates/scheduler/tests/decoding.rs
@@ -1,15 +1,15 @@
-//! What comes from outside is decoded once, and what goes out is counted.
+//! Decoding of what comes from outside, and counting of the bytes that go out.
 
 use insta::assert_snapshot;
 use tindock_scheduler::berth::Words;
 use tindock_scheduler::clients::head_scanner::HeadScanner;
 use tindock_scheduler::listing;
-use tindock_scheduler::workers::write_progress::WriteProgress;
 use tindock_scheduler::workers::load_reports;
+use tindock_scheduler::workers::write_progress::WriteProgress;
 
-/// Guards against tasks of several slots shed for want of a report: workers write it as text or as JSON.
+/// Guards against tasks of several slots shed for lack of a load report: workers send it as text or as JSON.
 #[test]
-fn load_reports_are_read_in_either_form() {
+fn load_reports_decode_from_text_and_json() {
     let names = ["backlog".to_string(), "x0".to_string()];
     let read = |body: &str| load_reports::decode(body.as_bytes(), &names);
     assert_eq!(read("TEXT x0=3.8, backlog=0\n"), Some(vec![0.0, 3.8]));
@@ -22,9 +22,10 @@
     }
 }
 
-/// Guards against a list that is taken in by half: wrong anywhere, it is turned down, and its words forgotten.
+/// Guards against a partly applied list: one wrong entry rejects the whole list, including its new zone and
+/// kind names.
 #[test]
-fn a_list_is_read_whole_or_not_at_all() {
+fn a_list_with_a_wrong_entry_is_rejected_as_a_whole() {
     let mut words = Words { zones: vec!["a".into()], kinds: vec!["m2".into()], ..Words::default() };
     let known = words.clone();
     let entry = |zone: &str, more: &str| {
@@ -46,16 +47,17 @@
     assert_snapshot!(format!("{line}\n{zones:?}"));
 }
 
-/// Guards against a task counted as never run though its last byte was out, however the writes are cut.
+/// Guards against a task counted as never run though its last byte was written, however the writes are split.
 #[test]
-fn the_gauge_knows_the_first_and_the_last_byte() {
+fn write_progress_tracks_first_and_last_byte_for_any_split() {
     let message = b"POST /a HTTP/1.1\r\nX: \r\r\n\r\nbody";
     for cut in 1..message.len() {
         let progress = WriteProgress::default();
         for sent in 0..2 {
             progress.start_message(4);
             assert!(progress.nothing_written() && !progress.is_complete(), "message {sent}");
-            // All but the last byte may go at once: what breaks before it never ran.
+            // All but the last byte may be written at once: a connection that breaks before the last byte ran
+            // nothing.
             assert_eq!(
                 (progress.writable(&message[..cut]), progress.writable(message)),
                 (cut, message.len() - 1)
@@ -74,9 +76,10 @@
     assert!(progress.is_complete());
 }
 
-/// Guards against a head whose lengths are not what hyper makes of them, however the reads are cut.
+/// Guards against a head that is read differently from hyper's reading of its lengths, however the reads are
+/// split.
 #[test]
-fn each_head_tells_how_its_message_ends() {
+fn message_framing_is_found_for_any_split() {
     let texts = [
         "\r\nPOST /a HTTP/1.1\r\nHost: s\r\n\r\nGET / HTTP/1.1\n\nGET /",
         "POST /a HTTP/1.1\r\nContent-Length: 4\r\n\r\n\r\n\r\nPOST /b HTTP/1.1\r\nCONTENT-length:0\r\n\r\n",
--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -18,9 +18,9 @@
 use tindock_scheduler::berth::Words;
 use tindock_scheduler::clock::Clock;
 use tindock_scheduler::exchange::Exchange;
+use tindock_scheduler::list::connector::{Connecting, Connector, Stream};
 use tindock_scheduler::list::discovery::Discovery;
 use tindock_scheduler::list::worker_list::WorkerList;
-use tindock_scheduler::list::connector::{Connecting, Stream, Connector};
 use tindock_scheduler::workload_table::WorkloadTable;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::sync::watch;
@@ -29,7 +29,7 @@
 
 /// What an agent does with the next connection, or with the first call on it.
 #[derive(Clone, Copy, Debug)]
-enum Act {
+enum Behaviour {
     Refuse,
     /// Never comes up.
     Hang,
@@ -45,7 +45,7 @@
 
 /// An agent that is well once its script is done. Its list names one worker, whose port tells the version.
 struct Agent {
-    script: RefCell<VecDeque<Act>>,
+    script: RefCell<VecDeque<Behaviour>>,
     version: Cell<u64>,
     dials: RefCell<Vec<SocketAddr>>,
 }
@@ -62,12 +62,16 @@
 }
 
 impl Agent {
-    fn new(script: &[Act]) -> Rc<Self> {
+    fn new(script: &[Behaviour]) -> Rc<Self> {
         let script = RefCell::new(script.iter().copied().collect());
         Rc::new(Agent { script, version: Cell::new(7), dials: RefCell::default() })
     }
 
-    async fn serve(self: Rc<Self>, mut stream: DuplexStream, mut act: Option<Act>) -> io::Result<()> {
+    async fn serve(
+        self: Rc<Self>,
+        mut stream: DuplexStream,
+        mut behaviour: Option<Behaviour>,
+    ) -> io::Result<()> {
         loop {
             let mut head = Vec::new();
             while !head.ends_with(b"\r\n\r\n") {
@@ -82,7 +86,10 @@
             let wait = head.split("wait_ms=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
             let wait = Duration::from_millis(wait.unwrap_or(0));
             let began = Instant::now();
-            while act.is_none() && after.is_some_and(|a| a >= self.version.get()) && began.elapsed() < wait {
+            while behaviour.is_none()
+                && after.is_some_and(|a| a >= self.version.get())
+                && began.elapsed() < wait
+            {
                 sleep(Duration::from_millis(1)).await;
             }
             let version = self.version.get();
@@ -93,71 +100,72 @@
                 after => answer(&list(version, after.is_none())),
             };
             let bytes = text.as_bytes();
-            match act.take() {
+            match behaviour.take() {
                 None => stream.write_all(bytes).await?,
-                Some(Act::Cut(at)) => return stream.write_all(&bytes[..at.min(bytes.len() - 1)]).await,
-                Some(Act::Stall(at)) => {
+                Some(Behaviour::Cut(at)) => return stream.write_all(&bytes[..at.min(bytes.len() - 1)]).await,
+                Some(Behaviour::Stall(at)) => {
                     stream.write_all(&bytes[..at.min(bytes.len() - 1)]).await?;
                     std::future::pending::<()>().await;
                 }
-                Some(Act::Drip(every)) => {
+                Some(Behaviour::Drip(every)) => {
                     for byte in bytes {
                         sleep(Duration::from_millis(every)).await;
                         stream.write_u8(*byte).await?;
                     }
                 }
-                Some(Act::Status(status)) => {
+                Some(Behaviour::Status(status)) => {
                     let text = format!("HTTP/1.1 {status} Odd\r\nContent-Length: 0\r\n\r\n");
                     stream.write_all(text.as_bytes()).await?;
                 }
-                Some(Act::Refuse | Act::Hang) => unreachable!("they have no connection"),
+                Some(Behaviour::Refuse | Behaviour::Hang) => unreachable!("they have no connection"),
             }
         }
     }
 }
 
-struct Script(Rc<Agent>);
+struct ScriptedConnector(Rc<Agent>);
 
-impl Connector for Script {
+impl Connector for ScriptedConnector {
     fn connect(&self, to: SocketAddr) -> Connecting {
         let agent = self.0.clone();
         agent.dials.borrow_mut().push(to);
         Box::pin(async move {
-            let act = agent.script.borrow_mut().pop_front();
-            match act {
-                Some(Act::Refuse) => return Err(io::ErrorKind::ConnectionRefused.into()),
-                Some(Act::Hang) => std::future::pending().await,
+            let behaviour = agent.script.borrow_mut().pop_front();
+            match behaviour {
+                Some(Behaviour::Refuse) => return Err(io::ErrorKind::ConnectionRefused.into()),
+                Some(Behaviour::Hang) => std::future::pending().await,
                 _ => {}
             }
             let (ours, its) = tokio::io::duplex(64 * 1024);
-            spawn_local(agent.serve(its, act));
+            spawn_local(agent.serve(its, behaviour));
             Ok(Box::new(ours) as Box<dyn Stream>)
         })
     }
 }
 
 /// A client of an agent, and what it holds.
-struct Held {
+struct Client {
     exchange: Rc<Exchange>,
     address: watch::Sender<SocketAddr>,
 }
 
-impl Held {
+impl Client {
     fn of(agent: &Rc<Agent>) -> Self {
         let clock = Clock::start();
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let sheet = settings_for(&[Effect::Idempotent]);
-        let hard = WorkloadTable::new(&sheet, &Words::default());
-        let rules = Policy::new(sheet, 7, clock.now());
+        let settings = settings_for(&[Effect::Idempotent]);
+        let workloads = WorkloadTable::new(&settings, &Words::default());
+        let policy = Policy::new(settings, 7, clock.now());
         let now = Box::new(move || clock.now());
-        let (exchange, _orders) = Exchange::new(rules, hard, clock, now, log.clone());
-        let (address, place) = watch::channel(([127, 0, 0, 1], 1).into());
+        let (exchange, _orders) = Exchange::new(policy, workloads, clock, now, log.clone());
+        let (address, moves) = watch::channel(([127, 0, 0, 1], 1).into());
         let client = ListClient::new(Service::Agent { max_wait: SHORT_WAIT }, None, 7);
-        let connector = Rc::new(Script(agent.clone()));
+        let connector = Rc::new(ScriptedConnector(agent.clone()));
         let worker_list = WorkerList::from_discovery(exchange.clone(), Words::default(), log.clone());
-        let client = Discovery { exchange: exchange.clone(), connector, worker_list, address: place, client, log };
+        let client =
+            Discovery { exchange: exchange.clone(), connector, worker_list, address: moves, client, log };
         spawn_local(client.run());
-        Held { exchange, address }
+        Client { exchange, address }
     }
 
     fn version(&self) -> Option<u64> {
@@ -165,7 +173,7 @@
     }
 
     /// How long it takes until this version is held, in milliseconds.
-    async fn takes(&self, version: u64) -> u64 {
+    async fn ms_until(&self, version: u64) -> u64 {
         let began = Instant::now();
         while self.version() != Some(version) {
             assert!(began.elapsed() < Duration::from_secs(20), "version {version} never came");
@@ -181,79 +189,79 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), what)
 }
 
-fn first_list(script: &[Act]) -> u64 {
-    run(async { Held::of(&Agent::new(script)).takes(7).await })
+fn first_list(script: &[Behaviour]) -> u64 {
+    run(async { Client::of(&Agent::new(script)).ms_until(7).await })
 }
 
 /// Guards against a gap after an answer that broke off, wherever it did: it is asked again at once.
 #[test]
-fn an_answer_cut_at_any_byte_is_asked_for_again_at_once() {
+fn truncated_response_is_queried_again_at_once() {
     for at in 0..answer(&list(7, true)).len() {
-        let gap = first_list(&[Act::Cut(at)]);
-        assert!(gap <= 3, "{gap} ms after {at} bytes");
+        let delay = first_list(&[Behaviour::Cut(at)]);
+        assert!(delay <= 3, "{delay} ms after {at} bytes");
     }
 }
 
 /// Guards against waiting for the rest of half an answer: another connection is tried beside it.
 #[test]
-fn an_answer_that_stops_at_any_byte_is_overtaken() {
+fn stalled_response_is_bypassed_by_another_connection() {
     for at in 0..answer(&list(7, true)).len() {
-        let gap = first_list(&[Act::Stall(at)]);
-        assert!(gap <= 300, "{gap} ms after {at} bytes");
+        let delay = first_list(&[Behaviour::Stall(at)]);
+        assert!(delay <= 300, "{delay} ms after {at} bytes");
     }
 }
 
 #[test]
-fn refused_so_often_the_list_comes_with_the_next_try() {
+fn list_arrives_on_the_first_attempt_after_refusals() {
     for refusals in 0..=10 {
-        let gap = first_list(&vec![Act::Refuse; refusals]);
+        let delay = first_list(&vec![Behaviour::Refuse; refusals]);
         // Pauses of 0, 30, 60, 120, and 240 ms from then on.
         let pauses: u64 =
             (0..refusals as u64).map(|n| [0, 30, 60, 120].get(n as usize).copied().unwrap_or(240)).sum();
-        assert!(gap <= pauses + 3, "{gap} ms after {refusals} refusals");
+        assert!(delay <= pauses + 3, "{delay} ms after {refusals} refusals");
     }
 }
 
 /// One byte a millisecond is slow but an answer; a connection that never comes up, or a status, is none.
 #[test]
-fn slow_answers_count_and_odd_ones_do_not() {
+fn slow_responses_count_and_error_responses_do_not() {
     let whole = answer(&list(7, true)).len() as u64;
-    let gap = first_list(&[Act::Drip(1)]);
-    assert!(gap <= whole + 3, "{gap} ms");
-    assert!(first_list(&[Act::Hang]) <= 293);
-    assert!(first_list(&[Act::Status(503), Act::Status(500)]) <= 33);
+    let delay = first_list(&[Behaviour::Drip(1)]);
+    assert!(delay <= whole + 3, "{delay} ms");
+    assert!(first_list(&[Behaviour::Hang]) <= 293);
+    assert!(first_list(&[Behaviour::Status(503), Behaviour::Status(500)]) <= 33);
 }
 
 /// Guards against a list that falls back: an agent that was started anew and has not caught up is not believed.
 #[test]
-fn an_older_list_is_not_taken_in() {
+fn older_lists_are_rejected() {
     run(async {
         let agent = Agent::new(&[]);
-        let held = Held::of(&agent);
-        held.takes(7).await;
+        let client = Client::of(&agent);
+        client.ms_until(7).await;
         agent.version.set(0);
         sleep(Duration::from_millis(1500)).await;
-        assert_eq!(held.version(), Some(7), "older versions for 1.5 s");
+        assert_eq!(client.version(), Some(7), "older versions for 1.5 s");
         agent.version.set(9);
-        assert!(held.takes(9).await <= 300);
+        assert!(client.ms_until(9).await <= 300);
     });
 }
 
 /// Guards against an old place that holds up the new one: SIGHUP moves it while it is silent.
 #[test]
-fn it_moves_while_the_old_place_is_silent() {
+fn client_moves_while_the_old_address_is_silent() {
     run(async {
-        let agent = Agent::new(&[Act::Hang, Act::Stall(10), Act::Hang]);
-        let held = Held::of(&agent);
+        let agent = Agent::new(&[Behaviour::Hang, Behaviour::Stall(10), Behaviour::Hang]);
+        let client = Client::of(&agent);
         sleep(Duration::from_millis(500)).await;
-        assert_eq!(held.version(), None);
+        assert_eq!(client.version(), None);
         let place = ([127, 0, 0, 1], 2).into();
-        held.address.send(place).expect("a client");
+        client.address.send(place).expect("a client");
         agent.script.borrow_mut().clear();
-        assert!(held.takes(7).await <= 3);
+        assert!(client.ms_until(7).await <= 3);
         assert_eq!(agent.dials.borrow().last(), Some(&place));
         // Changes come by the watch from then on.
         agent.version.set(8);
-        assert!(held.takes(8).await <= 3);
+        assert!(client.ms_until(8).await <= 3);
     });
 }
--- a/crates/scheduler/tests/exchange.rs
+++ b/crates/scheduler/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange by itself: kept traces of what it orders and answers for each failure met.
+//! The exchange by itself: snapshots of its commands and answers for each known failure.
 
 #[allow(dead_code)] // the module's own tests use the rest
 #[path = "../../../tests/helpers/mod.rs"]
@@ -15,9 +15,9 @@
 use tindock_scheduler::clock::Clock;
 use tindock_scheduler::exchange::{AssignmentKey, Command, Exchange, TaskHandle, TaskRequest};
 use tindock_scheduler::listing::{Entry, Listing};
-use tindock_scheduler::workload_table::WorkloadTable;
 use tindock_scheduler::workers::endings::Close;
 use tindock_scheduler::workers::updates;
+use tindock_scheduler::workload_table::WorkloadTable;
 use tokio::sync::mpsc::UnboundedReceiver;
 
 struct Fixture {
@@ -25,7 +25,7 @@
     commands: UnboundedReceiver<Command>,
     now: Rc<Cell<Duration>>,
     handles: Vec<(String, TaskHandle)>,
-    /// The tickets given out, in their order.
+    /// The assignments sent, in order.
     keys: Vec<AssignmentKey>,
     trace: String,
 }
@@ -42,13 +42,13 @@
 }
 
 impl Fixture {
-    fn new(sheet: PolicySettings, workers: usize) -> Self {
+    fn new(settings: PolicySettings, workers: usize) -> Self {
         let now = Rc::new(Cell::new(ms(1_000_000)));
-        let (reads, hard) = (now.clone(), WorkloadTable::new(&sheet, &Words::default()));
-        let rules = Policy::new(sheet, 7, now.get());
+        let (clock, workloads) = (now.clone(), WorkloadTable::new(&settings, &Words::default()));
+        let policy = Policy::new(settings, 7, now.get());
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let (exchange, commands) =
-            Exchange::new(rules, hard, Clock::start(), Box::new(move || reads.get()), log);
+            Exchange::new(policy, workloads, Clock::start(), Box::new(move || clock.get()), log);
         let (handles, keys, trace) = (Vec::new(), Vec::new(), String::new());
         let entries = (0..workers).map(|w| entry(w, Condition::Ready)).collect();
         exchange.start(now.get(), (workers > 0).then_some(Listing { index: 1, whole: true, entries }));
@@ -92,7 +92,7 @@
         self.record_outputs();
     }
 
-    /// Lets time pass, looking at what is due every 5 ms.
+    /// Advances the clock in steps of 5 ms and handles what is due at each.
     fn pass(&mut self, span: u64) {
         for _ in 0..span / 5 {
             self.now.set(self.now.get() + ms(5));
@@ -106,7 +106,7 @@
         self.trace += &format!("{at:5} {line}\n");
     }
 
-    /// Prints new orders and answers.
+    /// Records new commands and answers.
     fn record_outputs(&mut self) {
         while let Ok(command) = self.commands.try_recv() {
             let number = |keys: &[AssignmentKey], t| keys.iter().position(|x| *x == t);
@@ -134,10 +134,10 @@
     }
 }
 
-/// Guards against news applied twice or to the wrong assignment: it may come before the 202, repeat, or be
-/// about a task of an earlier life.
+/// Guards against an update applied twice or to the wrong assignment: it may arrive before the 202, repeat,
+/// or concern a task of an earlier generation.
 #[test]
-fn news_counts_once_and_for_its_own_assignment() {
+fn updates_apply_once_and_to_their_own_assignment() {
     let mut floor = Fixture::new(settings_for(&[Effect::Idempotent]), 2);
     floor.news(r#"{"id":"old","from":"w0","state":"done","result":"of an earlier life"}"#);
     floor.arrive("a");
@@ -154,9 +154,9 @@
     assert_snapshot!(floor.trace);
 }
 
-/// Guards against late words on a place that another task has by now.
+/// Guards against a late report applied to the task that reuses the index.
 #[test]
-fn a_place_used_again_hears_nothing_of_its_earlier_task() {
+fn reused_index_ignores_reports_on_the_earlier_task() {
     let mut floor = Fixture::new(settings_for(&[Effect::Unrepeatable]), 1);
     floor.arrive("a");
     floor.arrive("a");
@@ -168,9 +168,9 @@
     assert_snapshot!(floor.trace);
 }
 
-/// Guards against work for nobody: what a client leaves is called off, and not answered.
+/// Guards against work for a client that has left: its task is cancelled, and not answered.
 #[test]
-fn what_its_client_left_is_called_off() {
+fn tasks_of_disconnected_clients_are_cancelled() {
     let mut floor = Fixture::new(settings_for(&[Effect::Idempotent]), 2);
     floor.arrive("a");
     let (_, handle) = floor.handles.remove(0);
@@ -183,9 +183,9 @@
     assert_snapshot!(floor.trace);
 }
 
-/// Guards against tasks that end with the process: each has its answer before that, and its worker is told.
+/// Guards against tasks lost at the end of the process: each is answered first, and cancelled at its worker.
 #[test]
-fn what_is_unanswered_at_the_end_is_broken_off() {
+fn unanswered_tasks_are_aborted_at_shutdown() {
     let mut floor = Fixture::new(settings_for(&[Effect::Unrepeatable]), 2);
     floor.arrive("a");
     floor.news(r#"{"id":"a","from":"w1","state":"started"}"#);
@@ -198,9 +198,10 @@
     assert_snapshot!(floor.trace);
 }
 
-/// Guards against sends that were decided before a drain, a call-off or the final answer, and not yet begun.
+/// Guards against sending an assignment after a drain, a cancellation or the final answer that came before
+/// its first byte.
 #[test]
-fn what_is_not_begun_is_asked_about_again() {
+fn unsent_assignments_are_checked_again_before_sending() {
     let mut floor = Fixture::new(settings_for(&[Effect::Idempotent]), 1);
     floor.arrive("a");
     let wanted = |floor: &Fixture| floor.exchange.is_still_wanted(floor.keys[0]);
@@ -217,9 +218,10 @@
     assert!(!wanted(&floor));
 }
 
-/// Guards against a task without an answer where nothing can be called off and a worker never tells the end.
+/// Guards against a task without an answer where cancelling is not allowed and a worker never reports the
+/// end.
 #[test]
-fn a_silent_end_is_overdue_at_the_hard_limit() {
+fn assignments_without_a_report_time_out_at_the_hard_limit() {
     let mut floor =
         Fixture::new(PolicySettings { may_cancel: false, ..settings_for(&[Effect::Unrepeatable]) }, 1);
     floor.arrive("a");
@@ -229,9 +231,9 @@
     assert_snapshot!(floor.trace);
 }
 
-/// What has provably not run may be reassigned, so every way to end must be told as what it is.
+/// A task that provably never ran may be reassigned, so each way to end must map to the right `Ending`.
 #[test]
-fn each_close_is_told_as_one_ending() {
+fn each_close_maps_to_one_ending() {
     use Close::*;
     let all = [
         Done,
@@ -257,10 +259,11 @@
     assert_snapshot!(all.iter().map(line).collect::<String>());
 }
 
-/// Guards against drains broken by luck: while no list can be had, a worker that turns a task away is left out at the
-/// first sign, and a task is not passed round among workers that all leave; while lists come, signs change nothing.
+/// Guards against failed drains: while discovery is unavailable, a worker that rejects a task is avoided at
+/// the first sign, and a task is not passed around among workers that are all leaving. While lists arrive,
+/// signs change nothing.
 #[test]
-fn on_an_old_list_one_sign_leaves_a_worker_out() {
+fn on_a_stale_list_one_sign_excludes_a_worker() {
     let mut floor = Fixture::new(settings_for(&[Effect::Unrepeatable]), 2);
     floor.note("the list is fresh: turned away, and the next task may go there again");
     floor.arrive("a");
--- a/crates/scheduler/tests/operators.rs
+++ b/crates/scheduler/tests/operators.rs
@@ -158,14 +158,14 @@
         second.replace(r#""domain": {"class_stretch": [2.0, 2.0]},"#, ""),
         second.replace(r#""limits":{"sockets":128},"#, ""),
     ];
-    let said = |line: String| line.split(".json: ").nth(1).or(line.split("kept: ").nth(1)).map(String::from);
+    let said = |line: String| line.split(".json: ").nth(1).or(line.split("in force: ").nth(1)).map(String::from);
     let why: String = broken
         .iter()
         .flat_map(|text| {
             // Neither the other address nor the other workload is taken from it.
             scheduler
                 .reload("retuned", &text.replace(r#""count""#, r#""sum""#).replace("127.0.0.1", "127.0.0.9"));
-            said(scheduler.line("turned down, the old one is kept"))
+            said(scheduler.line("rejected, the old one stays in force"))
         })
         .collect();
     insta::assert_snapshot!(why + &call(at, b"telemetry\n"));
--- a/crates/scheduler/tests/sockets.rs
+++ b/crates/scheduler/tests/sockets.rs
@@ -213,7 +213,7 @@
     line.taken();
     for bad in ["", "{", &config(([127, 0, 0, 1], 1).into(), &[], 8)] {
         scheduler.reload("reload", bad);
-        scheduler.line("the old one is kept");
+        scheduler.line("the old one stays in force");
     }
     let ((other, beside), (nobody, gone)) = (listener(), listener());
     drop(nobody);
