--- a/crates/scheduler/tests/stocking.rs
+++ b/crates/scheduler/tests/stocking.rs
@@ -10,7 +10,7 @@
 use tindock_inventory::{Columns, Form};
 use tindock_scheduler::list::inventory_watch::{accept_file, InventoryEvent, InventoryWatch};
 
-struct Shelf {
+struct Fixture {
     folder: PathBuf,
     watch: InventoryWatch,
     now: Duration,
@@ -24,16 +24,16 @@
     format!("name,address,zone,kind,slots\n{}", workers.map(row).collect::<String>())
 }
 
-impl Shelf {
+impl Fixture {
     fn new(name: &str) -> Self {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("stocking-{name}"));
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(folder.join("inventory")).expect("a folder");
-        let watch = InventoryWatch::new(Self::stock(&folder), folder.clone());
-        Shelf { folder, watch, now: Duration::from_secs(1) }
+        let watch = InventoryWatch::new(Self::settings(&folder), folder.clone());
+        Fixture { folder, watch, now: Duration::from_secs(1) }
     }
 
-    fn stock(folder: &Path) -> Stock {
+    fn settings(folder: &Path) -> Stock {
         Stock {
             files: vec![folder.join("inventory")],
             columns: Columns::default(),
@@ -54,7 +54,7 @@
     }
 
     /// One look, 0.2 s after the last one: the lines that it tells.
-    fn look(&mut self) -> Vec<String> {
+    fn poll(&mut self) -> Vec<String> {
         self.now += Duration::from_millis(200);
         let events = self.watch.poll(self.now);
         let line = |events| match events {
@@ -67,175 +67,184 @@
 
     /// Looks until the writing counts as over.
     fn settle(&mut self) -> String {
-        (0..3).flat_map(|_| self.look()).collect::<Vec<_>>().join("; ")
+        (0..3).flat_map(|_| self.poll()).collect::<Vec<_>>().join("; ")
     }
 
     fn names(&self) -> Vec<&str> {
         self.watch.in_force().entries.iter().map(|e| e.name.as_str()).collect()
     }
 
-    fn stocked(name: &str, workers: usize) -> Self {
-        let mut shelf = Shelf::new(name);
-        shelf.write("yard.csv", csv(0..workers));
-        shelf.settle();
-        assert_eq!(shelf.names().len(), workers);
-        shelf
+    fn with_workers(name: &str, workers: usize) -> Self {
+        let mut fixture = Fixture::new(name);
+        fixture.write("yard.csv", csv(0..workers));
+        fixture.settle();
+        assert_eq!(fixture.names().len(), workers);
+        fixture
     }
 }
 
 /// Every file of the cases is turned down with its line, whatever else stands beside it, and the list stays.
 #[test]
-fn odd_files_leave_the_last_good_list_in_force() {
-    let mut shelf = Shelf::stocked("odd", 8);
+fn invalid_files_leave_the_last_good_list_in_force() {
+    let mut fixture = Fixture::with_workers("odd", 8);
     for (number, case) in cases::all().into_iter().enumerate() {
         let name = if case.form == Form::Csv { "a.csv" } else { "a.yaml" };
-        shelf.write(name, &case.bytes);
-        let events = shelf.settle();
+        fixture.write(name, &case.bytes);
+        let events = fixture.settle();
         let line = case.at.split(':').next().unwrap_or_default();
-        let place = format!("{}:{line}", shelf.file(name).display());
+        let place = format!("{}:{line}", fixture.file(name).display());
         assert!(
             events.contains(&place) && events.contains(case.says.split(" f:").next().unwrap_or_default()),
             "case {number}: {events:?} lacks {place:?} and {:?}",
             case.says
         );
-        assert_eq!(shelf.names().len(), 8, "case {number}");
-        fs::remove_file(shelf.file(name)).expect("the file");
-        shelf.settle();
+        assert_eq!(fixture.names().len(), 8, "case {number}");
+        fs::remove_file(fixture.file(name)).expect("the file");
+        fixture.settle();
     }
 }
 
 /// Guards against a file read while half written: cut anywhere it is turned down, or the guard judges who may go.
 #[test]
-fn a_cut_file_never_makes_the_list_silently_smaller() {
-    let mut shelf = Shelf::stocked("cut", 200);
+fn truncated_file_never_shrinks_the_list_silently() {
+    let mut fixture = Fixture::with_workers("cut", 200);
     let whole = csv(0..200);
     let (mut released, mut held) = (0, 0);
     // Each line's end and its neighbours, and a byte in every line.
     let ends: Vec<usize> = whole.match_indices('\n').map(|(at, _)| at).collect();
     for at in ends.into_iter().flat_map(|end| [end - 7, end, end + 1]) {
-        shelf.write("yard.csv", &whole.as_bytes()[..at]);
-        let events = shelf.settle();
-        let left = shelf.names().len();
+        fixture.write("yard.csv", &whole.as_bytes()[..at]);
+        let events = fixture.settle();
+        let left = fixture.names().len();
         let named = whole[..at].matches('\n').count().saturating_sub(1);
         if left < 200 {
             assert!(left == named && left >= 160, "{left} of 200 after a cut at {at}");
             released += 1;
-            shelf.write("yard.csv", &whole);
-            shelf.settle();
+            fixture.write("yard.csv", &whole);
+            fixture.settle();
         } else if events.contains("held back") {
             held += 1;
         } else {
-            assert!(events.contains("yard.csv:") || named == 200 || events.is_empty(), "cut at {at}: {events}");
+            assert!(
+                events.contains("yard.csv:") || named == 200 || events.is_empty(),
+                "cut at {at}: {events}"
+            );
         }
-        assert_eq!(shelf.names().len(), 200);
+        assert_eq!(fixture.names().len(), 200);
     }
     assert!(released == 40 && held > 100, "{released} applied, {held} held back");
 }
 
 /// Writing that goes on is waited for: nothing is read until two looks agree.
 #[test]
-fn writing_in_place_is_waited_for() {
-    let mut shelf = Shelf::stocked("in-place", 5);
+fn files_being_written_in_place_are_not_read() {
+    let mut fixture = Fixture::with_workers("in-place", 5);
     for workers in 5..12 {
-        shelf.write("yard.csv", csv(0..workers));
-        assert_eq!(shelf.look(), [""; 0], "still being written");
+        fixture.write("yard.csv", csv(0..workers));
+        assert_eq!(fixture.poll(), [""; 0], "still being written");
     }
-    assert_eq!(shelf.names().len(), 5);
-    assert!(shelf.settle().contains("11 workers, 6 of them new"));
+    assert_eq!(fixture.names().len(), 5);
+    assert!(fixture.settle().contains("11 workers, 6 of them new"));
 }
 
 #[test]
-fn a_rename_into_place_and_a_swapped_link_are_seen() {
-    let mut shelf = Shelf::stocked("rename", 5);
-    fs::write(shelf.folder.join("new"), csv(0..6)).expect("a file");
-    fs::rename(shelf.folder.join("new"), shelf.file("yard.csv")).expect("a rename");
-    shelf.settle();
-    assert_eq!(shelf.names().len(), 6);
+fn renamed_files_and_swapped_links_are_detected() {
+    let mut fixture = Fixture::with_workers("rename", 5);
+    fs::write(fixture.folder.join("new"), csv(0..6)).expect("a file");
+    fs::rename(fixture.folder.join("new"), fixture.file("yard.csv")).expect("a rename");
+    fixture.settle();
+    assert_eq!(fixture.names().len(), 6);
     // As tools that keep versions side by side do: the folder's file is a link.
     for (version, workers) in [("v1", 7), ("v2", 8)] {
-        fs::write(shelf.folder.join(version), csv(0..workers)).expect("a version");
-        std::os::unix::fs::symlink(shelf.folder.join(version), shelf.folder.join("link")).expect("a link");
-        fs::rename(shelf.folder.join("link"), shelf.file("yard.csv")).expect("a swap");
-        shelf.settle();
-        assert_eq!(shelf.names().len(), workers);
+        fs::write(fixture.folder.join(version), csv(0..workers)).expect("a version");
+        std::os::unix::fs::symlink(fixture.folder.join(version), fixture.folder.join("link"))
+            .expect("a link");
+        fs::rename(fixture.folder.join("link"), fixture.file("yard.csv")).expect("a swap");
+        fixture.settle();
+        assert_eq!(fixture.names().len(), workers);
     }
 }
 
 #[test]
-fn a_folder_that_vanishes_and_returns_changes_nothing() {
-    let mut shelf = Shelf::stocked("vanish", 5);
-    let (there, away) = (shelf.folder.join("inventory"), shelf.folder.join("away"));
+fn missing_folder_leaves_the_list_unchanged() {
+    let mut fixture = Fixture::with_workers("vanish", 5);
+    let (there, away) = (fixture.folder.join("inventory"), fixture.folder.join("away"));
     fs::rename(&there, &away).expect("a move");
-    assert!(shelf.settle().contains("No such file"));
-    assert_eq!((shelf.settle(), shelf.names().len()), (String::new(), 5));
+    assert!(fixture.settle().contains("No such file"));
+    assert_eq!((fixture.settle(), fixture.names().len()), (String::new(), 5));
     fs::create_dir(&there).expect("a folder");
-    assert!(shelf.settle().contains("holds no file in .csv"));
+    assert!(fixture.settle().contains("holds no file in .csv"));
     fs::remove_dir(&there).expect("empty");
     fs::rename(&away, &there).expect("a move");
-    assert_eq!(shelf.settle(), "", "it says what is in force");
-    shelf.write("yard.csv", csv(0..6));
-    shelf.settle();
-    assert_eq!(shelf.names().len(), 6);
+    assert_eq!(fixture.settle(), "", "it says what is in force");
+    fixture.write("yard.csv", csv(0..6));
+    fixture.settle();
+    assert_eq!(fixture.names().len(), 6);
 }
 
 /// Guards against clocks that step back, and against times of whole seconds.
 #[test]
-fn an_older_time_and_the_same_time_are_changes_too() {
-    let mut shelf = Shelf::stocked("clock", 5);
+fn files_with_older_or_equal_times_are_reread() {
+    let mut fixture = Fixture::with_workers("clock", 5);
     let set = |path: &Path, time: SystemTime| {
         let file = fs::File::options().write(true).open(path).expect("the file");
         file.set_modified(time).expect("a time");
     };
-    let path = shelf.file("yard.csv");
+    let path = fixture.file("yard.csv");
     let time = SystemTime::now() - Duration::from_secs(3600);
-    shelf.write("yard.csv", csv(0..6));
+    fixture.write("yard.csv", csv(0..6));
     set(&path, time);
-    shelf.settle();
-    assert_eq!(shelf.names().len(), 6);
+    fixture.settle();
+    assert_eq!(fixture.names().len(), 6);
     // As long as before, with the same time: the change of its entry, or the next reading anew, tells.
-    shelf.write("yard.csv", csv((0..5).chain([7])));
+    fixture.write("yard.csv", csv((0..5).chain([7])));
     set(&path, time);
-    shelf.now += Duration::from_secs(10);
-    shelf.settle();
-    assert_eq!(shelf.names().last(), Some(&"yard-007"));
+    fixture.now += Duration::from_secs(10);
+    fixture.settle();
+    assert_eq!(fixture.names().last(), Some(&"yard-007"));
 }
 
 #[test]
-fn what_is_held_back_waits_for_time_or_somebodys_word() {
-    let mut shelf = Shelf::stocked("held", 10);
-    shelf.write("yard.csv", csv(0..5));
-    let events = shelf.settle();
+fn held_back_list_waits_for_time_or_acceptance() {
+    let mut fixture = Fixture::with_workers("held", 10);
+    fixture.write("yard.csv", csv(0..5));
+    let events = fixture.settle();
     assert!(events.contains("held back: it would take out 5 of 10 workers"), "{events}");
-    assert_eq!((shelf.settle(), shelf.names().len()), (String::new(), 10), "it is reported once");
-    shelf.now += Duration::from_secs(60);
-    shelf.settle();
-    assert_eq!(shelf.names().len(), 5);
-    shelf.write("yard.csv", csv(0..2));
-    let events = shelf.settle();
+    assert_eq!((fixture.settle(), fixture.names().len()), (String::new(), 10), "it is reported once");
+    fixture.now += Duration::from_secs(60);
+    fixture.settle();
+    assert_eq!(fixture.names().len(), 5);
+    fixture.write("yard.csv", csv(0..2));
+    let events = fixture.settle();
     let digest = events.rsplit_once('(').and_then(|(_, rest)| rest.split(')').next()).expect("a digest");
-    fs::write(accept_file(&shelf.folder), format!("{digest}\n")).expect("a word");
-    shelf.settle();
-    assert_eq!(shelf.names().len(), 2);
+    fs::write(accept_file(&fixture.folder), format!("{digest}\n")).expect("a word");
+    fixture.settle();
+    assert_eq!(fixture.names().len(), 2);
 }
 
 /// Guards against a start without workers while a file is being mended.
 #[test]
-fn the_last_good_list_outlives_a_restart() {
-    let shelf = Shelf::stocked("restart", 5);
-    shelf.write("yard.csv", "nonsense\n");
-    let mut again =
-        Shelf { watch: InventoryWatch::new(Shelf::stock(&shelf.folder), shelf.folder.clone()), ..shelf };
+fn last_good_list_survives_a_restart() {
+    let fixture = Fixture::with_workers("restart", 5);
+    fixture.write("yard.csv", "nonsense\n");
+    let mut again = Fixture {
+        watch: InventoryWatch::new(Fixture::settings(&fixture.folder), fixture.folder.clone()),
+        ..fixture
+    };
     let events = again.settle();
-    assert!(events.contains("yard.csv:1:1") && events.contains("last good is in force: 5 workers"), "{events}");
+    assert!(
+        events.contains("yard.csv:1:1") && events.contains("last good is in force: 5 workers"),
+        "{events}"
+    );
     assert_eq!(again.names().len(), 5);
 }
 
 /// A name is looked up; one that leads nowhere is no worker's.
 #[test]
-fn names_are_looked_up() {
-    let mut shelf = Shelf::new("names");
+fn unresolvable_host_names_are_reported() {
+    let mut fixture = Fixture::new("names");
     let text = "name,address,zone,kind,slots\na,localhost.invalid:5000,n,s,1\n";
-    shelf.write("yard.csv", text);
-    let events = shelf.settle();
+    fixture.write("yard.csv", text);
+    let events = fixture.settle();
     assert!(events.contains("yard.csv:2:1: host \"localhost.invalid\" cannot be looked up"), "{events}");
 }
