--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The list client with its connections, against scripted agents in virtual time: no socket, no waiting.
+//! The list client on its connections, against scripted agents in virtual time, without sockets.
 
 #[allow(dead_code)] // the module's own tests use the rest
 #[path = "../../../tests/helpers/mod.rs"]
@@ -27,23 +27,24 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, Instant};
 
-/// What an agent does with the next connection, or with the first call on it.
+/// What an agent does with the next connection, or with the first query on it.
 #[derive(Clone, Copy, Debug)]
 enum Behaviour {
     Refuse,
-    /// Never comes up.
+    /// Never connects.
     Hang,
-    /// Answers so many bytes, then ends the connection.
+    /// Sends this many bytes of the response, then closes the connection.
     Cut(usize),
-    /// Answers so many bytes, then says nothing more.
+    /// Sends this many bytes of the response, then nothing more.
     Stall(usize),
-    /// Answers one byte every so many milliseconds.
+    /// Sends one byte of the response at this interval in milliseconds.
     Drip(u64),
-    /// Answers with this status.
+    /// Responds with this status.
     Status(u16),
 }
 
-/// An agent that is well once its script is done. Its list names one worker, whose port tells the version.
+/// An agent that behaves normally after its script. Its list names one worker, whose port encodes the list
+/// version.
 struct Agent {
     script: RefCell<VecDeque<Behaviour>>,
     version: Cell<u64>,
@@ -143,7 +144,7 @@
     }
 }
 
-/// A client of an agent, and what it holds.
+/// A list client and the exchange that holds its list.
 struct Client {
     exchange: Rc<Exchange>,
     address: watch::Sender<SocketAddr>,
@@ -172,7 +173,7 @@
         self.exchange.can_decide().then(|| u64::from(self.exchange.address(0).port()) - 4000)
     }
 
-    /// How long it takes until this version is held, in milliseconds.
+    /// Milliseconds until the client has this version.
     async fn ms_until(&self, version: u64) -> u64 {
         let began = Instant::now();
         while self.version() != Some(version) {
@@ -183,7 +184,7 @@
     }
 }
 
-/// Runs in virtual time.
+/// Runs a future in virtual time.
 fn run<T>(what: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), what)
@@ -193,7 +194,7 @@
     run(async { Client::of(&Agent::new(script)).ms_until(7).await })
 }
 
-/// Guards against a gap after an answer that broke off, wherever it did: it is asked again at once.
+/// Guards against a delay after a response that is cut off at any byte: it is queried again at once.
 #[test]
 fn truncated_response_is_queried_again_at_once() {
     for at in 0..answer(&list(7, true)).len() {
@@ -202,7 +203,7 @@
     }
 }
 
-/// Guards against waiting for the rest of half an answer: another connection is tried beside it.
+/// Guards against waiting for the rest of a partial response: another connection is tried in parallel.
 #[test]
 fn stalled_response_is_bypassed_by_another_connection() {
     for at in 0..answer(&list(7, true)).len() {
@@ -215,14 +216,15 @@
 fn list_arrives_on_the_first_attempt_after_refusals() {
     for refusals in 0..=10 {
         let delay = first_list(&vec![Behaviour::Refuse; refusals]);
-        // Pauses of 0, 30, 60, 120, and 240 ms from then on.
+        // Back-off pauses of 0, 30, 60 and 120 ms, then 240 ms each.
         let pauses: u64 =
             (0..refusals as u64).map(|n| [0, 30, 60, 120].get(n as usize).copied().unwrap_or(240)).sum();
         assert!(delay <= pauses + 3, "{delay} ms after {refusals} refusals");
     }
 }
 
-/// One byte a millisecond is slow but an answer; a connection that never comes up, or a status, is none.
+/// One byte per millisecond is slow but valid; a connection that is never established or an error status is a
+/// failure.
 #[test]
 fn slow_responses_count_and_error_responses_do_not() {
     let whole = answer(&list(7, true)).len() as u64;
@@ -232,7 +234,7 @@
     assert!(first_list(&[Behaviour::Status(503), Behaviour::Status(500)]) <= 33);
 }
 
-/// Guards against a list that falls back: an agent that was started anew and has not caught up is not believed.
+/// Guards against an older list after an agent has restarted and not caught up yet.
 #[test]
 fn older_lists_are_rejected() {
     run(async {
@@ -247,7 +249,7 @@
     });
 }
 
-/// Guards against an old place that holds up the new one: SIGHUP moves it while it is silent.
+/// Guards against a silent old address that delays the move to a new one by SIGHUP.
 #[test]
 fn client_moves_while_the_old_address_is_silent() {
     run(async {
@@ -260,7 +262,7 @@
         agent.script.borrow_mut().clear();
         assert!(client.ms_until(7).await <= 3);
         assert_eq!(agent.dials.borrow().last(), Some(&place));
-        // Changes come by the watch from then on.
+        // From then on, changes arrive by the watch.
         agent.version.set(8);
         assert!(client.ms_until(8).await <= 3);
     });
--- a/crates/scheduler/tests/installations.rs
+++ b/crates/scheduler/tests/installations.rs
@@ -1,5 +1,5 @@
-//! Installations of one's own as processes: the command line, and schedulers on an inventory whose files change under
-//! load, between stand-ins on 127.0.0.1.
+//! Installations as processes: the command line, and schedulers on an inventory whose files change under
+//! load, between mock clients and workers on 127.0.0.1.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -47,22 +47,22 @@
 within = "200ms"
 "#;
 
-/// A worker that takes what it is given, tells when it is done, and notes when each task came.
+/// A worker that accepts every task, reports its end, and records when each task arrived.
 struct Worker {
     name: String,
     address: SocketAddr,
-    came: Mutex<Vec<(String, Instant)>>,
-    /// Answers a look at its health with 503.
-    ill: AtomicBool,
+    arrived: Mutex<Vec<(String, Instant)>>,
+    /// Responds to health checks with 503.
+    unhealthy: AtomicBool,
 }
 
 impl Worker {
     fn start(name: &str) -> Arc<Self> {
         let (listener, address) = listener();
-        let (came, ill) = (Mutex::default(), AtomicBool::new(false));
-        let worker = Arc::new(Worker { name: name.into(), address, came, ill });
-        let serves = worker.clone();
-        serve_each(listener, move |stream| serves.serve(stream));
+        let (arrived, unhealthy) = (Mutex::default(), AtomicBool::new(false));
+        let worker = Arc::new(Worker { name: name.into(), address, arrived, unhealthy });
+        let server = worker.clone();
+        serve_each(listener, move |stream| server.serve(stream));
         worker
     }
 
@@ -70,7 +70,7 @@
         let mut peer = Peer(BufReader::new(stream));
         while let Some(message) = peer.try_read() {
             if message.first.starts_with("GET") {
-                let status = if self.ill.load(Ordering::SeqCst) { "503 Ill" } else { "200 OK" };
+                let status = if self.unhealthy.load(Ordering::SeqCst) { "503 Ill" } else { "200 OK" };
                 peer.write(&format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n"));
                 continue;
             }
@@ -79,31 +79,31 @@
                 continue;
             }
             let id = message.header("x-trace-id").expect("an id").to_string();
-            self.came.lock().expect("notes").push((id.clone(), Instant::now()));
-            // The body tells where the news goes.
+            self.arrived.lock().expect("notes").push((id.clone(), Instant::now()));
+            // The body contains the address for updates.
             let to: SocketAddr = message.body.parse().expect("an address");
             peer.taken();
-            // Long enough that tasks overlap, so that all workers are wanted.
+            // Long enough that tasks overlap, so that all workers are used.
             std::thread::sleep(Duration::from_millis(15));
             let text =
                 format!(r#"{{"id":"{id}","from":"{}","state":"done","result":"{}"}}"#, self.name, self.name);
-            let mut news = Peer::connect(to);
+            let mut update = Peer::connect(to);
             let length = text.len();
-            news.write(&format!(
+            update.write(&format!(
                 "POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{text}"
             ));
-            news.read();
+            update.read();
         }
     }
 
     fn last(&self) -> Option<Instant> {
-        self.came.lock().expect("notes").last().map(|(_, at)| *at)
+        self.arrived.lock().expect("notes").last().map(|(_, at)| *at)
     }
 }
 
-/// Tasks that came to these.
+/// The number of tasks that arrived at these workers.
 fn count(workers: &[&Arc<Worker>]) -> usize {
-    workers.iter().map(|w| w.came.lock().expect("notes").len()).sum()
+    workers.iter().map(|w| w.arrived.lock().expect("notes").len()).sum()
 }
 
 fn csv(workers: &[&Arc<Worker>]) -> String {
@@ -111,7 +111,7 @@
     format!("name,address\n{rows}")
 }
 
-fn place(folder: &Path, name: &str, text: &str) {
+fn write_inventory(folder: &Path, name: &str, text: &str) {
     fs::write(folder.join("new"), text).expect("a file");
     fs::rename(folder.join("new"), folder.join("inventory").join(name)).expect("a rename");
 }
@@ -125,7 +125,7 @@
     scheduler
 }
 
-/// Clients that hand in one task after the other until told to stop; every answer is counted by its status.
+/// Clients that submit one task after another until stopped; answers are counted by status.
 struct Load {
     stop: Arc<AtomicBool>,
     clients: Vec<std::thread::JoinHandle<()>>,
@@ -157,41 +157,41 @@
         Load { stop, clients, answers, sent }
     }
 
-    /// All were answered, finished or, with fewer slots than clients, shed; none was broken off.
+    /// Every task was answered: finished or, with fewer slots than clients, shed; none was aborted.
     fn end(self) {
         self.stop.store(true, Ordering::SeqCst);
         self.clients.into_iter().for_each(|client| client.join().expect("a client"));
         let answers = self.answers.lock().expect("counts").clone();
         assert_eq!(answers.values().sum::<usize>(), self.sent.load(Ordering::SeqCst), "one answer each");
-        let odd = answers
+        let unexpected = answers
             .keys()
             .find(|a| !["HTTP/1.1 200 OK", "HTTP/1.1 503 Service Unavailable"].contains(&a.as_str()));
-        assert!(odd.is_none() && answers.contains_key("HTTP/1.1 200 OK"), "{answers:?}");
+        assert!(unexpected.is_none() && answers.contains_key("HTTP/1.1 200 OK"), "{answers:?}");
     }
 }
 
-/// Guards against tasks on workers that were taken out, tasks lost on the way, and a list that a bad file spoils: two
-/// schedulers read the same files, at different moments, under load.
+/// Guards against tasks on removed workers, lost tasks, and a list spoiled by an invalid file: two schedulers
+/// read the same files, at different moments, under load.
 #[test]
-fn workers_are_taken_out_and_put_back_under_load() {
+fn workers_are_removed_and_added_under_load() {
     let folder = folder("drain");
     let workers = ["w0", "w1", "w2"].map(Worker::start);
     let [w0, w1, w2] = &workers;
-    place(&folder, "yard.csv", &csv(&[w0, w1, w2]));
+    write_inventory(&folder, "yard.csv", &csv(&[w0, w1, w2]));
     let mut schedulers = [start(&folder), start(&folder)];
     let on: Vec<SocketAddr> = schedulers.iter().flat_map(|s| [s.address; 3]).collect();
     let load = Load::start(&on);
-    // A worker at another's address, and half a file: both are turned down.
-    place(&folder, "more.csv", &format!("name,address\nw9,{}\n", w0.address));
+    // A worker at another worker's address, and a truncated file: both are rejected.
+    write_inventory(&folder, "more.csv", &format!("name,address\nw9,{}\n", w0.address));
     schedulers.iter_mut().for_each(|s| drop(s.line("yard.csv:2:1: worker \"w0\" is at")));
-    place(&folder, "more.csv", "name,addr");
+    write_inventory(&folder, "more.csv", "name,addr");
     schedulers.iter_mut().for_each(|s| drop(s.line("more.csv:1:10: the file ends")));
-    // w2 is taken out.
-    let told = Instant::now();
+    // w2 is removed.
+    let removed_at = Instant::now();
     fs::remove_file(folder.join("inventory/more.csv")).expect("the file");
-    place(&folder, "yard.csv", &csv(&[w0, w1]));
+    write_inventory(&folder, "yard.csv", &csv(&[w0, w1]));
     schedulers.iter_mut().for_each(|s| drop(s.line("in force: 2 workers")));
-    let seen = told.elapsed();
+    let seen = removed_at.elapsed();
     assert!(seen < Duration::from_secs(3), "noticed after {seen:?}");
     let drained = Instant::now();
     let before = count(&[w0, w1]);
@@ -202,8 +202,8 @@
     let last = w2.last().expect("w2 had tasks");
     let late = last.saturating_duration_since(drained);
     assert!(late < Duration::from_millis(250), "a task {late:?} after both knew that w2 drains");
-    // And put back.
-    place(&folder, "yard.csv", &csv(&[w0, w1, w2]));
+    // And added again.
+    write_inventory(&folder, "yard.csv", &csv(&[w0, w1, w2]));
     schedulers.iter_mut().for_each(|s| drop(s.line("in force: 3 workers")));
     let (before, began) = (count(&[w2]), Instant::now());
     while count(&[w2]) == before {
@@ -211,25 +211,28 @@
         std::thread::sleep(Duration::from_millis(2));
     }
     load.end();
-    // No task came twice, anywhere.
+    // No task arrived twice at any worker.
     let mut all: Vec<String> = Vec::new();
-    workers.iter().for_each(|w| all.extend(w.came.lock().expect("notes").iter().map(|(id, _)| id.clone())));
+    workers
+        .iter()
+        .for_each(|w| all.extend(w.arrived.lock().expect("notes").iter().map(|(id, _)| id.clone())));
     let clients = on.len();
     all.sort_unstable();
     let tasks = all.len();
     all.dedup();
-    assert!(tasks == all.len() && clients == 6, "{tasks} tasks came, {} different", all.len());
+    assert!(tasks == all.len() && clients == 6, "{tasks} tasks arrived, {} different", all.len());
 }
 
-/// Files tell nothing of who is alive: who answers badly is left out, and takes part again when it is well.
+/// Guards against tasks for unhealthy workers: files do not say who is alive, so a failing worker is avoided
+/// until its health checks succeed again.
 #[test]
-fn a_worker_that_is_ill_is_left_out() {
+fn unhealthy_workers_are_avoided() {
     let folder = folder("ill");
     let workers = ["w0", "w1", "w2"].map(Worker::start);
     let [w0, w1, w2] = &workers;
-    place(&folder, "yard.csv", &csv(&[w0, w1, w2]));
+    write_inventory(&folder, "yard.csv", &csv(&[w0, w1, w2]));
     let mut scheduler = start(&folder);
-    w1.ill.store(true, Ordering::SeqCst);
+    w1.unhealthy.store(true, Ordering::SeqCst);
     scheduler.line("worker w1 is down");
     let load = Load::start(&[scheduler.address; 6]);
     let (before, began) = (count(&[w1]), Instant::now());
@@ -244,7 +247,7 @@
         std::thread::sleep(Duration::from_millis(2));
     }
     assert_eq!(count(&[w1]), before);
-    w1.ill.store(false, Ordering::SeqCst);
+    w1.unhealthy.store(false, Ordering::SeqCst);
     scheduler.line("worker w1 is back");
     let began = Instant::now();
     while count(&[w1]) == before {
@@ -254,12 +257,12 @@
     load.end();
 }
 
-/// Exit codes and words of the commands that end by themselves.
+/// Guards against wrong exit codes or output of the commands that do not serve.
 #[test]
-fn commands_say_what_is_wrong_and_where() {
+fn commands_report_problems_with_their_place() {
     let folder = folder("commands");
     fs::write(folder.join("tindock.toml"), CONFIGURATION).expect("a configuration");
-    place(&folder, "a.csv", "name,address\ny,10.0.0.1:5000\n");
+    write_inventory(&folder, "a.csv", "name,address\ny,10.0.0.1:5000\n");
     let run = |args: &[&str]| tindock(args, &folder);
     assert_eq!(
         run(&["check", "tindock.toml"]),
@@ -272,14 +275,14 @@
     assert!(code == 0 && out.starts_with("- name: \"y\"\n  address: \"10.0.0.1:5000\"\n"), "{out}");
     let (code, out, _) = run(&["inventory", "accept", "tindock.toml"]);
     assert!(code == 0 && out.starts_with("accepted: 1 workers ("), "{out}");
-    // Without the configuration's defaults the file says too little.
-    let (code, out, said) = run(&["inventory", "check", "inventory"]);
+    // Without the configuration's defaults, columns are missing.
+    let (code, out, stderr) = run(&["inventory", "check", "inventory"]);
     assert_eq!((code, out.as_str()), (1, ""));
-    assert!(said.lines().count() == 3 && said.starts_with("inventory/a.csv:1:1: "), "{said}");
-    place(&folder, "b.csv", "name,address\nz,10.0.0.1:5000\n");
-    let (code, _, said) = run(&["check", "tindock.toml"]);
+    assert!(stderr.lines().count() == 3 && stderr.starts_with("inventory/a.csv:1:1: "), "{stderr}");
+    write_inventory(&folder, "b.csv", "name,address\nz,10.0.0.1:5000\n");
+    let (code, _, stderr) = run(&["check", "tindock.toml"]);
     assert_eq!(
-        (code, said.as_str()),
+        (code, stderr.as_str()),
         (
             1,
             "inventory/b.csv:2:1: worker \"z\" is at 10.0.0.1:5000, and so is \"y\" at inventory/a.csv:2:1\n"
@@ -287,13 +290,13 @@
     );
     fs::write(folder.join("odd.toml"), CONFIGURATION.replace("promised", "promise"))
         .expect("a configuration");
-    let (code, _, said) = run(&["check", "odd.toml"]);
+    let (code, _, stderr) = run(&["check", "odd.toml"]);
     assert!(
-        code == 1 && said.contains("odd.toml:6:1: unknown key \"promise\"; promised was meant?"),
-        "{said}"
+        code == 1 && stderr.contains("odd.toml:6:1: unknown key \"promise\"; promised was meant?"),
+        "{stderr}"
     );
-    let (code, _, said) = run(&["run", "odd.toml"]);
-    assert!(code == 1 && said.lines().count() == 2, "{said}");
+    let (code, _, stderr) = run(&["run", "odd.toml"]);
+    assert!(code == 1 && stderr.lines().count() == 2, "{stderr}");
     for wrong in [&["serve"][..], &["check"], &["show", "tindock.toml", "--set", "a"], &["inventory"]] {
         assert_eq!(run(wrong).0, 2, "{wrong:?}");
     }
@@ -301,13 +304,13 @@
     assert!(code == 0 && out.starts_with("tindock "), "{out}");
     let (code, out, _) = run(&["completions", "bash"]);
     assert!(code == 0 && out.contains("_tindock"), "{out}");
-    let (code, _, said) = run(&[]);
-    assert_eq!((code, said.as_str()), (1, "tindock: GW_CONFIG names no configuration\n"));
+    let (code, _, stderr) = run(&[]);
+    assert_eq!((code, stderr.as_str()), (1, "tindock: GW_CONFIG names no configuration\n"));
 }
 
-/// What differs is told by worker.
+/// Guards against a comparison that misses a changed worker.
 #[test]
-fn inventories_are_compared() {
+fn inventory_diff_lists_each_changed_worker() {
     let folder = folder("diff");
     let head = "name,address,zone,kind,slots,state\n";
     fs::write(
@@ -326,15 +329,15 @@
     assert_eq!((code, out.as_str()), (0, expected));
 }
 
-/// A scheduler that can't serve what it is told names it and ends: nobody listens twice.
+/// Guards against two schedulers at one address: the second one reports the address and exits.
 #[test]
-fn an_address_in_use_ends_the_start() {
+fn address_in_use_fails_the_start() {
     let folder = folder("in-use");
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a listener");
-    let at = taken.local_addr().expect("its address").to_string();
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("a listener");
+    let at = occupied.local_addr().expect("its address").to_string();
     fs::write(folder.join("tindock.toml"), CONFIGURATION.replace("127.0.0.1:0", &at))
         .expect("a configuration");
-    place(&folder, "a.csv", "name,address\ny,10.0.0.1:5000\n");
-    let (code, _, said) = tindock(&["run", "tindock.toml"], &folder);
-    assert!(code == 1 && said.starts_with(&at) && said.lines().count() == 1, "{said}");
+    write_inventory(&folder, "a.csv", "name,address\ny,10.0.0.1:5000\n");
+    let (code, _, stderr) = tindock(&["run", "tindock.toml"], &folder);
+    assert!(code == 1 && stderr.starts_with(&at) && stderr.lines().count() == 1, "{stderr}");
 }
--- a/crates/scheduler/tests/operators.rs
+++ b/crates/scheduler/tests/operators.rs
@@ -1,10 +1,10 @@
-//! The operators' address, by what staff see: calls, figures, workers taken out by hand.
+//! The operators' address as operators see it: calls, figures, exclusion of workers.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 use tindock_trial::peers::*;
 
-/// A scheduler with an operators' address, its workers, and a discovery that says nothing.
+/// A scheduler with an operators' address, its workers, and a discovery service that never responds.
 fn start(name: &str, workers: usize) -> (Scheduler, SocketAddr, Vec<TcpListener>, TcpListener) {
     let ((discovery, agent), listeners) = (listener(), (0..workers).map(|_| listener()));
     let (listeners, entries): (Vec<_>, Vec<_>) = listeners
@@ -16,9 +16,9 @@
     (scheduler, at, listeners, discovery)
 }
 
-/// Guards against a call that changes something, or hangs, for being written wrongly.
+/// Guards against malformed calls that change something or hang.
 #[test]
-fn what_is_no_call_gets_one_line_of_error() {
+fn invalid_calls_get_one_line_of_error() {
     let (_scheduler, at, ..) = start("calls", 1);
     let long = [b'x'; 300];
     let lines: [&[u8]; 11] = [
@@ -39,9 +39,9 @@
     assert!(call(at, b"telemetry\n").contains(r#""workers_excluded":0"#));
 }
 
-/// Guards against operators shut out by clients that fill their side, and by callers that say nothing.
+/// Guards against operators locked out by clients that use up connections, or by callers that send nothing.
 #[test]
-fn a_call_is_answered_beside_crowds_and_silent_callers() {
+fn calls_are_answered_beside_many_silent_connections() {
     let (scheduler, at, ..) = start("crowds", 1);
     let crowd: Vec<_> = (0..110).filter_map(|_| TcpStream::connect(scheduler.address).ok()).collect();
     let mut silent: Vec<_> = (0..30).map(|_| TcpStream::connect(at).expect("a connection")).collect();
@@ -52,9 +52,9 @@
     drop((crowd, silent));
 }
 
-/// Guards against figures that say something else than what clients and workers saw.
+/// Guards against figures that differ from what clients and workers saw.
 #[test]
-fn figures_are_what_clients_and_workers_counted() {
+fn telemetry_matches_what_clients_and_workers_saw() {
     let (scheduler, at, workers, _discovery) = start("figures", 1);
     let mut client = Peer::connect(scheduler.address);
     client.post("/plan", "f1", "x");
@@ -64,12 +64,12 @@
     assert!(call(at, b"telemetry\n").contains(r#""attempts":1,"in_flight":1,"#));
     scheduler.done("f1", "w0", "result");
     assert_eq!(client.read().first, "HTTP/1.1 200 OK");
-    // May have run, and may not run again.
+    // The task may have run, and must not run again.
     client.post("/release", "f2", "x");
     line.read();
     drop(line);
     assert_eq!(client.read().first, "HTTP/1.1 500 Internal Server Error");
-    // A client that leaves: its task is no longer in hand.
+    // A client disconnects: its task is no longer in flight.
     client.post("/plan", "f3", "x");
     Peer::accept(&workers[0]).read();
     drop(client);
@@ -77,17 +77,17 @@
     while !call(at, b"telemetry\n").contains(r#""in_flight":0"#) {
         assert!(began.elapsed() < PATIENCE, "still in hand");
     }
-    // Not taken in: neither finished nor anything else.
+    // Never submitted: it counts neither as finished nor as anything else.
     let mut client = Peer::connect(scheduler.address);
     client.post("/nowhere", "f4", "x");
     client.read();
     insta::assert_snapshot!(call(at, b"telemetry\n"));
 }
 
-/// Guards against tasks for a worker that staff have taken out, also when the list names it anew, and against a
-/// worker that stays out once it is put back.
+/// Guards against tasks for an excluded worker, also when the list names it again, and against a worker that
+/// stays excluded after it was included again.
 #[test]
-fn a_worker_out_by_hand_gets_nothing_until_it_is_put_back() {
+fn excluded_workers_get_no_tasks_until_included() {
     let (scheduler, at, workers, _discovery) = start("by-hand", 2);
     let mut client = Peer::connect(scheduler.address);
     assert_eq!(call(at, b"exclude w0\n"), "done\n");
@@ -99,7 +99,7 @@
         scheduler.done(id, "w1", id);
         assert_eq!(client.read().body, id);
     }
-    // With nobody left it is answered at once.
+    // Without any worker left, the task is answered at once.
     assert_eq!(call(at, b"exclude w1\n"), "done\n");
     assert!(call(at, b"telemetry\n").contains(r#""workers_known":2,"workers_excluded":2"#));
     assert_eq!(call(at, b"include w0\n"), "done\n");
@@ -108,7 +108,7 @@
     line.read();
     scheduler.done("h4", "w0", "back");
     assert_eq!(client.read().body, "back");
-    // What is out stays out for the process that follows.
+    // An exclusion persists for the next process.
     scheduler.signal("-KILL");
     let again = config(
         _discovery.local_addr().expect("its address"),
@@ -120,10 +120,10 @@
     assert!(call(at, b"telemetry\n").contains(r#""workers_known":1,"workers_excluded":1"#));
 }
 
-/// Guards against a new file that is taken in by halves: tasks in hand keep their rules, others come and go at once,
-/// and from a broken file nothing is taken.
+/// Guards against a partly applied file: tasks in flight keep their rules, other changes apply at once, and
+/// nothing is taken from an invalid file.
 #[test]
-fn a_new_file_changes_the_workloads_and_a_broken_one_nothing() {
+fn reload_applies_valid_files_and_ignores_invalid_ones() {
     let (mut scheduler, at, workers, discovery) = start("retuned", 1);
     let entries = [entry("w0", workers[0].local_addr().expect("its address"), "active")];
     let first = operated(&config(discovery.local_addr().expect("its address"), &entries, 128));
@@ -132,7 +132,7 @@
     let mut line = Peer::accept(&workers[0]);
     line.read();
     line.taken();
-    // "release" may be repeated from now on, "plan" is dropped, "count" is new.
+    // "release" is repeatable from now on, "plan" is removed, "count" is new.
     let second = first.replace(r#""fragile""#, r#""retryable""#).replace(r#""plan""#, r#""count""#);
     scheduler.reload("retuned", &second);
     scheduler.line("workloads count, release");
@@ -145,7 +145,7 @@
     line.taken();
     scheduler.done("r3", "w0", "counted");
     assert_eq!(client.read().body, "counted");
-    // It came when it was not to be repeated.
+    // The task was submitted when it was not repeatable.
     scheduler.news(r#"{"id":"r1","from":"w0","state":"lost"}"#);
     assert_eq!(waiting.read().first, "HTTP/1.1 500 Internal Server Error");
     let broken = [
@@ -158,39 +158,40 @@
         second.replace(r#""domain": {"class_stretch": [2.0, 2.0]},"#, ""),
         second.replace(r#""limits":{"sockets":128},"#, ""),
     ];
-    let said = |line: String| line.split(".json: ").nth(1).or(line.split("in force: ").nth(1)).map(String::from);
-    let why: String = broken
+    let reason =
+        |line: String| line.split(".json: ").nth(1).or(line.split("in force: ").nth(1)).map(String::from);
+    let reasons: String = broken
         .iter()
         .flat_map(|text| {
-            // Neither the other address nor the other workload is taken from it.
+            // Neither the other address nor the other workload is applied.
             scheduler
                 .reload("retuned", &text.replace(r#""count""#, r#""sum""#).replace("127.0.0.1", "127.0.0.9"));
-            said(scheduler.line("rejected, the old one stays in force"))
+            reason(scheduler.line("rejected, the old one stays in force"))
         })
         .collect();
-    insta::assert_snapshot!(why + &call(at, b"telemetry\n"));
+    insta::assert_snapshot!(reasons + &call(at, b"telemetry\n"));
 }
 
-/// Guards against a command that says yes where the scheduler said no.
+/// Guards against a command that exits with success when the scheduler reported an error.
 #[test]
-fn staff_ask_by_the_command_line() {
+fn manage_command_reports_the_answer_and_exit_code() {
     let (_scheduler, at, ..) = start("by-command", 1);
-    let ask = |words: &[&str], variable: &str| {
+    let manage = |words: &[&str], variable: &str| {
         let mut command = std::process::Command::new(program());
         let ran = command.arg("manage").args(words).env("GW_MGMT", variable).output().expect("a command");
-        let said = [ran.stdout, ran.stderr].concat();
-        let said = String::from_utf8(said).expect("text").replace(&at.to_string(), "ADDRESS");
-        format!("{words:?}: {:?} {}", ran.status.code(), said.trim_end())
+        let output = [ran.stdout, ran.stderr].concat();
+        let output = String::from_utf8(output).expect("text").replace(&at.to_string(), "ADDRESS");
+        format!("{words:?}: {:?} {}", ran.status.code(), output.trim_end())
     };
-    let (here, nobody) = (at.to_string(), "127.0.0.1:1");
+    let (address, unused) = (at.to_string(), "127.0.0.1:1");
     let answers = [
-        ask(&["readyz"], &here),
-        ask(&["exclude", "w9"], &here),
-        ask(&["--at", &here, "exclude", "w0"], nobody).replace(&here, "ADDRESS"),
-        ask(&["readyz"], nobody),
-        ask(&["readyz"], "here"),
-        ask(&["--config", "no.toml", "readyz"], nobody),
-        ask(&["--at", &here], nobody).lines().next().unwrap_or_default().replace(&here, "ADDRESS"),
+        manage(&["readyz"], &address),
+        manage(&["exclude", "w9"], &address),
+        manage(&["--at", &address, "exclude", "w0"], unused).replace(&address, "ADDRESS"),
+        manage(&["readyz"], unused),
+        manage(&["readyz"], "here"),
+        manage(&["--config", "no.toml", "readyz"], unused),
+        manage(&["--at", &address], unused).lines().next().unwrap_or_default().replace(&address, "ADDRESS"),
     ];
     insta::assert_snapshot!(answers.join("\n"));
 }
--- a/crates/scheduler/tests/platform.rs
+++ b/crates/scheduler/tests/platform.rs
@@ -1,19 +1,20 @@
-//! What the platform refuses is not used: the process as the kernel shows it, started as the deploy file does.
+//! The process, started as in deployment and observed through the kernel, uses nothing that the platform
+//! refuses.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::process::{Command, Stdio};
 use tindock_trial::peers::*;
 
-/// Sockets of a table under /proc/net that stand in one of its columns as wanted, by inode.
+/// Inodes of the sockets in a table under /proc/net whose row satisfies the condition.
 fn sockets(table: &str, inode: usize, wanted: impl Fn(&[&str]) -> bool) -> BTreeSet<String> {
     let text = std::fs::read_to_string(format!("/proc/net/{table}")).unwrap_or_default();
     let rows = text.lines().skip(1).map(|line| line.split_whitespace().collect::<Vec<_>>());
     rows.filter(|row| row.len() > inode && wanted(row)).map(|row| row[inode].to_string()).collect()
 }
 
-/// What this process holds that the platform refuses, each in a few words.
-fn refused(id: u32) -> BTreeSet<&'static str> {
+/// The resources of this process that the platform refuses.
+fn refused_resources(id: u32) -> BTreeSet<&'static str> {
     let mut found = BTreeSet::new();
     let tasks = std::fs::read_dir(format!("/proc/{id}/task")).expect("its threads").flatten();
     if tasks.into_iter().any(|task| {
@@ -32,14 +33,15 @@
                 .is_some_and(|i| inodes.contains(i))
         })
     };
-    // 00010000: the kernel's flag of a listener.
+    // 00010000: the kernel's flag for a listening socket.
     if holds(&sockets("unix", 6, |row| row[3] == "00010000")) {
         found.insert("a Unix listener");
     }
     if holds(&sockets("tcp6", 9, |_| true)) || holds(&sockets("udp6", 9, |_| true)) {
         found.insert("IPv6");
     }
-    // Not refused there, and used by words between schedulers and by the accord alone: both are off.
+    // Not refused by the platform, but used only by messages between schedulers and by policy groups, which
+    // are both off.
     if holds(&sockets("udp", 9, |_| true)) {
         found.insert("a datagram socket");
     }
@@ -49,8 +51,8 @@
     found
 }
 
-/// One task finished and one SIGHUP taken in: every part has run.
-fn used(name: &str, runtime: Option<&Path>) -> BTreeSet<&'static str> {
+/// Runs one task and one SIGHUP, so that every part of the process has been used.
+fn run_and_inspect(name: &str, runtime: Option<&Path>) -> BTreeSet<&'static str> {
     let ((_discovery, agent), (workers, at)) = (listener(), listener());
     let path = write_config(name, &config(agent, &[entry("w0", at, "active")], 128));
     let mut command = Command::new(program());
@@ -67,22 +69,23 @@
     assert_eq!(client.read().body, "result");
     scheduler.signal("-HUP");
     scheduler.line("configuration read again");
-    refused(scheduler.child.id())
+    refused_resources(scheduler.child.id())
 }
 
-/// Guards against a start that the standing test refuses, or whose calls come to nothing there: further processes,
-/// Unix listeners, IPv6, io_uring; and against a group that is on where nobody asked for it. With a runtime folder the place where an upgrade asks is there, and is found here.
+/// Guards against a start that the platform's check refuses, or whose system calls fail there: child
+/// processes, Unix listeners, IPv6, io_uring; and against a policy group that is on without being configured.
+/// With a runtime folder the hand-over socket exists, and is found here.
 #[test]
-fn what_the_platform_refuses_is_not_used() {
-    assert_eq!(used("bare", None), BTreeSet::new());
+fn resources_refused_by_the_platform_are_not_used() {
+    assert_eq!(run_and_inspect("bare", None), BTreeSet::new());
     let folder = runtime("bare");
     std::fs::create_dir_all(&folder).expect("a folder");
-    assert_eq!(used("with-runtime", Some(&folder)), BTreeSet::from(["a Unix listener"]));
+    assert_eq!(run_and_inspect("with-runtime", Some(&folder)), BTreeSet::from(["a Unix listener"]));
 }
 
-/// Guards against a build without a loader: what the platform loads into the process would not be there.
+/// Guards against a statically linked build, into which the platform cannot load its library.
 #[test]
-fn the_program_is_linked_dynamically() {
+fn program_is_linked_dynamically() {
     let program = std::fs::read(program()).expect("the program");
     let names = |name: &[u8]| program.windows(name.len()).any(|part| part == name);
     assert!(names(b"ld-linux") && names(b"libc.so.6"), "no loader, or no C library");
--- a/crates/scheduler/tests/plays.rs
+++ b/crates/scheduler/tests/plays.rs
@@ -1,4 +1,4 @@
-//! `tindock play` as a command of the program: what it prints, and its exit codes.
+//! The command `tindock play`: its output and its exit codes.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -7,7 +7,7 @@
     Command::new(env!("CARGO_BIN_EXE_tindock")).arg("play").args(words).output().unwrap()
 }
 
-fn written(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
     path
@@ -16,10 +16,10 @@
 const FLEET: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/fleet.txt");
 
 #[test]
-fn the_example_holds_and_each_line_is_json() {
-    let done = play(&[FLEET, "--json"]);
-    assert_eq!((done.status.code(), done.stderr.as_slice()), (Some(0), &b""[..]));
-    let text = String::from_utf8(done.stdout).unwrap();
+fn example_passes_and_each_line_is_json() {
+    let output = play(&[FLEET, "--json"]);
+    assert_eq!((output.status.code(), output.stderr.as_slice()), (Some(0), &b""[..]));
+    let text = String::from_utf8(output.stdout).unwrap();
     let lines: Vec<serde_json::Value> =
         text.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
     let run = lines.iter().find(|line| line["kind"] == "run").unwrap();
@@ -31,19 +31,19 @@
 }
 
 #[test]
-fn what_cannot_be_played_and_what_does_not_hold_differ() {
+fn invalid_files_and_broken_expectations_have_different_exit_codes() {
     let text = std::fs::read_to_string(FLEET).unwrap();
-    let wrong = written("wrong-fleet.txt", &format!("{text}service\n"));
-    let done = play(&[wrong.to_str().unwrap()]);
+    let wrong = write_file("wrong-fleet.txt", &format!("{text}service\n"));
+    let output = play(&[wrong.to_str().unwrap()]);
     let line = text.lines().count() + 1;
-    let told = format!("tindock: {}:{line}:8: name is missing\n", wrong.display());
-    assert_eq!((done.status.code(), String::from_utf8(done.stderr).unwrap()), (Some(1), told));
-    assert_eq!(done.stdout, b"");
-
-    let broken = written("broken-fleet.txt", &format!("{text}expect starts <= 0\n"));
-    let done = play(&[broken.to_str().unwrap()]);
-    assert_eq!(done.status.code(), Some(3));
-    assert!(String::from_utf8(done.stdout).unwrap().contains("BROKEN Starts"));
+    let expected = format!("tindock: {}:{line}:8: name is missing\n", wrong.display());
+    assert_eq!((output.status.code(), String::from_utf8(output.stderr).unwrap()), (Some(1), expected));
+    assert_eq!(output.stdout, b"");
+
+    let broken = write_file("broken-fleet.txt", &format!("{text}expect starts <= 0\n"));
+    let output = play(&[broken.to_str().unwrap()]);
+    assert_eq!(output.status.code(), Some(3));
+    assert!(String::from_utf8(output.stdout).unwrap().contains("BROKEN Starts"));
 
     assert_eq!(play(&[]).status.code(), Some(2));
     assert_eq!(play(&["--list"]).status.code(), Some(0));
--- a/crates/scheduler/tests/soak.rs
+++ b/crates/scheduler/tests/soak.rs
@@ -1,4 +1,5 @@
-//! A short soak of the whole system as real processes, from a file: the same signals and changes each time.
+//! A short soak of the whole system with real processes, from a scenario file: the same signals and changes
+//! each time.
 
 use std::path::Path;
 use std::process::Command;
@@ -20,25 +21,25 @@
     let broken = judge(&scenario, &record);
     let outcome = Outcome { scenario: &scenario, record: &record, broken: &broken };
     assert!(broken.is_empty(), "{}\n{}", outcome.text(), outcome.events());
-    // It has met what it is for.
+    // The run was long enough to exercise the rules.
     assert!(record.tries.len() >= 300, "{}", outcome.text());
     assert!(record.ends.len() >= 4, "{}", outcome.text());
 }
 
 #[tokio::test]
-async fn restarts_that_overlap_under_changes_keep_all_rules() {
+async fn overlapping_restarts_under_changes_keep_all_rules() {
     keeps_all_rules("restarts-under-changes").await;
 }
 
 #[test]
-fn a_scenario_that_will_not_do_is_refused_with_one_line() {
+fn invalid_scenarios_are_rejected_with_one_line() {
     let path = std::env::temp_dir().join(format!("tindock-soak-{}.toml", std::process::id()));
     std::fs::write(&path, "seed = 1\nseconds = 0\n").expect("a file");
     let output = Command::new(PROGRAM).args(["soak", "--scenario"]).arg(&path).output().expect("it runs");
     std::fs::remove_file(&path).expect("the file");
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(2), "{said}");
-    assert_eq!(said.lines().count(), 1, "{said}");
-    assert!(said.contains("missing field"), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(2), "{stderr}");
+    assert_eq!(stderr.lines().count(), 1, "{stderr}");
+    assert!(stderr.contains("missing field"), "{stderr}");
     assert!(!Path::new(&path).exists());
 }
--- a/crates/scheduler/tests/sockets.rs
+++ b/crates/scheduler/tests/sockets.rs
@@ -1,19 +1,19 @@
-//! The scheduler as a process, between stand-ins for clients, workers and discovery on 127.0.0.1. Nothing
-//! here waits for a span of time to pass: each step waits for what the other side does.
+//! The scheduler as a process, between mock clients, workers and discovery on 127.0.0.1. Nothing here waits
+//! for a span of time: each step waits for an action of the other side.
 
 use std::net::TcpListener;
 use std::process::Output;
 use tindock_trial::peers::*;
 
-/// A scheduler with one worker and a discovery that says nothing.
+/// A scheduler with one worker and a discovery service that never responds.
 fn one_worker(name: &str) -> (Scheduler, TcpListener, TcpListener) {
     let ((worker, at), (discovery, agent)) = (listener(), listener());
     (Scheduler::start(name, agent, &[entry("w0", at, "active")]), worker, discovery)
 }
 
-/// Guards against effects done twice: the mark that the worker knows a repeat by goes on with the task.
+/// Guards against effects applied twice: the header by which the worker recognises a repeat is forwarded.
 #[test]
-fn a_task_goes_on_as_it_came_and_its_result_comes_back() {
+fn tasks_and_results_are_forwarded_unchanged() {
     let (scheduler, worker, _discovery) = one_worker("as-it-came");
     let mut client = Peer::connect(scheduler.address);
     client.post("/plan/7f3a?x=%20y", "a1", "the body");
@@ -28,16 +28,16 @@
     scheduler.done("a1", "w0", "the result");
     let answer = client.read();
     assert_eq!((answer.first.as_str(), answer.body.as_str()), ("HTTP/1.1 200 OK", "the result"));
-    // The same connections serve the next one; its end comes before the 202.
+    // The same connections serve the next task; its end arrives before the 202.
     client.post("/plan", "a2", "");
     line.read();
     scheduler.done("a2", "w0", "early");
     assert_eq!(client.read().body, "early");
 }
 
-/// Guards against a shed reply, which invites a repeat, for what may have run.
+/// Guards against a shed response, which invites a retry, for a task that may have run.
 #[test]
-fn what_broke_after_its_last_byte_may_have_run() {
+fn break_after_the_last_byte_is_not_shed() {
     let (scheduler, worker, _discovery) = one_worker("may-have-run");
     let mut client = Peer::connect(scheduler.address);
     client.post("/release", "b1", "x");
@@ -47,9 +47,9 @@
     assert_eq!(client.read().first, "HTTP/1.1 500 Internal Server Error");
 }
 
-/// Guards against giving up what never ran: nobody listens there, so trying again is harmless.
+/// Guards against failing a task that never ran: the connection was refused, so trying again is harmless.
 #[test]
-fn what_was_never_connected_never_ran() {
+fn refused_connection_is_shed_with_retry_after() {
     let (scheduler, worker, _discovery) = one_worker("never-ran");
     drop(worker);
     let mut client = Peer::connect(scheduler.address);
@@ -59,10 +59,10 @@
     assert_eq!(answer.header("retry-after"), Some("0.5"));
 }
 
-/// Guards against one task after the other that may have run, where something lets kept connections go without a word:
-/// after the first that breaks, none is used twice for some time.
+/// Guards against a series of tasks that may have run, when something silently drops idle connections: after
+/// the first break, no connection is reused for some time.
 #[test]
-fn after_a_kept_connection_broke_none_is_kept() {
+fn connections_are_not_reused_after_a_break() {
     let (scheduler, worker, _discovery) = one_worker("broke");
     let mut client = Peer::connect(scheduler.address);
     client.post("/release", "n1", "x");
@@ -85,10 +85,10 @@
     }
 }
 
-/// Guards against a reset where the worker closed a connection that stood idle: nothing was written, so the
-/// same assignment takes a new connection.
+/// Guards against a reset when the worker has closed an idle connection: nothing was written, so the same
+/// assignment is sent over a new connection.
 #[test]
-fn a_connection_closed_while_idle_costs_no_assignment() {
+fn idle_close_by_the_worker_fails_no_task() {
     let (scheduler, worker, _discovery) = one_worker("idle-close");
     let mut client = Peer::connect(scheduler.address);
     for id in ["d1", "d2", "d3"] {
@@ -102,9 +102,10 @@
     }
 }
 
-/// Guards against work for nobody, by the two ways to call off: the connection before the 202, DELETE after it.
+/// Guards against work for clients that left: cancelled by closing the connection before the 202, by DELETE
+/// after it.
 #[test]
-fn what_a_client_leaves_is_called_off_at_the_worker() {
+fn disconnected_clients_tasks_are_cancelled_at_the_worker() {
     let (scheduler, worker, _discovery) = one_worker("left");
     let mut client = Peer::connect(scheduler.address);
     client.post("/plan", "e1", "x");
@@ -117,15 +118,15 @@
     let mut line = Peer::accept(&worker);
     line.read();
     line.taken();
-    // The answer to news is behind the 202 in the scheduler's own order of things.
+    // The response to the update follows the 202 in the scheduler's own processing order.
     assert_eq!(scheduler.news(r#"{"id":"e2","from":"w0","state":"started"}"#), "HTTP/1.1 204 No Content");
     drop(client);
     assert_eq!(line.read().first, "DELETE /jobs/e2 HTTP/1.1");
 }
 
-/// Guards against tasks written to the open connections of a machine that vanished, where they may have run.
+/// Guards against tasks written to the open connections of a vanished machine, where they may have run.
 #[test]
-fn a_worker_that_leaves_a_call_unanswered_loses_its_idle_connections() {
+fn unresponsive_workers_lose_their_idle_connections() {
     let (scheduler, worker, _discovery) = one_worker("cut-off");
     let mut clients = [(); 2].map(|()| Peer::connect(scheduler.address));
     clients[0].post("/plan", "h1", "x");
@@ -137,17 +138,17 @@
     second.taken();
     first.taken();
     scheduler.news(r#"{"id":"h1","from":"w0","state":"started"}"#);
-    let [gone, _stays] = clients;
-    drop(gone);
-    // One carries the call-off, which is not answered; the other is idle. Both are closed.
+    let [disconnected, _stays] = clients;
+    drop(disconnected);
+    // One carries the cancellation, which is not answered; the other is idle. Both are closed.
     for mut line in [first, second] {
         while line.try_read().is_some() {}
     }
 }
 
-/// Guards against an end by bad calls, and against news that workers would tell again and again.
+/// Guards against a crash on invalid requests, and against updates that workers would repeat without end.
 #[test]
-fn bad_calls_are_turned_down() {
+fn invalid_requests_are_rejected() {
     let (scheduler, _worker, _discovery) = one_worker("bad-calls");
     let ask = |text: &str| Peer::connect(scheduler.address).write(text).read().first;
     let post = |path: &str, more: &str| ask(&format!("POST {path} HTTP/1.1\r\nHost: s\r\n{more}\r\n"));
@@ -161,7 +162,7 @@
     assert_eq!(ask("GET /plan HTTP/1.1\r\nHost: s\r\n\r\n"), "HTTP/1.1 405 Method Not Allowed");
     assert_eq!(post("/healthz", ""), "HTTP/1.1 405 Method Not Allowed");
     assert_eq!(post("/plan", "X-Trace-Id: a\r\nX-Props: slots=1e300\r\n"), "HTTP/1.1 400 Bad Request");
-    // By its head alone: nothing of the body is sent.
+    // Rejected by its head alone: nothing of the body is sent.
     let long = "X-Trace-Id: a\r\nContent-Length: 62914560\r\n";
     assert_eq!(post("/plan", long), "HTTP/1.1 413 Payload Too Large");
     for wrong in
@@ -173,9 +174,9 @@
     assert_eq!(scheduler.news(unknown), "HTTP/1.1 204 No Content");
 }
 
-/// Guards against a list lost to a bad answer: it changes nothing, and the next one counts.
+/// Guards against a list lost to an invalid response: it changes nothing, and the next one applies.
 #[test]
-fn a_bad_list_changes_nothing_and_a_drain_is_kept() {
+fn invalid_list_changes_nothing_and_a_drain_applies() {
     let ((worker, at), (other, beside), (discovery, agent)) = (listener(), listener(), listener());
     let mut scheduler = Scheduler::start("lists", agent, &[entry("w0", at, "active")]);
     let mut watch = Peer::accept(&discovery);
@@ -190,19 +191,20 @@
     line.taken();
     let mut watch = Peer::accept(&discovery);
     assert!(watch.read().first.starts_with("GET /v1/servers?after=41&wait_ms="));
-    let (drains, comes) = (entry("w0", at, "leaving"), entry("w1", beside, "active"));
-    watch.answer(&format!(r#"{{"index":43,"snapshot":false,"endpoints":[{drains},{comes}]}}"#));
-    // The next watch comes after the answer was taken in.
+    let (draining, added) = (entry("w0", at, "leaving"), entry("w1", beside, "active"));
+    watch.answer(&format!(r#"{{"index":43,"snapshot":false,"endpoints":[{draining},{added}]}}"#));
+    // The next watch follows once the response was applied.
     assert!(watch.read().first.starts_with("GET /v1/servers?after=43&wait_ms="));
     let mut client = Peer::connect(scheduler.address);
     client.post("/plan", "f3", "x");
     assert_eq!(Peer::accept(&other).read().first, "POST /plan HTTP/1.1");
 }
 
-/// Guards against an end by SIGHUP, and a list that stays with an agent that is gone: the new one is asked for all of
-/// its list at once, in a back-off too; what is in hand goes on, and so it does by a file that will not do.
+/// Guards against a process that ends on SIGHUP, and against a list that stays with a removed agent: the new
+/// agent is queried for its whole list at once, also during back-off. Tasks in flight continue, also after an
+/// invalid file.
 #[test]
-fn a_new_configuration_moves_discovery_and_nothing_else() {
+fn reload_moves_discovery_and_keeps_tasks() {
     let (mut scheduler, worker, discovery) = one_worker("reload");
     let mut watch = Peer::accept(&discovery);
     assert!(watch.read().first.starts_with("GET /v1/servers?after=41"));
@@ -215,20 +217,20 @@
         scheduler.reload("reload", bad);
         scheduler.line("the old one stays in force");
     }
-    let ((other, beside), (nobody, gone)) = (listener(), listener());
-    drop(nobody);
-    scheduler.reload("reload", &config(gone, &[], 1024));
+    let ((other, beside), (unused, disconnected)) = (listener(), listener());
+    drop(unused);
+    scheduler.reload("reload", &config(disconnected, &[], 1024));
     scheduler.line("the list is kept");
     let (second, agent) = listener();
     scheduler.reload("reload", &config(agent, &[], 1024));
     let mut moved = Peer::accept(&second);
     assert_eq!(moved.read().first, "GET /v1/servers HTTP/1.1");
     assert!(watch.try_read().is_none(), "the old watch is closed");
-    let (drains, comes) =
+    let (draining, added) =
         (entry("w0", worker.local_addr().expect("its address"), "leaving"), entry("w1", beside, "active"));
-    moved.answer(&format!(r#"{{"index":3,"snapshot":true,"endpoints":[{drains},{comes}]}}"#));
+    moved.answer(&format!(r#"{{"index":3,"snapshot":true,"endpoints":[{draining},{added}]}}"#));
     assert!(moved.read().first.starts_with("GET /v1/servers?after=3&wait_ms="));
-    // The same once more changes nothing; what came by then is kept.
+    // The same file again changes nothing; what was received before is kept.
     scheduler.reload("reload", &config(agent, &[], 1024));
     scheduler.line("discovery is still at");
     scheduler.done("i1", "w0", "in hand");
@@ -237,9 +239,9 @@
     assert_eq!(Peer::accept(&other).read().first, "POST /release HTTP/1.1");
 }
 
-/// Guards against a planned restart that loses what was taken, or turns newcomers away too early.
+/// Guards against a planned restart that loses accepted tasks, or rejects new clients too early.
 #[test]
-fn a_stop_answers_all_that_was_taken() {
+fn shutdown_answers_all_accepted_tasks() {
     let (mut scheduler, worker, _discovery) = one_worker("stop");
     let mut idle = Peer::connect(scheduler.address);
     idle.write("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n").read();
@@ -265,15 +267,14 @@
     assert!(scheduler.child.wait().expect("its end").success());
 }
 
-/// Guards against a door shut by peers that hold connections and say nothing, and against clients that leave for
-/// them.
+/// Guards against silent peers that use up all connections, and against evicting clients in their favour.
 #[test]
-fn strangers_make_room_for_others() {
+fn silent_peers_are_evicted_before_clients() {
     let ((worker, at), (_discovery, agent)) = (listener(), listener());
-    // At its own limit, and when descriptors run out before it.
-    for (told, held) in [(64, 1024), (1024, 40)] {
-        let name = format!("room-{told}");
-        let scheduler = Scheduler::limited(&name, agent, &[entry("w0", at, "active")], told, held);
+    // At the configured limit, and when descriptors run out before it.
+    for (configured, available) in [(64, 1024), (1024, 40)] {
+        let name = format!("room-{configured}");
+        let scheduler = Scheduler::limited(&name, agent, &[entry("w0", at, "active")], configured, available);
         let mut known = Peer::connect(scheduler.address);
         known.post("/plan", "j1", "x");
         let mut line = Peer::accept(&worker);
@@ -294,10 +295,10 @@
     }
 }
 
-/// Guards against connections held for ever by silence, by half a head and by half a body, one bound for all; and
-/// against the same bound on a client that idles.
+/// Guards against connections held open by silence, by half a head or by half a body, under one time limit;
+/// and against the same limit for an idle client.
 #[test]
-fn who_sends_no_whole_message_is_closed_and_idle_clients_stay() {
+fn incomplete_messages_time_out_and_idle_clients_stay() {
     let (scheduler, worker, _discovery) = one_worker("half");
     let mut known = Peer::connect(scheduler.address);
     known.post("/plan", "k1", "x");
@@ -317,7 +318,7 @@
     for peer in halves.iter_mut().chain([&mut later]) {
         assert!(peer.try_read().is_none(), "a close and no answer");
     }
-    // A task in hand is no silence, and neither is the time after it.
+    // A connection with a task in flight is not silent, nor is it afterwards.
     scheduler.done("k1", "w0", "first");
     assert_eq!(known.read().body, "first");
     known.post("/plan", "k3", "x");
@@ -327,9 +328,9 @@
     assert_eq!(known.read().body, "second");
 }
 
-/// Guards against a message within a message: who reads the lengths in another way sees another one.
+/// Guards against request smuggling: a peer that reads the lengths differently would see another message.
 #[test]
-fn unclear_lengths_are_turned_down_and_nothing_goes_on() {
+fn ambiguous_lengths_are_rejected_and_not_forwarded() {
     let (scheduler, worker, _discovery) = one_worker("lengths");
     let inner = "POST /plan HTTP/1.1\r\nX-Trace-Id: l2\r\nContent-Length: 0\r\n\r\n";
     for lengths in [
@@ -347,7 +348,7 @@
         assert_eq!(peer.read().first, "HTTP/1.1 400 Bad Request", "{lengths}");
         assert!(peer.try_read().is_none(), "{lengths}");
     }
-    // Chunks alone are a message, and the last one on its connection.
+    // Chunked encoding alone is valid, and the message is the last one on its connection.
     let mut peer = Peer::connect(scheduler.address);
     peer.write(&format!(
         "POST /plan HTTP/1.1\r\nX-Trace-Id: l3\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n{inner}"
@@ -361,16 +362,16 @@
     assert!(peer.try_read().is_none(), "the one behind it is not read");
 }
 
-/// Guards against workers barred, and tasks sent round, for what a bad client sent.
+/// Guards against barring workers, and passing a task around, because of a faulty client.
 #[test]
-fn what_a_worker_cannot_use_goes_to_no_other() {
+fn unusable_tasks_are_not_sent_to_other_workers() {
     let ((worker, at), (other, beside), (_discovery, agent)) = (listener(), listener(), listener());
     let entries = [entry("w0", at, "active"), entry("w1", beside, "active")];
     let scheduler = Scheduler::start("unusable", agent, &entries);
     let mut client = Peer::connect(scheduler.address);
     client.post("/plan", "m1", "x");
     other.set_nonblocking(true).expect("a listener that does not wait");
-    // Either of them may be the first.
+    // Either worker may be the first.
     let mut line = loop {
         worker.set_nonblocking(true).expect("a listener that does not wait");
         if let Some((stream, _)) = [&worker, &other].iter().find_map(|l| l.accept().ok()) {
@@ -383,9 +384,9 @@
     assert_eq!(client.read().first, "HTTP/1.1 400 Bad Request");
 }
 
-/// Guards against a start on a configuration that will not do, and against more than one line about it.
+/// Guards against a start with an invalid configuration, and against more than one line about it.
 #[test]
-fn a_bad_configuration_ends_the_start() {
+fn invalid_configuration_fails_the_start() {
     let good = config(([127, 0, 0, 1], 1).into(), &[], 1024);
     let bad = [
         String::new(),
--- a/crates/scheduler/tests/stocking.rs
+++ b/crates/scheduler/tests/stocking.rs
@@ -1,4 +1,4 @@
-//! The inventory's files as they are watched: real files, in a folder of the test's own; the time is handed in.
+//! The inventory watch on real files, in a folder for each test; the time is passed in.
 
 #[path = "../../inventory/tests/cases/mod.rs"]
 mod cases;
@@ -53,7 +53,7 @@
         fs::write(self.file(name), text).expect("a file");
     }
 
-    /// One look, 0.2 s after the last one: the lines that it tells.
+    /// One poll, 0.2 s after the previous one: the lines that it reports.
     fn poll(&mut self) -> Vec<String> {
         self.now += Duration::from_millis(200);
         let events = self.watch.poll(self.now);
@@ -65,7 +65,7 @@
         events.into_iter().filter_map(line).collect()
     }
 
-    /// Looks until the writing counts as over.
+    /// Polls until the writing counts as finished.
     fn settle(&mut self) -> String {
         (0..3).flat_map(|_| self.poll()).collect::<Vec<_>>().join("; ")
     }
@@ -83,7 +83,8 @@
     }
 }
 
-/// Every file of the cases is turned down with its line, whatever else stands beside it, and the list stays.
+/// Guards against an invalid file that changes the list: each is rejected with its line, whatever is beside
+/// it.
 #[test]
 fn invalid_files_leave_the_last_good_list_in_force() {
     let mut fixture = Fixture::with_workers("odd", 8);
@@ -104,13 +105,14 @@
     }
 }
 
-/// Guards against a file read while half written: cut anywhere it is turned down, or the guard judges who may go.
+/// Guards against reading a half-written file: cut anywhere, it is rejected, or the guard limits the
+/// removals.
 #[test]
 fn truncated_file_never_shrinks_the_list_silently() {
     let mut fixture = Fixture::with_workers("cut", 200);
     let whole = csv(0..200);
     let (mut released, mut held) = (0, 0);
-    // Each line's end and its neighbours, and a byte in every line.
+    // Each line's end and its neighbours, and one byte within each line.
     let ends: Vec<usize> = whole.match_indices('\n').map(|(at, _)| at).collect();
     for at in ends.into_iter().flat_map(|end| [end - 7, end, end + 1]) {
         fixture.write("yard.csv", &whole.as_bytes()[..at]);
@@ -135,7 +137,7 @@
     assert!(released == 40 && held > 100, "{released} applied, {held} held back");
 }
 
-/// Writing that goes on is waited for: nothing is read until two looks agree.
+/// Guards against reading a file while it is written: nothing is read until two polls agree.
 #[test]
 fn files_being_written_in_place_are_not_read() {
     let mut fixture = Fixture::with_workers("in-place", 5);
@@ -154,7 +156,7 @@
     fs::rename(fixture.folder.join("new"), fixture.file("yard.csv")).expect("a rename");
     fixture.settle();
     assert_eq!(fixture.names().len(), 6);
-    // As tools that keep versions side by side do: the folder's file is a link.
+    // As version-managing tools do: the file in the folder is a link.
     for (version, workers) in [("v1", 7), ("v2", 8)] {
         fs::write(fixture.folder.join(version), csv(0..workers)).expect("a version");
         std::os::unix::fs::symlink(fixture.folder.join(version), fixture.folder.join("link"))
@@ -182,7 +184,7 @@
     assert_eq!(fixture.names().len(), 6);
 }
 
-/// Guards against clocks that step back, and against times of whole seconds.
+/// Guards against missed changes when the clock steps back or a file system stores whole seconds.
 #[test]
 fn files_with_older_or_equal_times_are_reread() {
     let mut fixture = Fixture::with_workers("clock", 5);
@@ -196,7 +198,7 @@
     set(&path, time);
     fixture.settle();
     assert_eq!(fixture.names().len(), 6);
-    // As long as before, with the same time: the change of its entry, or the next reading anew, tells.
+    // Same size and time: found by the change time of its entry, or by the next periodic reread.
     fixture.write("yard.csv", csv((0..5).chain([7])));
     set(&path, time);
     fixture.now += Duration::from_secs(10);
@@ -222,7 +224,7 @@
     assert_eq!(fixture.names().len(), 2);
 }
 
-/// Guards against a start without workers while a file is being mended.
+/// Guards against a start without workers while a file is invalid.
 #[test]
 fn last_good_list_survives_a_restart() {
     let fixture = Fixture::with_workers("restart", 5);
@@ -239,7 +241,7 @@
     assert_eq!(again.names().len(), 5);
 }
 
-/// A name is looked up; one that leads nowhere is no worker's.
+/// Guards against workers without an address: a host name that does not resolve is reported.
 #[test]
 fn unresolvable_host_names_are_reported() {
     let mut fixture = Fixture::new("names");
