--- a/crates/berth/src/berth.rs
+++ b/crates/berth/src/config.rs
@@ -1,8 +1,8 @@
 //! All that a scheduler is told at its start, from whichever form it was read.
 
-use crate::accord::Accord;
+use crate::agreement::AgreementSettings;
 use crate::listing::Listing;
-use crate::words::Words;
+use crate::names::Names;
 use sha2::{Digest, Sha256};
 use std::collections::BTreeSet;
 use std::io::Read;
@@ -13,44 +13,44 @@
 use tindock_inventory::{Columns, Entry};
 
 /// Descriptors for the listener, discovery, standard streams, the runtime and signals, with some to spare.
-const OWN_DESCRIPTORS: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 /// Below this the scheduler could not hold a client, its worker and the worker's news at once.
-pub const FEWEST_DESCRIPTORS: usize = OWN_DESCRIPTORS + 16;
+pub const MIN_DESCRIPTORS: usize = RESERVED_DESCRIPTORS + 16;
 /// Without a stated limit: the usual one of a process.
-pub const USUAL_DESCRIPTORS: usize = 1024;
+pub const DEFAULT_DESCRIPTORS: usize = 1024;
 
 /// The program itself, a list of thousands, tasks in hand and log lines that wait.
-const OWN_MEMORY_MB: f64 = 8.0;
+const RESERVED_MEMORY_MB: f64 = 8.0;
 /// Without a stated limit: no reason to be sparing.
-pub const USUAL_MEMORY_MB: f64 = 256.0;
-pub const LEAST_MEMORY_MB: f64 = OWN_MEMORY_MB + 4.0;
+pub const DEFAULT_MEMORY_MB: f64 = 256.0;
+pub const MIN_MEMORY_MB: f64 = RESERVED_MEMORY_MB + 4.0;
 /// What a connection may take: room for reading and writing a head, a short body, and what is kept beside them.
-const CONNECTION_MEMORY: f64 = 18.0 * 1024.0;
+const CONNECTION_MEMORY_BYTES: f64 = 18.0 * 1024.0;
 
 #[derive(Debug)]
-pub struct Berth {
+pub struct SchedulerConfig {
     pub name: String,
     pub listen: SocketAddr,
     /// The discovery agent, if there is one.
     pub discovery: Option<SocketAddr>,
-    pub inventory: Option<Stock>,
+    pub inventory: Option<InventorySettings>,
     /// The schedulers that tell one another of workers, where they do.
-    pub others: Option<Others>,
+    pub peers: Option<PeerAddresses>,
     /// The group that decides the policy together, where there is one.
-    pub accord: Option<Accord>,
+    pub agreement: Option<AgreementSettings>,
     /// Where operators call, if anywhere.
     pub management: Option<SocketAddr>,
     /// A folder that this process shares with the one that takes over from it.
     pub runtime: Option<PathBuf>,
     pub seed: u64,
-    pub sheet: PolicySettings,
-    pub words: Words,
+    pub settings: PolicySettings,
+    pub names: Names,
     pub known: Option<Listing>,
-    pub rooms: Rooms,
-    pub dial: Duration,
+    pub resource_limits: ResourceLimits,
+    pub connect_timeout: Duration,
     /// How long a connection may stand idle before the worker may close it.
-    pub keep: Duration,
-    pub log: LogForm,
+    pub idle_timeout: Duration,
+    pub log: LogSettings,
     /// What the platform's file says at all, for the comparison with the next one.
     pub keys: BTreeSet<String>,
     /// Of the file's text.
@@ -64,11 +64,11 @@
 
 /// The same of all that can be read, without holding it.
 pub fn digest_of(mut from: impl Read) -> std::io::Result<String> {
-    let (mut sum, mut some) = (Sha256::new(), [0; 16 * 1024]);
+    let (mut sum, mut chunk) = (Sha256::new(), [0; 16 * 1024]);
     loop {
-        match from.read(&mut some)? {
+        match from.read(&mut chunk)? {
             0 => return Ok(hexadecimal(&sum.finalize())),
-            read => sum.update(&some[..read]),
+            read => sum.update(&chunk[..read]),
         }
     }
 }
@@ -79,14 +79,14 @@
 
 /// Schedulers that tell one another of workers by datagrams: where each hears, and which of them this one is.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Others {
+pub struct PeerAddresses {
     pub all: Vec<SocketAddr>,
     pub position: usize,
 }
 
 /// Where the list of workers is kept in files, and how changes to it are taken.
 #[derive(Clone, Debug)]
-pub struct Stock {
+pub struct InventorySettings {
     /// Files, or folders whose `.csv`, `.yaml` and `.yml` files are read in the order of their names.
     pub files: Vec<PathBuf>,
     pub columns: Columns,
@@ -96,17 +96,17 @@
     pub guard_share: f64,
     /// It is let through when it still says the same after this.
     pub confirm_after: Duration,
-    pub health: Option<HealthTerms>,
+    pub health: Option<HealthCheckSettings>,
     /// Where the list in force is kept for the next start, if it is.
     pub last_good: Option<PathBuf>,
 }
 
 /// How workers of files are looked at, which tell nothing of who is alive.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HealthTerms {
+pub struct HealthCheckSettings {
     pub path: String,
-    pub every: Duration,
-    pub within: Duration,
+    pub interval: Duration,
+    pub timeout: Duration,
     pub down_after: u32,
     pub up_after: u32,
     /// Once more than this share is down nobody more is left out: then the looking itself is in doubt.
@@ -114,7 +114,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LogForm {
+pub struct LogSettings {
     pub json: bool,
     pub level: Level,
 }
@@ -130,27 +130,27 @@
 
 /// Connections and memory, shared out between the server side and the client side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rooms {
-    pub for_clients: usize,
-    pub for_workers: usize,
+pub struct ResourceLimits {
+    pub client_connections: usize,
+    pub worker_connections: usize,
     /// Bytes for the longer bodies of tasks, and as many for those of news.
-    pub for_bodies: usize,
+    pub body_bytes: usize,
 }
 
-impl Rooms {
-    pub fn share_out(sockets: usize, memory_mb: f64) -> Result<Self, String> {
-        if sockets < FEWEST_DESCRIPTORS {
-            return Err(format!("{sockets} sockets are too few: {FEWEST_DESCRIPTORS} at least"));
+impl ResourceLimits {
+    pub fn divide(sockets: usize, memory_mb: f64) -> Result<Self, String> {
+        if sockets < MIN_DESCRIPTORS {
+            return Err(format!("{sockets} sockets are too few: {MIN_DESCRIPTORS} at least"));
         }
-        if !(memory_mb.is_finite() && memory_mb >= LEAST_MEMORY_MB) {
-            return Err(format!("{memory_mb} MB of memory are too little: {LEAST_MEMORY_MB} at least"));
+        if !(memory_mb.is_finite() && memory_mb >= MIN_MEMORY_MB) {
+            return Err(format!("{memory_mb} MB of memory are too little: {MIN_MEMORY_MB} at least"));
         }
         // Half of what is left over is for connections, half for the longer bodies, of tasks and of news.
-        let memory = (memory_mb - OWN_MEMORY_MB) * 1024.0 * 1024.0;
-        let connections = (sockets - OWN_DESCRIPTORS).min((memory / 2.0 / CONNECTION_MEMORY) as usize);
+        let memory = (memory_mb - RESERVED_MEMORY_MB) * 1024.0 * 1024.0;
+        let connections = (sockets - RESERVED_DESCRIPTORS).min((memory / 2.0 / CONNECTION_MEMORY_BYTES) as usize);
         // Clients hold a connection for the whole life of a task, workers only until they have taken it.
-        let for_workers = connections * 2 / 5;
-        let for_clients = connections - for_workers;
-        Ok(Rooms { for_clients, for_workers, for_bodies: (memory / 4.0) as usize })
+        let worker_connections = connections * 2 / 5;
+        let client_connections = connections - worker_connections;
+        Ok(ResourceLimits { client_connections, worker_connections, body_bytes: (memory / 4.0) as usize })
     }
 }
--- a/crates/berth/src/installation.rs
+++ b/crates/berth/src/installation.rs
@@ -1,11 +1,11 @@
 //! An installation's own form of the configuration: TOML, in the operators' words. The keys, their units, ranges and
 //! defaults are listed in `docs/operating/configuration.md`.
 
-use crate::accord::accord;
-use crate::berth::{digest, Berth, HealthTerms, Level, LogForm, Others, Rooms, Stock};
-use crate::layers::{Layers, Reader, Section, Shown, Written};
+use crate::agreement::agreement;
+use crate::config::{digest, SchedulerConfig, HealthCheckSettings, Level, LogSettings, PeerAddresses, ResourceLimits, InventorySettings};
+use crate::layers::{Layers, Reader, Section, ShownValue, RawValue};
 use crate::units;
-use crate::words::Words;
+use crate::names::Names;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
 use tindock_inventory::{merge, Address, Columns, Entry, Place, Problem, State, FIELDS};
 use toml::de::DeTable;
 
-pub(crate) fn text(w: &Written) -> Result<String, String> {
+pub(crate) fn text(w: &RawValue) -> Result<String, String> {
     if w.text.is_empty() || w.text.chars().any(char::is_control) {
         return Err(format!("{:?}; a word was expected", w.text));
     }
@@ -22,35 +22,35 @@
 }
 
 /// A name that may stand in a path or a header.
-pub(crate) fn name(w: &Written) -> Result<String, String> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if w.text.is_empty() || w.text.len() > 64 || !w.text.chars().all(plain) {
+pub(crate) fn name(w: &RawValue) -> Result<String, String> {
+    let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if w.text.is_empty() || w.text.len() > 64 || !w.text.chars().all(is_plain) {
         return Err(format!("{:?}; up to 64 letters, digits, - _ . were expected", w.text));
     }
     Ok(w.text.clone())
 }
 
-pub(crate) fn number(low: f64, high: f64) -> impl Fn(&Written) -> Result<f64, String> {
+pub(crate) fn number(low: f64, high: f64) -> impl Fn(&RawValue) -> Result<f64, String> {
     move |w| {
-        let plain: String = w.text.chars().filter(|c| *c != '_').collect();
-        let found = plain.parse().ok().filter(|n| (low..=high).contains(n));
+        let digits: String = w.text.chars().filter(|c| *c != '_').collect();
+        let found = digits.parse().ok().filter(|n| (low..=high).contains(n));
         found.ok_or_else(|| format!("{:?}; a number from {low} to {high} was expected", w.text))
     }
 }
 
-pub(crate) fn whole(low: u64, high: u64) -> impl Fn(&Written) -> Result<u64, String> {
+pub(crate) fn integer(low: u64, high: u64) -> impl Fn(&RawValue) -> Result<u64, String> {
     move |w| {
-        let plain: String = w.text.chars().filter(|c| *c != '_').collect();
-        let found = plain.parse().ok().filter(|n| (low..=high).contains(n));
+        let digits: String = w.text.chars().filter(|c| *c != '_').collect();
+        let found = digits.parse().ok().filter(|n| (low..=high).contains(n));
         found.ok_or_else(|| format!("{:?}; a whole number from {low} to {high} was expected", w.text))
     }
 }
 
-fn flag(w: &Written) -> Result<bool, String> {
+fn flag(w: &RawValue) -> Result<bool, String> {
     w.text.parse().map_err(|_| format!("{:?}; true or false was expected", w.text))
 }
 
-pub(crate) fn span(low: Duration) -> impl Fn(&Written) -> Result<Duration, String> {
+pub(crate) fn span(low: Duration) -> impl Fn(&RawValue) -> Result<Duration, String> {
     move |w| {
         let found = units::span(&w.text)?;
         if found < low {
@@ -60,7 +60,7 @@
     }
 }
 
-pub(crate) fn address(w: &Written) -> Result<SocketAddr, String> {
+pub(crate) fn address(w: &RawValue) -> Result<SocketAddr, String> {
     w.text.parse().map_err(|_| format!("{:?}; address:port was expected", w.text))
 }
 
@@ -73,22 +73,22 @@
     folder: &Path,
     text: &str,
     layers: &Layers,
-) -> Result<(Berth, Vec<Shown>), Vec<Problem>> {
+) -> Result<(SchedulerConfig, Vec<ShownValue>), Vec<Problem>> {
     let mut reader = Reader::new(file, text, layers);
-    let (root, wrong) = DeTable::parse_recoverable(text);
-    if !wrong.is_empty() {
-        let lines = wrong.iter().map(|e| {
+    let (root, errors) = DeTable::parse_recoverable(text);
+    if !errors.is_empty() {
+        let lines = errors.iter().map(|e| {
             let place = reader.place(e.span().map_or(0, |span| span.start));
             place.problem(format!("no TOML that can be read: {}", e.message()))
         });
         return Err(lines.collect());
     }
     let mut top = reader.root(root.get_ref());
-    let berth = whole_file(&mut reader, &mut top, folder, text);
-    reader.close(&top);
-    reader.close_layers();
-    match berth {
-        Some(berth) if reader.problems.is_empty() => Ok((berth, reader.shown)),
+    let config = read_config(&mut reader, &mut top, folder, text);
+    reader.reject_unknown_keys(&top);
+    reader.reject_unknown_overrides();
+    match config {
+        Some(config) if reader.problems.is_empty() => Ok((config, reader.shown)),
         _ => {
             reader.problems.sort();
             reader.problems.dedup();
@@ -97,46 +97,46 @@
     }
 }
 
-fn whole_file<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, folder: &Path, file: &str) -> Option<Berth> {
+fn read_config<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, folder: &Path, file: &str) -> Option<SchedulerConfig> {
     let title = r.value(top, "name", name, "tindock");
     let zone = r.value(top, "zone", text, "here");
-    let seed = r.value(top, "seed", whole(0, u64::MAX), "0");
+    let seed = r.value(top, "seed", integer(0, u64::MAX), "0");
     let listen = r.value(top, "listen", address, "127.0.0.1:7000");
     let discovery = r.optional(top, "discovery", address);
 
     let mut limits = r.section(top, "limits");
-    let sockets = r.value(&mut limits, "sockets", whole(1, 1 << 24), "1024") as usize;
+    let sockets = r.value(&mut limits, "sockets", integer(1, 1 << 24), "1024") as usize;
     let memory = r.value(&mut limits, "memory", |w| units::bytes(&w.text), "256MiB");
-    r.close(&limits);
-    let rooms = Rooms::share_out(sockets, memory as f64 / 1024.0 / 1024.0);
-    let rooms = rooms.map_err(|why| r.problem(&limits.place, why)).ok();
+    r.reject_unknown_keys(&limits);
+    let resource_limits = ResourceLimits::divide(sockets, memory as f64 / 1024.0 / 1024.0);
+    let resource_limits = resource_limits.map_err(|why| r.problem(&limits.place, why)).ok();
 
-    let mut words = Words { zones: vec![zone], ..Words::default() };
-    let workloads = workloads(r, top, &mut words);
-    let (quotas, beyond_share) = customers(r, top, &mut words);
-    let mut sheet = PolicySettings {
+    let mut names = Names { zones: vec![zone], ..Names::default() };
+    let workloads = workloads(r, top, &mut names);
+    let (quotas, beyond_share) = tenants(r, top, &mut names);
+    let mut settings = PolicySettings {
         workloads,
         quotas,
         beyond_share,
         discovery: Discovery::Pushed,
         ..PolicySettings::default()
     };
-    let (dial, keep, most) = workers(r, top, &mut sheet, &mut words);
-    sheet.workloads.iter_mut().for_each(|row| row.max_assignments = most);
-    let others = others(r, top, &mut sheet);
-    let accord = accord(r, top, &title, folder);
+    let (connect_timeout, idle_timeout, max_assignments) = workers(r, top, &mut settings, &mut names);
+    settings.workloads.iter_mut().for_each(|row| row.max_assignments = max_assignments);
+    let peers = peers(r, top, &mut settings);
+    let agreement = agreement(r, top, &title, folder);
     let inventory = inventory(r, top, folder);
     if inventory.is_none() && discovery.is_none() {
         r.problem(
             &top.place.clone(),
-            "neither discovery, nor [inventory], nor a [[worker]]: no worker can ever come",
+            "neither discovery, nor [inventory], nor a [[worker]]: there can be no workers",
         );
     }
 
     let mut s = r.section(top, "management");
     let management = r.optional(&mut s, "listen", address);
     let runtime = r.optional(&mut s, "runtime", text).map(|path| folder.join(path));
-    r.close(&s);
+    r.reject_unknown_keys(&s);
 
     let mut log = r.section(top, "log");
     let json = r.value(&mut log, "format", one_of(&[("text", false), ("json", true)]), "text");
@@ -147,81 +147,81 @@
         ("debug", Level::Debug),
     ];
     let level = r.value(&mut log, "level", one_of(&levels), "info");
-    r.close(&log);
+    r.reject_unknown_keys(&log);
 
-    Some(Berth {
+    Some(SchedulerConfig {
         name: title,
         listen,
         discovery,
         inventory,
-        others,
-        accord,
+        peers,
+        agreement,
         management,
         runtime,
         seed,
-        sheet,
-        words,
+        settings,
+        names,
         known: None,
-        rooms: rooms?,
-        dial,
-        keep,
-        log: LogForm { json, level },
+        resource_limits: resource_limits?,
+        connect_timeout,
+        idle_timeout,
+        log: LogSettings { json, level },
         keys: BTreeSet::new(),
         digest: digest(file),
     })
 }
 
-pub(crate) fn one_of<T: Copy>(words: &[(&'static str, T)]) -> impl Fn(&Written) -> Result<T, String> {
-    let words = words.to_vec();
+pub(crate) fn one_of<T: Copy>(choices: &[(&'static str, T)]) -> impl Fn(&RawValue) -> Result<T, String> {
+    let choices = choices.to_vec();
     move |w| {
-        let found = words.iter().find(|(word, _)| *word == w.text).map(|(_, value)| *value);
-        let all: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
+        let found = choices.iter().find(|(word, _)| *word == w.text).map(|(_, value)| *value);
+        let all: Vec<&str> = choices.iter().map(|(word, _)| *word).collect();
         found.ok_or_else(|| format!("{:?}; one of {} was expected", w.text, all.join(", ")))
     }
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Word {
+enum EffectName {
     Idempotent,
     Deduplicated,
     Unrepeatable,
 }
 
-fn workloads<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, words: &mut Words) -> Vec<Workload> {
+fn workloads<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, names: &mut Names) -> Vec<Workload> {
     let sections = r.sections(top, "workload");
     if sections.is_empty() {
-        r.problem(&top.place.clone(), "no [[workload]]: there is nothing that could be handed in");
+        r.problem(&top.place.clone(), "no [[workload]]: no task can be submitted");
     }
     let mut rows = Vec::new();
     for mut s in sections {
         let place = s.place.clone();
-        let title = r.wanted(&mut s, "name", name);
+        let title = r.required(&mut s, "name", name);
         let effects = [
-            ("idempotent", Word::Idempotent),
-            ("deduplicated", Word::Deduplicated),
-            ("unrepeatable", Word::Unrepeatable),
+            ("idempotent", EffectName::Idempotent),
+            ("deduplicated", EffectName::Deduplicated),
+            ("unrepeatable", EffectName::Unrepeatable),
         ];
-        let effect = r.wanted(&mut s, "effect", one_of(&effects));
+        let effect = r.required(&mut s, "effect", one_of(&effects));
         let groups = [("all", Group::All), ("zone", Group::Zone), ("group", Group::Cell)];
         let (group, memory) = match effect {
-            Some(Word::Deduplicated) => {
-                (r.wanted(&mut s, "among", one_of(&groups)), r.wanted(&mut s, "memory", span(MS)))
+            Some(EffectName::Deduplicated) => {
+                (r.required(&mut s, "among", one_of(&groups)), r.required(&mut s, "memory", span(MS)))
             }
             _ => (None, None),
         };
-        let promised = r.wanted(&mut s, "promised", span(MS));
-        let hard_limit = r.wanted(&mut s, "hard-limit", span(MS));
+        let promised = r.required(&mut s, "promised", span(MS));
+        let hard_limit = r.required(&mut s, "hard-limit", span(MS));
         let stretch = r.value(&mut s, "stretch", number(0.0, 1000.0), "0");
         let utility = r.value(&mut s, "utility", number(0.0, 1e9), "1");
         let kind = r.optional(&mut s, "kind", text);
-        r.close(&s);
+        r.reject_unknown_keys(&s);
         if let (Some(promised), Some(hard)) = (promised, hard_limit) {
             if promised > hard {
                 r.problem(&place, format!("promised in {promised:?}, but the hard limit is {hard:?}"));
             }
         }
         let Some(title) = title else { continue };
-        if words.workloads.contains(&title) {
+        if names.workloads.contains(&title) {
             r.problem(&place, format!("workload {title:?} again"));
             continue;
         }
@@ -229,16 +229,16 @@
             continue;
         };
         let effect = match (effect, group) {
-            (Word::Idempotent, _) => Effect::Idempotent,
-            (Word::Unrepeatable, _) => Effect::Unrepeatable,
-            (Word::Deduplicated, Some(group)) => Effect::Deduplicated(group),
-            (Word::Deduplicated, None) => continue,
+            (EffectName::Idempotent, _) => Effect::Idempotent,
+            (EffectName::Unrepeatable, _) => Effect::Unrepeatable,
+            (EffectName::Deduplicated, Some(group)) => Effect::Deduplicated(group),
+            (EffectName::Deduplicated, None) => continue,
         };
         let kind = kind.and_then(|kind| {
-            let site = words.site(words.zones[0].clone(), kind, 0);
+            let site = names.site(names.zones[0].clone(), kind, 0);
             site.map_err(|why| r.problem(&place, why)).ok().map(|site| site.kind)
         });
-        words.workloads.push(title);
+        names.workloads.push(title);
         let memory = memory.unwrap_or_default();
         rows.push(Workload {
             effect,
@@ -254,19 +254,19 @@
     rows
 }
 
-fn customers<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, words: &mut Words) -> (Vec<f64>, f64) {
+fn tenants<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, names: &mut Names) -> (Vec<f64>, f64) {
     let mut quotas = Vec::new();
     for mut s in r.sections(top, "customer") {
         let place = s.place.clone();
-        let title = r.wanted(&mut s, "name", name);
-        let share = r.wanted(&mut s, "tasks-per-second", number(0.0, 1e9));
-        r.close(&s);
+        let title = r.required(&mut s, "name", name);
+        let share = r.required(&mut s, "tasks-per-second", number(0.0, 1e9));
+        r.reject_unknown_keys(&s);
         let (Some(title), Some(share)) = (title, share) else { continue };
-        if words.customers.contains(&title) {
+        if names.tenants.contains(&title) {
             r.problem(&place, format!("customer {title:?} again"));
             continue;
         }
-        words.customers.push(title);
+        names.tenants.push(title);
         quotas.push(share);
     }
     let beyond = r.value(top, "utility-beyond-share", number(0.0, 1.0), "1");
@@ -276,50 +276,50 @@
 fn workers<'t>(
     r: &mut Reader<'t>,
     top: &mut Section<'t>,
-    sheet: &mut PolicySettings,
-    words: &mut Words,
+    settings: &mut PolicySettings,
+    names: &mut Names,
 ) -> (Duration, Duration, usize) {
     let mut s = r.section(top, "workers");
-    sheet.schedulers = r.value(&mut s, "schedulers", whole(1, 100_000), "1") as usize;
-    sheet.may_cancel = r.value(&mut s, "call-off", flag, "true");
+    settings.schedulers = r.value(&mut s, "schedulers", integer(1, 100_000), "1") as usize;
+    settings.may_cancel = r.value(&mut s, "call-off", flag, "true");
 
-    let most = r.value(&mut s, "most-assignments", whole(1, 100), "5") as usize;
-    sheet.reports_start = r.value(&mut s, "tell-start", flag, "false");
-    sheet.progress_interval = r.optional(&mut s, "progress-every", span(10 * MS));
-    sheet.overload_factor = r.value(&mut s, "overload-factor", number(0.1, 1000.0), "3");
-    sheet.cold_share = r.value(&mut s, "cold-share", number(0.001, 1.0), "0.3");
-    sheet.warm_within = r.value(&mut s, "warm-within", span(Duration::ZERO), "10s");
-    sheet.crossing_cost = r.value(&mut s, "price-of-crossing", number(0.0, 1.0), "0.02");
-    sheet.max_retry_after = r.optional(&mut s, "come-back-at-most", span(MS));
-    sheet.live_weights = r.value(&mut s, "weights", one_of(&[("sizes", false), ("moving", true)]), "sizes");
-    let reports = r.words(&mut s, "reports");
-    sheet.report_free = reports.iter().position(|(w, _)| w == "free-slots");
-    sheet.report_waiting = reports.iter().position(|(w, _)| w == "backlog");
-    words.reports = reports.into_iter().map(|(w, _)| w).collect();
-    let dial = r.value(&mut s, "connect-within", span(MS), "250ms");
-    let keep = r.value(&mut s, "keep-idle", span(100 * MS), "30s");
-    r.close(&s);
-    (dial, keep, most)
+    let max_assignments = r.value(&mut s, "most-assignments", integer(1, 100), "5") as usize;
+    settings.reports_start = r.value(&mut s, "tell-start", flag, "false");
+    settings.progress_interval = r.optional(&mut s, "progress-every", span(10 * MS));
+    settings.overload_factor = r.value(&mut s, "overload-factor", number(0.1, 1000.0), "3");
+    settings.cold_share = r.value(&mut s, "cold-share", number(0.001, 1.0), "0.3");
+    settings.warm_within = r.value(&mut s, "warm-within", span(Duration::ZERO), "10s");
+    settings.crossing_cost = r.value(&mut s, "price-of-crossing", number(0.0, 1.0), "0.02");
+    settings.max_retry_after = r.optional(&mut s, "come-back-at-most", span(MS));
+    settings.live_weights = r.value(&mut s, "weights", one_of(&[("sizes", false), ("moving", true)]), "sizes");
+    let reports = r.strings(&mut s, "reports");
+    settings.report_free = reports.iter().position(|(w, _)| w == "free-slots");
+    settings.report_waiting = reports.iter().position(|(w, _)| w == "backlog");
+    names.reports = reports.into_iter().map(|(w, _)| w).collect();
+    let connect_timeout = r.value(&mut s, "connect-within", span(MS), "250ms");
+    let idle_timeout = r.value(&mut s, "keep-idle", span(100 * MS), "30s");
+    r.reject_unknown_keys(&s);
+    (connect_timeout, idle_timeout, max_assignments)
 }
 
 /// The most schedulers that tell one another of workers.
-const MOST_TALKERS: usize = 1000;
+const MAX_PEERS: usize = 1000;
 
 /// The other schedulers that this one tells of workers, and is told by.
-fn others<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, sheet: &mut PolicySettings) -> Option<Others> {
+fn peers<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, settings: &mut PolicySettings) -> Option<PeerAddresses> {
     let mut s = r.section(top, "peers");
     let place = s.place.clone();
     let listen = r.optional(&mut s, "listen", address);
     let mut all: Vec<SocketAddr> = Vec::new();
-    for (word, place) in r.words(&mut s, "all") {
+    for (word, place) in r.strings(&mut s, "all") {
         match word.parse() {
             Ok(at) if all.contains(&at) => r.problem(&place, format!("{word:?} again")),
             Ok(at) => all.push(at),
             Err(_) => r.problem(&place, format!("{word:?}; address:port was expected")),
         }
     }
-    sheet.message_cost = r.value(&mut s, "price-of-word", number(0.0, 1.0), "0.01");
-    r.close(&s);
+    settings.message_cost = r.value(&mut s, "price-of-word", number(0.0, 1.0), "0.01");
+    r.reject_unknown_keys(&s);
     let Some(listen) = listen else {
         if !all.is_empty() {
             r.problem(&place, "peers.all without peers.listen: which of them is this scheduler?");
@@ -330,21 +330,21 @@
     if position.is_none() {
         r.problem(&place, format!("peers.all does not name {listen}, which is peers.listen"));
     }
-    if all.len() > sheet.schedulers.min(MOST_TALKERS) {
-        let most = sheet.schedulers.min(MOST_TALKERS);
-        r.problem(&place, format!("peers.all names {} schedulers; {most} at the most", all.len()));
+    if all.len() > settings.schedulers.min(MAX_PEERS) {
+        let max_peers = settings.schedulers.min(MAX_PEERS);
+        r.problem(&place, format!("peers.all names {} schedulers; {max_peers} at the most", all.len()));
     }
     let position = position?;
-    (sheet.members, sheet.position) = (all.len(), position);
-    Some(Others { all, position })
+    (settings.members, settings.position) = (all.len(), position);
+    Some(PeerAddresses { all, position })
 }
 
-fn inventory<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, folder: &Path) -> Option<Stock> {
+fn inventory<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, folder: &Path) -> Option<InventorySettings> {
     let fixed = fixed(r, top);
     let mut s = r.section(top, "inventory");
-    let there = s.table.is_some();
-    let files: Vec<PathBuf> = r.words(&mut s, "files").into_iter().map(|(w, _)| folder.join(w)).collect();
-    if there && files.is_empty() {
+    let present = s.table.is_some();
+    let files: Vec<PathBuf> = r.strings(&mut s, "files").into_iter().map(|(w, _)| folder.join(w)).collect();
+    if present && files.is_empty() {
         r.problem(&s.place.clone(), "no files in inventory");
     }
     let guard_share = r.value(&mut s, "guard-share", number(0.0, 1.0), "0.2");
@@ -364,30 +364,30 @@
         }
     }
     let mut h = r.section(&mut s, "health");
-    let health = HealthTerms {
+    let health = HealthCheckSettings {
         path: r.value(&mut h, "path", path, "/healthz"),
-        every: r.value(&mut h, "every", span(50 * MS), "2s"),
-        within: r.value(&mut h, "within", span(MS), "500ms"),
-        down_after: r.value(&mut h, "down-after", whole(1, 100), "3") as u32,
-        up_after: r.value(&mut h, "up-after", whole(1, 100), "2") as u32,
+        interval: r.value(&mut h, "every", span(50 * MS), "2s"),
+        timeout: r.value(&mut h, "within", span(MS), "500ms"),
+        down_after: r.value(&mut h, "down-after", integer(1, 100), "3") as u32,
+        up_after: r.value(&mut h, "up-after", integer(1, 100), "2") as u32,
         panic_share: r.value(&mut h, "panic-share", number(0.0, 1.0), "0.5"),
     };
-    let wanted = r.value(&mut h, "probe", flag, "true");
-    r.close(&h);
-    r.close(&s);
-    let stock = Stock {
+    let probe = r.value(&mut h, "probe", flag, "true");
+    r.reject_unknown_keys(&h);
+    r.reject_unknown_keys(&s);
+    let inventory = InventorySettings {
         files,
         columns,
         fixed,
         guard_share,
         confirm_after,
-        health: wanted.then_some(health),
+        health: probe.then_some(health),
         last_good,
     };
-    (there || !stock.fixed.is_empty()).then_some(stock)
+    (present || !inventory.fixed.is_empty()).then_some(inventory)
 }
 
-fn path(w: &Written) -> Result<String, String> {
+fn path(w: &RawValue) -> Result<String, String> {
     let plain = w.text.starts_with('/') && w.text.bytes().all(|b| b.is_ascii_graphic());
     plain.then(|| w.text.clone()).ok_or_else(|| format!("{:?}; a path from / on was expected", w.text))
 }
@@ -397,15 +397,15 @@
     let mut entries = Vec::new();
     for mut s in r.sections(top, "worker") {
         let place: Place = s.place.clone();
-        let title = r.wanted(&mut s, "name", name);
-        let at = r.wanted(&mut s, "address", |w| Address::parse(&w.text));
+        let title = r.required(&mut s, "name", name);
+        let at = r.required(&mut s, "address", |w| Address::parse(&w.text));
         let zone = r.value(&mut s, "zone", text, "here");
         let kind = r.value(&mut s, "kind", text, "usual");
         let slots = r.value(&mut s, "slots", number(1.0, 1024.0), "1");
-        let group = r.value(&mut s, "group", whole(0, u64::from(u32::MAX)), "0") as u32;
+        let group = r.value(&mut s, "group", integer(0, u64::from(u32::MAX)), "0") as u32;
         let states = [("active", State::Active), ("leaving", State::Leaving)];
         let state = r.value(&mut s, "state", one_of(&states), "active");
-        r.close(&s);
+        r.reject_unknown_keys(&s);
         let (Some(name), Some(address)) = (title, at) else { continue };
         entries.push(Entry { name, address, zone, kind, slots, group, state, place });
     }
--- a/crates/berth/src/keeper.rs
+++ b/crates/berth/src/keeper.rs
@@ -2,12 +2,12 @@
 
 use crate::installation::{address, name, text};
 use crate::layers::{Reader, Section};
-use crate::whole;
+use crate::toml_file;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Keeper {
+pub struct KeeperConfig {
     pub name: String,
     /// Where runs ask it.
     pub control: SocketAddr,
@@ -15,12 +15,12 @@
     pub folder: PathBuf,
     /// The program of schedulers that were never started here.
     pub program: PathBuf,
-    pub schedulers: Vec<Kept>,
+    pub schedulers: Vec<KeptScheduler>,
 }
 
 /// One scheduler of this machine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept {
+pub struct KeptScheduler {
     pub name: String,
     pub configuration: PathBuf,
     /// Its operators' addresses, in turns: in an upgrade two processes live side by side.
@@ -29,23 +29,23 @@
 
 /// Reads what a keeper is told; paths in it are beside it, and come out absolute: schedulers are told of them, whose
 /// configurations stand elsewhere. Every problem is a line with its place.
-pub fn open(path: &Path) -> Result<Keeper, Vec<String>> {
-    let whole_path = std::path::absolute(path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
-    whole::open(&whole_path, keeper)
+pub fn open(path: &Path) -> Result<KeeperConfig, Vec<String>> {
+    let absolute_path = std::path::absolute(path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
+    toml_file::open(&absolute_path, keeper)
 }
 
-fn keeper<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, folder: &Path) -> Option<Keeper> {
-    let title = r.wanted(top, "name", name);
-    let control = r.wanted(top, "control", address);
-    let own = r.wanted(top, "folder", text);
-    let program = r.wanted(top, "program", text);
-    let mut schedulers: Vec<Kept> = Vec::new();
+fn keeper<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, folder: &Path) -> Option<KeeperConfig> {
+    let title = r.required(top, "name", name);
+    let control = r.required(top, "control", address);
+    let state_folder = r.required(top, "folder", text);
+    let program = r.required(top, "program", text);
+    let mut schedulers: Vec<KeptScheduler> = Vec::new();
     for mut s in r.sections(top, "scheduler") {
         let place = s.place.clone();
-        let title = r.wanted(&mut s, "name", name);
-        let configuration = r.wanted(&mut s, "configuration", text).map(|path| folder.join(path));
+        let title = r.required(&mut s, "name", name);
+        let configuration = r.required(&mut s, "configuration", text).map(|path| folder.join(path));
         let management = r.values(&mut s, "management", address);
-        r.close(&s);
+        r.reject_unknown_keys(&s);
         let management = <[SocketAddr; 2]>::try_from(management);
         if management.as_ref().is_ok_and(|[one, other]| one == other) || management.is_err() {
             r.problem(&place, "management; two addresses were expected, for two processes side by side");
@@ -54,22 +54,22 @@
         let (Some(name), Some(configuration), Ok(management)) = (title, configuration, management) else {
             continue;
         };
-        let taken = |at: &SocketAddr| {
+        let in_use = |at: &SocketAddr| {
             Some(*at) == control || schedulers.iter().any(|known| known.management.contains(at))
         };
         if schedulers.iter().any(|known| known.name == name || known.configuration == configuration) {
-            r.problem(&place, format!("scheduler {name:?}: its name or its file stands here already"));
+            r.problem(&place, format!("scheduler {name:?}: its name or its file is listed twice"));
         }
-        if let Some(at) = management.iter().find(|at| taken(at)) {
-            r.problem(&place, format!("scheduler {name:?}: {at} stands here already"));
+        if let Some(at) = management.iter().find(|at| in_use(at)) {
+            r.problem(&place, format!("scheduler {name:?}: {at} is listed twice"));
         }
-        schedulers.push(Kept { name, configuration, management });
+        schedulers.push(KeptScheduler { name, configuration, management });
     }
     if schedulers.is_empty() {
         r.problem(&top.place.clone(), "no [[scheduler]]: there is nothing to keep");
     }
-    let (folder, program) = (own.map(|path| folder.join(path)), program.map(|path| folder.join(path)));
-    Some(Keeper { name: title?, control: control?, folder: folder?, program: program?, schedulers })
+    let (folder, program) = (state_folder.map(|path| folder.join(path)), program.map(|path| folder.join(path)));
+    Some(KeeperConfig { name: title?, control: control?, folder: folder?, program: program?, schedulers })
 }
 
 #[cfg(test)]
@@ -78,10 +78,10 @@
 
     /// Guards against two processes at one address: each start would fail, again and again.
     #[test]
-    fn every_problem_has_its_place() {
+    fn problems_are_reported_with_their_place() {
         let text = "name = \"yard\"\ncontrol = \"127.0.0.1:7300\"\nfolder = \"keep\"\nprogram = \"tindock\"\n\
                     [[scheduler]]\nname = \"n0\"\nconfiguration = \"n0.toml\"\nmanagement = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n";
-        let read = |text: &str| whole::read("keep.toml", Path::new("dir"), text, keeper);
+        let read = |text: &str| toml_file::read("keep.toml", Path::new("dir"), text, keeper);
         let found = read(text).expect("a keeper");
         assert_eq!(found.schedulers[0].configuration, Path::new("dir/n0.toml"));
         let again = text[text.find("[[").expect("a scheduler")..].replace("n0", "n1");
@@ -89,7 +89,7 @@
         assert_eq!(problems.len(), 1);
         assert_eq!(
             problems[0].to_string(),
-            "keep.toml:9:1: scheduler \"n1\": 127.0.0.1:1 stands here already"
+            "keep.toml:9:1: scheduler \"n1\": 127.0.0.1:1 is listed twice"
         );
         let one = text.replace(", \"127.0.0.1:2\"", "");
         assert!(read(&one).expect_err("a problem").iter().any(|p| p.what.contains("two addresses")));
@@ -98,7 +98,7 @@
     /// Guards against a runtime folder that a scheduler looks for beside its own configuration: named by a relative path
     /// it is there twice, nothing can be handed over, and each upgrade loses its tasks.
     #[test]
-    fn paths_hold_anywhere() {
+    fn relative_paths_become_absolute() {
         let folder = std::env::temp_dir().join(format!("tindock-keeper-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let text = "name = \"yard\"\ncontrol = \"127.0.0.1:7300\"\nfolder = \"keep\"\nprogram = \"tindock\"\n\
--- a/crates/berth/src/layers.rs
+++ b/crates/berth/src/layers.rs
@@ -48,7 +48,7 @@
 
 /// A value in force, for `tindock show`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct ShownValue {
     pub path: String,
     pub value: String,
     pub source: Source,
@@ -56,7 +56,7 @@
 
 /// A value as written, before it is read.
 #[derive(Clone, Debug)]
-pub(crate) struct Written {
+pub(crate) struct RawValue {
     pub text: String,
     pub place: Place,
 }
@@ -68,7 +68,7 @@
     pub place: Place,
     known: Vec<&'static str>,
     /// One of several of its kind: variables and flags have no name for it.
-    numbered: bool,
+    in_list: bool,
 }
 
 impl Section<'_> {
@@ -87,7 +87,7 @@
     layers: &'t Layers,
     used: Vec<String>,
     pub problems: Vec<Problem>,
-    pub shown: Vec<Shown>,
+    pub shown: Vec<ShownValue>,
 }
 
 impl<'t> Reader<'t> {
@@ -106,7 +106,7 @@
 
     pub fn root(&self, table: &'t DeTable<'t>) -> Section<'t> {
         let (path, place) = (String::new(), self.place(0));
-        Section { path, table: Some(table), place, known: Vec::new(), numbered: false }
+        Section { path, table: Some(table), place, known: Vec::new(), in_list: false }
     }
 
     /// A table in a table; a missing one reads as empty.
@@ -123,7 +123,7 @@
             }
         });
         let path = of.at(key);
-        Section { path, table, place, known: Vec::new(), numbered: of.numbered }
+        Section { path, table, place, known: Vec::new(), in_list: of.in_list }
     }
 
     fn array(&mut self, of: &mut Section<'t>, key: &'static str) -> Option<(&'t DeArray<'t>, Place)> {
@@ -154,7 +154,7 @@
                         table: Some(table),
                         place,
                         known: Vec::new(),
-                        numbered: true,
+                        in_list: true,
                     });
                 }
                 other => self.problem(&place, format!("{} in {key}; a table was expected", other.type_str())),
@@ -164,21 +164,21 @@
     }
 
     /// The words of a list.
-    pub fn words(&mut self, of: &mut Section<'t>, key: &'static str) -> Vec<(String, Place)> {
+    pub fn strings(&mut self, of: &mut Section<'t>, key: &'static str) -> Vec<(String, Place)> {
         let Some((array, _)) = self.array(of, key) else { return Vec::new() };
-        let mut words = Vec::new();
+        let mut strings = Vec::new();
         for value in array.iter() {
             let place = self.place(value.span().start);
             match value.get_ref() {
-                DeValue::String(word) => words.push((word.to_string(), place)),
+                DeValue::String(string) => strings.push((string.to_string(), place)),
                 other => self.problem(&place, format!("{} in {key}; a word was expected", other.type_str())),
             }
         }
         let path = of.at(key);
-        let source = words.first().map_or(Source::Default, |(_, place)| Source::File(place.clone()));
-        let value = format!("{:?}", words.iter().map(|(w, _)| w.as_str()).collect::<Vec<_>>());
-        self.shown.push(Shown { path, value, source });
-        words
+        let source = strings.first().map_or(Source::Default, |(_, place)| Source::File(place.clone()));
+        let value = format!("{:?}", strings.iter().map(|(w, _)| w.as_str()).collect::<Vec<_>>());
+        self.shown.push(ShownValue { path, value, source });
+        strings
     }
 
     /// The values of a list, each by its reader.
@@ -186,14 +186,14 @@
         &mut self,
         of: &mut Section<'t>,
         key: &'static str,
-        read: impl Fn(&Written) -> Result<T, String>,
+        read: impl Fn(&RawValue) -> Result<T, String>,
     ) -> Vec<T> {
         let Some((array, _)) = self.array(of, key) else { return Vec::new() };
         let mut values = Vec::new();
         for value in array.iter() {
             let place = self.place(value.span().start);
-            let found = match written(value, place.clone()) {
-                Some(written) => read(&written),
+            let found = match raw_value(value, place.clone()) {
+                Some(raw) => read(&raw),
                 None => Err(format!("{}; one value was expected", value.get_ref().type_str())),
             };
             match found {
@@ -210,11 +210,11 @@
         for (key, value) in of.table.into_iter().flatten() {
             let place = self.place(key.span().start);
             let name = key.get_ref().to_string();
-            match written(value, place.clone()) {
-                Some(word) => {
+            match raw_value(value, place.clone()) {
+                Some(string) => {
                     let (path, source) = (format!("{}.{name}", of.path), Source::File(place.clone()));
-                    self.shown.push(Shown { path, value: word.text.clone(), source });
-                    pairs.push((name, word.text, place));
+                    self.shown.push(ShownValue { path, value: string.text.clone(), source });
+                    pairs.push((name, string.text, place));
                 }
                 None => self.problem(
                     &place,
@@ -226,27 +226,27 @@
     }
 
     /// What a key says: a flag's word before a variable's before the file's.
-    fn layered(&mut self, of: &mut Section<'t>, key: &'static str) -> Option<(Written, Source)> {
+    fn lookup(&mut self, of: &mut Section<'t>, key: &'static str) -> Option<(RawValue, Source)> {
         of.known.push(key);
         let path = of.at(key);
-        let over = |text: &String, name: &str| {
+        let override_value = |text: &String, name: &str| {
             let place = Place::start(name);
-            Written { text: text.clone(), place }
+            RawValue { text: text.clone(), place }
         };
-        if !of.numbered {
+        if !of.in_list {
             self.used.push(path.clone());
             if let Some(text) = self.layers.flags.get(&path) {
-                return Some((over(text, &format!("--set {path}")), Source::Flag));
+                return Some((override_value(text, &format!("--set {path}")), Source::Flag));
             }
             if let Some(text) = self.layers.variables.get(&path) {
                 let name = format!("TINDOCK_{}", path.replace('.', "__").replace('-', "_").to_uppercase());
-                return Some((over(text, &name), Source::Variable(name)));
+                return Some((override_value(text, &name), Source::Variable(name)));
             }
         }
         let (name, value) = of.table?.get_key_value(key)?;
         let (at, place) = (self.place(name.span().start), self.place(value.span().start));
-        match written(value, place.clone()) {
-            Some(written) => Some((written, Source::File(at))),
+        match raw_value(value, place.clone()) {
+            Some(raw) => Some((raw, Source::File(at))),
             None => {
                 let what = format!("{} for {key}; one value was expected", value.get_ref().type_str());
                 self.problem(&place, what);
@@ -260,24 +260,24 @@
         &mut self,
         of: &mut Section<'t>,
         key: &'static str,
-        read: impl Fn(&Written) -> Result<T, String>,
+        read: impl Fn(&RawValue) -> Result<T, String>,
         default: &str,
     ) -> T {
         let path = of.at(key);
-        if let Some((written, source)) = self.layered(of, key) {
-            match read(&written) {
+        if let Some((raw, source)) = self.lookup(of, key) {
+            match read(&raw) {
                 Ok(value) => {
-                    self.shown.push(Shown { path, value: written.text, source });
+                    self.shown.push(ShownValue { path, value: raw.text, source });
                     return value;
                 }
-                Err(why) => self.problem(&written.place, format!("{key}: {why}")),
+                Err(why) => self.problem(&raw.place, format!("{key}: {why}")),
             }
         } else {
-            self.shown.push(Shown { path, value: default.into(), source: Source::Default });
+            self.shown.push(ShownValue { path, value: default.into(), source: Source::Default });
         }
         let place = Place::start("default");
-        let usual = Written { text: default.into(), place };
-        read(&usual).unwrap_or_else(|why| unreachable!("the default of {key} is read: {why}"))
+        let raw_default = RawValue { text: default.into(), place };
+        read(&raw_default).unwrap_or_else(|why| unreachable!("the default of {key} is read: {why}"))
     }
 
     /// A value that may be left out.
@@ -285,60 +285,60 @@
         &mut self,
         of: &mut Section<'t>,
         key: &'static str,
-        read: impl Fn(&Written) -> Result<T, String>,
+        read: impl Fn(&RawValue) -> Result<T, String>,
     ) -> Option<T> {
         let path = of.at(key);
-        let (written, source) = self.layered(of, key)?;
-        match read(&written) {
+        let (raw, source) = self.lookup(of, key)?;
+        match read(&raw) {
             Ok(value) => {
-                self.shown.push(Shown { path, value: written.text, source });
+                self.shown.push(ShownValue { path, value: raw.text, source });
                 Some(value)
             }
             Err(why) => {
-                self.problem(&written.place, format!("{key}: {why}"));
+                self.problem(&raw.place, format!("{key}: {why}"));
                 None
             }
         }
     }
 
     /// A value that may not.
-    pub fn wanted<T>(
+    pub fn required<T>(
         &mut self,
         of: &mut Section<'t>,
         key: &'static str,
-        read: impl Fn(&Written) -> Result<T, String>,
+        read: impl Fn(&RawValue) -> Result<T, String>,
     ) -> Option<T> {
         let before = self.problems.len();
         let found = self.optional(of, key, read);
         if found.is_none() && self.problems.len() == before {
-            let whole = if of.path.is_empty() { "the file".to_string() } else { of.path.clone() };
-            self.problem(&of.place.clone(), format!("no {key} in {whole}"));
+            let parent = if of.path.is_empty() { "the file".to_string() } else { of.path.clone() };
+            self.problem(&of.place.clone(), format!("no {key} in {parent}"));
         }
         found
     }
 
     /// Keys that nobody asked for.
-    pub fn close(&mut self, section: &Section<'t>) {
+    pub fn reject_unknown_keys(&mut self, section: &Section<'t>) {
         for (key, _) in section.table.into_iter().flatten() {
             let name: &str = key.get_ref();
             if !section.known.contains(&name) {
                 let place = self.place(key.span().start);
                 let nearest = nearest(name, section.known.iter().copied());
-                let meant = nearest.map_or(String::new(), |near| format!("; {near} was meant?"));
-                self.problem(&place, format!("unknown key {name:?}{meant}"));
+                let hint = nearest.map_or(String::new(), |near| format!("; {near} was meant?"));
+                self.problem(&place, format!("unknown key {name:?}{hint}"));
             }
         }
     }
 
     /// Flags and variables that nobody asked for.
-    pub fn close_layers(&mut self) {
+    pub fn reject_unknown_overrides(&mut self) {
         let used: Vec<&str> = self.used.iter().map(String::as_str).collect();
         let mut problems = Vec::new();
         for (what, layer) in [("--set", &self.layers.flags), ("variable", &self.layers.variables)] {
             for path in layer.keys().filter(|path| !used.contains(&path.as_str())) {
                 let near = nearest(path, used.iter().copied());
-                let meant = near.map_or(String::new(), |near| format!("; {near} was meant?"));
-                problems.push(Place::start(what).problem(format!("unknown key {path:?}{meant}")));
+                let hint = near.map_or(String::new(), |near| format!("; {near} was meant?"));
+                problems.push(Place::start(what).problem(format!("unknown key {path:?}{hint}")));
             }
         }
         self.problems.extend(problems);
@@ -350,7 +350,7 @@
     (near.0 <= 1 + name.len() / 3).then_some(near.1)
 }
 
-fn written(value: &Spanned<DeValue>, place: Place) -> Option<Written> {
+fn raw_value(value: &Spanned<DeValue>, place: Place) -> Option<RawValue> {
     let text = match value.get_ref() {
         DeValue::String(text) => text.to_string(),
         DeValue::Integer(n) => n.as_str().to_string(),
@@ -358,5 +358,5 @@
         DeValue::Boolean(yes) => yes.to_string(),
         _ => return None,
     };
-    Some(Written { text, place })
+    Some(RawValue { text, place })
 }
--- a/crates/berth/src/lib.rs
+++ b/crates/berth/src/lib.rs
@@ -2,9 +2,9 @@
 //! (`platform`), as one `Berth`; the list of workers as a discovery agent tells it (`listing`); and what a change in
 //! stages and a keeper are told (`plan`, `keeper`), and how a configuration takes other settings and stays its own (`grafting`).
 
-mod accord;
-mod berth;
-pub mod grafting;
+mod agreement;
+mod config;
+pub mod merging;
 pub mod installation;
 pub mod keeper;
 mod layers;
@@ -12,26 +12,26 @@
 pub mod plan;
 pub mod platform;
 pub mod units;
-mod whole;
-mod words;
+mod toml_file;
+mod names;
 
-pub use accord::Accord;
-pub use berth::{digest, digest_of, Berth, HealthTerms, Level, LogForm, Others, Rooms, Stock};
-pub use layers::{Layers, Shown, Source};
+pub use agreement::AgreementSettings;
+pub use config::{digest, digest_of, SchedulerConfig, HealthCheckSettings, Level, LogSettings, PeerAddresses, ResourceLimits, InventorySettings};
+pub use layers::{Layers, ShownValue, Source};
 pub use tindock_inventory::{Place, Problem};
-pub use words::Words;
+pub use names::Names;
 
 use std::path::Path;
 
 /// Reads a configuration file: TOML by its ending, else the platform's JSON, which tells nothing of its sources.
 /// Problems are lines that name the file.
-pub fn open(path: &Path, layers: &Layers) -> Result<(Berth, Vec<Shown>), Vec<String>> {
+pub fn open(path: &Path, layers: &Layers) -> Result<(SchedulerConfig, Vec<ShownValue>), Vec<String>> {
     let text = std::fs::read_to_string(path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
     parse(path, &text, layers)
 }
 
 /// The same of a text that stands in that file, or is to.
-pub fn parse(path: &Path, text: &str, layers: &Layers) -> Result<(Berth, Vec<Shown>), Vec<String>> {
+pub fn parse(path: &Path, text: &str, layers: &Layers) -> Result<(SchedulerConfig, Vec<ShownValue>), Vec<String>> {
     let name = path.display().to_string();
     if is_toml(path) {
         let folder = path.parent().unwrap_or(Path::new(""));
@@ -40,7 +40,7 @@
     }
     let read = platform::read(text, &platform::Process::from_variables())
         .map_err(|why| vec![format!("{name}: {why}")]);
-    read.map(|berth| (berth, Vec::new()))
+    read.map(|config| (config, Vec::new()))
 }
 
 fn is_toml(path: &Path) -> bool {
@@ -48,6 +48,6 @@
 }
 
 /// The configuration alone; several problems are several lines.
-pub fn from_file(path: &Path, layers: &Layers) -> Result<Berth, String> {
-    open(path, layers).map(|(berth, _)| berth).map_err(|lines| lines.join("\n"))
+pub fn from_file(path: &Path, layers: &Layers) -> Result<SchedulerConfig, String> {
+    open(path, layers).map(|(config, _)| config).map_err(|lines| lines.join("\n"))
 }
--- a/crates/berth/src/listing.rs
+++ b/crates/berth/src/listing.rs
@@ -1,6 +1,6 @@
 //! A discovery answer, decoded once: the whole list of workers or what changed in it.
 
-use crate::words::Words;
+use crate::names::Names;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use tindock::types::{Condition, Site};
@@ -52,22 +52,22 @@
 
 impl ListingDoc {
     /// A whole list of these, in the words that they were read by.
-    pub fn of<'a>(entries: impl Iterator<Item = &'a Entry>, words: &Words) -> Self {
-        ListingDoc { index: 0, snapshot: true, endpoints: entries.map(|e| EntryDoc::of(e, words)).collect() }
+    pub fn of<'a>(entries: impl Iterator<Item = &'a Entry>, names: &Names) -> Self {
+        ListingDoc { index: 0, snapshot: true, endpoints: entries.map(|e| EntryDoc::of(e, names)).collect() }
     }
 
     /// A list that is wrong anywhere is wrong as a whole, and leaves no words behind.
-    pub fn decode(self, words: &mut Words) -> Result<Listing, String> {
-        let mut now = words.clone();
-        let entries = self.endpoints.into_iter().map(|e| e.decode(&mut now)).collect::<Result<_, _>>()?;
-        *words = now;
+    pub fn decode(self, names: &mut Names) -> Result<Listing, String> {
+        let mut extended = names.clone();
+        let entries = self.endpoints.into_iter().map(|e| e.decode(&mut extended)).collect::<Result<_, _>>()?;
+        *names = extended;
         Ok(Listing { index: self.index, whole: self.snapshot, entries })
     }
 }
 
 impl EntryDoc {
-    fn of(entry: &Entry, words: &Words) -> Self {
-        let word = |words: &[String], at: usize| words.get(at).cloned().unwrap_or_default();
+    fn of(entry: &Entry, names: &Names) -> Self {
+        let name_at = |names: &[String], at: usize| names.get(at).cloned().unwrap_or_default();
         let status = match entry.condition {
             Condition::Ready => "active",
             Condition::Draining => "leaving",
@@ -76,8 +76,8 @@
         EntryDoc {
             name: entry.name.clone(),
             address: entry.address.to_string(),
-            zone: word(&words.zones, entry.site.zone),
-            kind: word(&words.kinds, entry.site.kind),
+            zone: name_at(&names.zones, entry.site.zone),
+            kind: name_at(&names.kinds, entry.site.kind),
             group: entry.site.cell as u32,
             status: status.into(),
             weight: entry.weight,
@@ -85,7 +85,7 @@
         }
     }
 
-    fn decode(self, words: &mut Words) -> Result<Entry, String> {
+    fn decode(self, names: &mut Names) -> Result<Entry, String> {
         let name = self.name;
         let condition = match self.status.as_str() {
             "active" => Condition::Ready,
@@ -98,13 +98,13 @@
         if !(self.weight.is_finite() && self.weight >= 0.0) {
             return Err(format!("worker {name:?} weighs {}", self.weight));
         }
-        let site = words.site(self.zone, self.kind, self.group as usize)?;
+        let site = names.site(self.zone, self.kind, self.group as usize)?;
         let booted_ms = u64::try_from(self.since_ms).ok().filter(|&ms| ms > 0);
         Ok(Entry { name, address, site, weight: self.weight, condition, booted_ms })
     }
 }
 
-pub fn decode(body: &[u8], words: &mut Words) -> Result<Listing, String> {
+pub fn decode(body: &[u8], names: &mut Names) -> Result<Listing, String> {
     let doc: ListingDoc = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    doc.decode(words)
+    doc.decode(names)
 }
--- a/crates/berth/src/words.rs
+++ b/crates/berth/src/names.rs
@@ -1,30 +1,30 @@
 //! The outside words for the module's indices.
 
 #[derive(Clone, Debug, Default)]
-pub struct Words {
+pub struct Names {
     pub workloads: Vec<String>,
-    pub customers: Vec<String>,
+    pub tenants: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     pub reports: Vec<String>,
 }
 
 /// Guards against lists that name zones or kinds without end: tables are kept by them.
-const MOST_WORDS: usize = 256;
+const MAX_NAMES: usize = 256;
 
 /// The index of a word, which is added if it is new.
-pub(crate) fn index(words: &mut Vec<String>, word: String) -> Result<usize, String> {
-    if let Some(at) = words.iter().position(|w| *w == word) {
+pub(crate) fn index(names: &mut Vec<String>, name: String) -> Result<usize, String> {
+    if let Some(at) = names.iter().position(|n| *n == name) {
         return Ok(at);
     }
-    if words.len() >= MOST_WORDS {
-        return Err(format!("{word:?} is one zone or kind too many"));
+    if names.len() >= MAX_NAMES {
+        return Err(format!("{name:?} is one zone or kind too many"));
     }
-    words.push(word);
-    Ok(words.len() - 1)
+    names.push(name);
+    Ok(names.len() - 1)
 }
 
-impl Words {
+impl Names {
     /// The index of a machine kind, added if it is new.
     pub fn kind(&mut self, kind: String) -> Result<usize, String> {
         index(&mut self.kinds, kind)
--- a/crates/berth/src/plan.rs
+++ b/crates/berth/src/plan.rs
@@ -3,7 +3,7 @@
 
 use crate::installation::{address, name, number, span, text};
 use crate::layers::{Reader, Section};
-use crate::whole;
+use crate::toml_file;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -19,13 +19,13 @@
     /// Of all schedulers, those changed at the end of each stage: growing, the last 1.
     pub shares: Vec<f64>,
     pub watch: Duration,
-    pub longest: Duration,
+    pub max_watch: Duration,
     /// A share of tasks, 0 to 1.
     pub worse_by: f64,
-    pub error: f64,
-    pub to_change: Duration,
-    pub undo_within: Duration,
-    pub schedulers: Vec<Managed>,
+    pub false_stop_rate: f64,
+    pub change_timeout: Duration,
+    pub undo_timeout: Duration,
+    pub schedulers: Vec<PlannedScheduler>,
 }
 
 /// What every scheduler gets.
@@ -39,7 +39,7 @@
 
 /// How a scheduler is reached.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub enum Endpoint {
     /// At its operators' address.
     Management(SocketAddr),
     /// Its keeper, which starts its processes, knows where.
@@ -48,26 +48,26 @@
 
 /// One scheduler that is to be changed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Managed {
+pub struct PlannedScheduler {
     pub name: String,
     pub zone: String,
-    pub way: Way,
+    pub endpoint: Endpoint,
     /// What it reads.
     pub configuration: PathBuf,
 }
 
 /// Reads a plan; paths in it are beside it. Every problem is a line with its place.
 pub fn open(path: &Path) -> Result<Plan, Vec<String>> {
-    whole::open(path, plan)
+    toml_file::open(path, plan)
 }
 
 fn plan<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, folder: &Path) -> Option<Plan> {
-    let title = r.wanted(top, "name", name);
-    let record = r.wanted(top, "record", text);
+    let title = r.required(top, "name", name);
+    let record = r.required(top, "record", text);
     let mut change = r.section(top, "change");
     let settings = r.optional(&mut change, "settings", text).map(|path| Change::Settings(folder.join(path)));
     let program = r.optional(&mut change, "program", text).map(|path| Change::Program(folder.join(path)));
-    r.close(&change);
+    r.reject_unknown_keys(&change);
     if settings.is_some() == program.is_some() {
         r.problem(&change.place.clone(), "either settings or program was expected in change");
     }
@@ -75,48 +75,48 @@
 
     let mut s = r.section(top, "stages");
     let shares = r.values(&mut s, "shares", number(0.0, 1.0));
-    let grow = shares.windows(2).all(|pair| pair[0] < pair[1]);
-    if shares.is_empty() || !grow || shares.last() != Some(&1.0) {
+    let increasing = shares.windows(2).all(|pair| pair[0] < pair[1]);
+    if shares.is_empty() || !increasing || shares.last() != Some(&1.0) {
         r.problem(&s.place.clone(), "shares; numbers that grow, the last of them 1.0, were expected");
     }
     let watch = r.value(&mut s, "watch", span(SECOND), "30s");
     // Where little comes, ten watches; a run that finds out nothing in that time is not worth an open end.
-    let longest = r.optional(&mut s, "watch-at-most", span(watch)).unwrap_or(10 * watch);
+    let max_watch = r.optional(&mut s, "watch-at-most", span(watch)).unwrap_or(10 * watch);
     let worse_by = r.value(&mut s, "worse-by", number(0.001, 1.0), "0.05");
-    let error = r.value(&mut s, "false-stops", number(1e-6, 0.5), "0.01");
-    let to_change = r.value(&mut s, "change-within", span(SECOND), "10s");
-    let undo_within = r.value(&mut s, "undo-within", span(SECOND), "1min");
-    r.close(&s);
+    let false_stop_rate = r.value(&mut s, "false-stops", number(1e-6, 0.5), "0.01");
+    let change_timeout = r.value(&mut s, "change-within", span(SECOND), "10s");
+    let undo_timeout = r.value(&mut s, "undo-within", span(SECOND), "1min");
+    r.reject_unknown_keys(&s);
 
-    let mut schedulers: Vec<Managed> = Vec::new();
+    let mut schedulers: Vec<PlannedScheduler> = Vec::new();
     for mut s in r.sections(top, "scheduler") {
         let place = s.place.clone();
-        let title = r.wanted(&mut s, "name", name);
+        let title = r.required(&mut s, "name", name);
         let zone = r.value(&mut s, "zone", text, "here");
         let before = r.problems.len();
-        let management = r.optional(&mut s, "management", address).map(Way::Management);
-        let keeper = r.optional(&mut s, "keeper", address).map(Way::Keeper);
-        let configuration = r.wanted(&mut s, "configuration", text).map(|path| folder.join(path));
-        r.close(&s);
-        let told = r.problems.len() > before;
-        if !told && management.is_some() == keeper.is_some() {
+        let management = r.optional(&mut s, "management", address).map(Endpoint::Management);
+        let keeper = r.optional(&mut s, "keeper", address).map(Endpoint::Keeper);
+        let configuration = r.required(&mut s, "configuration", text).map(|path| folder.join(path));
+        r.reject_unknown_keys(&s);
+        let has_problem = r.problems.len() > before;
+        if !has_problem && management.is_some() == keeper.is_some() {
             r.problem(&place, "either management or keeper was expected for a scheduler");
         }
         if matches!(change, Some(Change::Program(_))) && management.is_some() {
             r.problem(&place, "a program is brought by its keeper; management cannot");
         }
-        let (Some(name), Some(way), Some(configuration)) = (title, management.or(keeper), configuration)
+        let (Some(name), Some(endpoint), Some(configuration)) = (title, management.or(keeper), configuration)
         else {
             continue;
         };
-        let twin = |known: &Managed| {
-            let same = matches!(way, Way::Management(_)) && known.way == way;
+        let conflicts = |known: &PlannedScheduler| {
+            let same = matches!(endpoint, Endpoint::Management(_)) && known.endpoint == endpoint;
             known.name == name || same || known.configuration == configuration
         };
-        if schedulers.iter().any(twin) {
-            r.problem(&place, format!("scheduler {name:?}: its name, address or file stands here already"));
+        if schedulers.iter().any(conflicts) {
+            r.problem(&place, format!("scheduler {name:?}: its name, address or file is listed twice"));
         }
-        schedulers.push(Managed { name, zone, way, configuration });
+        schedulers.push(PlannedScheduler { name, zone, endpoint, configuration });
     }
     if schedulers.is_empty() {
         r.problem(&top.place.clone(), "no [[scheduler]]: there is nothing to change");
@@ -127,11 +127,11 @@
         change: change?,
         shares,
         watch,
-        longest,
+        max_watch,
         worse_by,
-        error,
-        to_change,
-        undo_within,
+        false_stop_rate,
+        change_timeout,
+        undo_timeout,
         schedulers,
     })
 }
@@ -140,7 +140,7 @@
 mod tests {
     use super::*;
 
-    const WHOLE: &str = r#"name = "december-shares"
+    const COMPLETE_PLAN: &str = r#"name = "december-shares"
 record = "rollout"
 [change]
 settings = "next.json"
@@ -154,27 +154,27 @@
 "#;
 
     fn problems(text: &str) -> String {
-        let found = whole::read("plan.toml", Path::new(""), text, plan).expect_err("problems");
+        let found = toml_file::read("plan.toml", Path::new(""), text, plan).expect_err("problems");
         found.iter().map(|problem| format!("{problem}\n")).collect()
     }
 
     #[test]
-    fn a_plan_is_read_with_its_defaults() {
-        let plan = whole::read("plan.toml", Path::new("dir"), WHOLE, plan).expect("a plan");
+    fn omitted_keys_get_their_defaults() {
+        let plan = toml_file::read("plan.toml", Path::new("dir"), COMPLETE_PLAN, plan).expect("a plan");
         assert_eq!((plan.shares.as_slice(), plan.watch), (&[0.17, 0.5, 1.0][..], 6 * SECOND));
-        assert_eq!((plan.longest, plan.worse_by), (60 * SECOND, 0.05));
+        assert_eq!((plan.max_watch, plan.worse_by), (60 * SECOND, 0.05));
         assert_eq!(plan.schedulers[0].configuration, Path::new("dir/n0.json"));
     }
 
     /// Guards against a plan that is taken for another one than was meant.
     #[test]
-    fn every_problem_has_its_place() {
-        let twice = format!("{WHOLE}{}", &WHOLE[WHOLE.find("[[").expect("a scheduler")..]);
-        let spoilt =
+    fn problems_are_reported_with_their_place() {
+        let twice = format!("{COMPLETE_PLAN}{}", &COMPLETE_PLAN[COMPLETE_PLAN.find("[[").expect("a scheduler")..]);
+        let invalid =
             twice.replace("[0.17, 0.5, 1.0]", "[0.5, 0.17]").replace("watch = \"6s\"", "wach = \"6s\"");
-        let spoilt = spoilt.replacen("127.0.0.1:7200", "here", 1).replace("settings", "setings");
+        let invalid = invalid.replacen("127.0.0.1:7200", "here", 1).replace("settings", "setings");
         assert_eq!(
-            problems(&spoilt),
+            problems(&invalid),
             "plan.toml:3:2: either settings or program was expected in change\n\
              plan.toml:4:1: unknown key \"setings\"; settings was meant?\n\
              plan.toml:5:2: shares; numbers that grow, the last of them 1.0, were expected\n\
@@ -182,13 +182,13 @@
              plan.toml:10:14: management: \"here\"; address:port was expected\n"
         );
         assert!(problems(&twice).contains("plan.toml:12:1: scheduler \"n0\": its name, address or file"));
-        let both = WHOLE.replace("settings = ", "program = \"tindock-next\"\nsettings = ");
+        let both = COMPLETE_PLAN.replace("settings = ", "program = \"tindock-next\"\nsettings = ");
         assert!(problems(&both).contains("plan.toml:3:2: either settings or program"));
-        let program = WHOLE.replace("settings = ", "program = ");
+        let program = COMPLETE_PLAN.replace("settings = ", "program = ");
         assert!(problems(&program).contains("a program is brought by its keeper"));
         let kept = program.replace("management = ", "keeper = ");
-        let read = whole::read("plan.toml", Path::new(""), &kept, plan).expect("a plan");
-        assert!(matches!((read.change, read.schedulers[0].way), (Change::Program(_), Way::Keeper(_))));
+        let read = toml_file::read("plan.toml", Path::new(""), &kept, plan).expect("a plan");
+        assert!(matches!((read.change, read.schedulers[0].endpoint), (Change::Program(_), Endpoint::Keeper(_))));
         assert!(problems("name = ").contains("plan.toml:1:"));
         assert!(problems("").contains("no [[scheduler]]"));
     }
--- a/crates/berth/src/platform.rs
+++ b/crates/berth/src/platform.rs
@@ -1,8 +1,8 @@
 //! The platform's form of the configuration: JSON.
 
-use crate::berth::{digest, Berth, LogForm, Rooms, USUAL_DESCRIPTORS, USUAL_MEMORY_MB};
+use crate::config::{digest, SchedulerConfig, LogSettings, ResourceLimits, DEFAULT_DESCRIPTORS, DEFAULT_MEMORY_MB};
 use crate::listing::ListingDoc;
-use crate::words::Words;
+use crate::names::Names;
 use serde::de::IgnoredAny;
 use serde::Deserialize;
 use serde_json::Value;
@@ -32,13 +32,13 @@
     text.parse().map_err(|_| format!("{what} {text:?} is no address"))
 }
 
-fn words(settings: &Value, list: &str, key: Option<&str>) -> Result<Vec<String>, String> {
+fn strings(settings: &Value, list: &str, key: Option<&str>) -> Result<Vec<String>, String> {
     let rows = settings.get(list).and_then(Value::as_array).map_or(&[][..], Vec::as_slice);
-    let word = |row: &Value| {
+    let string = |row: &Value| {
         let word = key.map_or(Some(row), |key| row.get(key)).and_then(Value::as_str).map(String::from);
         word.ok_or_else(|| format!("settings: a row of {list} has no name"))
     };
-    rows.iter().map(word).collect()
+    rows.iter().map(string).collect()
 }
 
 /// What the platform tells one process alone: the file may be shared by two, the old one and the one that takes over.
@@ -57,56 +57,56 @@
 }
 
 /// Keys that come and go: what is known at a start, and what the process is told beside the file.
-const PASSING: [&str; 2] = ["known", "mgmt"];
+const TRANSIENT_KEYS: [&str; 2] = ["known", "mgmt"];
 
 /// The keys of the file and of its settings.
 fn keys(text: &str, settings: &Value) -> Result<BTreeSet<String>, String> {
     // What stands under them was read already.
     let whole: BTreeMap<String, IgnoredAny> = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let inner = settings.as_object().into_iter().flatten().map(|(key, _)| format!("settings.{key}"));
-    Ok(whole.into_keys().filter(|key| !PASSING.contains(&key.as_str())).chain(inner).collect())
+    Ok(whole.into_keys().filter(|key| !TRANSIENT_KEYS.contains(&key.as_str())).chain(inner).collect())
 }
 
 /// Reads the file's text.
-pub fn read(text: &str, process: &Process) -> Result<Berth, String> {
+pub fn read(text: &str, process: &Process) -> Result<SchedulerConfig, String> {
     let doc: Doc = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let mut sheet = tindock_sheet::from_json(&doc.settings)?;
+    let mut settings = tindock_sheet::from_json(&doc.settings)?;
     // The platform tells no addresses of other schedulers, so there is no way for words between them.
-    sheet.members = 0;
-    let mut words = Words {
-        workloads: words(&doc.settings, "workloads", Some("name"))?,
-        customers: words(&doc.settings, "tenants", Some("name"))?,
-        zones: words(&doc.settings, "areas", None)?,
-        kinds: words(&doc.settings, "skus", None)?,
-        reports: words(doc.settings.get("reporting").unwrap_or(&Value::Null), "names", None)?,
+    settings.members = 0;
+    let mut names = Names {
+        workloads: strings(&doc.settings, "workloads", Some("name"))?,
+        tenants: strings(&doc.settings, "tenants", Some("name"))?,
+        zones: strings(&doc.settings, "areas", None)?,
+        kinds: strings(&doc.settings, "skus", None)?,
+        reports: strings(doc.settings.get("reporting").unwrap_or(&Value::Null), "names", None)?,
     };
-    if let Some(again) = words.workloads.iter().enumerate().find(|(at, w)| words.workloads[..*at].contains(w))
+    if let Some(duplicate) = names.workloads.iter().enumerate().find(|(at, w)| names.workloads[..*at].contains(w))
     {
-        return Err(format!("settings: workload {:?} again", again.1));
+        return Err(format!("settings: workload {:?} again", duplicate.1));
     }
-    let known = doc.known.map(|known| known.decode(&mut words)).transpose()?;
-    let sockets = doc.limits.as_ref().and_then(|l| l.sockets).unwrap_or(USUAL_DESCRIPTORS);
-    let memory = doc.limits.and_then(|l| l.memory_mb).unwrap_or(USUAL_MEMORY_MB);
-    let rooms = Rooms::share_out(sockets, memory)?;
+    let known = doc.known.map(|known| known.decode(&mut names)).transpose()?;
+    let sockets = doc.limits.as_ref().and_then(|l| l.sockets).unwrap_or(DEFAULT_DESCRIPTORS);
+    let memory = doc.limits.and_then(|l| l.memory_mb).unwrap_or(DEFAULT_MEMORY_MB);
+    let resource_limits = ResourceLimits::divide(sockets, memory)?;
     let management = process.management.as_deref().or(doc.mgmt.as_deref()).filter(|at| !at.is_empty());
-    Ok(Berth {
+    Ok(SchedulerConfig {
         name: doc.name,
         listen: address(&doc.listen, "listen")?,
         discovery: Some(address(&doc.discovery, "discovery")?),
         inventory: None,
-        others: None,
+        peers: None,
         // It tells no addresses of others, so there is no group.
-        accord: None,
+        agreement: None,
         management: management.map(|at| address(at, "mgmt")).transpose()?,
         runtime: process.runtime.clone(),
         seed: u64::from_str_radix(&doc.seed, 16).map_err(|_| format!("seed {:?} is no number", doc.seed))?,
-        sheet,
-        words,
+        settings,
+        names,
         known,
-        rooms,
-        dial: tindock_sheet::duration(&doc.settings, "/caps/dial_timeout_s")?,
-        keep: tindock_sheet::duration(&doc.settings, "/caps/keepalive_s")?,
-        log: LogForm::default(),
+        resource_limits,
+        connect_timeout: tindock_sheet::duration(&doc.settings, "/caps/dial_timeout_s")?,
+        idle_timeout: tindock_sheet::duration(&doc.settings, "/caps/keepalive_s")?,
+        log: LogSettings::default(),
         keys: keys(text, &doc.settings)?,
         digest: digest(text),
     })
--- a/crates/berth/src/whole.rs
+++ b/crates/berth/src/toml_file.rs
@@ -6,17 +6,17 @@
 use toml::de::DeTable;
 
 /// Reads the values of the top table; none where something that must be there is not. Lifetimes are the text's.
-pub(crate) type Take<T> = for<'t> fn(&mut Reader<'t>, &mut Section<'t>, &Path) -> Option<T>;
+pub(crate) type ReadTop<T> = for<'t> fn(&mut Reader<'t>, &mut Section<'t>, &Path) -> Option<T>;
 
 /// Reads a file; paths in it are beside it.
-pub(crate) fn open<T>(path: &Path, take: Take<T>) -> Result<T, Vec<String>> {
+pub(crate) fn open<T>(path: &Path, read_top: ReadTop<T>) -> Result<T, Vec<String>> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| vec![format!("{name}: {e}")])?;
     let folder = path.parent().unwrap_or(Path::new(""));
-    read(&name, folder, &text, take).map_err(|problems| problems.iter().map(Problem::to_string).collect())
+    read(&name, folder, &text, read_top).map_err(|problems| problems.iter().map(Problem::to_string).collect())
 }
 
-pub(crate) fn read<T>(file: &str, folder: &Path, text: &str, take: Take<T>) -> Result<T, Vec<Problem>> {
+pub(crate) fn read<T>(file: &str, folder: &Path, text: &str, read_top: ReadTop<T>) -> Result<T, Vec<Problem>> {
     let layers = Layers::default();
     let mut reader = Reader::new(file, text, &layers);
     let root = DeTable::parse(text).map_err(|e| {
@@ -24,8 +24,8 @@
         vec![place.problem(format!("no TOML that can be read: {}", e.message()))]
     })?;
     let mut top = reader.root(root.get_ref());
-    let found = take(&mut reader, &mut top, folder);
-    reader.close(&top);
+    let found = read_top(&mut reader, &mut top, folder);
+    reader.reject_unknown_keys(&top);
     match found {
         Some(found) if reader.problems.is_empty() => Ok(found),
         _ => {
--- a/crates/berth/src/units.rs
+++ b/crates/berth/src/units.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Longer than anything that is waited for.
-const LONGEST: f64 = 366.0 * 24.0 * 3600.0;
+const MAX_SPAN_S: f64 = 366.0 * 24.0 * 3600.0;
 
 fn split(text: &str) -> Option<(f64, &str)> {
     let text = text.trim();
@@ -26,7 +26,7 @@
             "h" => 3600.0,
             _ => return Err(expected()),
         };
-    if seconds > LONGEST {
+    if seconds > MAX_SPAN_S {
         return Err(format!("{text:?} is longer than a year"));
     }
     Ok(Duration::from_secs_f64(seconds))
@@ -59,15 +59,15 @@
     use std::time::Duration;
 
     #[test]
-    fn figures_have_units() {
+    fn values_without_a_known_unit_are_rejected() {
         assert_eq!(span("500ms"), Ok(Duration::from_millis(500)));
         assert_eq!(span("1.5 s"), Ok(Duration::from_millis(1500)));
         assert_eq!(span("2min"), Ok(Duration::from_secs(120)));
         assert_eq!(bytes("64KiB"), Ok(65536));
         assert_eq!(bytes("192MB"), Ok(192_000_000));
-        for odd in ["", "5", "ms", "-1s", "1e3s", "1d", "1 m s", "..s", "9999999h", "NaNs"] {
-            assert!(span(odd).is_err(), "{odd}");
-            assert!(bytes(odd).is_err(), "{odd}");
+        for invalid in ["", "5", "ms", "-1s", "1e3s", "1d", "1 m s", "..s", "9999999h", "NaNs"] {
+            assert!(span(invalid).is_err(), "{invalid}");
+            assert!(bytes(invalid).is_err(), "{invalid}");
         }
     }
 }
--- a/crates/berth/tests/installation.rs
+++ b/crates/berth/tests/installation.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 use tindock::types::{Discovery, Effect, Group};
-use tindock_berth::{installation, Berth, Layers, Shown, Source};
+use tindock_berth::{installation, SchedulerConfig, Layers, ShownValue, Source};
 
 const GOOD: &str = "\
 listen = \"127.0.0.1:7000\"
@@ -27,7 +27,7 @@
 address = \"10.0.0.1:5000\"
 ";
 
-fn read(text: &str, layers: &Layers) -> Result<(Berth, Vec<Shown>), Vec<String>> {
+fn read(text: &str, layers: &Layers) -> Result<(SchedulerConfig, Vec<ShownValue>), Vec<String>> {
     let read = installation::read("f", Path::new("/etc/tindock"), text, layers);
     read.map_err(|problems| problems.iter().map(ToString::to_string).collect())
 }
@@ -37,27 +37,27 @@
 }
 
 #[test]
-fn a_configuration_says_what_the_sheet_needs() {
-    let (berth, _) = read(GOOD, &Layers::default()).expect("a configuration");
-    let row = &berth.sheet.workloads[0];
+fn valid_configuration_gives_the_policy_settings() {
+    let (config, _) = read(GOOD, &Layers::default()).expect("a configuration");
+    let row = &config.settings.workloads[0];
     assert_eq!(row.effect, Effect::Deduplicated(Group::Zone));
     assert_eq!((row.promised, row.memory), (Duration::from_millis(500), Duration::from_secs(30)));
-    assert_eq!((berth.sheet.discovery, berth.sheet.quotas.as_slice()), (Discovery::Pushed, &[12.5][..]));
-    assert_eq!(berth.words.kinds[row.kind.expect("a kind")], "std");
-    assert_eq!(berth.inventory.expect("fixed workers").fixed.len(), 1);
+    assert_eq!((config.settings.discovery, config.settings.quotas.as_slice()), (Discovery::Pushed, &[12.5][..]));
+    assert_eq!(config.names.kinds[row.kind.expect("a kind")], "std");
+    assert_eq!(config.inventory.expect("fixed workers").fixed.len(), 1);
 }
 
 /// Flags go over variables, those over the file, and each value knows where it came from.
 #[test]
-fn layers_go_over_each_other() {
+fn flags_override_variables_and_variables_the_file() {
     let variables =
         [("TINDOCK_LIMITS__SOCKETS", "500"), ("TINDOCK_WORKERS__CONNECT_WITHIN", "1s"), ("HOME", "/")];
     let variables = variables.iter().map(|(k, v)| (k.to_string(), v.to_string()));
     let mut layers = Layers::from_variables(variables);
     layers.flags.insert("limits.sockets".into(), "600".into());
-    let (berth, shown) = read(GOOD, &layers).expect("a configuration");
-    assert_eq!(berth.dial, Duration::from_secs(1));
-    assert_eq!(berth.rooms.for_clients + berth.rooms.for_workers, 600 - 32);
+    let (config, shown) = read(GOOD, &layers).expect("a configuration");
+    assert_eq!(config.connect_timeout, Duration::from_secs(1));
+    assert_eq!(config.resource_limits.client_connections + config.resource_limits.worker_connections, 600 - 32);
     let source = |path: &str| shown.iter().find(|s| s.path == path).map(|s| s.source.clone());
     assert_eq!(source("limits.sockets"), Some(Source::Flag));
     assert_eq!(
@@ -70,7 +70,7 @@
 
 /// Each change to a good file has one problem, at its place, in these words.
 #[test]
-fn each_odd_value_is_told_with_its_place() {
+fn invalid_values_are_reported_with_their_place() {
     let changes: &[(&str, &str, &str)] = &[
         ("zone = ", "zne = ", "f:2:1: unknown key \"zne\"; zone was meant?"),
         ("\"north\"", "\"\"", "f:2:8: zone: \"\"; a word was expected"),
@@ -146,50 +146,50 @@
     ];
     for (from, to, expected) in changes {
         let text = GOOD.replacen(from, to, 1);
-        let told = problems(&text);
-        assert!(told.iter().any(|line| line.starts_with(expected)), "{from} -> {to}: {told:#?}");
+        let reported = problems(&text);
+        assert!(reported.iter().any(|line| line.starts_with(expected)), "{from} -> {to}: {reported:#?}");
     }
 }
 
 #[test]
-fn all_problems_are_told_at_once() {
+fn all_problems_are_reported_at_once() {
     let text = "zne = 1\nseed = \"x\"\n[[workload]]\nname = \"a\"\n";
-    let told = problems(text);
-    let lines: Vec<&str> = told.iter().map(|line| &line[..4]).collect();
-    assert_eq!(lines, ["f:1:", "f:1:", "f:2:", "f:3:", "f:3:", "f:3:"], "{told:#?}");
+    let reported = problems(text);
+    let lines: Vec<&str> = reported.iter().map(|line| &line[..4]).collect();
+    assert_eq!(lines, ["f:1:", "f:1:", "f:2:", "f:3:", "f:3:", "f:3:"], "{reported:#?}");
 }
 
 #[test]
-fn what_is_said_over_the_file_must_be_known_too() {
+fn unknown_overrides_are_reported() {
     let flags: BTreeMap<_, _> = [("limits.socket".to_string(), "5".to_string())].into();
-    let told = read(GOOD, &Layers { flags, ..Layers::default() }).map(|_| ()).expect_err("a problem");
-    assert_eq!(told, ["--set:1:1: unknown key \"limits.socket\"; limits.sockets was meant?"]);
+    let reported = read(GOOD, &Layers { flags, ..Layers::default() }).map(|_| ()).expect_err("a problem");
+    assert_eq!(reported, ["--set:1:1: unknown key \"limits.socket\"; limits.sockets was meant?"]);
 }
 
 /// The new settings are off by default, and say what the sheet needs where they are set.
 #[test]
-fn schedulers_that_talk_know_their_place() {
-    let (berth, _) = read(GOOD, &Layers::default()).expect("a configuration");
-    assert_eq!((berth.sheet.members, berth.sheet.live_weights, berth.others), (0, false, None));
+fn peers_are_off_by_default_and_set_the_position() {
+    let (config, _) = read(GOOD, &Layers::default()).expect("a configuration");
+    assert_eq!((config.settings.members, config.settings.live_weights, config.peers), (0, false, None));
     let peers = "[peers]\nlisten = \"10.0.0.2:1\"\nall = [\"10.0.0.1:1\", \"10.0.0.2:1\"]\n\
                  [workers]\nschedulers = 3\nweights = \"moving\"\nreports = [\"backlog\", \"free-slots\"]";
-    let (berth, _) =
+    let (config, _) =
         read(&GOOD.replacen("[workers]", peers, 1), &Layers::default()).expect("a configuration");
-    let sheet = &berth.sheet;
-    assert_eq!((sheet.members, sheet.position, sheet.schedulers, sheet.message_cost), (2, 1, 3, 0.01));
-    assert_eq!((sheet.live_weights, sheet.report_free, sheet.report_waiting), (true, Some(1), Some(0)));
-    assert_eq!(berth.others.expect("others").all.len(), 2);
+    let settings = &config.settings;
+    assert_eq!((settings.members, settings.position, settings.schedulers, settings.message_cost), (2, 1, 3, 0.01));
+    assert_eq!((settings.live_weights, settings.report_free, settings.report_waiting), (true, Some(1), Some(0)));
+    assert_eq!(config.peers.expect("others").all.len(), 2);
 }
 
 /// The example that newcomers start from.
 #[test]
-fn the_example_is_a_configuration() {
+fn example_files_are_valid() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/tindock.toml");
-    let berth = tindock_berth::from_file(&path, &Layers::default()).expect("a configuration");
-    assert_eq!(berth.words.workloads, ["resize", "charge"]);
+    let config = tindock_berth::from_file(&path, &Layers::default()).expect("a configuration");
+    assert_eq!(config.names.workloads, ["resize", "charge"]);
     let old = path.with_file_name("config.json");
     assert_eq!(
-        tindock_berth::from_file(&old, &Layers::default()).expect("JSON").words.workloads,
-        berth.words.workloads
+        tindock_berth::from_file(&old, &Layers::default()).expect("JSON").names.workloads,
+        config.names.workloads
     );
 }
--- a/crates/scheduler/benches/applying.rs
+++ b/crates/scheduler/benches/applying.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 use tindock::policy::Policy;
 use tindock::types::{Effect, PolicySettings, Workload};
-use tindock_berth::Words;
+use tindock_berth::Names;
 use tindock_inventory::{read, Columns, Entry, Form, Host};
 use tindock_scheduler::clock::Clock;
 use tindock_scheduler::exchange::Exchange;
@@ -74,11 +74,11 @@
                 max_assignments: 3,
             };
             let sheet = PolicySettings { workloads: vec![row], schedulers: 1, ..PolicySettings::default() };
-            let rows = WorkloadTable::new(&sheet, &Words::default());
+            let rows = WorkloadTable::new(&sheet, &Names::default());
             let rules = Policy::new(sheet, 7, clock.now());
             let now = Box::new(move || clock.now());
             let (exchange, _orders) = Exchange::new(rules, rows, clock, now, log.clone());
-            let worker_list = WorkerList::with_files(exchange, Words::default(), None, log);
+            let worker_list = WorkerList::with_files(exchange, Names::default(), None, log);
             let (tell, events) = mpsc::channel(4);
             let keeps = worker_list.clone();
             spawn_local(async move { keeps.run(events).await });
--- a/crates/scheduler/src/accord/mod.rs
+++ b/crates/scheduler/src/accord/mod.rs
@@ -24,7 +24,7 @@
     CheckedProposal, Digest, DurableState, Frame, Id, Member, Payload, ServiceStatus, TextFetcher, Timing,
     MAX_FRAME_BYTES, PIECE_BYTES,
 };
-use tindock_berth::Accord as Told;
+use tindock_berth::AgreementSettings as Told;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
@@ -185,7 +185,7 @@
     fn begin(&self, opened: Opened, applied: u64) -> Result<(), String> {
         let Opened { store, kept, fresh, texts } = opened;
         let lease = texts.get(&kept.decided.digest).map_or(self.told.lease, |text| text.lease());
-        let terms = Timing { lease, response_timeout: self.told.patience };
+        let terms = Timing { lease, response_timeout: self.told.member_timeout };
         let settled = kept.decided.number > 0;
         let known = texts.iter().map(|(digest, text)| (*digest, self.reading(text, kept.id, settled, lease)));
         let known = known.collect();
@@ -479,7 +479,7 @@
             ServiceStatus::Denied(why) => {
                 let number = state.written.decided.number;
                 let cut_off = number == 0 || state.member.members().all.contains(&state.written.id);
-                if self.told.serves_cut_off && cut_off && state.member.eligibility().is_ok() {
+                if self.told.serves_without_lease && cut_off && state.member.eligibility().is_ok() {
                     if !self.void.replace(true) {
                         warn!(
                             self.log,
@@ -505,7 +505,7 @@
     /// Waits a little for the voters' word, where there is one to be had.
     pub async fn first_word(&self) {
         let number = self.state.borrow().as_ref().map_or(0, |state| state.written.decided.number);
-        if number == 0 || self.told.serves_cut_off {
+        if number == 0 || self.told.serves_without_lease {
             return;
         }
         let word = async {
@@ -590,8 +590,8 @@
             members: Vec::new(),
             voters: 1,
             lease: Duration::from_secs(6),
-            patience: Duration::from_secs(2),
-            serves_cut_off: false,
+            member_timeout: Duration::from_secs(2),
+            serves_without_lease: false,
         };
         let opened = Opened::folder(&told, "n0").expect("a new folder");
         let open = Some((Ballot { round: 1, by: 5 }, Digest([7; 32])));
--- a/crates/scheduler/src/accord/policy.rs
+++ b/crates/scheduler/src/accord/policy.rs
@@ -3,19 +3,19 @@
 
 use crate::accord::text::Text;
 use std::path::{Path, PathBuf};
-use tindock_berth::grafting::graft;
-use tindock_berth::{parse, Berth, Layers};
+use tindock_berth::merging::merge_settings;
+use tindock_berth::{parse, SchedulerConfig, Layers};
 
 /// The configuration at `path` with the policy of a text in it.
-pub fn over(path: &Path, layers: &Layers, text: &Text) -> Result<Berth, String> {
+pub fn over(path: &Path, layers: &Layers, text: &Text) -> Result<SchedulerConfig, String> {
     let own = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let policy = PathBuf::from("policy").with_extension(&text.ending);
-    let whole = graft(path, &own, &policy, &text.policy)?;
+    let whole = merge_settings(path, &own, &policy, &text.policy)?;
     parse(path, &whole, layers).map(|(berth, _)| berth).map_err(|lines| lines.join("; "))
 }
 
 /// What a configuration says of the things that a group decides, for a comparison.
-pub fn says(berth: &Berth) -> String {
-    let words = &berth.words;
-    format!("{:?} {:?} {:?} {:?}", berth.sheet, words.workloads, words.customers, words.reports)
+pub fn says(berth: &SchedulerConfig) -> String {
+    let words = &berth.names;
+    format!("{:?} {:?} {:?} {:?}", berth.settings, words.workloads, words.tenants, words.reports)
 }
--- a/crates/scheduler/src/accord/staff.rs
+++ b/crates/scheduler/src/accord/staff.rs
@@ -152,7 +152,7 @@
             if missing.is_empty() {
                 return Ok(found);
             }
-            if self.clock.now() - began > self.told.patience {
+            if self.clock.now() - began > self.told.member_timeout {
                 let names: Vec<&str> = missing.iter().map(|(name, _)| name.as_str()).collect();
                 return Err(format!("no answer from {}", names.join(", ")));
             }
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line and the commands that do not serve.
 
 use crate::accord::commands::Policies;
-use crate::berth::{self, open, Layers, Problem, Shown, Stock};
+use crate::berth::{self, open, Layers, Problem, ShownValue, InventorySettings};
 use crate::list::inventory_files;
 use crate::list::inventory_watch::accept_file;
 use crate::operators::calls;
@@ -85,8 +85,8 @@
 /// Finds the operators' address: from the argument, a configuration or the environment.
 pub fn management(at: Option<SocketAddr>, config: Option<&Path>) -> Result<SocketAddr, Vec<String>> {
     let from_config = |config: &Path| {
-        let (berth, _) = open(config, &Overrides::default().layers())?;
-        berth.management.ok_or_else(|| vec![format!("{}: no operators' address", config.display())])
+        let (configuration, _) = open(config, &Overrides::default().layers())?;
+        configuration.management.ok_or_else(|| vec![format!("{}: no operators' address", config.display())])
     };
     match (at, config, std::env::var("GW_MGMT").ok()) {
         (Some(at), ..) => Ok(at),
@@ -189,7 +189,7 @@
     problems.iter().map(Problem::to_string).collect()
 }
 
-fn read_inventory(settings: &Stock) -> Result<Inventory, Vec<String>> {
+fn read_inventory(settings: &InventorySettings) -> Result<Inventory, Vec<String>> {
     let whole = || {
         let versions = inventory_files::scan(&settings.files)?;
         let inventory = inventory_files::read_all(&versions, &settings.columns, &settings.fixed)?;
@@ -200,19 +200,19 @@
 }
 
 pub fn check(file: &Path, overrides: &Overrides) -> CommandResult {
-    let (berth, _) = open(file, &overrides.layers())?;
-    let workers = match &berth.inventory {
+    let (configuration, _) = open(file, &overrides.layers())?;
+    let workers = match &configuration.inventory {
         Some(settings) => format!(", {} workers in its inventory", read_inventory(settings)?.entries.len()),
         None => String::new(),
     };
-    let workloads = berth.words.workloads.len();
+    let workloads = configuration.names.workloads.len();
     Ok(format!("{}: fine, {workloads} workloads{workers}\n", file.display()))
 }
 
 pub fn show(file: &Path, overrides: &Overrides) -> CommandResult {
     let (_, shown) = open(file, &overrides.layers())?;
     let width = shown.iter().map(|s| s.path.len() + s.value.len()).max().unwrap_or(0) + 3;
-    let line = |s: &Shown| {
+    let line = |s: &ShownValue| {
         let says = format!("{} = {}", s.path, s.value);
         format!("{says:width$}  # {}\n", s.source)
     };
@@ -224,8 +224,8 @@
     let columns = match config {
         None => Columns::default(),
         Some(config) => {
-            let (berth, _) = open(config, &Overrides::default().layers())?;
-            berth.inventory.map(|settings| settings.columns).unwrap_or_default()
+            let (configuration, _) = open(config, &Overrides::default().layers())?;
+            configuration.inventory.map(|settings| settings.columns).unwrap_or_default()
         }
     };
     let whole = || inventory_files::read_all(&inventory_files::scan(files)?, &columns, &[]);
@@ -252,9 +252,9 @@
             Ok(write(&inventory(files, config.as_deref())?, form))
         }
         Inventories::Accept { config } => {
-            let (berth, _) = open(config, &Overrides::default().layers())?;
+            let (configuration, _) = open(config, &Overrides::default().layers())?;
             let name = config.display();
-            let settings = berth.inventory.ok_or_else(|| vec![format!("{name}: has no [inventory]")])?;
+            let settings = configuration.inventory.ok_or_else(|| vec![format!("{name}: has no [inventory]")])?;
             let found = read_inventory(&settings)?;
             let folder = config.parent().unwrap_or(Path::new(""));
             let (file, digest) = (accept_file(folder), format!("{:016x}", found.digest()));
--- a/crates/scheduler/src/clients/requests.rs
+++ b/crates/scheduler/src/clients/requests.rs
@@ -139,7 +139,7 @@
     let size = size(text(&head.headers, "x-props")?.unwrap_or_default())?;
     // A tenant that is not configured has no share to keep to.
     let tenant = text(&head.headers, "x-customer")?;
-    let tenant = names.borrow().customers.iter().position(|name| Some(name.as_str()) == tenant);
+    let tenant = names.borrow().tenants.iter().position(|name| Some(name.as_str()) == tenant);
     let target = head.uri.path_and_query().map_or(path, |whole| whole.as_str()).to_owned();
     let (id, tenant) = (id.into(), tenant.unwrap_or(usize::MAX));
     let headers = forwarded(head.headers);
--- a/crates/scheduler/src/exchange.rs
+++ b/crates/scheduler/src/exchange.rs
@@ -21,7 +21,7 @@
 use tindock::policy::Policy;
 use tindock::types::{Condition, Decision, PolicySettings};
 use tindock_berth::listing::{Entry, Listing};
-use tindock_berth::Words;
+use tindock_berth::Names;
 use tindock_roster::suspicion::Suspicion;
 use tindock_words::{Address, WorkerNames};
 use tokio::sync::{mpsc, oneshot, Notify};
@@ -493,11 +493,11 @@
 
     /// Exports all that this process knows of workers and workloads; from now on another process accepts the
     /// tasks.
-    pub fn export_state(&self, words: &Words) -> Heritage {
+    pub fn export_state(&self, names: &Names) -> Heritage {
         self.set_yielded(true);
         let state = self.state.borrow();
         let entries = || state.workers.iter().map(|listed| &listed.entry);
-        heritage::leave(&state.policy, &state.workloads, entries, state.bans.clone(), words, &self.clock)
+        heritage::leave(&state.policy, &state.workloads, entries, state.bans.clone(), names, &self.clock)
     }
 
     /// Sets whether another process accepts the tasks.
@@ -506,11 +506,11 @@
     }
 
     /// Imports the state exported by the previous process, after its list was applied.
-    pub fn import_state(&self, heritage: &Heritage, words: &Words) {
+    pub fn import_state(&self, heritage: &Heritage, names: &Names) {
         self.feed(|state| {
             let (worker_indices, workloads, policy) =
                 (&state.worker_indices, &state.workloads, &mut state.policy);
-            heritage.take(policy, workloads, |name| worker_indices.get(name).copied(), words, &self.clock);
+            heritage.take(policy, workloads, |name| worker_indices.get(name).copied(), names, &self.clock);
         });
     }
 
@@ -534,15 +534,15 @@
     }
 
     /// Applies the settings of a new, validated file. Returns the longest hard limit from now on.
-    pub fn reconfigure(&self, settings: PolicySettings, words: &Words) -> Duration {
+    pub fn reconfigure(&self, settings: PolicySettings, names: &Names) -> Duration {
         self.feed(|state| {
             let tasks = &state.tasks;
             let is_busy = |record: &TaskRecord| {
                 record.answer.is_some() || record.assignments.iter().any(|assignment| !assignment.ended)
             };
             let busy = |row| tasks.iter().any(|record| record.workload == row && is_busy(record));
-            let before = state.workloads.reconfigure(&words.workloads, &settings.workloads, busy);
-            state.workloads.customers.clone_from(&words.customers);
+            let before = state.workloads.reconfigure(&names.workloads, &settings.workloads, busy);
+            state.workloads.tenants.clone_from(&names.tenants);
             state.workloads.max_retry_after = settings.max_retry_after;
             state.policy.reconfigure(state.workloads.settings(settings), &before);
             state.workloads.table.iter().map(|row| row.hard_limit).max().unwrap_or_default()
--- a/crates/scheduler/src/keep/mod.rs
+++ b/crates/scheduler/src/keep/mod.rs
@@ -17,7 +17,7 @@
 use std::path::Path;
 use std::sync::mpsc::{self, Receiver};
 use std::time::{Duration, Instant};
-use tindock_berth::keeper::{Keeper, Kept};
+use tindock_berth::keeper::{KeeperConfig, KeptScheduler};
 use tindock_rollout::supervisor::{Order, ProcessStatus, State, Supervisor, Upgrade};
 use tindock_rollout::Lease;
 
@@ -26,7 +26,7 @@
 
 /// One scheduler.
 struct One {
-    is: Kept,
+    is: KeptScheduler,
     keeping: Supervisor,
     processes: Processes,
     lease: Lease,
@@ -34,7 +34,7 @@
 }
 
 pub struct Host {
-    keeper: Keeper,
+    keeper: KeeperConfig,
     programs: Programs,
     all: Vec<One>,
     began: Instant,
@@ -57,7 +57,7 @@
 }
 
 impl Host {
-    fn begin(keeper: Keeper, log: Logger) -> Result<Self, String> {
+    fn begin(keeper: KeeperConfig, log: Logger) -> Result<Self, String> {
         let mut programs = Programs::open(&keeper.folder)?;
         // The file's program is the one for schedulers that were never started here.
         let first = programs.bring(&keeper.program)?;
--- a/crates/scheduler/src/keep/processes.rs
+++ b/crates/scheduler/src/keep/processes.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
-use tindock_berth::keeper::Kept;
+use tindock_berth::keeper::KeptScheduler;
 use tindock_rollout::supervisor::ProcessStatus;
 
 /// A scheduler answers in milliseconds; one that takes longer is not ready.
@@ -42,14 +42,14 @@
 }
 
 pub struct Processes {
-    is: Kept,
+    is: KeptScheduler,
     runtime: PathBuf,
     log: PathBuf,
     places: [Option<Process>; 2],
 }
 
 impl Processes {
-    pub fn new(is: &Kept, folder: &Path) -> Self {
+    pub fn new(is: &KeptScheduler, folder: &Path) -> Self {
         let file = |ending: &str| folder.join(format!("{}.{ending}", is.name));
         Processes { is: is.clone(), runtime: file("run"), log: file("log"), places: [None, None] }
     }
--- a/crates/scheduler/src/list/inventory_watch.rs
+++ b/crates/scheduler/src/list/inventory_watch.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use tindock_berth::{Problem, Stock};
+use tindock_berth::{Problem, InventorySettings};
 use tindock_inventory::{diff, write, Change, Columns, Entry, Inventory, State, Written};
 use tindock_roster::guard::{Guard, Snapshot, Verdict};
 use tokio::sync::mpsc::Sender;
@@ -38,7 +38,7 @@
 }
 
 pub struct InventoryThread {
-    pub settings: Stock,
+    pub settings: InventorySettings,
     /// The folder of the configuration.
     pub folder: PathBuf,
     pub events: Sender<InventoryEvent>,
@@ -46,7 +46,7 @@
 
 /// The state of the watch between polls.
 pub struct InventoryWatch {
-    settings: Stock,
+    settings: InventorySettings,
     folder: PathBuf,
     in_force: Inventory,
     addresses: Vec<SocketAddr>,
@@ -79,7 +79,7 @@
 }
 
 impl InventoryWatch {
-    pub fn new(settings: Stock, folder: PathBuf) -> Self {
+    pub fn new(settings: InventorySettings, folder: PathBuf) -> Self {
         InventoryWatch {
             guard: Guard::new(settings.guard_share, settings.confirm_after),
             settings,
--- a/crates/scheduler/src/list/probing.rs
+++ b/crates/scheduler/src/list/probing.rs
@@ -1,7 +1,7 @@
 //! Health checks of the workers named in files: `GET` on the configured path, one connection for each check;
 //! any status from 200 to 299 is healthy.
 
-use crate::berth::HealthTerms;
+use crate::berth::HealthCheckSettings;
 use crate::list::connector::Connector;
 use crate::list::worker_list::WorkerList;
 use bytes::Bytes;
@@ -16,14 +16,14 @@
 use tokio::time::timeout;
 
 /// Checks until the process ends.
-pub async fn run(worker_list: Rc<WorkerList>, connector: Rc<dyn Connector>, terms: HealthTerms) {
-    let terms = Rc::new(terms);
+pub async fn run(worker_list: Rc<WorkerList>, connector: Rc<dyn Connector>, settings: HealthCheckSettings) {
+    let settings = Rc::new(settings);
     loop {
         // The worker list limits the number of concurrent checks.
         let (name, number, address) = worker_list.next_check().await;
-        let (worker_list, connector, terms) = (worker_list.clone(), connector.clone(), terms.clone());
+        let (worker_list, connector, settings) = (worker_list.clone(), connector.clone(), settings.clone());
         tokio::task::spawn_local(async move {
-            let check = timeout(terms.within, check(&*connector, address, &terms.path));
+            let check = timeout(settings.timeout, check(&*connector, address, &settings.path));
             let healthy = matches!(check.await, Ok(Some(true)));
             worker_list.record_check(&name, number, healthy);
         });
--- a/crates/scheduler/src/list/worker_list.rs
+++ b/crates/scheduler/src/list/worker_list.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tindock::types::Condition;
 use tindock_berth::listing::{self, Entry, Listing};
-use tindock_berth::Words;
+use tindock_berth::Names;
 use tindock_inventory::State;
 use tindock_roster::health::HealthChecker;
 use tindock_roster::merge::WorkerListMerge;
@@ -30,7 +30,7 @@
 
 pub struct WorkerList {
     exchange: Rc<Exchange>,
-    words: RefCell<Words>,
+    names: RefCell<Names>,
     files: Option<FileSources>,
     forwarded: Cell<u64>,
     log: Logger,
@@ -38,10 +38,10 @@
 
 impl WorkerList {
     /// Without files, discovery responses are passed on unchanged.
-    pub fn from_discovery(exchange: Rc<Exchange>, words: Words, log: Logger) -> Rc<Self> {
+    pub fn from_discovery(exchange: Rc<Exchange>, names: Names, log: Logger) -> Rc<Self> {
         Rc::new(WorkerList {
             exchange,
-            words: RefCell::new(words),
+            names: RefCell::new(names),
             files: None,
             forwarded: Cell::new(0),
             log,
@@ -50,28 +50,28 @@
 
     pub fn with_files(
         exchange: Rc<Exchange>,
-        words: Words,
+        names: Names,
         health: Option<HealthChecker>,
         log: Logger,
     ) -> Rc<Self> {
         let merge = RefCell::new(WorkerListMerge::new(|one: &Entry, other| one.address == other.address));
         let files = Some(FileSources { merge, health: health.map(RefCell::new), checks_due: Notify::new() });
-        Rc::new(WorkerList { exchange, words: RefCell::new(words), files, forwarded: Cell::new(0), log })
+        Rc::new(WorkerList { exchange, names: RefCell::new(names), files, forwarded: Cell::new(0), log })
     }
 
     /// The names of all zones, kinds and workloads listed so far.
-    pub fn words(&self) -> Words {
-        self.words.borrow().clone()
+    pub fn names(&self) -> Names {
+        self.names.borrow().clone()
     }
 
     /// The index of a machine kind, shared by all users of the name.
     pub fn kind(&self, kind: String) -> Result<usize, String> {
-        self.words.borrow_mut().kind(kind)
+        self.names.borrow_mut().kind(kind)
     }
 
     /// Decodes a discovery response, which may add new names.
     pub fn decode(&self, body: &[u8]) -> Result<Listing, String> {
-        listing::decode(body, &mut self.words.borrow_mut())
+        listing::decode(body, &mut self.names.borrow_mut())
     }
 
     /// Applies a discovery response.
@@ -110,7 +110,7 @@
         for (number, (name, found)) in file_entries.into_iter().enumerate() {
             let member = found.and_then(|(entry, address)| {
                 let leaving = entry.state == State::Leaving;
-                let site = self.words.borrow_mut().site(entry.zone, entry.kind, entry.group as usize);
+                let site = self.names.borrow_mut().site(entry.zone, entry.kind, entry.group as usize);
                 let site = site.map_err(|why| warn!(self.log, "worker {name} is ignored: {why}")).ok()?;
                 let (weight, condition, booted_ms) = (entry.slots, Condition::Ready, None);
                 let entry = Entry { name: entry.name, address, site, weight, condition, booted_ms };
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 use tindock_scheduler::accord;
-use tindock_scheduler::berth::{self, Layers, Level, LogForm};
+use tindock_scheduler::berth::{self, Layers, Level, LogSettings};
 use tindock_scheduler::cli::{self, Cli, Command, LogFormat, LogLevel};
 use tindock_scheduler::keep;
 use tindock_scheduler::rollout::{self, Wrong};
@@ -31,7 +31,7 @@
 }
 
 /// A log to standard output, and a guard that must live until its last lines are written.
-fn logger(form: LogForm) -> (Logger, AsyncGuard) {
+fn logger(form: LogSettings) -> (Logger, AsyncGuard) {
     let out = std::io::stdout();
     // Lines that cannot be written or queued are dropped: no log may block or end the scheduler.
     let drain: Box<dyn Drain<Ok = (), Err = slog::Never> + Send> = if form.json {
@@ -52,17 +52,17 @@
     let _ = all.recv_timeout(FLUSH_TIMEOUT);
 }
 
-fn run(path: PathBuf, layers: Layers, override_log: impl Fn(&mut LogForm)) -> Result<(), String> {
-    let mut berth = berth::from_file(&path, &layers)?;
-    override_log(&mut berth.log);
-    let (log, guard) = logger(berth.log);
-    let ended = start::run(berth, path, layers, &log);
+fn run(path: PathBuf, layers: Layers, override_log: impl Fn(&mut LogSettings)) -> Result<(), String> {
+    let mut config = berth::from_file(&path, &layers)?;
+    override_log(&mut config.log);
+    let (log, guard) = logger(config.log);
+    let ended = start::run(config, path, layers, &log);
     flush(guard);
     ended
 }
 
 fn keep(file: &Path, form: LogFormat) -> Result<(), Vec<String>> {
-    let (log, guard) = logger(LogForm { json: form == LogFormat::Json, ..LogForm::default() });
+    let (log, guard) = logger(LogSettings { json: form == LogFormat::Json, ..LogSettings::default() });
     let ended = keep::run(file, &log);
     flush(guard);
     ended
@@ -108,7 +108,7 @@
         }
         Some(Command::Run { file, overrides, log_format, log_level }) => {
             let path = file.map_or_else(named, Ok).map_err(|why| one_line(why.into()))?;
-            let log_overrides = |form: &mut LogForm| {
+            let log_overrides = |form: &mut LogSettings| {
                 form.json = log_format.map_or(form.json, |f| f == LogFormat::Json);
                 form.level = match log_level {
                     None => form.level,
--- a/crates/scheduler/src/operators/reload.rs
+++ b/crates/scheduler/src/operators/reload.rs
@@ -4,7 +4,7 @@
 
 use crate::accord::text::Text;
 use crate::accord::{policy, Policies};
-use crate::berth::{self, Berth, Layers};
+use crate::berth::{self, SchedulerConfig, Layers};
 use crate::clients::listener::ClientListener;
 use crate::exchange::Exchange;
 use crate::list::worker_list::WorkerList;
@@ -74,18 +74,18 @@
 
     /// The file is small and local, so it is read synchronously.
     fn reload(&self, wanted: Option<&str>) -> Result<(), String> {
-        let check_digest = |berth: Berth| match wanted {
+        let check_digest = |config: SchedulerConfig| match wanted {
             // Guards against a file that was replaced after the call was sent and that nobody has approved.
-            Some(digest) if digest != berth.digest => {
-                Err(format!("the file has digest {}, not {digest}", berth.digest))
+            Some(digest) if digest != config.digest => {
+                Err(format!("the file has digest {}, not {digest}", config.digest))
             }
-            _ => Ok(berth),
+            _ => Ok(config),
         };
-        let read = self.read().and_then(check_digest).and_then(|berth| self.validate(berth));
+        let read = self.read().and_then(check_digest).and_then(|config| self.validate(config));
         self.telemetry.reloaded(read.is_ok());
         match read {
-            Ok(berth) => {
-                self.apply(berth);
+            Ok(config) => {
+                self.apply(config);
                 Ok(())
             }
             Err(why) => {
@@ -97,7 +97,7 @@
     }
 
     /// Reads the file; where a group has decided a policy, with that policy applied.
-    fn read(&self) -> Result<Berth, String> {
+    fn read(&self) -> Result<SchedulerConfig, String> {
         let local = berth::from_file(&self.path, &self.layers)?;
         let policy = self.group.as_ref().and_then(|group| Some((group, group.policy.borrow().clone()?)));
         let Some((group, text)) = policy else { return Ok(local) };
@@ -114,29 +114,29 @@
 
     /// Guards against a truncated file that still parses, and against names beyond the limits of the tables:
     /// nothing of it is applied.
-    fn validate(&self, mut berth: Berth) -> Result<Berth, String> {
-        if let Some(missing) = self.keys.borrow().difference(&berth.keys).next() {
+    fn validate(&self, mut config: SchedulerConfig) -> Result<SchedulerConfig, String> {
+        if let Some(missing) = self.keys.borrow().difference(&config.keys).next() {
             return Err(format!("no {missing}, which the file before had"));
         }
-        let kinds = &berth.words.kinds;
-        for row in &mut berth.sheet.workloads {
+        let kinds = &config.names.kinds;
+        for row in &mut config.settings.workloads {
             if let Some(kind) = row.kind {
                 let name = kinds.get(kind).ok_or_else(|| format!("no machine kind {kind}"))?;
                 row.kind = Some(self.worker_list.kind(name.clone())?);
             }
         }
-        Ok(berth)
+        Ok(config)
     }
 
-    fn apply(&self, berth: Berth) {
-        self.keys.replace(berth.keys);
-        self.version.set_settings(berth.digest);
-        self.stopping.reaches(self.exchange.reconfigure(berth.sheet, &berth.words));
+    fn apply(&self, config: SchedulerConfig) {
+        self.keys.replace(config.keys);
+        self.version.set_settings(config.digest);
+        self.stopping.reaches(self.exchange.reconfigure(config.settings, &config.names));
         self.clients.reload_names();
-        let names = berth.words.workloads.join(", ");
+        let names = config.names.workloads.join(", ");
         let at = self.discovery.as_ref().map(|discovery| {
             let changed = discovery.send_if_modified(|at| {
-                let new = berth.discovery.unwrap_or(*at);
+                let new = config.discovery.unwrap_or(*at);
                 std::mem::replace(at, new) != new
             });
             let what = if changed { "discovery is now" } else { "discovery is still" };
@@ -148,16 +148,16 @@
 
 impl Policies for ConfigReloader {
     fn check(&self, text: &Text) -> Result<(), String> {
-        policy::over(&self.path, &self.layers, text).and_then(|berth| self.validate(berth)).map(|_| ())
+        policy::over(&self.path, &self.layers, text).and_then(|config| self.validate(config)).map(|_| ())
     }
 
     /// The same steps as for a file that is reread.
     fn take_up(&self, text: &Rc<Text>) -> Result<(), String> {
-        let berth = policy::over(&self.path, &self.layers, text).and_then(|berth| self.validate(berth))?;
+        let config = policy::over(&self.path, &self.layers, text).and_then(|config| self.validate(config))?;
         if let Some(group) = &self.group {
             group.policy.replace(Some(text.clone()));
         }
-        self.apply(berth);
+        self.apply(config);
         Ok(())
     }
 }
--- a/crates/scheduler/src/peers/socket.rs
+++ b/crates/scheduler/src/peers/socket.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tindock_berth::Others;
+use tindock_berth::PeerAddresses;
 use tindock_words::{self as words, PeerMessage, MAX_MESSAGE_BYTES};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
@@ -21,14 +21,14 @@
 pub struct PeerSocket {
     pub exchange: Rc<Exchange>,
     pub socket: Rc<UdpSocket>,
-    pub others: Others,
+    pub addresses: PeerAddresses,
     pub log: Logger,
 }
 
 impl PeerSocket {
-    pub async fn send(socket: Rc<UdpSocket>, others: Others, mut messages: mpsc::Receiver<Message>) {
+    pub async fn send(socket: Rc<UdpSocket>, addresses: PeerAddresses, mut messages: mpsc::Receiver<Message>) {
         while let Some((to, message)) = messages.recv().await {
-            let all = others.all.iter().enumerate().filter(|(position, _)| *position != others.position);
+            let all = addresses.all.iter().enumerate().filter(|(position, _)| *position != addresses.position);
             for (_, &address) in all.filter(|(position, _)| to.is_none_or(|to| to == *position)) {
                 // The scheduler may be down: messages may be lost.
                 let _ = socket.send_to(&message, address).await;
@@ -39,7 +39,7 @@
     /// Receives messages until the process ends.
     pub async fn receive(self) {
         let positions: HashMap<SocketAddr, usize> =
-            self.others.all.iter().enumerate().map(|(position, &at)| (at, position)).collect();
+            self.addresses.all.iter().enumerate().map(|(position, &at)| (at, position)).collect();
         let (mut bytes, mut dropped) = ([0; MAX_MESSAGE_BYTES + 1], 0u64);
         let mut log_timer = tokio::time::interval(DROPPED_LOG_INTERVAL);
         loop {
@@ -47,7 +47,7 @@
                 received = self.socket.recv_from(&mut bytes) => {
                     // An error here reports that an earlier message was not delivered.
                     let Ok((length, from)) = received else { continue };
-                    let position = positions.get(&from).copied().filter(|&position| position != self.others.position);
+                    let position = positions.get(&from).copied().filter(|&position| position != self.addresses.position);
                     match position.zip(words::decode(&bytes[..length])) {
                         Some((position, message)) => self.dispatch(position, message),
                         None => dropped += 1,
--- a/crates/scheduler/src/rollout/coordinator.rs
+++ b/crates/scheduler/src/rollout/coordinator.rs
@@ -12,8 +12,8 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use tindock_berth::plan::{Change, Managed, Plan};
-use tindock_berth::{digest, digest_of, grafting};
+use tindock_berth::plan::{Change, PlannedScheduler, Plan};
+use tindock_berth::{digest, digest_of, merging};
 use tindock_rollout::{
     planning, Observation, Order, Outcome, Reason, Rollout, SettingsVersion, State, TaskTotals,
 };
@@ -33,7 +33,7 @@
 
 /// One scheduler of the run.
 struct Member {
-    is: Managed,
+    is: PlannedScheduler,
     /// The texts of its file, where those change.
     old: String,
     new: String,
@@ -43,12 +43,12 @@
 }
 
 impl Member {
-    fn new(is: Managed, old: String, new: String) -> Self {
+    fn new(is: PlannedScheduler, old: String, new: String) -> Self {
         let digests = (digest(&old), digest(&new));
         Member { is, old, new, digests, look: None }
     }
 
-    fn of_programs(is: Managed, old: String, new: String) -> Self {
+    fn of_programs(is: PlannedScheduler, old: String, new: String) -> Self {
         Member { is, old: String::new(), new: String::new(), digests: (old, new), look: None }
     }
 
@@ -78,7 +78,7 @@
     for is in &plan.schedulers {
         let path = &is.configuration;
         let made = read(path).and_then(|old| {
-            let new = grafting::graft(path, &old, settings, &next).map_err(|why| vec![why])?;
+            let new = merging::merge_settings(path, &old, settings, &next).map_err(|why| vec![why])?;
             berth::parse(path, &new, &Layers::default())?;
             Ok((old, new))
         });
@@ -250,11 +250,11 @@
         let machine = tindock_rollout::Plan {
             stages: stages.clone(),
             min_watch: plan.watch,
-            max_watch: plan.longest,
+            max_watch: plan.max_watch,
             worse_by: plan.worse_by,
-            error: plan.error,
-            change_timeout: plan.to_change,
-            undo_timeout: plan.undo_within,
+            error: plan.false_stop_rate,
+            change_timeout: plan.change_timeout,
+            undo_timeout: plan.undo_timeout,
             replaces_process: matches!(plan.change, Change::Program(_)),
         };
         let zero = Duration::ZERO;
--- a/crates/scheduler/src/rollout/looking.rs
+++ b/crates/scheduler/src/rollout/looking.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
-use tindock_berth::plan::{Managed, Way};
+use tindock_berth::plan::{PlannedScheduler, Endpoint};
 use tindock_rollout::TaskTotals;
 
 /// An answer is owed in one second.
@@ -87,10 +87,10 @@
 }
 
 /// Where its operators' address is now, and what its keeper tells, where it has one, in the same answer.
-pub fn way(is: &Managed) -> Result<(SocketAddr, Option<Kept>), String> {
-    match is.way {
-        Way::Management(at) => Ok((at, None)),
-        Way::Keeper(at) => kept(at, &is.name).map(|kept| (kept.management, Some(kept))),
+pub fn way(is: &PlannedScheduler) -> Result<(SocketAddr, Option<Kept>), String> {
+    match is.endpoint {
+        Endpoint::Management(at) => Ok((at, None)),
+        Endpoint::Keeper(at) => kept(at, &is.name).map(|kept| (kept.management, Some(kept))),
     }
 }
 
@@ -108,7 +108,7 @@
     }
 }
 
-pub fn look(is: &Managed) -> Result<Look, String> {
+pub fn look(is: &PlannedScheduler) -> Result<Look, String> {
     let (at, kept) = way(is)?;
     let standing = standing(at)?;
     let text = asked(at, "telemetry", ANSWER)?;
@@ -148,27 +148,27 @@
     }
 }
 
-fn told(is: &Managed, call: &str, within: Duration) -> Said {
+fn told(is: &PlannedScheduler, call: &str, within: Duration) -> Said {
     way(is).map_or_else(Said::Nothing, |(at, _)| tell(at, call, within))
 }
 
-pub fn lease(is: &Managed, run: &str, number: u64) -> Said {
+pub fn lease(is: &PlannedScheduler, run: &str, number: u64) -> Said {
     told(is, &format!("lease {run} {number}"), ANSWER)
 }
 
-pub fn release(is: &Managed, run: &str, number: u64) {
+pub fn release(is: &PlannedScheduler, run: &str, number: u64) {
     // Where it does not arrive the lease runs out by itself.
     let _ = told(is, &format!("release {run} {number}"), ANSWER);
 }
 
-pub fn reread(is: &Managed, run: &str, number: u64, digest: &str) -> Said {
+pub fn reread(is: &PlannedScheduler, run: &str, number: u64, digest: &str) -> Said {
     told(is, &format!("reread {run} {number} {digest}"), IN_FORCE)
 }
 
 /// Tells the keeper which program a scheduler is to run; a yes is a beginning. Without a path it is one that the keeper
 /// has already.
-pub fn bring(is: &Managed, run: &str, number: u64, digest: &str, path: Option<&Path>) -> Said {
-    let Way::Keeper(at) = is.way else { return Said::Refused("it has no keeper".into()) };
+pub fn bring(is: &PlannedScheduler, run: &str, number: u64, digest: &str, path: Option<&Path>) -> Said {
+    let Endpoint::Keeper(at) = is.endpoint else { return Said::Refused("it has no keeper".into()) };
     let path = path.map_or(String::new(), |path| format!(" {}", path.display()));
     tell(at, &format!("bring {} {run} {number} {digest}{path}", is.name), COPIED)
 }
--- a/crates/scheduler/src/start.rs
+++ b/crates/scheduler/src/start.rs
@@ -1,7 +1,7 @@
 //! Builds the parts and runs them on one thread until the scheduler is stopped.
 
 use crate::accord::{policy, Accord, Opened};
-use crate::berth::{self, Berth, Layers};
+use crate::berth::{self, SchedulerConfig, Layers};
 use crate::clients::listener::ClientListener;
 use crate::clients::requests::BodyBudget;
 use crate::clock::Clock;
@@ -53,31 +53,31 @@
 }
 
 /// Serves until it is stopped and every task is answered; an error only if it could not start.
-pub fn run(berth: Berth, path: PathBuf, layers: Layers, log: &Logger) -> Result<(), String> {
+pub fn run(config: SchedulerConfig, path: PathBuf, layers: Layers, log: &Logger) -> Result<(), String> {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_io().enable_time().build().map_err(|e| format!("runtime: {e}"))?;
-    LocalSet::new().block_on(&runtime, serve(berth, path, layers, log))
+    LocalSet::new().block_on(&runtime, serve(config, path, layers, log))
 }
 
-async fn serve(mut berth: Berth, path: PathBuf, layers: Layers, log: &Logger) -> Result<(), String> {
+async fn serve(mut config: SchedulerConfig, path: PathBuf, layers: Layers, log: &Logger) -> Result<(), String> {
     // Guards against a signal that ends the process early: both are caught before anyone can see the process
     // as ready.
     let caught = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
     let (hang_up, terminate) = (caught(SignalKind::hangup())?, caught(SignalKind::terminate())?);
-    let management_listener = match berth.management {
+    let management_listener = match config.management {
         None => None,
         Some(at) => Some(listen(at, false).map_err(|e| format!("management, {at}: {e}"))?),
     };
     let telemetry = Rc::new(Telemetry::default());
-    let place = berth.runtime.as_deref().map(|runtime| handover::place(runtime, &berth.name));
-    let takeover = place.as_deref().map_or(Ok(None), |place| handover::ask(place, berth.listen));
+    let place = config.runtime.as_deref().map(|runtime| handover::place(runtime, &config.name));
+    let takeover = place.as_deref().map_or(Ok(None), |place| handover::ask(place, config.listen));
     let takeover = takeover.unwrap_or_else(|e| {
         warn!(log, "cannot take over from the running process: {e}");
         None
     });
     let (mut before, mut inherited) = (None, None);
     let listener = match takeover {
-        None => listen(berth.listen, place.is_some()).map_err(|e| format!("{}: {e}", berth.listen))?,
+        None => listen(config.listen, place.is_some()).map_err(|e| format!("{}: {e}", config.listen))?,
         Some(takeover) => {
             before = Some(UnixStream::from_std(takeover.stream).map_err(|e| e.to_string())?);
             inherited = Some(takeover.heritage);
@@ -85,53 +85,53 @@
         }
     };
     // Opened only after the running process has released its membership of the group.
-    let opened = berth.accord.as_ref().map(|settings| Opened::folder(settings, &berth.name)).transpose()?;
+    let opened = config.agreement.as_ref().map(|settings| Opened::folder(settings, &config.name)).transpose()?;
     let mut group =
-        berth.accord.as_ref().map(|_| Group { initial: policy::says(&berth), policy: None.into() });
+        config.agreement.as_ref().map(|_| Group { initial: policy::says(&config), policy: None.into() });
     if let Some((text, group)) = opened.as_ref().and_then(Opened::in_force).zip(group.as_mut()) {
         group.policy = RefCell::new(Some(text.clone()));
         match policy::over(&path, &layers, text) {
-            Ok(applied) => berth = berth::Berth { accord: berth.accord, known: berth.known, ..applied },
+            Ok(applied) => config = berth::SchedulerConfig { agreement: config.agreement, known: config.known, ..applied },
             // It cannot serve as a member of the group, and reports that for as long as it runs.
             Err(why) => warn!(log, "this process cannot read the policy in force: {why}"),
         }
     }
     // The state of the other process is newer than the file.
-    let list = inherited.as_mut().and_then(|h| h.list.take()).filter(|_| berth.inventory.is_none());
-    let list = list.map(|list| list.decode(&mut berth.words)).transpose().unwrap_or_else(|why| {
+    let list = inherited.as_mut().and_then(|h| h.list.take()).filter(|_| config.inventory.is_none());
+    let list = list.map(|list| list.decode(&mut config.names)).transpose().unwrap_or_else(|why| {
         warn!(log, "the worker list of the running process is not taken over: {why}");
         None
     });
-    let index = berth.known.as_ref().map(|known| known.index).filter(|_| list.is_none());
-    let known = list.or(berth.known.take());
+    let index = config.known.as_ref().map(|known| known.index).filter(|_| list.is_none());
+    let known = list.or(config.known.take());
     let open = Rc::new(Cell::new(false));
     let part = |name: &'static str| log.new(o!("part" => name));
     let clock = Clock::start();
-    let version = Rc::new(Version::new(std::mem::take(&mut berth.digest), clock));
+    let version = Rc::new(Version::new(std::mem::take(&mut config.digest), clock));
     let stopping = Rc::new(Stopping::new(part("stopping")));
-    stopping.reaches(berth.sheet.workloads.iter().map(|row| row.hard_limit).max().unwrap_or_default());
-    let workloads = WorkloadTable::new(&berth.sheet, &berth.words);
+    stopping.reaches(config.settings.workloads.iter().map(|row| row.hard_limit).max().unwrap_or_default());
+    let workloads = WorkloadTable::new(&config.settings, &config.names);
     let began = clock.now();
-    let decision_module = Policy::new(berth.sheet, berth.seed, began);
+    let decision_module = Policy::new(config.settings, config.seed, began);
     let now = Box::new(move || clock.now());
     let (exchange, commands) = Exchange::new(decision_module, workloads, clock, now, part("rules"));
-    let bans = Bans::new(berth.runtime.as_deref(), &berth.name, part("management"));
+    let bans = Bans::new(config.runtime.as_deref(), &config.name, part("management"));
     exchange.restore_bans(inherited.as_ref().map_or_else(|| bans.read(), |h| h.banned.clone()));
     exchange.start(began, known);
-    inherited.iter().for_each(|inherited| exchange.import_state(inherited, &berth.words));
-    let worker_list = match &berth.inventory {
-        None => WorkerList::from_discovery(exchange.clone(), berth.words.clone(), part("inventory")),
+    inherited.iter().for_each(|inherited| exchange.import_state(inherited, &config.names));
+    let worker_list = match &config.inventory {
+        None => WorkerList::from_discovery(exchange.clone(), config.names.clone(), part("inventory")),
         Some(stock) => {
             let health_settings = stock.health.clone();
             let health = health_settings.as_ref().map(|h| {
                 let (down_after, up_after, panic_share) = (h.down_after, h.up_after, h.panic_share);
                 HealthChecker::new(
-                    HealthSettings { interval: h.every, down_after, up_after, panic_share },
-                    berth.seed,
+                    HealthSettings { interval: h.interval, down_after, up_after, panic_share },
+                    config.seed,
                 )
             });
             let worker_list =
-                WorkerList::with_files(exchange.clone(), berth.words.clone(), health, part("inventory"));
+                WorkerList::with_files(exchange.clone(), config.names.clone(), health, part("inventory"));
             if let Some(health_settings) = health_settings {
                 spawn_local(probing::run(worker_list.clone(), Rc::new(Tcp), health_settings));
             }
@@ -148,13 +148,13 @@
         }
     };
     let mut discovery_address = None;
-    match berth.discovery {
+    match config.discovery {
         Some(at) => {
             let (address_sender, address) = watch::channel(at);
             discovery_address = Some(address_sender);
             // The service is an agent on the local machine, whatever the settings say of the service behind
             // it.
-            let client = ListClient::new(Service::Agent { max_wait: LONG_WAIT }, index, berth.seed);
+            let client = ListClient::new(Service::Agent { max_wait: LONG_WAIT }, index, config.seed);
             let log = part("discovery");
             let discovery = Discovery {
                 exchange: exchange.clone(),
@@ -168,27 +168,27 @@
         }
         None => exchange.without_discovery(),
     }
-    let pool = Rc::new(Pool::new(berth.rooms.for_workers, berth.dial, berth.keep));
+    let pool = Rc::new(Pool::new(config.resource_limits.worker_connections, config.connect_timeout, config.idle_timeout));
     let sending =
         Sending::new(exchange.clone(), pool.clone(), telemetry.assignments.clone(), part("workers"));
     let mut peer_messages = None;
-    if let Some(others) = berth.others {
-        let at = others.all[others.position];
+    if let Some(addresses) = config.peers {
+        let at = addresses.all[addresses.position];
         let socket = UdpSocket::bind(at).await.map_err(|e| format!("peers, {at}: {e}"))?;
         let (socket, (sender, messages)) = (Rc::new(socket), mpsc::channel(socket::QUEUED_MESSAGES));
         peer_messages = Some(sender);
-        spawn_local(PeerSocket::send(socket.clone(), others.clone(), messages));
-        let peers = PeerSocket { exchange: exchange.clone(), socket, others, log: part("peers") };
+        spawn_local(PeerSocket::send(socket.clone(), addresses.clone(), messages));
+        let peers = PeerSocket { exchange: exchange.clone(), socket, addresses, log: part("peers") };
         spawn_local(peers.receive());
     }
-    exchange.configure(berth.words.reports.clone(), peer_messages);
+    exchange.configure(config.names.reports.clone(), peer_messages);
     let line = Rc::new(Line::default());
     let clients = ClientListener::new(
         exchange.clone(),
         stopping.clone(),
-        berth.rooms.for_clients,
+        config.resource_limits.client_connections,
         line.clone(),
-        BodyBudget::new(berth.rooms.for_bodies),
+        BodyBudget::new(config.resource_limits.body_bytes),
         telemetry.clone(),
         part("clients"),
     );
@@ -196,7 +196,7 @@
     let reloader = Rc::new(ConfigReloader {
         path,
         layers,
-        keys: berth.keys.into(),
+        keys: config.keys.into(),
         group,
         discovery: discovery_address,
         exchange: exchange.clone(),
@@ -208,9 +208,9 @@
         log: part("configuration"),
     });
     let mut accord = None;
-    if let Some((settings, opened)) = berth.accord.zip(opened) {
+    if let Some((settings, opened)) = config.agreement.zip(opened) {
         let policies = reloader.clone();
-        let group = Accord::new(settings, berth.name.clone(), opened, clock, policies, part("accord"))?;
+        let group = Accord::new(settings, config.name.clone(), opened, clock, policies, part("accord"))?;
         clients.set_group(group.clone());
         spawn_local(group.clone().keep());
         group.first_word().await;
@@ -225,7 +225,7 @@
     spawn_local(async move { timer.run_timers().await });
     let listener = Rc::new(listener);
     let local_address = listener.local_addr().map_err(|e| e.to_string())?;
-    info!(log, "{} listens on {local_address}", berth.name);
+    info!(log, "{} listens on {local_address}", config.name);
     let counts = clients.clone();
     spawn_local(async move { counts.log_counts().await });
     spawn_local(clients.clone().accept(listener.clone()));
@@ -265,6 +265,6 @@
         spawn_local(Rc::new(management).accept(listener));
     }
     leaving::over(&stopping, terminate, &clients, &exchange, &open).await;
-    info!(log, "{} ends", berth.name);
+    info!(log, "{} ends", config.name);
     Ok(())
 }
--- a/crates/scheduler/src/succession/handover.rs
+++ b/crates/scheduler/src/succession/handover.rs
@@ -137,7 +137,7 @@
         self.open.set(false);
         self.door.pause(true);
         self.group.iter().for_each(|group| group.rest());
-        let heritage = self.exchange.export_state(&self.muster.words());
+        let heritage = self.exchange.export_state(&self.muster.names());
         let sent = async {
             stream.writable().await?;
             passing::pass(&stream, &*self.listener)?;
--- a/crates/scheduler/src/succession/heritage.rs
+++ b/crates/scheduler/src/succession/heritage.rs
@@ -9,7 +9,7 @@
 use tindock::policy::Policy;
 use tindock::state::{MachineKind, Model, RunTimes, WorkerState};
 use tindock_berth::listing::{Entry, ListingDoc};
-use tindock_berth::Words;
+use tindock_berth::Names;
 
 pub const VERSION: u32 = 1;
 
@@ -46,7 +46,7 @@
     rows: &WorkloadTable,
     entries: impl Fn() -> I,
     banned: BTreeSet<String>,
-    words: &Words,
+    words: &Names,
     clock: &Clock,
 ) -> Heritage {
     let (known, workers) = rules.records();
@@ -95,7 +95,7 @@
         rules: &mut Policy,
         rows: &WorkloadTable,
         index: impl Fn(&str) -> Option<usize>,
-        words: &Words,
+        words: &Names,
         clock: &Clock,
     ) {
         let mut known: Model = rules.records().0.clone();
--- a/crates/scheduler/src/workload_table.rs
+++ b/crates/scheduler/src/workload_table.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tindock::types::{PolicySettings, Workload};
-use tindock_berth::Words;
+use tindock_berth::Names;
 
 /// The names that a request may use. Workloads are indexed by row; a row without a name accepts no tasks.
 #[derive(Clone, Debug, Default)]
 pub struct TaskNames {
     pub workloads: Vec<Option<Rc<str>>>,
-    pub customers: Vec<String>,
+    pub tenants: Vec<String>,
 }
 
 impl TaskNames {
@@ -23,7 +23,7 @@
 pub struct WorkloadTable {
     pub names: Vec<Option<Rc<str>>>,
     pub table: Vec<Workload>,
-    pub customers: Vec<String>,
+    pub tenants: Vec<String>,
     /// The longest delay to name in Retry-After, if one may be sent.
     pub max_retry_after: Option<Duration>,
     /// `members`, `position` and `zone` among the schedulers, as they were at the start.
@@ -31,14 +31,14 @@
 }
 
 impl WorkloadTable {
-    pub fn new(settings: &PolicySettings, words: &Words) -> Self {
-        let names = words.workloads.iter().map(|name| Some(name.as_str().into())).collect();
-        let (table, customers) = (settings.workloads.clone(), words.customers.clone());
+    pub fn new(settings: &PolicySettings, index_names: &Names) -> Self {
+        let names = index_names.workloads.iter().map(|name| Some(name.as_str().into())).collect();
+        let (table, tenants) = (settings.workloads.clone(), index_names.tenants.clone());
         let max_retry_after = settings.max_retry_after;
         WorkloadTable {
             names,
             table,
-            customers,
+            tenants,
             max_retry_after,
             membership: (settings.members, settings.position, settings.zone),
         }
@@ -46,7 +46,7 @@
 
     /// The names by which tasks are accepted now.
     pub fn task_names(&self) -> TaskNames {
-        TaskNames { workloads: self.names.clone(), customers: self.customers.clone() }
+        TaskNames { workloads: self.names.clone(), tenants: self.tenants.clone() }
     }
 
     /// The settings of a new file with the rows of this table. What sockets and workers depend on stays as it
@@ -114,8 +114,8 @@
         }
     }
 
-    fn words(words: &[&str]) -> Vec<String> {
-        words.iter().map(|w| w.to_string()).collect()
+    fn strings(texts: &[&str]) -> Vec<String> {
+        texts.iter().map(|w| w.to_string()).collect()
     }
 
     /// Guards against tasks in flight that are judged by later settings, and against a table that grows
@@ -128,12 +128,12 @@
                 workloads: vec![idempotent.clone(), once.clone()],
                 ..PolicySettings::default()
             },
-            &Words { workloads: words(&["a", "b"]), ..Words::default() },
+            &Names { workloads: strings(&["a", "b"]), ..Names::default() },
         );
         // b changes while one of its tasks is in flight: it gets a new row, which continues with the learned
         // figures.
         let from =
-            rows.reconfigure(&words(&["a", "b"]), &[idempotent.clone(), row(Effect::Idempotent, 2)], |r| {
+            rows.reconfigure(&strings(&["a", "b"]), &[idempotent.clone(), row(Effect::Idempotent, 2)], |r| {
                 r == 1
             });
         assert_eq!(from, [Some(0), Some(1), Some(1)]);
@@ -141,13 +141,13 @@
         assert_eq!((rows.table[1].effect, rows.table[1].max_assignments), (Effect::Unrepeatable, 4));
         // c is added after that task has ended: it reuses the free row and starts fresh; a is removed.
         let from =
-            rows.reconfigure(&words(&["b", "c"]), &[row(Effect::Idempotent, 2), once.clone()], |_| false);
+            rows.reconfigure(&strings(&["b", "c"]), &[row(Effect::Idempotent, 2), once.clone()], |_| false);
         assert_eq!(from, [Some(0), None, Some(2)]);
         let names: Vec<_> = rows.names.iter().map(|n| n.as_deref()).collect();
         assert_eq!(names, [None, Some("c"), Some("b")]);
         assert_eq!(rows.table[0].max_assignments, 4);
         // Fewer assignments for all, including tasks in flight under an old row.
-        rows.reconfigure(&words(&["c"]), &[row(Effect::Unrepeatable, 1)], |_| true);
+        rows.reconfigure(&strings(&["c"]), &[row(Effect::Unrepeatable, 1)], |_| true);
         assert!(rows.table.iter().all(|row| row.max_assignments == 1), "{rows:?}");
         assert_eq!(rows.table.len(), 4);
     }
--- a/crates/scheduler/tests/decoding.rs
+++ b/crates/scheduler/tests/decoding.rs
@@ -1,7 +1,7 @@
 //! Decoding of what comes from outside, and counting of the bytes that go out.
 
 use insta::assert_snapshot;
-use tindock_scheduler::berth::Words;
+use tindock_scheduler::berth::Names;
 use tindock_scheduler::clients::head_scanner::HeadScanner;
 use tindock_scheduler::listing;
 use tindock_scheduler::workers::load_reports;
@@ -26,8 +26,8 @@
 /// kind names.
 #[test]
 fn a_list_with_a_wrong_entry_is_rejected_as_a_whole() {
-    let mut words = Words { zones: vec!["a".into()], kinds: vec!["m2".into()], ..Words::default() };
-    let known = words.clone();
+    let mut names = Names { zones: vec!["a".into()], kinds: vec!["m2".into()], ..Names::default() };
+    let known = names.clone();
     let entry = |zone: &str, more: &str| {
         let base =
             r#""name":"w","address":"127.0.0.1:1","type":"m2","group":3,"status":"active","weight":1.5"#;
@@ -35,10 +35,10 @@
     };
     let mut read = |entries: &[String]| {
         let body = format!(r#"{{"index":7,"snapshot":true,"endpoints":[{}]}}"#, entries.join(","));
-        let read = listing::decode(body.as_bytes(), &mut words);
+        let read = listing::decode(body.as_bytes(), &mut names);
         let line =
             read.map_or_else(|why| format!("turned down: {why}"), |list| format!("{:?}", list.entries));
-        (line, words.zones.clone())
+        (line, names.zones.clone())
     };
     let (line, zones) = read(&[entry("b", ""), entry("a", r#","since_ms":-1.5"#)]);
     assert!(line.starts_with("turned down: "), "{line}");
--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -15,7 +15,7 @@
 use tindock::policy::Policy;
 use tindock::types::Effect;
 use tindock_roster::list_client::{ListClient, Service, SHORT_WAIT};
-use tindock_scheduler::berth::Words;
+use tindock_scheduler::berth::Names;
 use tindock_scheduler::clock::Clock;
 use tindock_scheduler::exchange::Exchange;
 use tindock_scheduler::list::connector::{Connecting, Connector, Stream};
@@ -155,14 +155,14 @@
         let clock = Clock::start();
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let settings = settings_for(&[Effect::Idempotent]);
-        let workloads = WorkloadTable::new(&settings, &Words::default());
+        let workloads = WorkloadTable::new(&settings, &Names::default());
         let policy = Policy::new(settings, 7, clock.now());
         let now = Box::new(move || clock.now());
         let (exchange, _orders) = Exchange::new(policy, workloads, clock, now, log.clone());
         let (address, moves) = watch::channel(([127, 0, 0, 1], 1).into());
         let client = ListClient::new(Service::Agent { max_wait: SHORT_WAIT }, None, 7);
         let connector = Rc::new(ScriptedConnector(agent.clone()));
-        let worker_list = WorkerList::from_discovery(exchange.clone(), Words::default(), log.clone());
+        let worker_list = WorkerList::from_discovery(exchange.clone(), Names::default(), log.clone());
         let client =
             Discovery { exchange: exchange.clone(), connector, worker_list, address: moves, client, log };
         spawn_local(client.run());
--- a/crates/scheduler/tests/exchange.rs
+++ b/crates/scheduler/tests/exchange.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tindock::policy::Policy;
 use tindock::types::{Condition, Effect, PolicySettings, Site};
-use tindock_scheduler::berth::Words;
+use tindock_scheduler::berth::Names;
 use tindock_scheduler::clock::Clock;
 use tindock_scheduler::exchange::{AssignmentKey, Command, Exchange, TaskHandle, TaskRequest};
 use tindock_scheduler::listing::{Entry, Listing};
@@ -44,7 +44,7 @@
 impl Fixture {
     fn new(settings: PolicySettings, workers: usize) -> Self {
         let now = Rc::new(Cell::new(ms(1_000_000)));
-        let (clock, workloads) = (now.clone(), WorkloadTable::new(&settings, &Words::default()));
+        let (clock, workloads) = (now.clone(), WorkloadTable::new(&settings, &Names::default()));
         let policy = Policy::new(settings, 7, now.get());
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let (exchange, commands) =
--- a/crates/scheduler/tests/stocking.rs
+++ b/crates/scheduler/tests/stocking.rs
@@ -6,7 +6,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
-use tindock_berth::Stock;
+use tindock_berth::InventorySettings;
 use tindock_inventory::{Columns, Form};
 use tindock_scheduler::list::inventory_watch::{accept_file, InventoryEvent, InventoryWatch};
 
@@ -33,8 +33,8 @@
         Fixture { folder, watch, now: Duration::from_secs(1) }
     }
 
-    fn settings(folder: &Path) -> Stock {
-        Stock {
+    fn settings(folder: &Path) -> InventorySettings {
+        InventorySettings {
             files: vec![folder.join("inventory")],
             columns: Columns::default(),
             fixed: Vec::new(),
