--- a/crates/berth/src/agreement.rs
+++ b/crates/berth/src/agreement.rs
@@ -1,31 +1,31 @@
-//! What a scheduler is told of the group that decides its policy together: `[accord]`.
+//! The settings of the group that agrees on a policy: `[accord]`.
 
-use crate::installation::{address, one_of, span, text, integer};
+use crate::installation::{address, integer, one_of, span, text};
 use crate::layers::{Reader, Section};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The most members of a group: a proposal names them all.
+/// Limit for the members of a group: a proposal names them all.
 const MAX_MEMBERS: usize = 1000;
-/// Below this a lease is out before words that were lost are said again.
+/// A shorter lease would expire before lost messages are sent again.
 const MIN_LEASE: Duration = Duration::from_millis(1500);
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgreementSettings {
-    /// Where it hears the other members.
+    /// The address at which it receives messages of the other members.
     pub listen: SocketAddr,
-    /// A folder of this scheduler alone, in which it keeps what it must not forget.
+    /// A folder for this scheduler alone, which holds its durable state.
     pub folder: PathBuf,
-    /// Who founds the group, by name and the address that the others know; counts until it is founded.
+    /// The founding members, by name and the address that the others use; ignored once the group is founded.
     pub members: Vec<(String, SocketAddr)>,
-    /// How many of them decide.
+    /// The number of members that vote.
     pub voters: usize,
-    /// How long a member serves on the voters' word.
+    /// How long a member serves after the voters have renewed its lease.
     pub lease: Duration,
-    /// How long a proposal waits for members that do not answer.
+    /// How long a proposal waits for members that do not respond.
     pub member_timeout: Duration,
-    /// A member whose lease is out goes on with what it has, instead of turning tasks away.
+    /// A member whose lease has expired keeps serving with its last policy, instead of rejecting tasks.
     pub serves_without_lease: bool,
 }
 
@@ -61,7 +61,10 @@
         return None;
     }
     if !members.is_empty() && !members.iter().any(|(name, _)| name == local_name) {
-        r.problem(&place, format!("accord.members does not name {local_name:?}, which is this scheduler's name"));
+        r.problem(
+            &place,
+            format!("accord.members does not name {local_name:?}, which is this scheduler's name"),
+        );
     }
     if members.len() > MAX_MEMBERS {
         r.problem(&place, format!("accord.members names {}; {MAX_MEMBERS} at the most", members.len()));
@@ -88,10 +91,12 @@
         read.map(|_| Vec::new()).unwrap_or_else(|lines| lines).join("\n")
     }
 
-    /// Guards against a group that is on though nobody asked for it, and against members that are not who was meant.
+    /// Guards against a group that is on without being configured, and against members other than those
+    /// intended.
     #[test]
     fn agreement_is_off_by_default_and_problems_have_their_place() {
-        let read = |text: &str| parse(Path::new("n0.toml"), text, &Layers::default()).expect("a configuration").0;
+        let read =
+            |text: &str| parse(Path::new("n0.toml"), text, &Layers::default()).expect("a configuration").0;
         assert_eq!(read(REST).agreement, None);
         let section =
             "[accord]\nlisten = \"127.0.0.1:7300\"\nfolder = \"kept\"\nmembers = [\"n0=127.0.0.1:7300\"]\n";
--- a/crates/berth/src/installation.rs
+++ b/crates/berth/src/installation.rs
@@ -1,11 +1,14 @@
-//! An installation's own form of the configuration: TOML, in the operators' words. The keys, their units, ranges and
+//! The configuration format of installations: TOML, in operators' terms. The keys, their units, ranges and
 //! defaults are listed in `docs/operating/configuration.md`.
 
 use crate::agreement::agreement;
-use crate::config::{digest, SchedulerConfig, HealthCheckSettings, Level, LogSettings, PeerAddresses, ResourceLimits, InventorySettings};
-use crate::layers::{Layers, Reader, Section, ShownValue, RawValue};
-use crate::units;
+use crate::config::{
+    digest, HealthCheckSettings, InventorySettings, Level, LogSettings, PeerAddresses, ResourceLimits,
+    SchedulerConfig,
+};
+use crate::layers::{Layers, RawValue, Reader, Section, ShownValue};
 use crate::names::Names;
+use crate::units;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -21,7 +24,7 @@
     Ok(w.text.clone())
 }
 
-/// A name that may stand in a path or a header.
+/// A name that may be part of a path or a header.
 pub(crate) fn name(w: &RawValue) -> Result<String, String> {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if w.text.is_empty() || w.text.len() > 64 || !w.text.chars().all(is_plain) {
@@ -66,8 +69,8 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Reads the text of a file called `name` that stands in `folder`, with what is said over it. Gives the configuration
-/// and each value in force with its source; or every problem.
+/// Reads the text of a file named `file` in `folder`, with its overrides. Returns the configuration and each
+/// value in force with its source, or all problems.
 pub fn read(
     file: &str,
     folder: &Path,
@@ -97,7 +100,12 @@
     }
 }
 
-fn read_config<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, folder: &Path, file: &str) -> Option<SchedulerConfig> {
+fn read_config<'t>(
+    r: &mut Reader<'t>,
+    top: &mut Section<'t>,
+    folder: &Path,
+    file: &str,
+) -> Option<SchedulerConfig> {
     let title = r.value(top, "name", name, "tindock");
     let zone = r.value(top, "zone", text, "here");
     let seed = r.value(top, "seed", integer(0, u64::MAX), "0");
@@ -291,7 +299,8 @@
     settings.warm_within = r.value(&mut s, "warm-within", span(Duration::ZERO), "10s");
     settings.crossing_cost = r.value(&mut s, "price-of-crossing", number(0.0, 1.0), "0.02");
     settings.max_retry_after = r.optional(&mut s, "come-back-at-most", span(MS));
-    settings.live_weights = r.value(&mut s, "weights", one_of(&[("sizes", false), ("moving", true)]), "sizes");
+    settings.live_weights =
+        r.value(&mut s, "weights", one_of(&[("sizes", false), ("moving", true)]), "sizes");
     let reports = r.strings(&mut s, "reports");
     settings.report_free = reports.iter().position(|(w, _)| w == "free-slots");
     settings.report_waiting = reports.iter().position(|(w, _)| w == "backlog");
@@ -302,11 +311,15 @@
     (connect_timeout, idle_timeout, max_assignments)
 }
 
-/// The most schedulers that tell one another of workers.
+/// Limit for the schedulers that exchange messages on workers.
 const MAX_PEERS: usize = 1000;
 
-/// The other schedulers that this one tells of workers, and is told by.
-fn peers<'t>(r: &mut Reader<'t>, top: &mut Section<'t>, settings: &mut PolicySettings) -> Option<PeerAddresses> {
+/// The schedulers that exchange messages on workers with this one.
+fn peers<'t>(
+    r: &mut Reader<'t>,
+    top: &mut Section<'t>,
+    settings: &mut PolicySettings,
+) -> Option<PeerAddresses> {
     let mut s = r.section(top, "peers");
     let place = s.place.clone();
     let listen = r.optional(&mut s, "listen", address);
@@ -392,7 +405,7 @@
     plain.then(|| w.text.clone()).ok_or_else(|| format!("{:?}; a path from / on was expected", w.text))
 }
 
-/// Workers that the configuration names itself: they stand beside those of files, under the same rules.
+/// Workers named in the configuration: they are added to those of files, under the same rules.
 fn fixed<'t>(r: &mut Reader<'t>, top: &mut Section<'t>) -> Vec<Entry> {
     let mut entries = Vec::new();
     for mut s in r.sections(top, "worker") {
@@ -418,7 +431,7 @@
     }
 }
 
-/// The variables of the process that speak to the configuration, for `Layers`.
+/// The environment variables that override the configuration, for `Layers`.
 pub fn variables() -> BTreeMap<String, String> {
     let utf8 = std::env::vars_os().filter_map(|(k, v)| Some((k.into_string().ok()?, v.into_string().ok()?)));
     Layers::from_variables(utf8).variables
--- a/crates/berth/src/keeper.rs
+++ b/crates/berth/src/keeper.rs
@@ -1,4 +1,4 @@
-//! What `tindock keep` is told, in the house's TOML. The keys are listed in `docs/operating/rollout.md`.
+//! The configuration of `tindock keep`, in TOML. The keys are listed in `docs/operating/rollout.md`.
 
 use crate::installation::{address, name, text};
 use crate::layers::{Reader, Section};
@@ -9,9 +9,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeeperConfig {
     pub name: String,
-    /// Where runs ask it.
+    /// The address at which rollouts call it.
     pub control: SocketAddr,
-    /// What it knows over its own end.
+    /// The folder of its durable state.
     pub folder: PathBuf,
     /// The program of schedulers that were never started here.
     pub program: PathBuf,
@@ -23,12 +23,13 @@
 pub struct KeptScheduler {
     pub name: String,
     pub configuration: PathBuf,
-    /// Its operators' addresses, in turns: in an upgrade two processes live side by side.
+    /// Its operators' addresses, used alternately: during an upgrade two processes run side by side.
     pub management: [SocketAddr; 2],
 }
 
-/// Reads what a keeper is told; paths in it are beside it, and come out absolute: schedulers are told of them, whose
-/// configurations stand elsewhere. Every problem is a line with its place.
+/// Reads the configuration of a keeper. Paths are relative to the file and returned as absolute ones: they
+/// are passed to schedulers whose configurations are in other folders. Every problem is a line with its
+/// place.
 pub fn open(path: &Path) -> Result<KeeperConfig, Vec<String>> {
     let absolute_path = std::path::absolute(path).map_err(|e| vec![format!("{}: {e}", path.display())])?;
     toml_file::open(&absolute_path, keeper)
@@ -68,7 +69,8 @@
     if schedulers.is_empty() {
         r.problem(&top.place.clone(), "no [[scheduler]]: there is nothing to keep");
     }
-    let (folder, program) = (state_folder.map(|path| folder.join(path)), program.map(|path| folder.join(path)));
+    let (folder, program) =
+        (state_folder.map(|path| folder.join(path)), program.map(|path| folder.join(path)));
     Some(KeeperConfig { name: title?, control: control?, folder: folder?, program: program?, schedulers })
 }
 
@@ -76,7 +78,7 @@
 mod tests {
     use super::*;
 
-    /// Guards against two processes at one address: each start would fail, again and again.
+    /// Guards against two processes at one address, whose starts would fail again and again.
     #[test]
     fn problems_are_reported_with_their_place() {
         let text = "name = \"yard\"\ncontrol = \"127.0.0.1:7300\"\nfolder = \"keep\"\nprogram = \"tindock\"\n\
@@ -87,16 +89,13 @@
         let again = text[text.find("[[").expect("a scheduler")..].replace("n0", "n1");
         let problems = read(&(text.to_string() + &again)).expect_err("a problem");
         assert_eq!(problems.len(), 1);
-        assert_eq!(
-            problems[0].to_string(),
-            "keep.toml:9:1: scheduler \"n1\": 127.0.0.1:1 is listed twice"
-        );
+        assert_eq!(problems[0].to_string(), "keep.toml:9:1: scheduler \"n1\": 127.0.0.1:1 is listed twice");
         let one = text.replace(", \"127.0.0.1:2\"", "");
         assert!(read(&one).expect_err("a problem").iter().any(|p| p.what.contains("two addresses")));
     }
 
-    /// Guards against a runtime folder that a scheduler looks for beside its own configuration: named by a relative path
-    /// it is there twice, nothing can be handed over, and each upgrade loses its tasks.
+    /// Guards against a relative runtime folder, which a scheduler would resolve from its own configuration's
+    /// folder: with two different folders nothing can be handed over, and each upgrade loses its tasks.
     #[test]
     fn relative_paths_become_absolute() {
         let folder = std::env::temp_dir().join(format!("tindock-keeper-{}", std::process::id()));
--- a/crates/berth/src/layers.rs
+++ b/crates/berth/src/layers.rs
@@ -1,5 +1,6 @@
-//! Layers of a configuration: the file, `TINDOCK_...` variables over it, flags over those. Reads values out of them,
-//! keeps where each came from, and collects every problem instead of stopping at the first.
+//! Layers of a configuration: the file, `TINDOCK_...` variables that override it, and flags that override
+//! both. Reads values, records where each came from, and collects all problems instead of stopping at the
+//! first.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,7 +9,7 @@
 use toml::de::{DeArray, DeTable, DeValue};
 use toml::Spanned;
 
-/// What is said over the file: a key's path, as `limits.sockets`, to its value.
+/// Overrides of the file: from a key's path, such as `limits.sockets`, to its value.
 #[derive(Clone, Debug, Default)]
 pub struct Layers {
     pub variables: BTreeMap<String, String>,
@@ -16,7 +17,8 @@
 }
 
 impl Layers {
-    /// From the process's variables: `TINDOCK_LIMITS__SOCKETS` is `limits.sockets`, `TINDOCK_HARD_LIMIT` `hard-limit`.
+    /// Reads environment variables: `TINDOCK_LIMITS__SOCKETS` is `limits.sockets`, `TINDOCK_HARD_LIMIT`
+    /// `hard-limit`.
     pub fn from_variables(variables: impl Iterator<Item = (String, String)>) -> Self {
         let key = |name: &str| {
             Some(name.strip_prefix("TINDOCK_")?.to_lowercase().replace("__", ".").replace('_', "-"))
@@ -54,25 +56,25 @@
     pub source: Source,
 }
 
-/// A value as written, before it is read.
+/// A value as written, before it is parsed.
 #[derive(Clone, Debug)]
 pub(crate) struct RawValue {
     pub text: String,
     pub place: Place,
 }
 
-/// A table of the file, which may be missing, and the keys that were asked for in it.
+/// A table of the file, which may be missing, and the keys that were looked up in it.
 pub(crate) struct Section<'t> {
     pub path: String,
     pub table: Option<&'t DeTable<'t>>,
     pub place: Place,
     known: Vec<&'static str>,
-    /// One of several of its kind: variables and flags have no name for it.
+    /// One table of a list: variables and flags cannot name it.
     in_list: bool,
 }
 
 impl Section<'_> {
-    /// The whole path of a key in it.
+    /// The full path of a key in it.
     fn at(&self, key: &str) -> String {
         if self.path.is_empty() {
             return key.into();
@@ -140,7 +142,7 @@
         }
     }
 
-    /// The tables of a list, as `[[workload]]`.
+    /// The tables of a list, such as `[[workload]]`.
     pub fn sections(&mut self, of: &mut Section<'t>, key: &'static str) -> Vec<Section<'t>> {
         let Some((array, _)) = self.array(of, key) else { return Vec::new() };
         let mut sections = Vec::new();
@@ -163,7 +165,7 @@
         sections
     }
 
-    /// The words of a list.
+    /// The strings of a list.
     pub fn strings(&mut self, of: &mut Section<'t>, key: &'static str) -> Vec<(String, Place)> {
         let Some((array, _)) = self.array(of, key) else { return Vec::new() };
         let mut strings = Vec::new();
@@ -181,7 +183,7 @@
         strings
     }
 
-    /// The values of a list, each by its reader.
+    /// The values of a list, each parsed by `read`.
     pub fn values<T>(
         &mut self,
         of: &mut Section<'t>,
@@ -204,7 +206,7 @@
         values
     }
 
-    /// Every key of a table with its word, for tables whose keys are the user's own.
+    /// All keys of a table with their values, for tables whose keys the user chooses.
     pub fn pairs(&mut self, of: &mut Section<'t>) -> Vec<(String, String, Place)> {
         let mut pairs = Vec::new();
         for (key, value) in of.table.into_iter().flatten() {
@@ -225,7 +227,7 @@
         pairs
     }
 
-    /// What a key says: a flag's word before a variable's before the file's.
+    /// Looks up a key: a flag overrides a variable, which overrides the file.
     fn lookup(&mut self, of: &mut Section<'t>, key: &'static str) -> Option<(RawValue, Source)> {
         of.known.push(key);
         let path = of.at(key);
@@ -255,7 +257,7 @@
         }
     }
 
-    /// A value by its reader; the default where nothing is said, or what is said will not do.
+    /// A parsed value; the default if the key is missing or its value is invalid.
     pub fn value<T>(
         &mut self,
         of: &mut Section<'t>,
@@ -280,7 +282,7 @@
         read(&raw_default).unwrap_or_else(|why| unreachable!("the default of {key} is read: {why}"))
     }
 
-    /// A value that may be left out.
+    /// An optional value.
     pub fn optional<T>(
         &mut self,
         of: &mut Section<'t>,
@@ -301,7 +303,7 @@
         }
     }
 
-    /// A value that may not.
+    /// A required value.
     pub fn required<T>(
         &mut self,
         of: &mut Section<'t>,
@@ -317,7 +319,7 @@
         found
     }
 
-    /// Keys that nobody asked for.
+    /// Reports keys that were never looked up.
     pub fn reject_unknown_keys(&mut self, section: &Section<'t>) {
         for (key, _) in section.table.into_iter().flatten() {
             let name: &str = key.get_ref();
@@ -330,7 +332,7 @@
         }
     }
 
-    /// Flags and variables that nobody asked for.
+    /// Reports flags and variables that were never looked up.
     pub fn reject_unknown_overrides(&mut self) {
         let used: Vec<&str> = self.used.iter().map(String::as_str).collect();
         let mut problems = Vec::new();
--- a/crates/berth/src/listing.rs
+++ b/crates/berth/src/listing.rs
@@ -1,4 +1,4 @@
-//! A discovery answer, decoded once: the whole list of workers or what changed in it.
+//! Decodes a discovery response: the whole list of workers, or the changes to it.
 
 use crate::names::Names;
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,7 @@
     pub site: Site,
     pub weight: f64,
     pub condition: Condition,
-    /// When it last started, Unix time in milliseconds; none for long ago.
+    /// When it last started, in Unix milliseconds; none for long ago.
     pub booted_ms: Option<u64>,
 }
 
@@ -51,15 +51,16 @@
 }
 
 impl ListingDoc {
-    /// A whole list of these, in the words that they were read by.
+    /// A whole list of these entries, with the names by which they were read.
     pub fn of<'a>(entries: impl Iterator<Item = &'a Entry>, names: &Names) -> Self {
         ListingDoc { index: 0, snapshot: true, endpoints: entries.map(|e| EntryDoc::of(e, names)).collect() }
     }
 
-    /// A list that is wrong anywhere is wrong as a whole, and leaves no words behind.
+    /// One invalid entry rejects the whole list, and none of its names is added.
     pub fn decode(self, names: &mut Names) -> Result<Listing, String> {
         let mut extended = names.clone();
-        let entries = self.endpoints.into_iter().map(|e| e.decode(&mut extended)).collect::<Result<_, _>>()?;
+        let entries =
+            self.endpoints.into_iter().map(|e| e.decode(&mut extended)).collect::<Result<_, _>>()?;
         *names = extended;
         Ok(Listing { index: self.index, whole: self.snapshot, entries })
     }
--- a/crates/berth/src/merging.rs
+++ b/crates/berth/src/merging.rs
@@ -1,18 +1,18 @@
-//! A configuration that takes other settings and stays its own: what all schedulers have in common comes from another
-//! file, what tells one scheduler from the next (name, place, addresses, limits) stays as it is.
+//! Applies common settings to a configuration: settings shared by all schedulers are taken from another file,
+//! while those of one scheduler (name, position, addresses, limits) are kept.
 
 use crate::is_toml;
 use serde_json::Value;
 use std::path::Path;
 use toml_edit::DocumentMut;
 
-/// Of the platform's settings: where this scheduler stands among the others.
+/// In the platform's settings: the position of this scheduler among the others.
 const LOCAL_SETTINGS: [&str; 2] = ["zone", "position"];
-/// Of an installation's TOML: what is in force by SIGHUP and common to all.
+/// In an installation's TOML: keys that SIGHUP applies and that all schedulers share.
 const COMMON_KEYS: [&str; 4] = ["workload", "customer", "utility-beyond-share", "workers"];
 
-/// The text of the configuration at `path`, with the settings of `next`, a file of the same form. Comments and all
-/// else stay. One line says what will not do.
+/// Returns the text of the configuration at `path` with the settings of `next`, a file of the same format.
+/// Comments and other keys are kept. An error is one line.
 pub fn merge_settings(path: &Path, local: &str, next_path: &Path, next: &str) -> Result<String, String> {
     let (local_name, next_name) = (path.display(), next_path.display());
     if is_toml(path) != is_toml(next_path) {
@@ -55,7 +55,8 @@
     use super::merge_settings;
     use std::path::Path;
 
-    /// Guards against a scheduler that takes another one's name, place or address with its settings.
+    /// Guards against a scheduler that takes the name, position or address of another one along with its
+    /// settings.
     #[test]
     fn local_settings_are_kept() {
         let (local, next) = (Path::new("n0.json"), Path::new("next.json"));
--- a/crates/berth/src/names.rs
+++ b/crates/berth/src/names.rs
@@ -1,4 +1,4 @@
-//! The outside words for the module's indices.
+//! The outer names of the decision module's indices.
 
 #[derive(Clone, Debug, Default)]
 pub struct Names {
@@ -9,10 +9,10 @@
     pub reports: Vec<String>,
 }
 
-/// Guards against lists that name zones or kinds without end: tables are kept by them.
+/// Guards against lists that name ever more zones or kinds: tables are sized by them.
 const MAX_NAMES: usize = 256;
 
-/// The index of a word, which is added if it is new.
+/// The index of a name, which is added if it is new.
 pub(crate) fn index(names: &mut Vec<String>, name: String) -> Result<usize, String> {
     if let Some(at) = names.iter().position(|n| *n == name) {
         return Ok(at);
--- a/crates/berth/src/plan.rs
+++ b/crates/berth/src/plan.rs
@@ -1,5 +1,4 @@
-//! What a run of `tindock rollout` is told: its plan, in the house's TOML. The keys are listed in
-//! `docs/operating/rollout.md`.
+//! The plan of a `tindock rollout` run, in TOML. The keys are listed in `docs/operating/rollout.md`.
 
 use crate::installation::{address, name, number, span, text};
 use crate::layers::{Reader, Section};
@@ -16,7 +15,7 @@
     /// The folder of the run's record.
     pub record: PathBuf,
     pub change: Change,
-    /// Of all schedulers, those changed at the end of each stage: growing, the last 1.
+    /// The share of all schedulers changed by the end of each stage: increasing, the last one 1.
     pub shares: Vec<f64>,
     pub watch: Duration,
     pub max_watch: Duration,
@@ -28,12 +27,12 @@
     pub schedulers: Vec<PlannedScheduler>,
 }
 
-/// What every scheduler gets.
+/// The change that every scheduler gets.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// The settings of this file.
     Settings(PathBuf),
-    /// This program, by its keeper.
+    /// This program, started by the keeper.
     Program(PathBuf),
 }
 
@@ -42,21 +41,21 @@
 pub enum Endpoint {
     /// At its operators' address.
     Management(SocketAddr),
-    /// Its keeper, which starts its processes, knows where.
+    /// Through its keeper, which starts its processes and knows their address.
     Keeper(SocketAddr),
 }
 
-/// One scheduler that is to be changed.
+/// One scheduler to be changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedScheduler {
     pub name: String,
     pub zone: String,
     pub endpoint: Endpoint,
-    /// What it reads.
+    /// The configuration file that it reads.
     pub configuration: PathBuf,
 }
 
-/// Reads a plan; paths in it are beside it. Every problem is a line with its place.
+/// Reads a plan; paths in it are relative to the file. Every problem is a line with its place.
 pub fn open(path: &Path) -> Result<Plan, Vec<String>> {
     toml_file::open(path, plan)
 }
@@ -80,7 +79,7 @@
         r.problem(&s.place.clone(), "shares; numbers that grow, the last of them 1.0, were expected");
     }
     let watch = r.value(&mut s, "watch", span(SECOND), "30s");
-    // Where little comes, ten watches; a run that finds out nothing in that time is not worth an open end.
+    // With little traffic, up to ten watch periods; a run without a result by then is not worth leaving open.
     let max_watch = r.optional(&mut s, "watch-at-most", span(watch)).unwrap_or(10 * watch);
     let worse_by = r.value(&mut s, "worse-by", number(0.001, 1.0), "0.05");
     let false_stop_rate = r.value(&mut s, "false-stops", number(1e-6, 0.5), "0.01");
@@ -166,10 +165,11 @@
         assert_eq!(plan.schedulers[0].configuration, Path::new("dir/n0.json"));
     }
 
-    /// Guards against a plan that is taken for another one than was meant.
+    /// Guards against a plan that is read as another one than intended.
     #[test]
     fn problems_are_reported_with_their_place() {
-        let twice = format!("{COMPLETE_PLAN}{}", &COMPLETE_PLAN[COMPLETE_PLAN.find("[[").expect("a scheduler")..]);
+        let twice =
+            format!("{COMPLETE_PLAN}{}", &COMPLETE_PLAN[COMPLETE_PLAN.find("[[").expect("a scheduler")..]);
         let invalid =
             twice.replace("[0.17, 0.5, 1.0]", "[0.5, 0.17]").replace("watch = \"6s\"", "wach = \"6s\"");
         let invalid = invalid.replacen("127.0.0.1:7200", "here", 1).replace("settings", "setings");
@@ -188,7 +188,10 @@
         assert!(problems(&program).contains("a program is brought by its keeper"));
         let kept = program.replace("management = ", "keeper = ");
         let read = toml_file::read("plan.toml", Path::new(""), &kept, plan).expect("a plan");
-        assert!(matches!((read.change, read.schedulers[0].endpoint), (Change::Program(_), Endpoint::Keeper(_))));
+        assert!(matches!(
+            (read.change, read.schedulers[0].endpoint),
+            (Change::Program(_), Endpoint::Keeper(_))
+        ));
         assert!(problems("name = ").contains("plan.toml:1:"));
         assert!(problems("").contains("no [[scheduler]]"));
     }
--- a/crates/berth/src/platform.rs
+++ b/crates/berth/src/platform.rs
@@ -1,6 +1,8 @@
-//! The platform's form of the configuration: JSON.
+//! The platform's configuration format: JSON.
 
-use crate::config::{digest, SchedulerConfig, LogSettings, ResourceLimits, DEFAULT_DESCRIPTORS, DEFAULT_MEMORY_MB};
+use crate::config::{
+    digest, LogSettings, ResourceLimits, SchedulerConfig, DEFAULT_DESCRIPTORS, DEFAULT_MEMORY_MB,
+};
 use crate::listing::ListingDoc;
 use crate::names::Names;
 use serde::de::IgnoredAny;
@@ -41,10 +43,11 @@
     rows.iter().map(string).collect()
 }
 
-/// What the platform tells one process alone: the file may be shared by two, the old one and the one that takes over.
+/// What the platform passes to one process alone, because two processes, the old one and the one that takes
+/// over, may share the file.
 #[derive(Default)]
 pub struct Process {
-    /// The operators' address, before the file's.
+    /// The operators' address; overrides the file's.
     pub management: Option<String>,
     pub runtime: Option<PathBuf>,
 }
@@ -56,22 +59,22 @@
     }
 }
 
-/// Keys that come and go: what is known at a start, and what the process is told beside the file.
+/// Keys that may be absent from a later version: the known workers, and what is also passed beside the file.
 const TRANSIENT_KEYS: [&str; 2] = ["known", "mgmt"];
 
 /// The keys of the file and of its settings.
 fn keys(text: &str, settings: &Value) -> Result<BTreeSet<String>, String> {
-    // What stands under them was read already.
+    // The values were parsed already.
     let whole: BTreeMap<String, IgnoredAny> = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let inner = settings.as_object().into_iter().flatten().map(|(key, _)| format!("settings.{key}"));
     Ok(whole.into_keys().filter(|key| !TRANSIENT_KEYS.contains(&key.as_str())).chain(inner).collect())
 }
 
-/// Reads the file's text.
+/// Parses the file's text.
 pub fn read(text: &str, process: &Process) -> Result<SchedulerConfig, String> {
     let doc: Doc = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let mut settings = tindock_sheet::from_json(&doc.settings)?;
-    // The platform tells no addresses of other schedulers, so there is no way for words between them.
+    // The platform passes no addresses of other schedulers, so they cannot exchange messages.
     settings.members = 0;
     let mut names = Names {
         workloads: strings(&doc.settings, "workloads", Some("name"))?,
@@ -80,7 +83,8 @@
         kinds: strings(&doc.settings, "skus", None)?,
         reports: strings(doc.settings.get("reporting").unwrap_or(&Value::Null), "names", None)?,
     };
-    if let Some(duplicate) = names.workloads.iter().enumerate().find(|(at, w)| names.workloads[..*at].contains(w))
+    if let Some(duplicate) =
+        names.workloads.iter().enumerate().find(|(at, w)| names.workloads[..*at].contains(w))
     {
         return Err(format!("settings: workload {:?} again", duplicate.1));
     }
@@ -95,7 +99,7 @@
         discovery: Some(address(&doc.discovery, "discovery")?),
         inventory: None,
         peers: None,
-        // It tells no addresses of others, so there is no group.
+        // Without addresses of other schedulers there is no group.
         agreement: None,
         management: management.map(|at| address(at, "mgmt")).transpose()?,
         runtime: process.runtime.clone(),
--- a/crates/berth/src/units.rs
+++ b/crates/berth/src/units.rs
@@ -1,8 +1,8 @@
-//! Figures with their units, as written in a configuration.
+//! Numbers with units, as written in a configuration.
 
 use std::time::Duration;
 
-/// Longer than anything that is waited for.
+/// Longer than any time that is configured.
 const MAX_SPAN_S: f64 = 366.0 * 24.0 * 3600.0;
 
 fn split(text: &str) -> Option<(f64, &str)> {
@@ -12,7 +12,7 @@
     Some((number, text[unit..].trim()))
 }
 
-/// A span: a number and one of `us`, `ms`, `s`, `min`, `h`.
+/// Parses a time span: a number and one of `us`, `ms`, `s`, `min`, `h`.
 pub fn span(text: &str) -> Result<Duration, String> {
     let expected =
         || format!("{text:?}; a time with its unit was expected, as \"500ms\", \"2s\" or \"1min\"");
@@ -32,7 +32,8 @@
     Ok(Duration::from_secs_f64(seconds))
 }
 
-/// Bytes: a number and one of `B`, `KB`, `MB`, `GB` (powers of 1000) or `KiB`, `MiB`, `GiB` (powers of 1024).
+/// Parses a size: a number and one of `B`, `KB`, `MB`, `GB` (powers of 1000) or `KiB`, `MiB`, `GiB` (powers
+/// of 1024).
 pub fn bytes(text: &str) -> Result<u64, String> {
     let expected = || format!("{text:?}; a size with its unit was expected, as \"64KiB\" or \"192MB\"");
     let (number, unit) = split(text).ok_or_else(expected)?;
--- a/crates/berth/tests/installation.rs
+++ b/crates/berth/tests/installation.rs
@@ -1,10 +1,10 @@
-//! Configurations in TOML: what they say, what is over them, and every problem with its place.
+//! Configurations in TOML: values, overrides, and each problem with its place.
 
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::time::Duration;
 use tindock::types::{Discovery, Effect, Group};
-use tindock_berth::{installation, SchedulerConfig, Layers, ShownValue, Source};
+use tindock_berth::{installation, Layers, SchedulerConfig, ShownValue, Source};
 
 const GOOD: &str = "\
 listen = \"127.0.0.1:7000\"
@@ -42,12 +42,16 @@
     let row = &config.settings.workloads[0];
     assert_eq!(row.effect, Effect::Deduplicated(Group::Zone));
     assert_eq!((row.promised, row.memory), (Duration::from_millis(500), Duration::from_secs(30)));
-    assert_eq!((config.settings.discovery, config.settings.quotas.as_slice()), (Discovery::Pushed, &[12.5][..]));
+    assert_eq!(
+        (config.settings.discovery, config.settings.quotas.as_slice()),
+        (Discovery::Pushed, &[12.5][..])
+    );
     assert_eq!(config.names.kinds[row.kind.expect("a kind")], "std");
     assert_eq!(config.inventory.expect("fixed workers").fixed.len(), 1);
 }
 
-/// Flags go over variables, those over the file, and each value knows where it came from.
+/// Guards against a value from the wrong layer: flags override variables, those the file, and each source is
+/// recorded.
 #[test]
 fn flags_override_variables_and_variables_the_file() {
     let variables =
@@ -57,7 +61,10 @@
     layers.flags.insert("limits.sockets".into(), "600".into());
     let (config, shown) = read(GOOD, &layers).expect("a configuration");
     assert_eq!(config.connect_timeout, Duration::from_secs(1));
-    assert_eq!(config.resource_limits.client_connections + config.resource_limits.worker_connections, 600 - 32);
+    assert_eq!(
+        config.resource_limits.client_connections + config.resource_limits.worker_connections,
+        600 - 32
+    );
     let source = |path: &str| shown.iter().find(|s| s.path == path).map(|s| s.source.clone());
     assert_eq!(source("limits.sockets"), Some(Source::Flag));
     assert_eq!(
@@ -68,7 +75,8 @@
     assert!(matches!(source("zone"), Some(Source::File(place)) if place.line == 2));
 }
 
-/// Each change to a good file has one problem, at its place, in these words.
+/// Guards against a vague report: each change to a valid file gives one problem, with its place and this
+/// text.
 #[test]
 fn invalid_values_are_reported_with_their_place() {
     let changes: &[(&str, &str, &str)] = &[
@@ -166,7 +174,8 @@
     assert_eq!(reported, ["--set:1:1: unknown key \"limits.socket\"; limits.sockets was meant?"]);
 }
 
-/// The new settings are off by default, and say what the sheet needs where they are set.
+/// Guards against messages between schedulers that are on by default, and against a wrong position among
+/// them.
 #[test]
 fn peers_are_off_by_default_and_set_the_position() {
     let (config, _) = read(GOOD, &Layers::default()).expect("a configuration");
@@ -176,12 +185,18 @@
     let (config, _) =
         read(&GOOD.replacen("[workers]", peers, 1), &Layers::default()).expect("a configuration");
     let settings = &config.settings;
-    assert_eq!((settings.members, settings.position, settings.schedulers, settings.message_cost), (2, 1, 3, 0.01));
-    assert_eq!((settings.live_weights, settings.report_free, settings.report_waiting), (true, Some(1), Some(0)));
+    assert_eq!(
+        (settings.members, settings.position, settings.schedulers, settings.message_cost),
+        (2, 1, 3, 0.01)
+    );
+    assert_eq!(
+        (settings.live_weights, settings.report_free, settings.report_waiting),
+        (true, Some(1), Some(0))
+    );
     assert_eq!(config.peers.expect("others").all.len(), 2);
 }
 
-/// The example that newcomers start from.
+/// Guards against examples that new users cannot start from.
 #[test]
 fn example_files_are_valid() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/tindock.toml");
--- a/crates/scheduler/src/accord/policy.rs
+++ b/crates/scheduler/src/accord/policy.rs
@@ -4,7 +4,7 @@
 use crate::accord::text::Text;
 use std::path::{Path, PathBuf};
 use tindock_berth::merging::merge_settings;
-use tindock_berth::{parse, SchedulerConfig, Layers};
+use tindock_berth::{parse, Layers, SchedulerConfig};
 
 /// The configuration at `path` with the policy of a text in it.
 pub fn over(path: &Path, layers: &Layers, text: &Text) -> Result<SchedulerConfig, String> {
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line and the commands that do not serve.
 
 use crate::accord::commands::Policies;
-use crate::berth::{self, open, Layers, Problem, ShownValue, InventorySettings};
+use crate::berth::{self, open, InventorySettings, Layers, Problem, ShownValue};
 use crate::list::inventory_files;
 use crate::list::inventory_watch::accept_file;
 use crate::operators::calls;
@@ -254,7 +254,8 @@
         Inventories::Accept { config } => {
             let (configuration, _) = open(config, &Overrides::default().layers())?;
             let name = config.display();
-            let settings = configuration.inventory.ok_or_else(|| vec![format!("{name}: has no [inventory]")])?;
+            let settings =
+                configuration.inventory.ok_or_else(|| vec![format!("{name}: has no [inventory]")])?;
             let found = read_inventory(&settings)?;
             let folder = config.parent().unwrap_or(Path::new(""));
             let (file, digest) = (accept_file(folder), format!("{:016x}", found.digest()));
--- a/crates/scheduler/src/list/inventory_watch.rs
+++ b/crates/scheduler/src/list/inventory_watch.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use tindock_berth::{Problem, InventorySettings};
+use tindock_berth::{InventorySettings, Problem};
 use tindock_inventory::{diff, write, Change, Columns, Entry, Inventory, State, Written};
 use tindock_roster::guard::{Guard, Snapshot, Verdict};
 use tokio::sync::mpsc::Sender;
--- a/crates/scheduler/src/operators/reload.rs
+++ b/crates/scheduler/src/operators/reload.rs
@@ -4,7 +4,7 @@
 
 use crate::accord::text::Text;
 use crate::accord::{policy, Policies};
-use crate::berth::{self, SchedulerConfig, Layers};
+use crate::berth::{self, Layers, SchedulerConfig};
 use crate::clients::listener::ClientListener;
 use crate::exchange::Exchange;
 use crate::list::worker_list::WorkerList;
--- a/crates/scheduler/src/peers/socket.rs
+++ b/crates/scheduler/src/peers/socket.rs
@@ -26,9 +26,14 @@
 }
 
 impl PeerSocket {
-    pub async fn send(socket: Rc<UdpSocket>, addresses: PeerAddresses, mut messages: mpsc::Receiver<Message>) {
+    pub async fn send(
+        socket: Rc<UdpSocket>,
+        addresses: PeerAddresses,
+        mut messages: mpsc::Receiver<Message>,
+    ) {
         while let Some((to, message)) = messages.recv().await {
-            let all = addresses.all.iter().enumerate().filter(|(position, _)| *position != addresses.position);
+            let all =
+                addresses.all.iter().enumerate().filter(|(position, _)| *position != addresses.position);
             for (_, &address) in all.filter(|(position, _)| to.is_none_or(|to| to == *position)) {
                 // The scheduler may be down: messages may be lost.
                 let _ = socket.send_to(&message, address).await;
--- a/crates/scheduler/src/rollout/coordinator.rs
+++ b/crates/scheduler/src/rollout/coordinator.rs
@@ -12,7 +12,7 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use tindock_berth::plan::{Change, PlannedScheduler, Plan};
+use tindock_berth::plan::{Change, Plan, PlannedScheduler};
 use tindock_berth::{digest, digest_of, merging};
 use tindock_rollout::{
     planning, Observation, Order, Outcome, Reason, Rollout, SettingsVersion, State, TaskTotals,
--- a/crates/scheduler/src/rollout/looking.rs
+++ b/crates/scheduler/src/rollout/looking.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
-use tindock_berth::plan::{PlannedScheduler, Endpoint};
+use tindock_berth::plan::{Endpoint, PlannedScheduler};
 use tindock_rollout::TaskTotals;
 
 /// An answer is owed in one second.
--- a/crates/scheduler/src/start.rs
+++ b/crates/scheduler/src/start.rs
@@ -1,7 +1,7 @@
 //! Builds the parts and runs them on one thread until the scheduler is stopped.
 
 use crate::accord::{policy, Accord, Opened};
-use crate::berth::{self, SchedulerConfig, Layers};
+use crate::berth::{self, Layers, SchedulerConfig};
 use crate::clients::listener::ClientListener;
 use crate::clients::requests::BodyBudget;
 use crate::clock::Clock;
@@ -59,7 +59,12 @@
     LocalSet::new().block_on(&runtime, serve(config, path, layers, log))
 }
 
-async fn serve(mut config: SchedulerConfig, path: PathBuf, layers: Layers, log: &Logger) -> Result<(), String> {
+async fn serve(
+    mut config: SchedulerConfig,
+    path: PathBuf,
+    layers: Layers,
+    log: &Logger,
+) -> Result<(), String> {
     // Guards against a signal that ends the process early: both are caught before anyone can see the process
     // as ready.
     let caught = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
@@ -85,13 +90,17 @@
         }
     };
     // Opened only after the running process has released its membership of the group.
-    let opened = config.agreement.as_ref().map(|settings| Opened::folder(settings, &config.name)).transpose()?;
+    let opened =
+        config.agreement.as_ref().map(|settings| Opened::folder(settings, &config.name)).transpose()?;
     let mut group =
         config.agreement.as_ref().map(|_| Group { initial: policy::says(&config), policy: None.into() });
     if let Some((text, group)) = opened.as_ref().and_then(Opened::in_force).zip(group.as_mut()) {
         group.policy = RefCell::new(Some(text.clone()));
         match policy::over(&path, &layers, text) {
-            Ok(applied) => config = berth::SchedulerConfig { agreement: config.agreement, known: config.known, ..applied },
+            Ok(applied) => {
+                config =
+                    berth::SchedulerConfig { agreement: config.agreement, known: config.known, ..applied }
+            }
             // It cannot serve as a member of the group, and reports that for as long as it runs.
             Err(why) => warn!(log, "this process cannot read the policy in force: {why}"),
         }
@@ -168,7 +177,11 @@
         }
         None => exchange.without_discovery(),
     }
-    let pool = Rc::new(Pool::new(config.resource_limits.worker_connections, config.connect_timeout, config.idle_timeout));
+    let pool = Rc::new(Pool::new(
+        config.resource_limits.worker_connections,
+        config.connect_timeout,
+        config.idle_timeout,
+    ));
     let sending =
         Sending::new(exchange.clone(), pool.clone(), telemetry.assignments.clone(), part("workers"));
     let mut peer_messages = None;
