--- a/crates/berth/src/keeper.rs
+++ b/crates/berth/src/keeper.rs
@@ -81,8 +81,10 @@
     /// Guards against two processes at one address, whose starts would fail again and again.
     #[test]
     fn problems_are_reported_with_their_place() {
-        let text = "name = \"yard\"\ncontrol = \"127.0.0.1:7300\"\nfolder = \"keep\"\nprogram = \"tindock\"\n\
-                    [[scheduler]]\nname = \"n0\"\nconfiguration = \"n0.toml\"\nmanagement = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n";
+        let text =
+            "name = \"yard\"\ncontrol = \"127.0.0.1:7300\"\nfolder = \"keep\"\nprogram = \"tindock\"\n\
+                    [[scheduler]]\nname = \"n0\"\nconfiguration = \"n0.toml\"\n\
+                    management = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n";
         let read = |text: &str| toml_file::read("keep.toml", Path::new("dir"), text, keeper);
         let found = read(text).expect("a keeper");
         assert_eq!(found.schedulers[0].configuration, Path::new("dir/n0.toml"));
@@ -100,8 +102,10 @@
     fn relative_paths_become_absolute() {
         let folder = std::env::temp_dir().join(format!("tindock-keeper-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let text = "name = \"yard\"\ncontrol = \"127.0.0.1:7300\"\nfolder = \"keep\"\nprogram = \"tindock\"\n\
-                    [[scheduler]]\nname = \"n0\"\nconfiguration = \"n0.toml\"\nmanagement = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n";
+        let text =
+            "name = \"yard\"\ncontrol = \"127.0.0.1:7300\"\nfolder = \"keep\"\nprogram = \"tindock\"\n\
+                    [[scheduler]]\nname = \"n0\"\nconfiguration = \"n0.toml\"\n\
+                    management = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n";
         std::fs::write(folder.join("keep.toml"), text).expect("written");
         let here = std::env::current_dir().expect("a folder");
         let up: std::path::PathBuf = here.components().skip(1).map(|_| "..").collect();
--- a/crates/berth/src/merging.rs
+++ b/crates/berth/src/merging.rs
@@ -67,7 +67,8 @@
         let wanted = serde_json::json!({"name":"n0","listen":"a","settings":{"zone":3,"workloads":["y"]}});
         assert_eq!(got, wanted);
 
-        let text = "name = \"n0\" # mine\nlisten = \"a\"\n\n[workers]\nschedulers = 2\n\n[[workload]]\nname = \"x\"\n\n\
+        let text = "name = \"n0\" # mine\nlisten = \"a\"\n\n[workers]\nschedulers = 2\n\n\
+                    [[workload]]\nname = \"x\"\n\n\
                     [management]\nlisten = \"m\"\n";
         let other = "name = \"n9\"\n\n[[workload]]\nname = \"y\"\n\n[[workload]]\nname = \"z\"\n";
         let got = merge_settings(Path::new("n0.toml"), text, Path::new("next.toml"), other).expect("a text");
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -190,13 +190,13 @@
 }
 
 fn read_inventory(settings: &InventorySettings) -> Result<Inventory, Vec<String>> {
-    let whole = || {
+    let read = || {
         let versions = inventory_files::scan(&settings.files)?;
         let inventory = inventory_files::read_all(&versions, &settings.columns, &settings.fixed)?;
         inventory_files::resolve(&inventory)?;
         Ok(inventory)
     };
-    whole().map_err(lines)
+    read().map_err(lines)
 }
 
 pub fn check(file: &Path, overrides: &Overrides) -> CommandResult {
@@ -213,8 +213,8 @@
     let (_, shown) = open(file, &overrides.layers())?;
     let width = shown.iter().map(|s| s.path.len() + s.value.len()).max().unwrap_or(0) + 3;
     let line = |s: &ShownValue| {
-        let says = format!("{} = {}", s.path, s.value);
-        format!("{says:width$}  # {}\n", s.source)
+        let text = format!("{} = {}", s.path, s.value);
+        format!("{text:width$}  # {}\n", s.source)
     };
     Ok(shown.iter().map(line).collect())
 }
@@ -228,8 +228,8 @@
             configuration.inventory.map(|settings| settings.columns).unwrap_or_default()
         }
     };
-    let whole = || inventory_files::read_all(&inventory_files::scan(files)?, &columns, &[]);
-    whole().map_err(lines)
+    let read = || inventory_files::read_all(&inventory_files::scan(files)?, &columns, &[]);
+    read().map_err(lines)
 }
 
 pub fn inventories(command: &Inventories) -> CommandResult {
@@ -274,10 +274,10 @@
         Change::Removed(e) => format!("- {} at {}\n", e.name, e.address),
         Change::State { name, to } => format!("~ {name} is {}\n", to.word()),
         Change::Changed { from, to } => {
-            let says = |e: &tindock_inventory::Entry| {
+            let text = |e: &tindock_inventory::Entry| {
                 format!("{} ({}, {}, {} slots, group {})", e.address, e.zone, e.kind, e.slots, e.group)
             };
-            format!("~ {} from {} to {}\n", to.name, says(from), says(to))
+            format!("~ {} from {} to {}\n", to.name, text(from), text(to))
         }
     }
 }
--- a/crates/scheduler/src/clients/listener.rs
+++ b/crates/scheduler/src/clients/listener.rs
@@ -37,7 +37,7 @@
 /// Once descriptors have run out, some connection ends within this time.
 pub const SHORT_OF_DESCRIPTORS: Duration = Duration::from_millis(20);
 /// Retry-After, where it may be sent, while the scheduler's policy group does not allow it to serve.
-const NO_LEADER_RETRY_AFTER: Duration = Duration::from_secs(1);
+const NOT_SERVING_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Retry-After while the process is stopping: other schedulers or the next process serve by then.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Read buffer for the head of a request: the minimum that hyper accepts.
@@ -279,7 +279,9 @@
                 }
                 // Guards against peers that connect and send nothing: hyper would wait for their first
                 // message.
-                () = client.close_requested.notified() => match client.is_unknown() && (client.evicted.get() || !self.stopping.is_closing()) {
+                () = client.close_requested.notified() => match client.is_unknown()
+                    && (client.evicted.get() || !self.stopping.is_closing())
+                {
                     true => break,
                     false => connection.as_mut().graceful_shutdown(),
                 },
@@ -312,7 +314,7 @@
                     // The task was never submitted, so it can be shed whatever its effect is.
                     self.telemetry.ended(workload.as_deref().unwrap_or_default(), Outcome::Shed);
                     return responses::answer(Answer::Shed {
-                        retry_after: self.exchange.retry_after(NO_LEADER_RETRY_AFTER),
+                        retry_after: self.exchange.retry_after(NOT_SERVING_RETRY_AFTER),
                     });
                 }
                 if !self.finishes_in_time(workload.as_ref(), request.time_left) {
--- a/crates/scheduler/src/list/inventory_watch.rs
+++ b/crates/scheduler/src/list/inventory_watch.rs
@@ -68,7 +68,7 @@
         let mut watch = InventoryWatch::new(self.settings, self.folder);
         loop {
             let events = watch.poll(began.elapsed());
-            if events.into_iter().any(|events| self.events.blocking_send(events).is_err())
+            if events.into_iter().any(|event| self.events.blocking_send(event).is_err())
                 || self.events.is_closed()
             {
                 return;
@@ -130,10 +130,10 @@
             self.last_seen = None;
             return Vec::new();
         }
-        let whole = read.and_then(|inventory| {
+        let resolved = read.and_then(|inventory| {
             inventory_files::resolve(&inventory).map(|addresses| (inventory, addresses))
         });
-        match whole {
+        match resolved {
             Err(problems) => {
                 self.last_read = Some((versions, now));
                 self.problem(&problems)
@@ -169,8 +169,8 @@
                 }
                 let (gone, wait) = (reading.removed, (until - now).as_secs_f64());
                 vec![InventoryEvent::Problem(format!(
-                    "held back: it would take out {gone} of {ready} workers; in force after {wait:.0} s if it \
-                     stays so, or at once by `tindock inventory accept` ({:016x})",
+                    "held back: it would take out {gone} of {ready} workers; in force after {wait:.0} s if \
+                     it stays so, or at once by `tindock inventory accept` ({:016x})",
                     reading.digest
                 ))]
             }
@@ -228,7 +228,7 @@
         }
         self.last_problem.clone_from(&line);
         let mut events =
-            vec![InventoryEvent::Problem(format!("turned down, the last good list stays: {line}"))];
+            vec![InventoryEvent::Problem(format!("rejected, the last good list stays in force: {line}"))];
         if self.in_force.entries.is_empty() {
             if let Some((inventory, addresses)) = self.settings.last_good.as_deref().and_then(read_last_good)
             {
--- a/crates/scheduler/src/list/worker_list.rs
+++ b/crates/scheduler/src/list/worker_list.rs
@@ -98,7 +98,7 @@
                     None => return,
                     Some(InventoryEvent::Note(line)) => info!(self.log, "inventory {line}"),
                     Some(InventoryEvent::Problem(line)) => warn!(self.log, "inventory {line}"),
-                    Some(InventoryEvent::Changes(file_entries)) => self.apply_file_entries(file_entries).await,
+                    Some(InventoryEvent::Changes(changes)) => self.apply_file_entries(changes).await,
                 },
                 () = tokio::time::sleep(DRAIN_CHECK_INTERVAL) => self.remove_drained(),
             }
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -71,12 +71,12 @@
 fn dispatch() -> Result<String, Wrong> {
     let one_line = |why: String| vec![format!("tindock: {}", why.replace('\n', " "))];
     let named = || std::env::var_os("GW_CONFIG").map(PathBuf::from).ok_or("GW_CONFIG names no configuration");
-    let whole = Cli::command()
+    let command_line = Cli::command()
         .subcommands(tindock_house::cli::commands())
         .subcommand(tindock_standins::command())
         .subcommand(tindock_soak::command::command())
         .subcommand(tindock_rehearsal::command());
-    let matches = whole.get_matches();
+    let matches = command_line.get_matches();
     // The commands of the whole system are built alongside those of the scheduler.
     if let Some((name, given)) = matches.subcommand().filter(|(name, _)| tindock_house::cli::is_ours(name)) {
         return Ok(tindock_house::cli::run(name, given).map_err(one_line)?);
--- a/crates/scheduler/src/operators/management.rs
+++ b/crates/scheduler/src/operators/management.rs
@@ -159,7 +159,7 @@
         policy.resize(count, 0);
         let read = timeout(CALLER_TIMEOUT, stream.read_exact(&mut policy[received..])).await;
         if !matches!(read, Ok(Ok(_))) || tindock_berth::digest(&policy) != digest {
-            return Err("the policy did not come whole".into());
+            return Err("the policy is incomplete".into());
         }
         let policy = String::from_utf8(policy).map_err(|_| "a policy that is no UTF-8")?;
         self.change(Change::Policy { policy, ending: ending.into() }).await
@@ -190,8 +190,8 @@
         };
         if changed {
             self.handover.tell_ban(name, banned);
-            let what = if banned { "taken out" } else { "put back" };
-            info!(self.log, "worker {name} {what} by hand");
+            let what = if banned { "excluded" } else { "included" };
+            info!(self.log, "worker {name} {what} by an operator");
             if let Err(e) = self.bans.write(self.exchange.bans()) {
                 warn!(self.log, "exclusions of workers cannot be stored for the next start: {e}");
             }
--- a/crates/scheduler/src/operators/reload.rs
+++ b/crates/scheduler/src/operators/reload.rs
@@ -65,7 +65,11 @@
                 },
                 Some(Reread { digest, answer }) = rereads.recv() => {
                     // Guards against a repeated call: what it asks for is already in force.
-                    let done = if digest == self.version.settings() { Ok(()) } else { self.reload(Some(&digest)) };
+                    let done = if digest == self.version.settings() {
+                        Ok(())
+                    } else {
+                        self.reload(Some(&digest))
+                    };
                     let _ = answer.send(done);
                 }
             }
@@ -104,8 +108,8 @@
         if policy::says(&local) != group.initial {
             // Guards against a scheduler that decides by its own file next to others that follow the policy.
             return Err(format!(
-                "workloads, customers and workers are decided by the group (number {}): undo what was changed by hand, \
-                 or propose it with tindock policy propose",
+                "workloads, customers and workers are decided by the group (number {}): undo what was \
+                 changed by hand, or propose it with tindock policy propose",
                 text.number
             ));
         }
--- a/crates/scheduler/src/peers/socket.rs
+++ b/crates/scheduler/src/peers/socket.rs
@@ -52,7 +52,8 @@
                 received = self.socket.recv_from(&mut bytes) => {
                     // An error here reports that an earlier message was not delivered.
                     let Ok((length, from)) = received else { continue };
-                    let position = positions.get(&from).copied().filter(|&position| position != self.addresses.position);
+                    let position = positions.get(&from).copied()
+                        .filter(|&position| position != self.addresses.position);
                     match position.zip(words::decode(&bytes[..length])) {
                         Some((position, message)) => self.dispatch(position, message),
                         None => dropped += 1,
--- a/crates/scheduler/src/start.rs
+++ b/crates/scheduler/src/start.rs
@@ -74,15 +74,18 @@
         Some(at) => Some(listen(at, false).map_err(|e| format!("management, {at}: {e}"))?),
     };
     let telemetry = Rc::new(Telemetry::default());
-    let place = config.runtime.as_deref().map(|runtime| handover::place(runtime, &config.name));
-    let takeover = place.as_deref().map_or(Ok(None), |place| handover::ask(place, config.listen));
+    let socket_path = config.runtime.as_deref().map(|runtime| handover::place(runtime, &config.name));
+    let takeover =
+        socket_path.as_deref().map_or(Ok(None), |socket_path| handover::ask(socket_path, config.listen));
     let takeover = takeover.unwrap_or_else(|e| {
         warn!(log, "cannot take over from the running process: {e}");
         None
     });
     let (mut before, mut inherited) = (None, None);
     let listener = match takeover {
-        None => listen(config.listen, place.is_some()).map_err(|e| format!("{}: {e}", config.listen))?,
+        None => {
+            listen(config.listen, socket_path.is_some()).map_err(|e| format!("{}: {e}", config.listen))?
+        }
         Some(takeover) => {
             before = Some(UnixStream::from_std(takeover.stream).map_err(|e| e.to_string())?);
             inherited = Some(takeover.heritage);
@@ -243,7 +246,7 @@
     spawn_local(async move { counts.log_counts().await });
     spawn_local(clients.clone().accept(listener.clone()));
     let handover = Rc::new(Handover {
-        place,
+        place: socket_path,
         line: line.clone(),
         listener,
         exchange: exchange.clone(),
@@ -256,9 +259,9 @@
         again: Notify::new(),
         log: part("handover"),
     });
-    let place = handover.listen();
+    let upgrade_listener = handover.listen();
     before.into_iter().for_each(|stream| drop(spawn_local(handover.clone().after(stream))));
-    spawn_local(handover.keep(place));
+    spawn_local(handover.keep(upgrade_listener));
     open.set(true);
     if let Some(listener) = management_listener {
         info!(log, "operators' address is {}", listener.local_addr().map_err(|e| e.to_string())?);
--- a/crates/scheduler/tests/decoding.rs
+++ b/crates/scheduler/tests/decoding.rs
@@ -83,7 +83,8 @@
     let texts = [
         "\r\nPOST /a HTTP/1.1\r\nHost: s\r\n\r\nGET / HTTP/1.1\n\nGET /",
         "POST /a HTTP/1.1\r\nContent-Length: 4\r\n\r\n\r\n\r\nPOST /b HTTP/1.1\r\nCONTENT-length:0\r\n\r\n",
-        "POST /a HTTP/1.1\r\nX: content-length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n",
+        "POST /a HTTP/1.1\r\nX: content-length: 1\r\nTransfer-Encoding: chunked\r\n\r\n\
+         0\r\n\r\nGET / HTTP/1.1\r\n\r\n",
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n",
         "POST /a HTTP/1.1\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\n",
         "POST /a HTTP/1.1\r\nContent-Length: +4\r\n\r\n",
--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -257,11 +257,11 @@
         let client = Client::of(&agent);
         sleep(Duration::from_millis(500)).await;
         assert_eq!(client.version(), None);
-        let place = ([127, 0, 0, 1], 2).into();
-        client.address.send(place).expect("a client");
+        let new_address = ([127, 0, 0, 1], 2).into();
+        client.address.send(new_address).expect("a client");
         agent.script.borrow_mut().clear();
         assert!(client.ms_until(7).await <= 3);
-        assert_eq!(agent.dials.borrow().last(), Some(&place));
+        assert_eq!(agent.dials.borrow().last(), Some(&new_address));
         // From then on, changes arrive by the watch.
         agent.version.set(8);
         assert!(client.ms_until(8).await <= 3);
--- a/crates/scheduler/tests/exchange.rs
+++ b/crates/scheduler/tests/exchange.rs
@@ -52,9 +52,9 @@
         let (handles, keys, trace) = (Vec::new(), Vec::new(), String::new());
         let entries = (0..workers).map(|w| entry(w, Condition::Ready)).collect();
         exchange.start(now.get(), (workers > 0).then_some(Listing { index: 1, whole: true, entries }));
-        let mut floor = Fixture { exchange, commands, now, handles, keys, trace };
-        floor.record_outputs();
-        floor
+        let mut fixture = Fixture { exchange, commands, now, handles, keys, trace };
+        fixture.record_outputs();
+        fixture
     }
 
     fn list(&mut self, entries: Vec<Entry>, whole: bool) {
@@ -80,7 +80,7 @@
         self.record_outputs();
     }
 
-    fn news(&mut self, text: &str) {
+    fn update(&mut self, text: &str) {
         self.note(text);
         self.exchange.apply_update(updates::decode(text.as_bytes()).expect("an update"));
         self.record_outputs();
@@ -138,97 +138,97 @@
 /// or concern a task of an earlier generation.
 #[test]
 fn updates_apply_once_and_to_their_own_assignment() {
-    let mut floor = Fixture::new(settings_for(&[Effect::Idempotent]), 2);
-    floor.news(r#"{"id":"old","from":"w0","state":"done","result":"of an earlier life"}"#);
-    floor.arrive("a");
-    floor.news(r#"{"id":"a","from":"w9","state":"done","result":"of a worker never listed"}"#);
-    floor.pass(100);
+    let mut fixture = Fixture::new(settings_for(&[Effect::Idempotent]), 2);
+    fixture.update(r#"{"id":"old","from":"w0","state":"done","result":"of an earlier life"}"#);
+    fixture.arrive("a");
+    fixture.update(r#"{"id":"a","from":"w9","state":"done","result":"of a worker never listed"}"#);
+    fixture.pass(100);
     let (first, second) = ("w1", "w0");
-    floor.end(0, Close::Cancelled);
-    floor.news(&format!(r#"{{"id":"a","from":"{first}","state":"failed"}}"#));
-    floor.news(&format!(r#"{{"id":"a","from":"{second}","state":"started"}}"#));
-    floor.pass(200);
-    floor.news(&format!(r#"{{"id":"a","from":"{second}","state":"done","result":"the plan"}}"#));
-    floor.news(&format!(r#"{{"id":"a","from":"{second}","state":"done","result":"again"}}"#));
-    floor.end(1, Close::BrokeAfterSent);
-    assert_snapshot!(floor.trace);
+    fixture.end(0, Close::Cancelled);
+    fixture.update(&format!(r#"{{"id":"a","from":"{first}","state":"failed"}}"#));
+    fixture.update(&format!(r#"{{"id":"a","from":"{second}","state":"started"}}"#));
+    fixture.pass(200);
+    fixture.update(&format!(r#"{{"id":"a","from":"{second}","state":"done","result":"the plan"}}"#));
+    fixture.update(&format!(r#"{{"id":"a","from":"{second}","state":"done","result":"again"}}"#));
+    fixture.end(1, Close::BrokeAfterSent);
+    assert_snapshot!(fixture.trace);
 }
 
 /// Guards against a late report applied to the task that reuses the index.
 #[test]
 fn reused_index_ignores_reports_on_the_earlier_task() {
-    let mut floor = Fixture::new(settings_for(&[Effect::Unrepeatable]), 1);
-    floor.arrive("a");
-    floor.arrive("a");
-    floor.news(r#"{"id":"a","from":"w0","state":"done","result":"one"}"#);
-    floor.arrive("b");
-    floor.end(0, Close::BrokeAfterSent);
-    floor.news(r#"{"id":"a","from":"w0","state":"lost"}"#);
-    floor.news(r#"{"id":"b","from":"w0","state":"done","result":"two"}"#);
-    assert_snapshot!(floor.trace);
+    let mut fixture = Fixture::new(settings_for(&[Effect::Unrepeatable]), 1);
+    fixture.arrive("a");
+    fixture.arrive("a");
+    fixture.update(r#"{"id":"a","from":"w0","state":"done","result":"one"}"#);
+    fixture.arrive("b");
+    fixture.end(0, Close::BrokeAfterSent);
+    fixture.update(r#"{"id":"a","from":"w0","state":"lost"}"#);
+    fixture.update(r#"{"id":"b","from":"w0","state":"done","result":"two"}"#);
+    assert_snapshot!(fixture.trace);
 }
 
 /// Guards against work for a client that has left: its task is cancelled, and not answered.
 #[test]
 fn tasks_of_disconnected_clients_are_cancelled() {
-    let mut floor = Fixture::new(settings_for(&[Effect::Idempotent]), 2);
-    floor.arrive("a");
-    let (_, handle) = floor.handles.remove(0);
-    floor.note("the client goes away");
-    floor.exchange.client_left(handle.index, handle.generation);
-    floor.exchange.client_left(handle.index, handle.generation);
-    floor.record_outputs();
-    floor.end(0, Close::Cancelled);
-    floor.pass(50);
-    assert_snapshot!(floor.trace);
+    let mut fixture = Fixture::new(settings_for(&[Effect::Idempotent]), 2);
+    fixture.arrive("a");
+    let (_, handle) = fixture.handles.remove(0);
+    fixture.note("the client goes away");
+    fixture.exchange.client_left(handle.index, handle.generation);
+    fixture.exchange.client_left(handle.index, handle.generation);
+    fixture.record_outputs();
+    fixture.end(0, Close::Cancelled);
+    fixture.pass(50);
+    assert_snapshot!(fixture.trace);
 }
 
 /// Guards against tasks lost at the end of the process: each is answered first, and cancelled at its worker.
 #[test]
 fn unanswered_tasks_are_aborted_at_shutdown() {
-    let mut floor = Fixture::new(settings_for(&[Effect::Unrepeatable]), 2);
-    floor.arrive("a");
-    floor.news(r#"{"id":"a","from":"w1","state":"started"}"#);
-    floor.arrive("b");
-    floor.news(r#"{"id":"b","from":"w0","state":"done","result":"in time"}"#);
-    floor.note("the process ends");
-    floor.exchange.abort_all();
-    floor.exchange.abort_all();
-    floor.record_outputs();
-    assert_snapshot!(floor.trace);
+    let mut fixture = Fixture::new(settings_for(&[Effect::Unrepeatable]), 2);
+    fixture.arrive("a");
+    fixture.update(r#"{"id":"a","from":"w1","state":"started"}"#);
+    fixture.arrive("b");
+    fixture.update(r#"{"id":"b","from":"w0","state":"done","result":"in time"}"#);
+    fixture.note("the process ends");
+    fixture.exchange.abort_all();
+    fixture.exchange.abort_all();
+    fixture.record_outputs();
+    assert_snapshot!(fixture.trace);
 }
 
 /// Guards against sending an assignment after a drain, a cancellation or the final answer that came before
 /// its first byte.
 #[test]
 fn unsent_assignments_are_checked_again_before_sending() {
-    let mut floor = Fixture::new(settings_for(&[Effect::Idempotent]), 1);
-    floor.arrive("a");
-    let wanted = |floor: &Fixture| floor.exchange.is_still_wanted(floor.keys[0]);
-    assert!(wanted(&floor));
-    floor.list(vec![entry(0, Condition::Draining)], false);
-    assert!(!wanted(&floor));
-    floor.list(vec![entry(0, Condition::Ready)], false);
-    assert!(wanted(&floor));
-    floor.list(vec![], true);
-    assert!(!wanted(&floor));
-    floor.list(vec![entry(0, Condition::Ready)], true);
-    let (_, handle) = floor.handles.remove(0);
-    floor.exchange.client_left(handle.index, handle.generation);
-    assert!(!wanted(&floor));
+    let mut fixture = Fixture::new(settings_for(&[Effect::Idempotent]), 1);
+    fixture.arrive("a");
+    let wanted = |fixture: &Fixture| fixture.exchange.is_still_wanted(fixture.keys[0]);
+    assert!(wanted(&fixture));
+    fixture.list(vec![entry(0, Condition::Draining)], false);
+    assert!(!wanted(&fixture));
+    fixture.list(vec![entry(0, Condition::Ready)], false);
+    assert!(wanted(&fixture));
+    fixture.list(vec![], true);
+    assert!(!wanted(&fixture));
+    fixture.list(vec![entry(0, Condition::Ready)], true);
+    let (_, handle) = fixture.handles.remove(0);
+    fixture.exchange.client_left(handle.index, handle.generation);
+    assert!(!wanted(&fixture));
 }
 
 /// Guards against a task without an answer where cancelling is not allowed and a worker never reports the
 /// end.
 #[test]
 fn assignments_without_a_report_time_out_at_the_hard_limit() {
-    let mut floor =
+    let mut fixture =
         Fixture::new(PolicySettings { may_cancel: false, ..settings_for(&[Effect::Unrepeatable]) }, 1);
-    floor.arrive("a");
-    floor.news(r#"{"id":"a","from":"w0","state":"started"}"#);
-    floor.pass(8200);
-    floor.news(r#"{"id":"a","from":"w0","state":"done","result":"too late"}"#);
-    assert_snapshot!(floor.trace);
+    fixture.arrive("a");
+    fixture.update(r#"{"id":"a","from":"w0","state":"started"}"#);
+    fixture.pass(8200);
+    fixture.update(r#"{"id":"a","from":"w0","state":"done","result":"too late"}"#);
+    assert_snapshot!(fixture.trace);
 }
 
 /// A task that provably never ran may be reassigned, so each way to end must map to the right `Ending`.
@@ -264,21 +264,21 @@
 /// signs change nothing.
 #[test]
 fn on_a_stale_list_one_sign_excludes_a_worker() {
-    let mut floor = Fixture::new(settings_for(&[Effect::Unrepeatable]), 2);
-    floor.note("the list is fresh: turned away, and the next task may go there again");
-    floor.arrive("a");
-    floor.end(0, Close::Rejected);
-    floor.end(1, Close::Rejected);
-    floor.arrive("b");
-    floor.note("no answer from discovery for a second");
-    floor.pass(1000);
-    floor.end(2, Close::ConnectFailed);
-    floor.arrive("c");
-    floor.note("the other one gives a sign too: both are left out, and c waits for a list");
-    floor.end(3, Close::Rejected);
-    floor.arrive("d");
-    floor.note("an answer that names nobody is a list all the same");
-    floor.list(Vec::new(), false);
-    floor.pass(20);
-    assert_snapshot!(floor.trace);
+    let mut fixture = Fixture::new(settings_for(&[Effect::Unrepeatable]), 2);
+    fixture.note("the list is fresh: turned away, and the next task may go there again");
+    fixture.arrive("a");
+    fixture.end(0, Close::Rejected);
+    fixture.end(1, Close::Rejected);
+    fixture.arrive("b");
+    fixture.note("no answer from discovery for a second");
+    fixture.pass(1000);
+    fixture.end(2, Close::ConnectFailed);
+    fixture.arrive("c");
+    fixture.note("the other one gives a sign too: both are left out, and c waits for a list");
+    fixture.end(3, Close::Rejected);
+    fixture.arrive("d");
+    fixture.note("an answer that names nobody is a list all the same");
+    fixture.list(Vec::new(), false);
+    fixture.pass(20);
+    assert_snapshot!(fixture.trace);
 }
--- a/crates/scheduler/tests/installations.rs
+++ b/crates/scheduler/tests/installations.rs
@@ -324,7 +324,8 @@
     )
     .expect("a file");
     let (code, out, _) = tindock(&["inventory", "diff", "old.csv", "new.csv"], &folder);
-    let expected = "~ a from 10.0.0.1:1 (n, s, 1 slots, group 0) to 10.0.0.9:1 (n, s, 1 slots, group 0)\n~ b is leaving\n\
+    let expected = "~ a from 10.0.0.1:1 (n, s, 1 slots, group 0) \
+                    to 10.0.0.9:1 (n, s, 1 slots, group 0)\n~ b is leaving\n\
                     + d at 10.0.0.4:1 (n, s, 2 slots)\n- c at 10.0.0.3:1\n";
     assert_eq!((code, out.as_str()), (0, expected));
 }
--- a/crates/scheduler/tests/sockets.rs
+++ b/crates/scheduler/tests/sockets.rs
@@ -351,7 +351,8 @@
     // Chunked encoding alone is valid, and the message is the last one on its connection.
     let mut peer = Peer::connect(scheduler.address);
     peer.write(&format!(
-        "POST /plan HTTP/1.1\r\nX-Trace-Id: l3\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n{inner}"
+        "POST /plan HTTP/1.1\r\nX-Trace-Id: l3\r\nTransfer-Encoding: chunked\r\n\r\n\
+         1\r\nx\r\n0\r\n\r\n{inner}"
     ));
     let mut line = Peer::accept(&worker);
     let task = line.read();
