--- a/crates/scheduler/src/list/worker_list.rs
+++ b/crates/scheduler/src/list/worker_list.rs
@@ -205,13 +205,13 @@
         health.record_check(self.exchange.now(), name, number, healthy);
         if health.panic_mode != was_panicking {
             let what = match health.panic_mode {
-                true => "too many workers are down to be believed: none is left out",
-                false => "enough workers are up again: those that are down are left out",
+                true => "too many workers are down for the checks to be credible: none is avoided",
+                false => "enough workers are up again: those that are down are avoided",
             };
             warn!(self.log, "{what}");
         }
         while let Some((name, down)) = health.next_change() {
-            let what = if down { "down: left out" } else { "back: takes part again" };
+            let what = if down { "down: avoided" } else { "back: used again" };
             info!(self.log, "worker {name} is {what}");
             merge.borrow_mut().set_down(&name, down);
         }
--- a/crates/scheduler/tests/stocking.rs
+++ b/crates/scheduler/tests/inventory_watch.rs
@@ -26,7 +26,7 @@
 
 impl Fixture {
     fn new(name: &str) -> Self {
-        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("stocking-{name}"));
+        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("inventory-watch-{name}"));
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(folder.join("inventory")).expect("a folder");
         let watch = InventoryWatch::new(Self::settings(&folder), folder.clone());
