--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -1,9 +1,9 @@
-//! The command line: what it takes, and the commands that end by themselves.
+//! The command line and the commands that do not serve.
 
 use crate::accord::commands::Policies;
-use crate::berth::{self, open, Layers, Problem, Shown, Stock};
-use crate::list::shelves;
-use crate::list::stocking::accept_file;
+use crate::berth::{self, open, InventorySettings, Layers, Problem, ShownValue};
+use crate::list::inventory_files;
+use crate::list::inventory_watch::accept_file;
 use crate::operators::calls;
 use crate::rollout::Rollouts;
 use clap::{Args, Parser, Subcommand, ValueEnum};
@@ -26,25 +26,25 @@
     Run {
         file: Option<PathBuf>,
         #[command(flatten)]
-        over: Over,
-        /// How the log is written, over what the configuration says
+        overrides: Overrides,
+        /// How the log is written; overrides the configuration
         #[arg(long, value_name = "FORM")]
         log_format: Option<LogFormat>,
-        /// The least that is logged, over what the configuration says
+        /// The lowest level that is logged; overrides the configuration
         #[arg(long, value_name = "LEVEL")]
         log_level: Option<LogLevel>,
     },
-    /// Read a configuration and its inventory, and tell every problem
+    /// Read a configuration and its inventory, and report every problem
     Check {
         file: PathBuf,
         #[command(flatten)]
-        over: Over,
+        overrides: Overrides,
     },
     /// Show the configuration in force, each value with where it came from
     Show {
         file: PathBuf,
         #[command(flatten)]
-        over: Over,
+        overrides: Overrides,
     },
     /// Read, compare and write inventories
     #[command(subcommand)]
@@ -52,25 +52,26 @@
     /// Change the settings of many schedulers in stages, stopped and undone when a stage does worse
     #[command(subcommand)]
     Rollout(Rollouts),
-    /// Change a policy that takes hold at all schedulers of a group or at none
+    /// Change a policy that is applied by all schedulers of a group or by none
     #[command(subcommand)]
     Policy(Policies),
-    /// Stand over the schedulers of this machine: start them, start them again, bring a new program beside the old one
+    /// Supervise the schedulers of this machine: start and restart them, and run a new program beside the old
+    /// one
     Keep {
         file: PathBuf,
         /// How the log is written
         #[arg(long, value_name = "FORM", default_value = "text")]
         log_format: LogFormat,
     },
-    /// Ask a scheduler at its operators' address: readyz, telemetry, exclude ID, include ID, version
+    /// Query a scheduler at its operators' address: readyz, telemetry, exclude ID, include ID, version
     Manage {
-        /// The address; without it $GW_MGMT, or what the configuration says
+        /// The address; defaults to $GW_MGMT or the configuration's
         #[arg(long, value_name = "ADDRESS:PORT")]
         at: Option<SocketAddr>,
-        /// A configuration that says the address
+        /// A configuration that names the address
         #[arg(long, conflicts_with = "at")]
         config: Option<PathBuf>,
-        /// Words, as they go out in one line
+        /// The words of the call, sent as one line
         #[arg(required = true)]
         call: Vec<String>,
     },
@@ -78,49 +79,50 @@
     Completions { shell: clap_complete::Shell },
 }
 
-/// How long an answer to an operator may take; it is owed in one second.
-const ANSWER: Duration = Duration::from_secs(5);
+/// Time limit for an answer to an operator; answers are due within one second.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The operators' address that is meant.
+/// Finds the operators' address: from the argument, a configuration or the environment.
 pub fn management(at: Option<SocketAddr>, config: Option<&Path>) -> Result<SocketAddr, Vec<String>> {
-    let told = |config: &Path| {
-        let (berth, _) = open(config, &Over::default().layers())?;
-        berth.management.ok_or_else(|| vec![format!("{}: no operators' address", config.display())])
+    let from_config = |config: &Path| {
+        let (configuration, _) = open(config, &Overrides::default().layers())?;
+        configuration.management.ok_or_else(|| vec![format!("{}: no operators' address", config.display())])
     };
     match (at, config, std::env::var("GW_MGMT").ok()) {
         (Some(at), ..) => Ok(at),
-        (None, Some(config), _) => told(config),
+        (None, Some(config), _) => from_config(config),
         (None, None, Some(at)) => at.parse().map_err(|_| vec![format!("GW_MGMT {at:?} is no address")]),
         (None, None, None) => Err(vec!["no address: --at, --config or GW_MGMT was expected".into()]),
     }
 }
 
-/// Asks a scheduler; its answer, or what it says against the call.
+/// Sends a call to a scheduler; returns its answer, or the error that it reports.
 pub fn manage(at: Option<SocketAddr>, config: Option<&Path>, call: &[String]) -> Result<String, Vec<String>> {
     let at = management(at, config)?;
-    let answer = calls::ask(at, &call.join(" "), ANSWER).map_err(|e| vec![format!("{at}: {e}")])?;
-    match calls::yes(&answer) {
+    let answer =
+        calls::request(at, &call.join(" "), ANSWER_TIMEOUT).map_err(|e| vec![format!("{at}: {e}")])?;
+    match calls::parse_answer(&answer) {
         Ok(_) => Ok(answer),
         Err(_) if answer.is_empty() => Err(vec![format!("{at}: closed without an answer")]),
         Err(_) => Err(vec![answer.trim_end().into()]),
     }
 }
 
-/// What is said over the file and the TINDOCK_... variables.
+/// Values that override the file and the TINDOCK_... variables.
 #[derive(Debug, Default, Args)]
-pub struct Over {
-    /// A value over the file's, as --set limits.sockets=2048
+pub struct Overrides {
+    /// A value that overrides the file's, as --set limits.sockets=2048
     #[arg(long = "set", value_name = "KEY=VALUE", value_parser = pair)]
     set: Vec<(String, String)>,
 }
 
 #[derive(Debug, Subcommand)]
 pub enum Inventories {
-    /// Read files or folders as one inventory, and tell every problem
+    /// Read files or folders as one inventory, and report every problem
     Check {
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// A configuration whose [inventory] says what the tools call things
+        /// A configuration whose [inventory] names the columns
         #[arg(long)]
         config: Option<PathBuf>,
     },
@@ -140,9 +142,9 @@
         #[arg(long, default_value = "csv")]
         format: Format,
     },
-    /// Let through what a running scheduler holds back: the inventory as it is now
+    /// Accept an inventory that a running scheduler holds back, as it is now
     Accept {
-        /// The configuration that the scheduler runs with
+        /// The configuration of the running scheduler
         config: PathBuf,
     },
 }
@@ -173,64 +175,64 @@
     Ok((key.trim().into(), value.trim().into()))
 }
 
-impl Over {
+impl Overrides {
     pub fn layers(&self) -> Layers {
         let (variables, flags) = (berth::installation::variables(), self.set.iter().cloned().collect());
         Layers { variables, flags }
     }
 }
 
-/// What a command that ends by itself has to say: lines for standard output, or for standard error.
-pub type Said = Result<String, Vec<String>>;
+/// The output of a command: text for standard output, or lines for standard error.
+pub type CommandResult = Result<String, Vec<String>>;
 
 fn lines(problems: Vec<Problem>) -> Vec<String> {
     problems.iter().map(Problem::to_string).collect()
 }
 
-fn stocked(stock: &Stock) -> Result<Inventory, Vec<String>> {
-    let whole = || {
-        let marks = shelves::look(&stock.files)?;
-        let inventory = shelves::take(&marks, &stock.columns, &stock.fixed)?;
-        shelves::find(&inventory)?;
+fn read_inventory(settings: &InventorySettings) -> Result<Inventory, Vec<String>> {
+    let read = || {
+        let versions = inventory_files::scan(&settings.files)?;
+        let inventory = inventory_files::read_all(&versions, &settings.columns, &settings.fixed)?;
+        inventory_files::resolve(&inventory)?;
         Ok(inventory)
     };
-    whole().map_err(lines)
+    read().map_err(lines)
 }
 
-pub fn check(file: &Path, over: &Over) -> Said {
-    let (berth, _) = open(file, &over.layers())?;
-    let workers = match &berth.inventory {
-        Some(stock) => format!(", {} workers in its inventory", stocked(stock)?.entries.len()),
+pub fn check(file: &Path, overrides: &Overrides) -> CommandResult {
+    let (configuration, _) = open(file, &overrides.layers())?;
+    let workers = match &configuration.inventory {
+        Some(settings) => format!(", {} workers in its inventory", read_inventory(settings)?.entries.len()),
         None => String::new(),
     };
-    let workloads = berth.words.workloads.len();
+    let workloads = configuration.names.workloads.len();
     Ok(format!("{}: fine, {workloads} workloads{workers}\n", file.display()))
 }
 
-pub fn show(file: &Path, over: &Over) -> Said {
-    let (_, shown) = open(file, &over.layers())?;
+pub fn show(file: &Path, overrides: &Overrides) -> CommandResult {
+    let (_, shown) = open(file, &overrides.layers())?;
     let width = shown.iter().map(|s| s.path.len() + s.value.len()).max().unwrap_or(0) + 3;
-    let line = |s: &Shown| {
-        let says = format!("{} = {}", s.path, s.value);
-        format!("{says:width$}  # {}\n", s.source)
+    let line = |s: &ShownValue| {
+        let text = format!("{} = {}", s.path, s.value);
+        format!("{text:width$}  # {}\n", s.source)
     };
     Ok(shown.iter().map(line).collect())
 }
 
-/// Files of one inventory, as the configuration says they are to be read.
+/// Reads the files of one inventory with the columns that the configuration names.
 fn inventory(files: &[PathBuf], config: Option<&Path>) -> Result<Inventory, Vec<String>> {
     let columns = match config {
         None => Columns::default(),
         Some(config) => {
-            let (berth, _) = open(config, &Over::default().layers())?;
-            berth.inventory.map(|stock| stock.columns).unwrap_or_default()
+            let (configuration, _) = open(config, &Overrides::default().layers())?;
+            configuration.inventory.map(|settings| settings.columns).unwrap_or_default()
         }
     };
-    let whole = || shelves::take(&shelves::look(files)?, &columns, &[]);
-    whole().map_err(lines)
+    let read = || inventory_files::read_all(&inventory_files::scan(files)?, &columns, &[]);
+    read().map_err(lines)
 }
 
-pub fn inventories(command: &Inventories) -> Said {
+pub fn inventories(command: &Inventories) -> CommandResult {
     match command {
         Inventories::Check { files, config } => {
             let found = inventory(files, config.as_deref())?;
@@ -250,10 +252,11 @@
             Ok(write(&inventory(files, config.as_deref())?, form))
         }
         Inventories::Accept { config } => {
-            let (berth, _) = open(config, &Over::default().layers())?;
+            let (configuration, _) = open(config, &Overrides::default().layers())?;
             let name = config.display();
-            let stock = berth.inventory.ok_or_else(|| vec![format!("{name}: has no [inventory]")])?;
-            let found = stocked(&stock)?;
+            let settings =
+                configuration.inventory.ok_or_else(|| vec![format!("{name}: has no [inventory]")])?;
+            let found = read_inventory(&settings)?;
             let folder = config.parent().unwrap_or(Path::new(""));
             let (file, digest) = (accept_file(folder), format!("{:016x}", found.digest()));
             std::fs::write(&file, format!("{digest}\n"))
@@ -271,10 +274,10 @@
         Change::Removed(e) => format!("- {} at {}\n", e.name, e.address),
         Change::State { name, to } => format!("~ {name} is {}\n", to.word()),
         Change::Changed { from, to } => {
-            let says = |e: &tindock_inventory::Entry| {
+            let text = |e: &tindock_inventory::Entry| {
                 format!("{} ({}, {}, {} slots, group {})", e.address, e.zone, e.kind, e.slots, e.group)
             };
-            format!("~ {} from {} to {}\n", to.name, says(from), says(to))
+            format!("~ {} from {} to {}\n", to.name, text(from), text(to))
         }
     }
 }
--- a/crates/scheduler/src/keep/processes.rs
+++ b/crates/scheduler/src/keep/processes.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
-use tindock_berth::keeper::Kept;
+use tindock_berth::keeper::KeptScheduler;
 use tindock_rollout::supervisor::ProcessStatus;
 
 /// A scheduler answers in milliseconds; one that takes longer is not ready.
@@ -42,14 +42,14 @@
 }
 
 pub struct Processes {
-    is: Kept,
+    is: KeptScheduler,
     runtime: PathBuf,
     log: PathBuf,
     places: [Option<Process>; 2],
 }
 
 impl Processes {
-    pub fn new(is: &Kept, folder: &Path) -> Self {
+    pub fn new(is: &KeptScheduler, folder: &Path) -> Self {
         let file = |ending: &str| folder.join(format!("{}.{ending}", is.name));
         Processes { is: is.clone(), runtime: file("run"), log: file("log"), places: [None, None] }
     }
@@ -68,7 +68,8 @@
                 }
                 self.places[place] = Some(Process { id, began, child: None });
             }
-            let ready = calls::ask(at, "readyz", ANSWER).is_ok_and(|answer| calls::yes(&answer).is_ok());
+            let ready =
+                calls::request(at, "readyz", ANSWER).is_ok_and(|answer| calls::parse_answer(&answer).is_ok());
             if ready {
                 ProcessStatus::Ready
             } else {
--- a/crates/scheduler/src/list/wire.rs
+++ b/crates/scheduler/src/list/connector.rs
@@ -1,4 +1,4 @@
-//! How connections are opened: TCP in service, something scripted in a test.
+//! Opens connections: over TCP in production, scripted in tests.
 
 use std::future::Future;
 use std::io;
@@ -11,17 +11,17 @@
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Stream for S {}
 
-pub type Dialled = Pin<Box<dyn Future<Output = io::Result<Box<dyn Stream>>>>>;
+pub type Connecting = Pin<Box<dyn Future<Output = io::Result<Box<dyn Stream>>>>>;
 
-pub trait Wire {
-    /// Opens a connection; dropping the future gives it up.
-    fn dial(&self, to: SocketAddr) -> Dialled;
+pub trait Connector {
+    /// Opens a connection; dropping the future cancels it.
+    fn connect(&self, to: SocketAddr) -> Connecting;
 }
 
 pub struct Tcp;
 
-impl Wire for Tcp {
-    fn dial(&self, to: SocketAddr) -> Dialled {
+impl Connector for Tcp {
+    fn connect(&self, to: SocketAddr) -> Connecting {
         Box::pin(async move {
             let stream = TcpStream::connect(to).await?;
             let _ = stream.set_nodelay(true);
--- a/crates/scheduler/src/list/mod.rs
+++ b/crates/scheduler/src/list/mod.rs
@@ -1,8 +1,8 @@
-//! Who the workers are: discovery, files and health, carried out as `crates/roster` decides.
+//! The list of workers from discovery, files and health checks; the decisions are in `crates/roster`.
 
+pub mod connector;
 pub mod discovery;
-pub mod muster;
+pub mod inventory_files;
+pub mod inventory_watch;
 pub mod probing;
-pub mod shelves;
-pub mod stocking;
-pub mod wire;
+pub mod worker_list;
--- a/crates/scheduler/src/list/probing.rs
+++ b/crates/scheduler/src/list/probing.rs
@@ -1,9 +1,9 @@
-//! Looks at the workers that files name: `GET` on the stated path, one connection a look, and any answer from 200 to 299
-//! is good.
+//! Health checks of the workers named in files: `GET` on the configured path, one connection for each check;
+//! any status from 200 to 299 is healthy.
 
-use crate::berth::HealthTerms;
-use crate::list::muster::Muster;
-use crate::list::wire::Wire;
+use crate::berth::HealthCheckSettings;
+use crate::list::connector::Connector;
+use crate::list::worker_list::WorkerList;
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::client::conn::http1;
@@ -15,32 +15,32 @@
 use std::rc::Rc;
 use tokio::time::timeout;
 
-/// Looks for as long as the process lives.
-pub async fn keep(muster: Rc<Muster>, wire: Rc<dyn Wire>, terms: HealthTerms) {
-    let terms = Rc::new(terms);
+/// Checks until the process ends.
+pub async fn run(worker_list: Rc<WorkerList>, connector: Rc<dyn Connector>, settings: HealthCheckSettings) {
+    let settings = Rc::new(settings);
     loop {
-        // How many are under way is bounded by whoever tells whom to look at.
-        let (name, number, address) = muster.look().await;
-        let (muster, wire, terms) = (muster.clone(), wire.clone(), terms.clone());
+        // The worker list limits the number of concurrent checks.
+        let (name, number, address) = worker_list.next_check().await;
+        let (worker_list, connector, settings) = (worker_list.clone(), connector.clone(), settings.clone());
         tokio::task::spawn_local(async move {
-            let look = timeout(terms.within, look(&*wire, address, &terms.path));
-            let well = matches!(look.await, Ok(Some(true)));
-            muster.looked(&name, number, well);
+            let check = timeout(settings.timeout, check(&*connector, address, &settings.path));
+            let healthy = matches!(check.await, Ok(Some(true)));
+            worker_list.record_check(&name, number, healthy);
         });
     }
 }
 
-/// Whether it answers well; none where it does not answer.
-async fn look(wire: &dyn Wire, address: SocketAddr, path: &str) -> Option<bool> {
-    let stream = wire.dial(address).await.ok()?;
+/// Whether the worker responds with success; none if it does not respond.
+async fn check(connector: &dyn Connector, address: SocketAddr, path: &str) -> Option<bool> {
+    let stream = connector.connect(address).await.ok()?;
     let (mut sender, connection) = http1::Builder::new().handshake(TokioIo::new(stream)).await.ok()?;
     let message = Request::get(path).header(HOST, address.to_string()).header(CONNECTION, "close");
     let message = message.body(Empty::<Bytes>::new()).ok()?;
-    // Both on this task, so that dropping it ends the connection; the head is all that counts.
+    // Both on this task, so that dropping it closes the connection; only the head of the response matters.
     let mut answer = pin!(sender.send_request(message));
     let answer = tokio::select! {
         answer = answer.as_mut() => answer,
-        // It ends with the answer, which may be there by now.
+        // The connection ends with the response, which may have arrived by now.
         _ = connection => answer.await,
     };
     Some(answer.ok()?.status().is_success())
--- a/crates/scheduler/src/operators/mod.rs
+++ b/crates/scheduler/src/operators/mod.rs
@@ -1,8 +1,8 @@
-//! The operators' side: their address, figures, bans, the configuration read again.
+//! The operators' side: their address, telemetry, exclusion of workers, and rereading the configuration.
 
 pub mod bans;
 pub mod calls;
 pub mod management;
-pub mod reloading;
+pub mod reload;
 pub mod telemetry;
 pub mod version;
--- a/crates/scheduler/src/operators/telemetry.rs
+++ b/crates/scheduler/src/operators/telemetry.rs
@@ -1,38 +1,38 @@
-//! The figures that operators read. Each is counted at the one place where it happens, and starts at 0 with the process.
+//! The figures for operators. Each is counted in one place, and starts at 0 with the process.
 
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How a task ended, as its client was told.
+/// How a task ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Finished,
     Shed,
-    BrokenOff,
+    Failed,
 }
 
 #[derive(Default)]
 pub struct Telemetry {
-    /// By the workload's name: one that is dropped keeps its counts, one that comes back goes on with them.
+    /// By the workload's name: a removed workload keeps its counts, and continues them if it returns.
     ends: RefCell<BTreeMap<String, [u64; 3]>>,
-    /// Assignments whose last byte was handed to the kernel.
+    /// Assignments whose last byte was passed to the kernel.
     pub assignments: Rc<Cell<u64>>,
     reloads: Cell<(u64, u64)>,
 }
 
-/// What the exchange knows of the moment.
+/// The present figures of the exchange.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Moment {
-    pub in_hand: usize,
+pub struct Snapshot {
+    pub in_flight: usize,
     pub listed: usize,
-    pub avoided: usize,
+    pub excluded: usize,
 }
 
-/// The words of the operators' page.
+/// The serialized form for operators.
 #[derive(Serialize)]
-struct Figures<'a> {
+struct TelemetryDoc<'a> {
     served: BTreeMap<&'a str, u64>,
     refused: BTreeMap<&'a str, u64>,
     failed: BTreeMap<&'a str, u64>,
@@ -45,8 +45,8 @@
 }
 
 impl Telemetry {
-    /// A workload that can be handed in from now on.
-    pub fn open(&self, workload: &str) {
+    /// A workload that clients may submit from now on.
+    pub fn register_workload(&self, workload: &str) {
         self.ends.borrow_mut().entry(workload.into()).or_default();
     }
 
@@ -57,24 +57,24 @@
     }
 
     pub fn reloaded(&self, taken: bool) {
-        let (ok, turned_down) = self.reloads.get();
-        self.reloads.set((ok + u64::from(taken), turned_down + u64::from(!taken)));
+        let (ok, rejected) = self.reloads.get();
+        self.reloads.set((ok + u64::from(taken), rejected + u64::from(!taken)));
     }
 
-    /// All of it as one line of JSON.
-    pub fn figures(&self, moment: Moment) -> String {
+    /// All figures as one line of JSON.
+    pub fn figures(&self, snapshot: Snapshot) -> String {
         let ends = self.ends.borrow();
         let by =
             |outcome: Outcome| ends.iter().map(|(name, n)| (name.as_str(), n[outcome as usize])).collect();
         let (reloads_ok, reloads_failed) = self.reloads.get();
-        let figures = Figures {
+        let figures = TelemetryDoc {
             served: by(Outcome::Finished),
             refused: by(Outcome::Shed),
-            failed: by(Outcome::BrokenOff),
+            failed: by(Outcome::Failed),
             attempts: self.assignments.get(),
-            in_flight: moment.in_hand,
-            workers_known: moment.listed,
-            workers_excluded: moment.avoided,
+            in_flight: snapshot.in_flight,
+            workers_known: snapshot.listed,
+            workers_excluded: snapshot.excluded,
             reloads_ok,
             reloads_failed,
         };
--- /dev/null
+++ b/crates/scheduler/src/peers/mod.rs
@@ -0,0 +1,4 @@
+//! Messages between schedulers.
+
+pub mod outbox;
+pub mod socket;
--- a/crates/scheduler/src/start.rs
+++ b/crates/scheduler/src/start.rs
@@ -1,29 +1,29 @@
-//! Puts the parts together and runs them on one thread until the scheduler was told to stop.
+//! Builds the parts and runs them on one thread until the scheduler is stopped.
 
 use crate::accord::{policy, Accord, Opened};
-use crate::berth::{self, Berth, Layers};
-use crate::clients::door::Door;
-use crate::clients::reading::Rooms;
+use crate::berth::{self, Layers, SchedulerConfig};
+use crate::clients::listener::ClientListener;
+use crate::clients::requests::BodyBudget;
 use crate::clock::Clock;
 use crate::exchange::Exchange;
+use crate::list::connector::Tcp;
 use crate::list::discovery::Discovery;
-use crate::list::muster::Muster;
+use crate::list::inventory_watch::InventoryThread;
 use crate::list::probing;
-use crate::list::stocking::Stocking;
-use crate::list::wire::Tcp;
+use crate::list::worker_list::WorkerList;
 use crate::operators::bans::Bans;
 use crate::operators::management::Management;
-use crate::operators::reloading::{self, Group, Reloading};
+use crate::operators::reload::{self, ConfigReloader, Group};
 use crate::operators::telemetry::Telemetry;
 use crate::operators::version::Version;
-use crate::others::peers::{self, Peers};
-use crate::rows::Rows;
+use crate::peers::socket::{self, PeerSocket};
 use crate::succession::handover::{self, Handover};
 use crate::succession::leaving;
 use crate::succession::line::Line;
 use crate::succession::stopping::Stopping;
 use crate::workers::pool::Pool;
 use crate::workers::sending::Sending;
+use crate::workload_table::WorkloadTable;
 use slog::{info, o, warn, Logger};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -37,13 +37,13 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::{spawn_local, LocalSet};
 
-/// Readings of the inventory that may wait to be taken in.
-const READINGS: usize = 4;
+/// Inventory events that may be queued for the serving thread.
+const QUEUED_EVENTS: usize = 4;
 
-/// Connections that wait to be accepted.
+/// The kernel's queue of connections that are not accepted yet.
 const BACKLOG: u32 = 1024;
 
-/// A listener; a shared address is open to the process that takes over, too.
+/// Opens a listener. A shared address can also be bound by the process that takes over.
 fn listen(at: SocketAddr, shared: bool) -> std::io::Result<TcpListener> {
     let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
@@ -52,186 +52,206 @@
     socket.listen(BACKLOG)
 }
 
-/// Serves until told to stop and all is answered; an error only where it could not start.
-pub fn run(berth: Berth, path: PathBuf, layers: Layers, log: &Logger) -> Result<(), String> {
+/// Serves until it is stopped and every task is answered; an error only if it could not start.
+pub fn run(config: SchedulerConfig, path: PathBuf, layers: Layers, log: &Logger) -> Result<(), String> {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_io().enable_time().build().map_err(|e| format!("runtime: {e}"))?;
-    LocalSet::new().block_on(&runtime, serve(berth, path, layers, log))
+    LocalSet::new().block_on(&runtime, serve(config, path, layers, log))
 }
 
-async fn serve(mut berth: Berth, path: PathBuf, layers: Layers, log: &Logger) -> Result<(), String> {
-    // Guards against an end by a signal that comes early: both are caught before anybody can take us for ready.
+async fn serve(
+    mut config: SchedulerConfig,
+    path: PathBuf,
+    layers: Layers,
+    log: &Logger,
+) -> Result<(), String> {
+    // Guards against a signal that ends the process early: both are caught before anyone can see the process
+    // as ready.
     let caught = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
     let (hang_up, terminate) = (caught(SignalKind::hangup())?, caught(SignalKind::terminate())?);
-    let manages = match berth.management {
+    let management_listener = match config.management {
         None => None,
         Some(at) => Some(listen(at, false).map_err(|e| format!("management, {at}: {e}"))?),
     };
     let telemetry = Rc::new(Telemetry::default());
-    let place = berth.runtime.as_deref().map(|runtime| handover::place(runtime, &berth.name));
-    let taken = place.as_deref().map_or(Ok(None), |place| handover::ask(place, berth.listen));
-    let taken = taken.unwrap_or_else(|e| {
-        warn!(log, "nothing is taken over from the process that runs: {e}");
+    let socket_path = config.runtime.as_deref().map(|runtime| handover::place(runtime, &config.name));
+    let takeover =
+        socket_path.as_deref().map_or(Ok(None), |socket_path| handover::ask(socket_path, config.listen));
+    let takeover = takeover.unwrap_or_else(|e| {
+        warn!(log, "cannot take over from the running process: {e}");
         None
     });
-    let (mut before, mut heritage) = (None, None);
-    let listener = match taken {
-        None => listen(berth.listen, place.is_some()).map_err(|e| format!("{}: {e}", berth.listen))?,
-        Some(taken) => {
-            before = Some(UnixStream::from_std(taken.stream).map_err(|e| e.to_string())?);
-            heritage = Some(taken.heritage);
-            TcpListener::from_std(taken.listener).map_err(|e| e.to_string())?
+    let (mut before, mut inherited) = (None, None);
+    let listener = match takeover {
+        None => {
+            listen(config.listen, socket_path.is_some()).map_err(|e| format!("{}: {e}", config.listen))?
+        }
+        Some(takeover) => {
+            before = Some(UnixStream::from_std(takeover.stream).map_err(|e| e.to_string())?);
+            inherited = Some(takeover.heritage);
+            TcpListener::from_std(takeover.listener).map_err(|e| e.to_string())?
         }
     };
-    // After the process that runs has let go of its place in the group.
-    let opened = berth.accord.as_ref().map(|told| Opened::folder(told, &berth.name)).transpose()?;
-    let mut group = berth.accord.as_ref().map(|_| Group { says: policy::says(&berth), policy: None.into() });
+    // Opened only after the running process has released its membership of the group.
+    let opened =
+        config.agreement.as_ref().map(|settings| Opened::folder(settings, &config.name)).transpose()?;
+    let mut group =
+        config.agreement.as_ref().map(|_| Group { initial: policy::says(&config), policy: None.into() });
     if let Some((text, group)) = opened.as_ref().and_then(Opened::in_force).zip(group.as_mut()) {
         group.policy = RefCell::new(Some(text.clone()));
         match policy::over(&path, &layers, text) {
-            Ok(under) => berth = berth::Berth { accord: berth.accord, known: berth.known, ..under },
-            // It is no member that can serve, and says so for as long as it lives.
-            Err(why) => warn!(log, "the policy in force cannot be read here: {why}"),
+            Ok(applied) => {
+                config =
+                    berth::SchedulerConfig { agreement: config.agreement, known: config.known, ..applied }
+            }
+            // It cannot serve as a member of the group, and reports that for as long as it runs.
+            Err(why) => warn!(log, "this process cannot read the policy in force: {why}"),
         }
     }
-    // What the other process has is newer than what the file says.
-    let list = heritage.as_mut().and_then(|h| h.list.take()).filter(|_| berth.inventory.is_none());
-    let list = list.map(|list| list.decode(&mut berth.words)).transpose().unwrap_or_else(|why| {
-        warn!(log, "the list of the process that runs is not taken over: {why}");
+    // The state of the other process is newer than the file.
+    let list = inherited.as_mut().and_then(|h| h.list.take()).filter(|_| config.inventory.is_none());
+    let list = list.map(|list| list.decode(&mut config.names)).transpose().unwrap_or_else(|why| {
+        warn!(log, "the worker list of the running process is not taken over: {why}");
         None
     });
-    let index = berth.known.as_ref().map(|known| known.index).filter(|_| list.is_none());
-    let known = list.or(berth.known.take());
+    let index = config.known.as_ref().map(|known| known.index).filter(|_| list.is_none());
+    let known = list.or(config.known.take());
     let open = Rc::new(Cell::new(false));
     let part = |name: &'static str| log.new(o!("part" => name));
     let clock = Clock::start();
-    let version = Rc::new(Version::new(std::mem::take(&mut berth.digest), clock));
+    let version = Rc::new(Version::new(std::mem::take(&mut config.digest), clock));
     let stopping = Rc::new(Stopping::new(part("stopping")));
-    stopping.reaches(berth.sheet.workloads.iter().map(|row| row.hard_limit).max().unwrap_or_default());
-    let rows = Rows::new(&berth.sheet, &berth.words);
+    stopping.reaches(config.settings.workloads.iter().map(|row| row.hard_limit).max().unwrap_or_default());
+    let workloads = WorkloadTable::new(&config.settings, &config.names);
     let began = clock.now();
-    let rules = Policy::new(berth.sheet, berth.seed, began);
+    let decision_module = Policy::new(config.settings, config.seed, began);
     let now = Box::new(move || clock.now());
-    let (exchange, orders) = Exchange::new(rules, rows, clock, now, part("rules"));
-    let bans = Bans::new(berth.runtime.as_deref(), &berth.name, part("management"));
-    exchange.banned_before(heritage.as_ref().map_or_else(|| bans.read(), |h| h.banned.clone()));
-    exchange.begin(began, known);
-    heritage.iter().for_each(|heritage| exchange.inherit(heritage, &berth.words));
-    let muster = match &berth.inventory {
-        None => Muster::of_discovery(exchange.clone(), berth.words.clone(), part("inventory")),
+    let (exchange, commands) = Exchange::new(decision_module, workloads, clock, now, part("rules"));
+    let bans = Bans::new(config.runtime.as_deref(), &config.name, part("management"));
+    exchange.restore_bans(inherited.as_ref().map_or_else(|| bans.read(), |h| h.banned.clone()));
+    exchange.start(began, known);
+    inherited.iter().for_each(|inherited| exchange.import_state(inherited, &config.names));
+    let worker_list = match &config.inventory {
+        None => WorkerList::from_discovery(exchange.clone(), config.names.clone(), part("inventory")),
         Some(stock) => {
-            let terms = stock.health.clone();
-            let health = terms.as_ref().map(|h| {
+            let health_settings = stock.health.clone();
+            let health = health_settings.as_ref().map(|h| {
                 let (down_after, up_after, panic_share) = (h.down_after, h.up_after, h.panic_share);
                 HealthChecker::new(
-                    HealthSettings { interval: h.every, down_after, up_after, panic_share },
-                    berth.seed,
+                    HealthSettings { interval: h.interval, down_after, up_after, panic_share },
+                    config.seed,
                 )
             });
-            let muster = Muster::with_files(exchange.clone(), berth.words.clone(), health, part("inventory"));
-            if let Some(terms) = terms {
-                spawn_local(probing::keep(muster.clone(), Rc::new(Tcp), terms));
+            let worker_list =
+                WorkerList::with_files(exchange.clone(), config.names.clone(), health, part("inventory"));
+            if let Some(health_settings) = health_settings {
+                spawn_local(probing::run(worker_list.clone(), Rc::new(Tcp), health_settings));
             }
-            let (tell, told) = mpsc::channel(READINGS);
+            let (events_sender, events) = mpsc::channel(QUEUED_EVENTS);
             let folder = path.parent().map(PathBuf::from).unwrap_or_default();
-            let stocking = Stocking { stock: stock.clone(), folder, tell };
+            let inventory = InventoryThread { settings: stock.clone(), folder, events: events_sender };
             std::thread::Builder::new()
                 .name("inventory".into())
-                .spawn(move || stocking.run())
+                .spawn(move || inventory.run())
                 .map_err(|e| format!("inventory: {e}"))?;
-            let keeps = muster.clone();
-            spawn_local(async move { keeps.keep(told).await });
-            muster
+            let files = worker_list.clone();
+            spawn_local(async move { files.run(events).await });
+            worker_list
         }
     };
-    let mut moved = None;
-    match berth.discovery {
+    let mut discovery_address = None;
+    match config.discovery {
         Some(at) => {
-            let (tell, address) = watch::channel(at);
-            moved = Some(tell);
-            // It is an agent on the own machine, whatever the settings say of the service behind it.
-            let asking = ListClient::new(Service::Agent { max_wait: LONG_WAIT }, index, berth.seed);
+            let (address_sender, address) = watch::channel(at);
+            discovery_address = Some(address_sender);
+            // The service is an agent on the local machine, whatever the settings say of the service behind
+            // it.
+            let client = ListClient::new(Service::Agent { max_wait: LONG_WAIT }, index, config.seed);
             let log = part("discovery");
             let discovery = Discovery {
                 exchange: exchange.clone(),
-                wire: Rc::new(Tcp),
-                muster: muster.clone(),
+                connector: Rc::new(Tcp),
+                worker_list: worker_list.clone(),
                 address,
-                asking,
+                client,
                 log,
             };
-            spawn_local(discovery.keep());
+            spawn_local(discovery.run());
         }
         None => exchange.without_discovery(),
     }
-    let pool = Rc::new(Pool::new(berth.rooms.for_workers, berth.dial, berth.keep));
+    let pool = Rc::new(Pool::new(
+        config.resource_limits.worker_connections,
+        config.connect_timeout,
+        config.idle_timeout,
+    ));
     let sending =
         Sending::new(exchange.clone(), pool.clone(), telemetry.assignments.clone(), part("workers"));
-    let mut told = None;
-    if let Some(others) = berth.others {
-        let at = others.all[others.position];
+    let mut peer_messages = None;
+    if let Some(addresses) = config.peers {
+        let at = addresses.all[addresses.position];
         let socket = UdpSocket::bind(at).await.map_err(|e| format!("peers, {at}: {e}"))?;
-        let (socket, (tell, messages)) = (Rc::new(socket), mpsc::channel(peers::WAITING));
-        told = Some(tell);
-        spawn_local(Peers::send(socket.clone(), others.clone(), messages));
-        let peers = Peers { exchange: exchange.clone(), socket, others, log: part("peers") };
-        spawn_local(peers.hear());
+        let (socket, (sender, messages)) = (Rc::new(socket), mpsc::channel(socket::QUEUED_MESSAGES));
+        peer_messages = Some(sender);
+        spawn_local(PeerSocket::send(socket.clone(), addresses.clone(), messages));
+        let peers = PeerSocket { exchange: exchange.clone(), socket, addresses, log: part("peers") };
+        spawn_local(peers.receive());
     }
-    exchange.equip(berth.words.reports.clone(), told);
+    exchange.configure(config.names.reports.clone(), peer_messages);
     let line = Rc::new(Line::default());
-    let door = Door::new(
+    let clients = ClientListener::new(
         exchange.clone(),
         stopping.clone(),
-        berth.rooms.for_clients,
+        config.resource_limits.client_connections,
         line.clone(),
-        Rooms::new(berth.rooms.for_bodies),
+        BodyBudget::new(config.resource_limits.body_bytes),
         telemetry.clone(),
         part("clients"),
     );
-    door.rename();
-    let reloading = Rc::new(Reloading {
+    clients.reload_names();
+    let reloader = Rc::new(ConfigReloader {
         path,
         layers,
-        keys: berth.keys.into(),
+        keys: config.keys.into(),
         group,
-        discovery: moved,
+        discovery: discovery_address,
         exchange: exchange.clone(),
-        muster: muster.clone(),
-        door: door.clone(),
+        worker_list: worker_list.clone(),
+        clients: clients.clone(),
         stopping: stopping.clone(),
         telemetry: telemetry.clone(),
         version: version.clone(),
         log: part("configuration"),
     });
     let mut accord = None;
-    if let Some((told, opened)) = berth.accord.zip(opened) {
-        let policies = reloading.clone();
-        let group = Accord::new(told, berth.name.clone(), opened, clock, policies, part("accord"))?;
-        door.under(group.clone());
+    if let Some((settings, opened)) = config.agreement.zip(opened) {
+        let policies = reloader.clone();
+        let group = Accord::new(settings, config.name.clone(), opened, clock, policies, part("accord"))?;
+        clients.set_group(group.clone());
         spawn_local(group.clone().keep());
         group.first_word().await;
         accord = Some(group);
     }
-    let (rereads, asked) = mpsc::channel(reloading::ASKED);
-    spawn_local(reloading.keep(hang_up, asked));
-    spawn_local(sending.carry_out(orders));
-    let tends = pool.clone();
-    spawn_local(async move { tends.tend().await });
+    let (rereads, reread_queue) = mpsc::channel(reload::QUEUED_REREADS);
+    spawn_local(reloader.run(hang_up, reread_queue));
+    spawn_local(sending.run(commands));
+    let idle_pool = pool.clone();
+    spawn_local(async move { idle_pool.retire_idle().await });
     let timer = exchange.clone();
-    spawn_local(async move { timer.keep_time().await });
+    spawn_local(async move { timer.run_timers().await });
     let listener = Rc::new(listener);
-    let listens = listener.local_addr().map_err(|e| e.to_string())?;
-    info!(log, "{} listens on {listens}", berth.name);
-    let sums = door.clone();
-    spawn_local(async move { sums.tell_sums().await });
-    spawn_local(door.clone().accept(listener.clone()));
+    let local_address = listener.local_addr().map_err(|e| e.to_string())?;
+    info!(log, "{} listens on {local_address}", config.name);
+    let counts = clients.clone();
+    spawn_local(async move { counts.log_counts().await });
+    spawn_local(clients.clone().accept(listener.clone()));
     let handover = Rc::new(Handover {
-        place,
+        place: socket_path,
         line: line.clone(),
         listener,
         exchange: exchange.clone(),
-        muster,
-        door: door.clone(),
+        muster: worker_list,
+        door: clients.clone(),
         pool,
         stopping: stopping.clone(),
         group: accord.clone(),
@@ -239,19 +259,28 @@
         again: Notify::new(),
         log: part("handover"),
     });
-    let place = handover.listen();
+    let upgrade_listener = handover.listen();
     before.into_iter().for_each(|stream| drop(spawn_local(handover.clone().after(stream))));
-    spawn_local(handover.keep(place));
+    spawn_local(handover.keep(upgrade_listener));
     open.set(true);
-    if let Some(listener) = manages {
+    if let Some(listener) = management_listener {
         info!(log, "operators' address is {}", listener.local_addr().map_err(|e| e.to_string())?);
         let (exchange, open) = (exchange.clone(), open.clone());
         let log = part("management");
-        let management =
-            Management { exchange, telemetry, bans, version, rereads, line, group: accord, open, log };
+        let management = Management {
+            exchange,
+            telemetry,
+            bans,
+            version,
+            rereads,
+            handover: line,
+            group: accord,
+            open,
+            log,
+        };
         spawn_local(Rc::new(management).accept(listener));
     }
-    leaving::over(&stopping, terminate, &door, &exchange, &open).await;
-    info!(log, "{} ends", berth.name);
+    leaving::over(&stopping, terminate, &clients, &exchange, &open).await;
+    info!(log, "{} ends", config.name);
     Ok(())
 }
--- a/crates/scheduler/src/succession/heritage.rs
+++ b/crates/scheduler/src/succession/heritage.rs
@@ -2,14 +2,14 @@
 //! each process's own.
 
 use crate::clock::Clock;
-use crate::rows::Rows;
+use crate::workload_table::WorkloadTable;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tindock::policy::Policy;
 use tindock::state::{MachineKind, Model, RunTimes, WorkerState};
 use tindock_berth::listing::{Entry, ListingDoc};
-use tindock_berth::Words;
+use tindock_berth::Names;
 
 pub const VERSION: u32 = 1;
 
@@ -43,10 +43,10 @@
 
 pub fn leave<'a, I: Iterator<Item = &'a Entry>>(
     rules: &Policy,
-    rows: &Rows,
+    rows: &WorkloadTable,
     entries: impl Fn() -> I,
     banned: BTreeSet<String>,
-    words: &Words,
+    words: &Names,
     clock: &Clock,
 ) -> Heritage {
     let (known, workers) = rules.records();
@@ -93,9 +93,9 @@
     pub fn take(
         &self,
         rules: &mut Policy,
-        rows: &Rows,
+        rows: &WorkloadTable,
         index: impl Fn(&str) -> Option<usize>,
-        words: &Words,
+        words: &Names,
         clock: &Clock,
     ) {
         let mut known: Model = rules.records().0.clone();
--- a/crates/scheduler/tests/exchange.rs
+++ b/crates/scheduler/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange by itself: kept traces of what it orders and answers for each failure met.
+//! The exchange by itself: snapshots of its commands and answers for each known failure.
 
 #[allow(dead_code)] // the module's own tests use the rest
 #[path = "../../../tests/helpers/mod.rs"]
@@ -11,22 +11,22 @@
 use std::time::Duration;
 use tindock::policy::Policy;
 use tindock::types::{Condition, Effect, PolicySettings, Site};
-use tindock_scheduler::berth::Words;
+use tindock_scheduler::berth::Names;
 use tindock_scheduler::clock::Clock;
-use tindock_scheduler::exchange::{Call, Exchange, Hold, Order, Ticket};
+use tindock_scheduler::exchange::{AssignmentKey, Command, Exchange, TaskHandle, TaskRequest};
 use tindock_scheduler::listing::{Entry, Listing};
-use tindock_scheduler::rows::Rows;
 use tindock_scheduler::workers::endings::Close;
-use tindock_scheduler::workers::news;
+use tindock_scheduler::workers::updates;
+use tindock_scheduler::workload_table::WorkloadTable;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-struct Floor {
+struct Fixture {
     exchange: Rc<Exchange>,
-    orders: UnboundedReceiver<Order>,
+    commands: UnboundedReceiver<Command>,
     now: Rc<Cell<Duration>>,
-    holds: Vec<(String, Hold)>,
-    /// The tickets given out, in their order.
-    tickets: Vec<Ticket>,
+    handles: Vec<(String, TaskHandle)>,
+    /// The assignments sent, in order.
+    keys: Vec<AssignmentKey>,
     trace: String,
 }
 
@@ -41,63 +41,63 @@
     }
 }
 
-impl Floor {
-    fn new(sheet: PolicySettings, workers: usize) -> Self {
+impl Fixture {
+    fn new(settings: PolicySettings, workers: usize) -> Self {
         let now = Rc::new(Cell::new(ms(1_000_000)));
-        let (reads, hard) = (now.clone(), Rows::new(&sheet, &Words::default()));
-        let rules = Policy::new(sheet, 7, now.get());
+        let (clock, workloads) = (now.clone(), WorkloadTable::new(&settings, &Names::default()));
+        let policy = Policy::new(settings, 7, now.get());
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let (exchange, orders) =
-            Exchange::new(rules, hard, Clock::start(), Box::new(move || reads.get()), log);
-        let (holds, tickets, trace) = (Vec::new(), Vec::new(), String::new());
+        let (exchange, commands) =
+            Exchange::new(policy, workloads, Clock::start(), Box::new(move || clock.get()), log);
+        let (handles, keys, trace) = (Vec::new(), Vec::new(), String::new());
         let entries = (0..workers).map(|w| entry(w, Condition::Ready)).collect();
-        exchange.begin(now.get(), (workers > 0).then_some(Listing { index: 1, whole: true, entries }));
-        let mut floor = Floor { exchange, orders, now, holds, tickets, trace };
-        floor.look();
-        floor
+        exchange.start(now.get(), (workers > 0).then_some(Listing { index: 1, whole: true, entries }));
+        let mut fixture = Fixture { exchange, commands, now, handles, keys, trace };
+        fixture.record_outputs();
+        fixture
     }
 
     fn list(&mut self, entries: Vec<Entry>, whole: bool) {
-        self.exchange.list(Listing { index: 1, whole, entries });
-        self.look();
+        self.exchange.update_list(Listing { index: 1, whole, entries });
+        self.record_outputs();
     }
 
     fn arrive(&mut self, id: &str) {
-        let call = Call {
+        let request = TaskRequest {
             id: id.into(),
             workload: 0,
-            customer: 0,
+            tenant: 0,
             size: 1.0,
-            left: None,
+            time_left: None,
             target: "/plan".into(),
             headers: Default::default(),
             body: Default::default(),
         };
-        match self.exchange.arrived(call) {
-            Some(hold) => self.holds.push((id.into(), hold)),
+        match self.exchange.submit(request) {
+            Some(handle) => self.handles.push((id.into(), handle)),
             None => self.note(&format!("{id} is in hand already")),
         }
-        self.look();
+        self.record_outputs();
     }
 
-    fn news(&mut self, text: &str) {
+    fn update(&mut self, text: &str) {
         self.note(text);
-        self.exchange.news(news::decode(text.as_bytes()).expect("news"));
-        self.look();
+        self.exchange.apply_update(updates::decode(text.as_bytes()).expect("an update"));
+        self.record_outputs();
     }
 
     fn end(&mut self, ticket: usize, close: Close) {
         self.note(&format!("ticket {ticket}: {close:?}"));
-        self.exchange.ended(self.tickets[ticket], close);
-        self.look();
+        self.exchange.assignment_ended(self.keys[ticket], close);
+        self.record_outputs();
     }
 
-    /// Lets time pass, looking at what is due every 5 ms.
+    /// Advances the clock in steps of 5 ms and handles what is due at each.
     fn pass(&mut self, span: u64) {
         for _ in 0..span / 5 {
             self.now.set(self.now.get() + ms(5));
-            self.exchange.ring();
-            self.look();
+            self.exchange.fire_timers();
+            self.record_outputs();
         }
     }
 
@@ -106,24 +106,24 @@
         self.trace += &format!("{at:5} {line}\n");
     }
 
-    /// Prints new orders and answers.
-    fn look(&mut self) {
-        while let Ok(order) = self.orders.try_recv() {
-            let number = |tickets: &[Ticket], t| tickets.iter().position(|x| *x == t);
-            let line = match order {
-                Order::Send { ticket, worker, call, .. } => {
-                    self.tickets.push(ticket);
-                    format!("  send {} to w{worker}: ticket {}", call.id, self.tickets.len() - 1)
+    /// Records new commands and answers.
+    fn record_outputs(&mut self) {
+        while let Ok(command) = self.commands.try_recv() {
+            let number = |keys: &[AssignmentKey], t| keys.iter().position(|x| *x == t);
+            let line = match command {
+                Command::Send { key, worker, request, .. } => {
+                    self.keys.push(key);
+                    format!("  send {} to w{worker}: ticket {}", request.id, self.keys.len() - 1)
                 }
-                Order::CallOff { ticket, worker, id } => {
-                    format!("  call off {id} at w{worker}: ticket {:?}", number(&self.tickets, ticket))
+                Command::Cancel { key, worker, id } => {
+                    format!("  call off {id} at w{worker}: ticket {:?}", number(&self.keys, key))
                 }
-                Order::Drop { ticket } => format!("  drop ticket {:?}", number(&self.tickets, ticket)),
+                Command::Drop { key } => format!("  drop ticket {:?}", number(&self.keys, key)),
             };
             self.note(&line);
         }
         let mut answers = Vec::new();
-        self.holds.retain_mut(|(id, hold)| match hold.answer.try_recv() {
+        self.handles.retain_mut(|(id, handle)| match handle.answer.try_recv() {
             Ok(answer) => {
                 answers.push(format!("  answer to {id}: {answer:?}"));
                 false
@@ -134,121 +134,123 @@
     }
 }
 
-/// Guards against news applied twice or to the wrong assignment: it may come before the 202, repeat, or be
-/// about a task of an earlier life.
+/// Guards against an update applied twice or to the wrong assignment: it may arrive before the 202, repeat,
+/// or concern a task of an earlier generation.
 #[test]
-fn news_counts_once_and_for_its_own_assignment() {
-    let mut floor = Floor::new(settings_for(&[Effect::Idempotent]), 2);
-    floor.news(r#"{"id":"old","from":"w0","state":"done","result":"of an earlier life"}"#);
-    floor.arrive("a");
-    floor.news(r#"{"id":"a","from":"w9","state":"done","result":"of a worker never listed"}"#);
-    floor.pass(100);
+fn updates_apply_once_and_to_their_own_assignment() {
+    let mut fixture = Fixture::new(settings_for(&[Effect::Idempotent]), 2);
+    fixture.update(r#"{"id":"old","from":"w0","state":"done","result":"of an earlier life"}"#);
+    fixture.arrive("a");
+    fixture.update(r#"{"id":"a","from":"w9","state":"done","result":"of a worker never listed"}"#);
+    fixture.pass(100);
     let (first, second) = ("w1", "w0");
-    floor.end(0, Close::CalledOff);
-    floor.news(&format!(r#"{{"id":"a","from":"{first}","state":"failed"}}"#));
-    floor.news(&format!(r#"{{"id":"a","from":"{second}","state":"started"}}"#));
-    floor.pass(200);
-    floor.news(&format!(r#"{{"id":"a","from":"{second}","state":"done","result":"the plan"}}"#));
-    floor.news(&format!(r#"{{"id":"a","from":"{second}","state":"done","result":"again"}}"#));
-    floor.end(1, Close::BrokeSent);
-    assert_snapshot!(floor.trace);
+    fixture.end(0, Close::Cancelled);
+    fixture.update(&format!(r#"{{"id":"a","from":"{first}","state":"failed"}}"#));
+    fixture.update(&format!(r#"{{"id":"a","from":"{second}","state":"started"}}"#));
+    fixture.pass(200);
+    fixture.update(&format!(r#"{{"id":"a","from":"{second}","state":"done","result":"the plan"}}"#));
+    fixture.update(&format!(r#"{{"id":"a","from":"{second}","state":"done","result":"again"}}"#));
+    fixture.end(1, Close::BrokeAfterSent);
+    assert_snapshot!(fixture.trace);
 }
 
-/// Guards against late words on a place that another task has by now.
+/// Guards against a late report applied to the task that reuses the index.
 #[test]
-fn a_place_used_again_hears_nothing_of_its_earlier_task() {
-    let mut floor = Floor::new(settings_for(&[Effect::Unrepeatable]), 1);
-    floor.arrive("a");
-    floor.arrive("a");
-    floor.news(r#"{"id":"a","from":"w0","state":"done","result":"one"}"#);
-    floor.arrive("b");
-    floor.end(0, Close::BrokeSent);
-    floor.news(r#"{"id":"a","from":"w0","state":"lost"}"#);
-    floor.news(r#"{"id":"b","from":"w0","state":"done","result":"two"}"#);
-    assert_snapshot!(floor.trace);
+fn reused_index_ignores_reports_on_the_earlier_task() {
+    let mut fixture = Fixture::new(settings_for(&[Effect::Unrepeatable]), 1);
+    fixture.arrive("a");
+    fixture.arrive("a");
+    fixture.update(r#"{"id":"a","from":"w0","state":"done","result":"one"}"#);
+    fixture.arrive("b");
+    fixture.end(0, Close::BrokeAfterSent);
+    fixture.update(r#"{"id":"a","from":"w0","state":"lost"}"#);
+    fixture.update(r#"{"id":"b","from":"w0","state":"done","result":"two"}"#);
+    assert_snapshot!(fixture.trace);
 }
 
-/// Guards against work for nobody: what a client leaves is called off, and not answered.
+/// Guards against work for a client that has left: its task is cancelled, and not answered.
 #[test]
-fn what_its_client_left_is_called_off() {
-    let mut floor = Floor::new(settings_for(&[Effect::Idempotent]), 2);
-    floor.arrive("a");
-    let (_, hold) = floor.holds.remove(0);
-    floor.note("the client goes away");
-    floor.exchange.left(hold.place, hold.life);
-    floor.exchange.left(hold.place, hold.life);
-    floor.look();
-    floor.end(0, Close::CalledOff);
-    floor.pass(50);
-    assert_snapshot!(floor.trace);
+fn tasks_of_disconnected_clients_are_cancelled() {
+    let mut fixture = Fixture::new(settings_for(&[Effect::Idempotent]), 2);
+    fixture.arrive("a");
+    let (_, handle) = fixture.handles.remove(0);
+    fixture.note("the client goes away");
+    fixture.exchange.client_left(handle.index, handle.generation);
+    fixture.exchange.client_left(handle.index, handle.generation);
+    fixture.record_outputs();
+    fixture.end(0, Close::Cancelled);
+    fixture.pass(50);
+    assert_snapshot!(fixture.trace);
 }
 
-/// Guards against tasks that end with the process: each has its answer before that, and its worker is told.
+/// Guards against tasks lost at the end of the process: each is answered first, and cancelled at its worker.
 #[test]
-fn what_is_unanswered_at_the_end_is_broken_off() {
-    let mut floor = Floor::new(settings_for(&[Effect::Unrepeatable]), 2);
-    floor.arrive("a");
-    floor.news(r#"{"id":"a","from":"w1","state":"started"}"#);
-    floor.arrive("b");
-    floor.news(r#"{"id":"b","from":"w0","state":"done","result":"in time"}"#);
-    floor.note("the process ends");
-    floor.exchange.close();
-    floor.exchange.close();
-    floor.look();
-    assert_snapshot!(floor.trace);
+fn unanswered_tasks_are_aborted_at_shutdown() {
+    let mut fixture = Fixture::new(settings_for(&[Effect::Unrepeatable]), 2);
+    fixture.arrive("a");
+    fixture.update(r#"{"id":"a","from":"w1","state":"started"}"#);
+    fixture.arrive("b");
+    fixture.update(r#"{"id":"b","from":"w0","state":"done","result":"in time"}"#);
+    fixture.note("the process ends");
+    fixture.exchange.abort_all();
+    fixture.exchange.abort_all();
+    fixture.record_outputs();
+    assert_snapshot!(fixture.trace);
 }
 
-/// Guards against sends that were decided before a drain, a call-off or the final answer, and not yet begun.
+/// Guards against sending an assignment after a drain, a cancellation or the final answer that came before
+/// its first byte.
 #[test]
-fn what_is_not_begun_is_asked_about_again() {
-    let mut floor = Floor::new(settings_for(&[Effect::Idempotent]), 1);
-    floor.arrive("a");
-    let wanted = |floor: &Floor| floor.exchange.still_wanted(floor.tickets[0]);
-    assert!(wanted(&floor));
-    floor.list(vec![entry(0, Condition::Draining)], false);
-    assert!(!wanted(&floor));
-    floor.list(vec![entry(0, Condition::Ready)], false);
-    assert!(wanted(&floor));
-    floor.list(vec![], true);
-    assert!(!wanted(&floor));
-    floor.list(vec![entry(0, Condition::Ready)], true);
-    let (_, hold) = floor.holds.remove(0);
-    floor.exchange.left(hold.place, hold.life);
-    assert!(!wanted(&floor));
+fn unsent_assignments_are_checked_again_before_sending() {
+    let mut fixture = Fixture::new(settings_for(&[Effect::Idempotent]), 1);
+    fixture.arrive("a");
+    let wanted = |fixture: &Fixture| fixture.exchange.is_still_wanted(fixture.keys[0]);
+    assert!(wanted(&fixture));
+    fixture.list(vec![entry(0, Condition::Draining)], false);
+    assert!(!wanted(&fixture));
+    fixture.list(vec![entry(0, Condition::Ready)], false);
+    assert!(wanted(&fixture));
+    fixture.list(vec![], true);
+    assert!(!wanted(&fixture));
+    fixture.list(vec![entry(0, Condition::Ready)], true);
+    let (_, handle) = fixture.handles.remove(0);
+    fixture.exchange.client_left(handle.index, handle.generation);
+    assert!(!wanted(&fixture));
 }
 
-/// Guards against a task without an answer where nothing can be called off and a worker never tells the end.
+/// Guards against a task without an answer where cancelling is not allowed and a worker never reports the
+/// end.
 #[test]
-fn a_silent_end_is_overdue_at_the_hard_limit() {
-    let mut floor =
-        Floor::new(PolicySettings { may_cancel: false, ..settings_for(&[Effect::Unrepeatable]) }, 1);
-    floor.arrive("a");
-    floor.news(r#"{"id":"a","from":"w0","state":"started"}"#);
-    floor.pass(8200);
-    floor.news(r#"{"id":"a","from":"w0","state":"done","result":"too late"}"#);
-    assert_snapshot!(floor.trace);
+fn assignments_without_a_report_time_out_at_the_hard_limit() {
+    let mut fixture =
+        Fixture::new(PolicySettings { may_cancel: false, ..settings_for(&[Effect::Unrepeatable]) }, 1);
+    fixture.arrive("a");
+    fixture.update(r#"{"id":"a","from":"w0","state":"started"}"#);
+    fixture.pass(8200);
+    fixture.update(r#"{"id":"a","from":"w0","state":"done","result":"too late"}"#);
+    assert_snapshot!(fixture.trace);
 }
 
-/// What has provably not run may be reassigned, so every way to end must be told as what it is.
+/// A task that provably never ran may be reassigned, so each way to end must map to the right `Ending`.
 #[test]
-fn each_close_is_told_as_one_ending() {
+fn each_close_maps_to_one_ending() {
     use Close::*;
     let all = [
         Done,
-        Erred,
+        Failed,
         Returned,
         Lost,
         Unusable(400),
-        Odd(500),
-        TurnedAway,
-        NotConnected,
-        DialOverdue,
-        BrokeUnsent,
-        BrokeSent,
-        Overdue,
-        CalledOff,
+        UnexpectedStatus(500),
+        Rejected,
+        ConnectFailed,
+        ConnectTimeout,
+        BrokeBeforeSent,
+        BrokeAfterSent,
+        TimedOut,
+        Cancelled,
         NeverSent,
-        LetGo,
+        ClosedIdle,
     ];
     let line = |c: &Close| {
         let ending = tindock::types::Ending::from(*c);
@@ -257,25 +259,26 @@
     assert_snapshot!(all.iter().map(line).collect::<String>());
 }
 
-/// Guards against drains broken by luck: while no list can be had, a worker that turns a task away is left out at the
-/// first sign, and a task is not passed round among workers that all leave; while lists come, signs change nothing.
+/// Guards against failed drains: while discovery is unavailable, a worker that rejects a task is avoided at
+/// the first sign, and a task is not passed around among workers that are all leaving. While lists arrive,
+/// signs change nothing.
 #[test]
-fn on_an_old_list_one_sign_leaves_a_worker_out() {
-    let mut floor = Floor::new(settings_for(&[Effect::Unrepeatable]), 2);
-    floor.note("the list is fresh: turned away, and the next task may go there again");
-    floor.arrive("a");
-    floor.end(0, Close::TurnedAway);
-    floor.end(1, Close::TurnedAway);
-    floor.arrive("b");
-    floor.note("no answer from discovery for a second");
-    floor.pass(1000);
-    floor.end(2, Close::NotConnected);
-    floor.arrive("c");
-    floor.note("the other one gives a sign too: both are left out, and c waits for a list");
-    floor.end(3, Close::TurnedAway);
-    floor.arrive("d");
-    floor.note("an answer that names nobody is a list all the same");
-    floor.list(Vec::new(), false);
-    floor.pass(20);
-    assert_snapshot!(floor.trace);
+fn on_a_stale_list_one_sign_excludes_a_worker() {
+    let mut fixture = Fixture::new(settings_for(&[Effect::Unrepeatable]), 2);
+    fixture.note("the list is fresh: turned away, and the next task may go there again");
+    fixture.arrive("a");
+    fixture.end(0, Close::Rejected);
+    fixture.end(1, Close::Rejected);
+    fixture.arrive("b");
+    fixture.note("no answer from discovery for a second");
+    fixture.pass(1000);
+    fixture.end(2, Close::ConnectFailed);
+    fixture.arrive("c");
+    fixture.note("the other one gives a sign too: both are left out, and c waits for a list");
+    fixture.end(3, Close::Rejected);
+    fixture.arrive("d");
+    fixture.note("an answer that names nobody is a list all the same");
+    fixture.list(Vec::new(), false);
+    fixture.pass(20);
+    assert_snapshot!(fixture.trace);
 }
