--- a/crates/house/examples/desk.rs
+++ b/crates/house/examples/proxy_cost.rs
@@ -1,8 +1,8 @@
 //! CPU that a request costs a desk: by part in memory, and all of it over loopback sockets.
 //!
-//!     cargo build --locked --profile system -p tindock-house --example desk
-//!     taskset -c 2 target/system/examples/desk parts
-//!     target/system/examples/desk sockets
+//!     cargo build --locked --profile system -p tindock-house --example proxy_cost
+//!     taskset -c 2 target/system/examples/proxy_cost parts
+//!     target/system/examples/proxy_cost sockets
 
 use std::hint::black_box;
 use std::io::{Read as _, Write as _};
@@ -13,9 +13,9 @@
     answer_head, request_head, write_answer, write_request, AnswerHead, Body, Framing, Read, RequestHead,
 };
 use tindock_house::budget::Budget;
-use tindock_house::notes::{Desk, Listed, Told};
-use tindock_house::post::frame;
+use tindock_house::messages::{AgentMessage, Listed, ProxyInfo};
 use tindock_house::settings::Settings;
+use tindock_house::transport::frame;
 use tindock_lending::messages::{kind, Ended};
 use tindock_lending::{Action, Allocator, Entry, Function, Member};
 
@@ -138,7 +138,7 @@
         let route = catalogue.routes[at].clone();
         let service = &catalogue.services[route.choose(7) as usize];
         now += Duration::from_micros(500);
-        budget.request(now, kind(&service.name));
+        budget.record_request(now, kind(&service.name));
         black_box(&route);
     });
     row("route, its function, the budget", found);
@@ -175,7 +175,7 @@
     });
     row(&format!("beside requests, each 25 ms: a sweep of {SERVICES} functions"), swept);
     let shown = time(20, || {
-        black_box(tindock_house::loans::loans(now, "n", "a", 1, &lending).text());
+        black_box(tindock_house::slot_report::slot_report(now, "n", "a", 1, &lending).text());
     });
     row(&format!("when staff ask: loans of {} instances told", SERVICES * INSTANCES), shown);
 }
@@ -248,7 +248,7 @@
         say.send(task.to_string_lossy().into_owned()).expect("the measurer");
         let settings = Settings::read(&settings).expect("valid settings");
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        tokio::task::LocalSet::new().block_on(&runtime, tindock_house::desk::run(settings)).expect("a desk");
+        tokio::task::LocalSet::new().block_on(&runtime, tindock_house::proxy::run(settings)).expect("a desk");
     });
     let task = hear.recv().expect("the desk's thread");
     let door = TcpListener::bind((host(1), 0)).expect("a port");
@@ -268,12 +268,12 @@
         lends: true,
         replaces: None,
     };
-    let desk = Desk { ip: host(2), zone: "a".into(), life: 1 };
+    let desk = ProxyInfo { ip: host(2), zone: "a".into(), incarnation: 1 };
     let entries = (0..SERVICES * INSTANCES).map(listed).collect();
     for told in [
-        Told::Desks(vec![desk]),
-        Told::Word(configuration()),
-        Told::Stacks { entries, ended: Vec::new(), whole: true },
+        AgentMessage::Proxies(vec![desk]),
+        AgentMessage::Configuration(configuration()),
+        AgentMessage::Instances { entries, ended: Vec::new(), complete: true },
     ] {
         link.write_all(&frame(&told)).expect("the desk");
     }
@@ -311,6 +311,6 @@
     match std::env::args().nth(1).as_deref() {
         Some("parts") => parts(),
         Some("sockets") => sockets(),
-        _ => eprintln!("desk parts|sockets"),
+        _ => eprintln!("proxy_cost parts|sockets"),
     }
 }
--- a/crates/house/src/page.rs
+++ b/crates/house/src/agent.rs
@@ -1,10 +1,10 @@
 //! The page, an agent beside the desk on an edge machine: knows the other pages, pulls the operator's word and the stacks,
 //! feeds the desk over loopback and carries what the desk has to tell to whoever holds the duty.
 
-use crate::archive::{FOLLOW, UNLISTED};
-use crate::notes::{Desk, Note, Tells, Told};
-use crate::post::{frame, listen, read_frame, Post};
+use crate::controller::{FOLLOW, UNLISTED};
+use crate::messages::{AgentMessage, PeerMessage, ProxyInfo, ProxyMessage};
 use crate::settings::Settings;
+use crate::transport::{frame, listen, read_frame, PeerSender};
 use spdlog::{info, warn};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -46,21 +46,21 @@
 const ALONE_AGAIN: Duration = Duration::from_secs(60);
 
 enum Event {
-    Note(SocketAddr, Note),
-    Letter(IpAddr, Message),
-    Desk(mpsc::Sender<Vec<u8>>),
-    Tells(Tells),
-    DeskGone,
+    PeerMessage(SocketAddr, PeerMessage),
+    Datagram(IpAddr, Message),
+    ProxyConnected(mpsc::Sender<Vec<u8>>),
+    ProxyMessage(ProxyMessage),
+    ProxyDisconnected,
     /// The settings file has changed.
     Settings,
     Leave,
 }
 
-struct Page {
+struct Agent {
     settings: Settings,
     me: SocketAddr,
     views: PeerSampler,
-    post: Post,
+    peers: PeerSender,
     desk: Option<mpsc::Sender<Vec<u8>>>,
     catalogue: Option<Catalogue>,
     /// A change did not fit: the whole word is wanted.
@@ -84,7 +84,7 @@
     zones_of: BTreeMap<SocketAddr, u8>,
     place: u8,
     pulls: u32,
-    desks: Vec<Desk>,
+    desks: Vec<ProxyInfo>,
     start: Instant,
     said: Said,
 }
@@ -101,19 +101,20 @@
 
 pub async fn run(settings: Settings) -> Result<(), String> {
     let start = Instant::now();
-    let me = settings.peer();
+    let me = settings.peer_address();
     let listener = TcpListener::bind(me).await.map_err(|e| format!("{me}: {e}"))?;
     let datagrams = std::rc::Rc::new(UdpSocket::bind(me).await.map_err(|e| format!("{me}: {e}"))?);
-    let beside =
-        TcpListener::bind(settings.loopback()).await.map_err(|e| format!("{}: {e}", settings.loopback()))?;
+    let beside = TcpListener::bind(settings.agent_address())
+        .await
+        .map_err(|e| format!("{}: {e}", settings.agent_address()))?;
     let (events, mut inbox) = mpsc::channel(1024);
 
     let (notes, mut heard) = mpsc::channel(256);
-    tokio::task::spawn_local(listen::<Note>(listener, notes, 512));
+    tokio::task::spawn_local(listen::<PeerMessage>(listener, notes, 512));
     let into = events.clone();
     tokio::task::spawn_local(async move {
         while let Some((from, note)) = heard.recv().await {
-            if into.send(Event::Note(from, note)).await.is_err() {
+            if into.send(Event::PeerMessage(from, note)).await.is_err() {
                 return;
             }
         }
@@ -125,7 +126,7 @@
             match socket.recv_from(&mut buf).await {
                 Ok((n, from)) => {
                     if let Some(letter) = Message::decode(&buf[..n]) {
-                        if into.send(Event::Letter(from.ip(), letter)).await.is_err() {
+                        if into.send(Event::Datagram(from.ip(), letter)).await.is_err() {
                             return;
                         }
                     }
@@ -140,7 +141,7 @@
         loop {
             if let Ok((stream, _)) = beside.accept().await {
                 desk_link(stream, &into).await;
-                if into.send(Event::DeskGone).await.is_err() {
+                if into.send(Event::ProxyDisconnected).await.is_err() {
                     return;
                 }
             }
@@ -166,12 +167,12 @@
     });
 
     let life = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    let seed = life.as_nanos() as u64 ^ crate::archive::hash(&settings.node_name);
-    let place = settings.place();
-    let mut page = Page {
+    let seed = life.as_nanos() as u64 ^ crate::controller::hash(&settings.node_name);
+    let place = settings.zone_index();
+    let mut page = Agent {
         me,
         views: PeerSampler::new(settings.ip_address, place, life.as_millis() as u64, seed, Duration::ZERO),
-        post: Post::new(me),
+        peers: PeerSender::new(me),
         desk: None,
         catalogue: None,
         whole: false,
@@ -196,7 +197,7 @@
         settings,
         said: Said { desk: false, desk_due: ALONE, left: true, alone_due: ALONE, alone: false },
     };
-    info!("up: page at {me}, for the desk at {}", page.settings.loopback());
+    info!("up: page at {me}, for the desk at {}", page.settings.agent_address());
     page.pull();
     let mut leaving: Option<Duration> = None;
     loop {
@@ -211,7 +212,7 @@
         let due = page.views.next_due().min(page.pulled + PULL).min(leaving.unwrap_or(Duration::MAX));
         let wait = due.saturating_sub(now).max(Duration::from_millis(2));
         match tokio::time::timeout(wait, inbox.recv()).await {
-            Ok(Some(Event::Letter(from, letter))) => {
+            Ok(Some(Event::Datagram(from, letter))) => {
                 page.pass_owners_on(page.start.elapsed(), from, letter.owners);
                 if let Some(answer) = page.views.receive(page.start.elapsed(), &letter) {
                     let _ = datagrams.try_send_to(&answer.encode(), SocketAddr::new(from, me.port()));
@@ -226,7 +227,7 @@
                 leaving = Some(now + grace.end());
             }
             Ok(Some(event)) => {
-                let gone = matches!(event, Event::DeskGone);
+                let gone = matches!(event, Event::ProxyDisconnected);
                 page.take(event, leaving.is_some());
                 if gone && leaving.is_some() {
                     return Ok(());
@@ -250,9 +251,9 @@
             }
         }
     });
-    if events.send(Event::Desk(out)).await.is_ok() {
-        while let Some(tells) = read_frame::<Tells>(&mut from).await {
-            if events.send(Event::Tells(tells)).await.is_err() {
+    if events.send(Event::ProxyConnected(out)).await.is_ok() {
+        while let Some(tells) = read_frame::<ProxyMessage>(&mut from).await {
+            if events.send(Event::ProxyMessage(tells)).await.is_err() {
                 break;
             }
         }
@@ -260,7 +261,7 @@
     writer.abort();
 }
 
-impl Page {
+impl Agent {
     /// The seeds of the settings file as it is now; one that cannot be read changes nothing. Only seeds change in a
     /// process's life: its addresses and bounds are those it started with.
     fn reread(&mut self) {
@@ -284,21 +285,21 @@
         if let Some((holder, _)) = self.holder {
             self.followed = now;
             let follow = self.follow();
-            self.post.send(holder, &follow);
+            self.peers.send(holder, &follow);
         }
     }
 
     /// The proxies among which owners are chosen, as the desk takes them.
     fn tell_owners(&mut self) {
-        let places = self.settings.places();
+        let places = self.settings.zones_with_regions();
         let desk = |proxy: &Proxy| {
             let zone = places.get(usize::from(proxy.place))?.0.clone();
-            Some(Desk { ip: proxy.ip, zone, life: proxy.life })
+            Some(ProxyInfo { ip: proxy.ip, zone, incarnation: proxy.life })
         };
         let Some(owners) = self.stacks.owners() else { return };
         let mark = owners.mark;
         let desks = owners.proxies.iter().filter_map(desk).collect();
-        self.tell(&Told::Owners(desks));
+        self.tell(&AgentMessage::Owners(desks));
         if mark != self.owners.0 {
             self.owners = (mark, self.start.elapsed());
             self.views.set_owners((mark.number, mark.version));
@@ -314,11 +315,11 @@
             return;
         }
         if let Some(owners) = self.stacks.owners() {
-            self.post.send(SocketAddr::new(to, self.me.port()), &Note::Owners(owners.clone()));
+            self.peers.send(SocketAddr::new(to, self.me.port()), &PeerMessage::Owners(owners.clone()));
         }
     }
 
-    fn tell(&mut self, told: &Told) {
+    fn tell(&mut self, told: &AgentMessage) {
         if let Some(desk) = &self.desk {
             // A desk that does not read is told everything again when it comes back.
             if desk.try_send(frame(told)).is_err() {
@@ -337,29 +338,32 @@
             return;
         }
         let to = self.archives[self.archive % self.archives.len()];
-        let greets = self.heard == Duration::ZERO || self.pulls.is_multiple_of(PULL_GREETS);
+        let with_peers = self.heard == Duration::ZERO || self.pulls.is_multiple_of(PULL_GREETS);
         self.pulls = self.pulls.wrapping_add(1);
         let revision = self.catalogue.as_ref().filter(|_| !self.whole).map_or(0, |c| c.revision);
         let (ip, mark) = (self.me.ip(), self.stacks.mark());
-        let wants = self.wants(now, &to);
-        self.post.send(to, &Note::Pull { ip, revision, mark, greets, wants });
+        let with_data = self.wants_data(now, &to);
+        self.peers.send(to, &PeerMessage::Pull { ip, revision, mark, with_peers, with_data });
         // All at once: the one of the own zone answers as soon as any. One that was left as silent may be that one, and back:
         // without a look now and then all pages of a zone would stay with a far one for good.
         let near = self.zones_of.get(&to) == Some(&self.place);
         for other in self.archives.clone() {
             let look = match self.zones_of.get(&other) {
-                None => !wants,
-                Some(zone) => *zone == u8::MAX && greets && !near,
+                None => !with_data,
+                Some(zone) => *zone == u8::MAX && with_peers && !near,
             };
             if other != to && look {
-                self.post.send(other, &Note::Pull { ip, revision, mark, greets: false, wants: false });
+                self.peers.send(
+                    other,
+                    &PeerMessage::Pull { ip, revision, mark, with_peers: false, with_data: false },
+                );
             }
         }
     }
 
     /// Whether this archive is to send the word and the stacks: one of the own zone, or any where there is none. The word was sent
     /// five times to each page when each archive that was asked on the way sent it.
-    fn wants(&self, now: Duration, archive: &SocketAddr) -> bool {
+    fn wants_data(&self, now: Duration, archive: &SocketAddr) -> bool {
         let near = self.zones_of.get(archive) == Some(&self.place);
         near || now >= NEAR || self.archives.iter().all(|at| self.zones_of.contains_key(at))
     }
@@ -367,17 +371,21 @@
     /// Whether this page is among the few that tell a new holder what all of them know; chosen by the number, so that no
     /// word is needed.
     fn one_of_few(&self, now: Duration, number: u64) -> bool {
-        let weight = |ip: IpAddr| crate::archive::hash(&format!("{ip} {number}"));
+        let weight = |ip: IpAddr| crate::controller::hash(&format!("{ip} {number}"));
         let own = weight(self.me.ip());
         self.views.alive(now).iter().filter(|heard| weight(heard.ip) < own).count() < TELLERS
     }
 
     /// What the holder is asked; once in some follows also for other pages, or two halves of them that began at two archives
     /// would never hear of each other.
-    fn follow(&mut self) -> Note {
+    fn follow(&mut self) -> PeerMessage {
         self.follows = self.follows.wrapping_add(1);
         let proxy = Proxy { ip: self.me.ip(), place: self.place, life: self.views.incarnation() };
-        Note::Follow { mark: self.stacks.mark(), greets: self.follows % GREETS == 1, proxy: Some(proxy) }
+        PeerMessage::Follow {
+            mark: self.stacks.mark(),
+            with_peers: self.follows % GREETS == 1,
+            proxy: Some(proxy),
+        }
     }
 
     fn tick(&mut self, now: Duration) {
@@ -420,7 +428,7 @@
             if now >= self.followed + FOLLOW {
                 self.followed = now;
                 let follow = self.follow();
-                self.post.send(holder, &follow);
+                self.peers.send(holder, &follow);
             }
         }
         self.say(now);
@@ -428,27 +436,27 @@
         let fresh = self.confirmed.is_some_and(|at| now < at + newest);
         if fresh != self.fresh {
             self.fresh = fresh;
-            self.tell(&Told::Fresh(fresh));
+            self.tell(&AgentMessage::ConfigurationIsNewest(fresh));
         }
         let in_touch = self.heard > Duration::ZERO && now < self.heard + IN_TOUCH;
         if in_touch != self.in_touch {
             self.in_touch = in_touch;
-            self.tell(&Told::InTouch(in_touch));
+            self.tell(&AgentMessage::ControllersReachable(in_touch));
         }
-        let places = self.settings.places();
-        let desks: Vec<Desk> = self
+        let places = self.settings.zones_with_regions();
+        let desks: Vec<ProxyInfo> = self
             .views
             .alive(now)
             .into_iter()
             .filter(|heard| heard.incarnation != 0)
             .filter_map(|heard| {
                 let zone = places.get(usize::from(heard.zone_index))?.0.clone();
-                Some(Desk { ip: heard.ip, zone, life: heard.incarnation })
+                Some(ProxyInfo { ip: heard.ip, zone, incarnation: heard.incarnation })
             })
             .collect();
         if desks != self.desks {
             self.desks = desks.clone();
-            self.tell(&Told::Desks(desks));
+            self.tell(&AgentMessage::Proxies(desks));
         }
     }
 
@@ -475,47 +483,47 @@
     fn take(&mut self, event: Event, leaving: bool) {
         let now = self.start.elapsed();
         match event {
-            Event::Note(from, note) => self.note(now, from, note),
-            Event::Desk(out) => {
+            Event::PeerMessage(from, note) => self.note(now, from, note),
+            Event::ProxyConnected(out) => {
                 self.desk = Some(out);
                 if let Some(catalogue) = self.catalogue.clone() {
-                    self.tell(&Told::Word(catalogue));
+                    self.tell(&AgentMessage::Configuration(catalogue));
                 }
-                self.tell(&Told::Desks(self.desks.clone()));
+                self.tell(&AgentMessage::Proxies(self.desks.clone()));
                 self.tell_owners();
                 let entries = self.stacks.entries(now);
                 if self.stacks.is_known() {
-                    self.tell(&Told::Stacks { entries, ended: Vec::new(), whole: true });
+                    self.tell(&AgentMessage::Instances { entries, ended: Vec::new(), complete: true });
                 }
-                self.tell(&Told::Fresh(self.fresh));
-                self.tell(&Told::InTouch(self.in_touch));
+                self.tell(&AgentMessage::ConfigurationIsNewest(self.fresh));
+                self.tell(&AgentMessage::ControllersReachable(self.in_touch));
             }
-            Event::Tells(Tells::Life(life)) if !leaving => self.serves(now, life),
-            Event::Tells(Tells::Life(_)) => {}
-            Event::Tells(Tells::Leaving) | Event::DeskGone => {
+            Event::ProxyMessage(ProxyMessage::Incarnation(life)) if !leaving => self.serves(now, life),
+            Event::ProxyMessage(ProxyMessage::Incarnation(_)) => {}
+            Event::ProxyMessage(ProxyMessage::Leaving) | Event::ProxyDisconnected => {
                 self.serves(now, 0);
-                if matches!(event, Event::DeskGone) {
+                if matches!(event, Event::ProxyDisconnected) {
                     self.desk = None;
                 }
             }
-            Event::Tells(tells) => {
+            Event::ProxyMessage(tells) => {
                 let Some((holder, _)) = self.holder else { return };
                 let note = match tells {
-                    Tells::Demand(demand) => Note::Demand(demand),
-                    Tells::Gone(instance) => {
+                    ProxyMessage::Demand(demand) => PeerMessage::Demand(demand),
+                    ProxyMessage::InstanceGone(instance) => {
                         self.stacks.gone(&instance);
-                        Note::Gone(instance)
+                        PeerMessage::InstanceGone(instance)
                     }
-                    Tells::Ready(instance) => {
+                    ProxyMessage::InstanceReady(instance) => {
                         self.stacks.ready(&instance);
-                        Note::Ready(instance)
+                        PeerMessage::InstanceReady(instance)
                     }
-                    Tells::Life(_) | Tells::Leaving => return,
+                    ProxyMessage::Incarnation(_) | ProxyMessage::Leaving => return,
                 };
-                self.post.send(holder, &note);
+                self.peers.send(holder, &note);
             }
             Event::Settings => self.reread(),
-            Event::Letter(..) | Event::Leave => {}
+            Event::Datagram(..) | Event::Leave => {}
         }
     }
 
@@ -530,14 +538,14 @@
         if let Some(best) = (0..self.archives.len()).min_by_key(|i| rank(&self.archives[*i])) {
             if rank(&self.archives[best]) < rank(&current) {
                 self.archive = best;
-                let leaves = Note::Pull {
+                let leaves = PeerMessage::Pull {
                     ip: self.me.ip(),
                     revision: 0,
                     mark: self.stacks.mark(),
-                    greets: false,
-                    wants: false,
+                    with_peers: false,
+                    with_data: false,
                 };
-                self.post.send(current, &leaves);
+                self.peers.send(current, &leaves);
                 if self.catalogue.is_none() || !self.stacks.is_known() {
                     self.pull();
                 }
@@ -545,26 +553,26 @@
         }
     }
 
-    fn note(&mut self, now: Duration, from: SocketAddr, note: Note) {
+    fn note(&mut self, now: Duration, from: SocketAddr, note: PeerMessage) {
         match note {
-            Note::News { holder, revision, touch, place, archives, pages } => {
-                self.zones_of.insert(from, place);
+            PeerMessage::ClusterStatus { holder, revision, in_touch, zone_index, controllers, agents } => {
+                self.zones_of.insert(from, zone_index);
                 if self.archive_now() == Some(from) {
                     self.answered = now;
                 }
-                if !archives.is_empty() && archives != self.archives {
+                if !controllers.is_empty() && controllers != self.archives {
                     let current = self.archives.get(self.archive % self.archives.len().max(1)).copied();
-                    self.archives = archives;
+                    self.archives = controllers;
                     self.archive =
                         self.archives.iter().position(|a| Some(*a) == current).unwrap_or(self.archive);
                 }
-                self.views.add_contacts(now, pages);
+                self.views.add_contacts(now, agents);
                 let own = self.catalogue.as_ref().map_or(0, |c| c.revision);
                 // Who knows nothing does not wait for the archives' vote: the one of its zone can show the platform's list.
-                if touch || !self.stacks.is_known() {
+                if in_touch || !self.stacks.is_known() {
                     self.settle_near();
                 }
-                if touch {
+                if in_touch {
                     if self.said.alone {
                         let silent = now.saturating_sub(self.heard).as_secs();
                         warn!("archive {} in touch again after {silent} s", from.ip());
@@ -588,31 +596,31 @@
                             // What has been there for longer is on the platform's list, which the holder reads.
                             let mut entries = self.stacks.entries(now);
                             entries.retain(|entry| !entry.ready || entry.age < UNLISTED);
-                            self.post.send(at, &Note::Inherit { entries, tag, numbers });
+                            self.peers.send(at, &PeerMessage::Handover { entries, tag, numbers });
                         }
                         let follow = self.follow();
-                        self.post.send(at, &follow);
+                        self.peers.send(at, &follow);
                     }
                 }
             }
-            Note::Word(catalogue) => {
+            PeerMessage::Configuration(catalogue) => {
                 self.whole = false;
                 // A process never goes back within its life.
                 if self.catalogue.as_ref().is_none_or(|own| own.revision < catalogue.revision) {
                     info!("revision {} in force", catalogue.revision);
-                    self.tell(&Told::Word(catalogue.clone()));
+                    self.tell(&AgentMessage::Configuration(catalogue.clone()));
                     self.confirmed = Some(now);
                     self.catalogue = Some(catalogue);
                 }
             }
-            Note::Change(change) => {
+            PeerMessage::Change(change) => {
                 let Some(own) = self.catalogue.as_ref().filter(|own| own.revision < change.revision) else {
                     return;
                 };
                 match own.changed(&change) {
                     Some(catalogue) => {
                         info!("revision {} in force", catalogue.revision);
-                        self.tell(&Told::Change(change));
+                        self.tell(&AgentMessage::Change(change));
                         self.confirmed = Some(now);
                         self.catalogue = Some(catalogue);
                     }
@@ -623,7 +631,7 @@
                     }
                 }
             }
-            Note::Stacks(news) => match self.stacks.take(now, &news) {
+            PeerMessage::Instances(news) => match self.stacks.take(now, &news) {
                 Taken::Old => {}
                 Taken::Gap => {
                     // What was missed is asked for again, of the one that is asked for all else.
@@ -631,25 +639,25 @@
                 }
                 Taken::New { ended } => {
                     let Stacks { entries, whole, owners, .. } = news;
-                    self.tell(&Told::Stacks { entries, ended, whole });
+                    self.tell(&AgentMessage::Instances { entries, ended, complete: whole });
                     if owners.is_some() {
                         self.tell_owners();
                     }
                 }
             },
-            Note::Owners(owners) => {
+            PeerMessage::Owners(owners) => {
                 if self.stacks.take_owners(&owners) {
                     self.tell_owners();
                 }
             }
-            Note::ControlStore(_)
-            | Note::Pull { .. }
-            | Note::Follow { .. }
-            | Note::Demand(_)
-            | Note::Gone(_)
-            | Note::Ready(_)
-            | Note::Inherit { .. }
-            | Note::Leaving { .. } => {}
+            PeerMessage::ControlStore(_)
+            | PeerMessage::Pull { .. }
+            | PeerMessage::Follow { .. }
+            | PeerMessage::Demand(_)
+            | PeerMessage::InstanceGone(_)
+            | PeerMessage::InstanceReady(_)
+            | PeerMessage::Handover { .. }
+            | PeerMessage::Leaving { .. } => {}
         }
     }
 }
--- a/crates/house/src/budget.rs
+++ b/crates/house/src/budget.rs
@@ -41,12 +41,12 @@
     }
 
     /// A request of a client for this function.
-    pub fn request(&mut self, now: Duration, kind: Kind) {
+    pub fn record_request(&mut self, now: Duration, kind: Kind) {
         self.at(now, kind).1 += 1;
     }
 
     /// Whether a further try may go out, `desks` being those that are known to share the slack; it counts if so.
-    pub fn repeat(&mut self, now: Duration, kind: Kind, desks: usize) -> bool {
+    pub fn try_retry(&mut self, now: Duration, kind: Kind, desks: usize) -> bool {
         let (ratio, slack) = (self.ratio, self.slack / (desks as f64 + 1.0));
         let number = self.at(now, kind).0;
         let Some(window) = self.windows.get_mut(&kind) else { return false };
@@ -73,10 +73,10 @@
         for ms in (0..60_000_u64).step_by(5) {
             let now = Duration::from_millis(ms);
             if chance.rand_range(0..4) == 0 {
-                budget.request(now, 1);
+                budget.record_request(now, 1);
                 requests.push(ms);
             }
-            if budget.repeat(now, 1, 7) {
+            if budget.try_retry(now, 1, 7) {
                 repeats.push(ms);
             }
         }
--- a/crates/house/src/cli.rs
+++ b/crates/house/src/cli.rs
@@ -1,13 +1,13 @@
 //! The commands of the whole system, built for clap by hand and hung beside those of the scheduler.
 
 use crate::settings::Settings;
-use crate::{controller, desk, loans, on_one_thread, page, rebinding, status};
+use crate::{agent, controller, on_one_thread, proxy, rebinding, slot_report, status};
 use clap::{Arg, ArgMatches, Command};
 use std::path::Path;
 use tindock_catalogue::Catalogue;
 
 /// Whether a first word is one of these commands.
-pub fn is_ours(word: &str) -> bool {
+pub fn is_system_command(word: &str) -> bool {
     commands().iter().any(|command| command.get_name() == word)
 }
 
@@ -51,7 +51,7 @@
         Command::new("check-configuration")
             .about("Read an operator's configuration (JSON) and tell what is wrong with it, and where")
             .arg(Arg::new("FILE").required(true)),
-        loans::command(),
+        slot_report::command(),
         rebinding::command(),
         status::command(),
     ]
@@ -61,8 +61,8 @@
 pub fn run(name: &str, matches: &ArgMatches) -> Result<String, String> {
     let file = || matches.get_one::<String>("FILE").cloned().unwrap_or_default();
     match name {
-        "desk" => on_one_thread(least(matches), desk::run).map(|()| String::new()),
-        "page" => on_one_thread(least(matches), page::run).map(|()| String::new()),
+        "desk" => on_one_thread(least(matches), proxy::run).map(|()| String::new()),
+        "page" => on_one_thread(least(matches), agent::run).map(|()| String::new()),
         "archive" => on_one_thread(least(matches), controller::run).map(|()| String::new()),
         "check-boot" => {
             let settings = Settings::from_file(Path::new(&file())).map_err(|fault| fault.to_string())?;
@@ -78,7 +78,7 @@
                 read.revision
             ))
         }
-        "loans" => loans::run(matches),
+        "loans" => slot_report::run(matches),
         "rebinding" => rebinding::run(matches),
         "status" => status::run(matches),
         other => Err(format!("{other}: no such command")),
--- a/crates/house/src/client.rs
+++ b/crates/house/src/client.rs
@@ -1,8 +1,8 @@
 //! Client connections: requests in, each request's one answer out.
 
-use crate::desk::{pump, Shared, Slot, SUMMED};
 use crate::leaving::RETRY_AFTER_LEAVING;
 use crate::open_calls::{CallId, Stage};
+use crate::proxy::{pump, Shared, Slot, SUMMED};
 use crate::work::Work;
 use crate::workers::{self, Failure, Outcome};
 use spdlog::{info, warn};
@@ -310,7 +310,7 @@
         let kind = kind(&service.name);
         state.open_calls.found(open, &service.name);
         let now = state.now();
-        state.budget.request(now, kind);
+        state.budget.record_request(now, kind);
         let deadline_ms = head.deadline_ms.unwrap_or(u32::MAX).min(route.timeout_ms);
         let allowed = Duration::from_millis(deadline_ms.into());
         let came = state.since_start(came);
--- a/crates/house/src/controller/agents.rs
+++ b/crates/house/src/controller/agents.rs
@@ -2,8 +2,8 @@
 
 use super::platform_lists::read_instances;
 use super::{Controller, Event};
-use crate::notes::{Demand, Note};
-use crate::post::frame;
+use crate::messages::{Demand, PeerMessage};
+use crate::transport::frame;
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -18,14 +18,14 @@
 
 impl Controller {
     /// A note of another controller or of an agent.
-    pub(super) fn receive_note(&mut self, now: Duration, from: SocketAddr, note: Note) {
+    pub(super) fn receive_note(&mut self, now: Duration, from: SocketAddr, note: PeerMessage) {
         match note {
-            Note::ControlStore(envelope) => self.control_store.receive(now, from, envelope),
-            Note::Pull { ip, revision, mark, greets, wants } => {
-                self.agents.record_pull(now, ip, revision, wants);
-                let news = self.news(now, ip, greets);
-                self.post.send(from, &news);
-                if wants {
+            PeerMessage::ControlStore(envelope) => self.control_store.receive(now, from, envelope),
+            PeerMessage::Pull { ip, revision, mark, with_peers, with_data } => {
+                self.agents.record_pull(now, ip, revision, with_data);
+                let news = self.news(now, ip, with_peers);
+                self.peers.send(from, &news);
+                if with_data {
                     self.send_configuration(now, Some(ip));
                     self.relay.pulled(now, ip, mark);
                     self.hand_on();
@@ -34,15 +34,15 @@
                 }
                 self.read_first_instances(now);
             }
-            Note::Leaving { ip } => self.agents.remove(ip),
-            Note::Follow { mark, greets, proxy } => {
+            PeerMessage::Leaving { ip } => self.agents.remove(ip),
+            PeerMessage::Follow { mark, with_peers, proxy } => {
                 let relays = self.control_store.members().contains(&from);
                 if !relays {
                     self.agents.record_follow(now, from.ip());
                 }
-                if greets {
+                if with_peers {
                     let news = self.news(now, from.ip(), true);
-                    self.post.send(from, &news);
+                    self.peers.send(from, &news);
                 }
                 if let Some(lease) = &mut self.lease {
                     // Its own address: a note is not to speak for another.
@@ -54,51 +54,54 @@
                 }
                 self.tell_instances(now);
             }
-            Note::Stacks(news) => self.take_instances(now, from, news),
-            Note::Demand(demands) => {
+            PeerMessage::Instances(news) => self.take_instances(now, from, news),
+            PeerMessage::Demand(demands) => {
                 let Some(lease) = self.lease.as_mut() else { return };
                 for demand in demands {
                     lease.duties.scaler.update_demand(now, demand_of(demand, &self.places));
                 }
             }
-            Note::Gone(instance) => {
+            PeerMessage::InstanceGone(instance) => {
                 if let Some(lease) = self.lease.as_mut() {
                     lease.duties.scaler.instance_gone(now, &instance);
                 }
             }
-            Note::Ready(instance) => {
+            PeerMessage::InstanceReady(instance) => {
                 if let Some(lease) = self.lease.as_mut() {
                     lease.duties.scaler.instance_ready(now, &instance);
                 }
             }
-            Note::Inherit { entries, tag, numbers } => {
+            PeerMessage::Handover { entries, tag, numbers } => {
                 if let Some(lease) = self.lease.as_mut() {
                     lease.duties.receive_handover(now, entries, &numbers, tag);
                 }
             }
             // These come from controllers alone.
-            Note::News { .. } | Note::Word(_) | Note::Change(_) | Note::Owners(_) => {}
+            PeerMessage::ClusterStatus { .. }
+            | PeerMessage::Configuration(_)
+            | PeerMessage::Change(_)
+            | PeerMessage::Owners(_) => {}
         }
     }
 
-    /// How things stand, for one agent; with `greets` also who else is there.
-    fn news(&mut self, now: Duration, to: IpAddr, greets: bool) -> Note {
-        let pages = if greets { self.agents.sample(now, to) } else { Vec::new() };
-        Note::News {
+    /// How things stand, for one agent; with `with_peers` also who else is there.
+    fn news(&mut self, now: Duration, to: IpAddr, with_peers: bool) -> PeerMessage {
+        let agents = if with_peers { self.agents.sample(now, to) } else { Vec::new() };
+        PeerMessage::ClusterStatus {
             holder: self.holder,
             revision: self.control_store.committed().map_or(0, |committed| committed.revision),
-            touch: self.is_in_touch(now),
-            place: self.place,
-            archives: if greets { self.control_store.members() } else { Vec::new() },
-            pages,
+            in_touch: self.is_in_touch(now),
+            zone_index: self.place,
+            controllers: if with_peers { self.control_store.members() } else { Vec::new() },
+            agents,
         }
     }
 
     pub(super) fn send_news_to_all(&mut self, now: Duration) {
-        let port = self.settings.peer().port();
+        let port = self.settings.peer_address().port();
         for ip in self.agents.recent(now) {
             let news = self.news(now, ip, false);
-            self.post.send(SocketAddr::new(ip, port), &news);
+            self.peers.send(SocketAddr::new(ip, port), &news);
         }
     }
 
@@ -109,19 +112,19 @@
             return;
         }
         let Some(configuration) = &self.configuration else { return };
-        let port = self.settings.peer().port();
+        let port = self.settings.peer_address().port();
         let behind = self.agents.behind(now, configuration.revision, only);
         // By the revision that an agent has: the frame that leads on from it, made once for all who have it.
         let mut frames: HashMap<u64, (bool, Vec<u8>)> = HashMap::new();
         for (ip, has) in behind {
             let (whole, bytes) = frames.entry(has).or_insert_with(|| {
                 match self.older.iter().find(|old| old.revision == has) {
-                    Some(old) => (false, frame(&Note::Change(configuration.since(old)))),
-                    None => (true, frame(&Note::Word(configuration.clone()))),
+                    Some(old) => (false, frame(&PeerMessage::Change(configuration.since(old)))),
+                    None => (true, frame(&PeerMessage::Configuration(configuration.clone()))),
                 }
             });
             self.agents.record_sent(now, ip, configuration.revision, *whole);
-            self.post.send_frame(SocketAddr::new(ip, port), bytes.clone());
+            self.peers.send_frame(SocketAddr::new(ip, port), bytes.clone());
         }
     }
 
@@ -148,10 +151,10 @@
     ) {
         self.reading_first = false;
         let (Some(instances), None) = (read, self.holder) else { return };
-        let bytes = frame(&Note::Stacks(platform_instances(instances)));
-        let port = self.settings.peer().port();
+        let bytes = frame(&PeerMessage::Instances(platform_instances(instances)));
+        let port = self.settings.peer_address().port();
         for ip in self.relay.blank(now) {
-            self.post.send_frame(SocketAddr::new(ip, port), bytes.clone());
+            self.peers.send_frame(SocketAddr::new(ip, port), bytes.clone());
         }
     }
 
@@ -160,8 +163,8 @@
         let Some((holder, _)) = self.holder else { return };
         self.followed = now;
         let mark = self.relay.replica().mark();
-        if holder != self.settings.peer() {
-            return self.post.send(holder, &Note::Follow { mark, greets: false, proxy: None });
+        if holder != self.settings.peer_address() {
+            return self.peers.send(holder, &PeerMessage::Follow { mark, with_peers: false, proxy: None });
         }
         if let Some(lease) = &mut self.lease {
             let version = lease.duties.scaler.version();
@@ -173,17 +176,17 @@
     fn take_instances(&mut self, now: Duration, from: SocketAddr, news: Stacks) {
         if self.relay.take(now, news) == Taken::Gap {
             let mark = self.relay.replica().mark();
-            self.post.send(from, &Note::Follow { mark, greets: false, proxy: None });
+            self.peers.send(from, &PeerMessage::Follow { mark, with_peers: false, proxy: None });
         }
         self.hand_on();
     }
 
     fn hand_on(&mut self) {
-        let port = self.settings.peer().port();
+        let port = self.settings.peer_address().port();
         while let Some(copies) = self.relay.pull() {
-            let bytes = frame(&Note::Stacks((*copies.news).clone()));
+            let bytes = frame(&PeerMessage::Instances((*copies.news).clone()));
             for ip in copies.to {
-                self.post.send_frame(SocketAddr::new(ip, port), bytes.clone());
+                self.peers.send_frame(SocketAddr::new(ip, port), bytes.clone());
             }
         }
     }
@@ -196,20 +199,20 @@
         let duties = &mut lease.duties;
         duties.update_proxies(now);
         duties.source.tick(now, duties.scaler.version());
-        let me = self.settings.peer();
+        let me = self.settings.peer_address();
         // By the version it leads on from: the same piece goes to all controllers.
         let mut frames: HashMap<u64, (Stacks, Vec<u8>)> = HashMap::new();
         let mut own = Vec::new();
         while let Some((ip, from)) = duties.source.pull() {
             let (news, bytes) = frames.entry(from).or_insert_with(|| {
                 let news = duties.changes_since(now, from);
-                let bytes = frame(&Note::Stacks(news.clone()));
+                let bytes = frame(&PeerMessage::Instances(news.clone()));
                 (news, bytes)
             });
             if ip == me.ip() {
                 own.push(news.clone());
             } else {
-                self.post.send_frame(SocketAddr::new(ip, me.port()), bytes.clone());
+                self.peers.send_frame(SocketAddr::new(ip, me.port()), bytes.clone());
             }
         }
         for news in own {
--- a/crates/house/src/controller/lease_duties.rs
+++ b/crates/house/src/controller/lease_duties.rs
@@ -78,7 +78,7 @@
         let timers = &self.settings.timers;
         let provider = self.settings.provider_api.as_ref();
         let terms = autoscaler::PlatformSettings {
-            zones: self.settings.places(),
+            zones: self.settings.zones_with_regions(),
             drain: seconds(timers.drain_ms / 1000.0),
             address_reuse: seconds(timers.address_reuse_s),
             call_rate: provider.map_or(DEFAULT_DUTY_RATE, |p| p.duty_rate_s),
--- a/crates/house/src/controller/mod.rs
+++ b/crates/house/src/controller/mod.rs
@@ -16,11 +16,11 @@
 mod log_lines;
 mod platform_lists;
 
-use crate::notes::Note;
+use crate::messages::PeerMessage;
 use crate::operator::{self, Call};
 use crate::platform::{Failed, Platform};
-use crate::post::{listen, Post};
 use crate::settings::{seconds, Settings};
+use crate::transport::{listen, PeerSender};
 use lease_duties::HeldLease;
 use log_lines::LogState;
 use spdlog::{error, info, warn};
@@ -57,7 +57,7 @@
 
 /// What the run loop waits for.
 enum Event {
-    Note(SocketAddr, Note),
+    PeerMessage(SocketAddr, PeerMessage),
     Operator(Call),
     /// A write of this token has ended, with success or not.
     Stored(u64, bool),
@@ -75,7 +75,7 @@
 struct Controller {
     settings: Settings,
     control_store: ControlStore,
-    post: Post,
+    peers: PeerSender,
     disk: std::sync::mpsc::Sender<(u64, Stored)>,
     platform: Option<Rc<Platform>>,
     events: mpsc::Sender<Event>,
@@ -109,7 +109,7 @@
     let unusable = |e: std::io::Error| format!("{}: {e}", folder.display());
     let files = Folder::open(&folder).map_err(unusable)?;
     let kept = files.read().map_err(unusable)?;
-    let peer_listener = bind(settings.peer()).await?;
+    let peer_listener = bind(settings.peer_address()).await?;
     let operator_listener = bind(control).await?;
     let (events, mut inbox) = mpsc::channel(1024);
 
@@ -118,7 +118,7 @@
     receive_calls(operator_listener, events.clone());
     receive_signals(events.clone());
 
-    let me = settings.peer();
+    let me = settings.peer_address();
     let control_store = ControlStore::new(member_settings(&settings), kept, start.elapsed());
     if let (mode, Some(unknown)) = settings.config_mode() {
         warn!("config_mode {unknown:?} is unknown, and taken for {mode:?}");
@@ -160,10 +160,10 @@
 /// Hands on what other controllers and agents send.
 fn receive_notes(listener: TcpListener, most: usize, events: mpsc::Sender<Event>) {
     let (notes, mut heard) = mpsc::channel(512);
-    tokio::task::spawn_local(listen::<Note>(listener, notes, most));
+    tokio::task::spawn_local(listen::<PeerMessage>(listener, notes, most));
     tokio::task::spawn_local(async move {
         while let Some((from, note)) = heard.recv().await {
-            if events.send(Event::Note(from, note)).await.is_err() {
+            if events.send(Event::PeerMessage(from, note)).await.is_err() {
                 return;
             }
         }
@@ -199,7 +199,7 @@
 fn member_settings(settings: &Settings) -> MemberSettings {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let incarnation = since_epoch.as_nanos() as u64;
-    let me = settings.peer();
+    let me = settings.peer_address();
     MemberSettings {
         me,
         seeds: settings.seed_peers(),
@@ -223,7 +223,7 @@
         start: Instant,
     ) -> Controller {
         Controller {
-            post: Post::new(settings.peer()),
+            peers: PeerSender::new(settings.peer_address()),
             disk,
             platform: settings.provider_api.as_ref().map(|p| Rc::new(Platform::new(p.address))),
             events,
@@ -238,8 +238,8 @@
             holder: None,
             relay: Relay::default(),
             followed: Duration::ZERO,
-            place: settings.place(),
-            places: settings.places(),
+            place: settings.zone_index(),
+            places: settings.zones_with_regions(),
             reading_first: false,
             first_due: Duration::ZERO,
             start,
@@ -300,7 +300,7 @@
     fn take(&mut self, event: Event) {
         let now = self.now();
         match event {
-            Event::Note(from, note) => self.receive_note(now, from, note),
+            Event::PeerMessage(from, note) => self.receive_note(now, from, note),
             Event::Operator(call) => self.receive_call(now, call),
             Event::Stored(token, ok) => self.control_store.stored(now, token, ok),
             Event::Begun(number, token, begun) => self.instance_begun(now, number, token, begun),
@@ -317,7 +317,7 @@
         let now = self.now();
         while let Some(action) = self.control_store.next() {
             match action {
-                Action::Send { to, envelope } => self.post.send(to, &Note::ControlStore(envelope)),
+                Action::Send { to, envelope } => self.peers.send(to, &PeerMessage::ControlStore(envelope)),
                 Action::Store { token, what } => {
                     // Without its disk it would promise what it cannot keep.
                     assert!(self.disk.send((token, what)).is_ok(), "the disk's thread has ended");
--- a/crates/house/src/leaving.rs
+++ b/crates/house/src/leaving.rs
@@ -1,6 +1,6 @@
 //! The end of a proxy: from SIGTERM until its last answer is written.
 
-use crate::desk::{pump, Shared, State};
+use crate::proxy::{pump, Shared, State};
 use spdlog::{info, warn};
 use std::time::Duration;
 use tokio::signal::unix::Signal;
--- a/crates/house/src/lib.rs
+++ b/crates/house/src/lib.rs
@@ -1,30 +1,28 @@
 //! The programs of the whole system: `desk` and `page` on edge machines, `archive` (the controller) on core machines. They
 //! only carry: the deciders are crates of their own (lending, gazette, control_store, controller, stacks, catalogue).
 
+pub mod agent;
 pub mod budget;
 pub mod cli;
 pub mod client;
 pub mod controller;
-pub mod desk;
 pub mod leaving;
-pub mod loans;
-pub mod notes;
+pub mod messages;
 pub mod open_calls;
-pub mod opening;
 pub mod operator;
-pub mod page;
 pub mod platform;
-pub mod post;
+pub mod proxy;
 pub mod readiness;
 pub mod rebinding;
 pub mod ring;
 pub mod settings;
+pub mod slot_report;
 pub mod status;
+pub mod stream_header;
+pub mod transport;
 pub mod work;
 pub mod workers;
 
-/// The controller's name in the modules that do not use the new one yet.
-use controller as archive;
 use settings::Settings;
 use std::future::Future;
 
--- a/crates/house/src/open_calls.rs
+++ b/crates/house/src/open_calls.rs
@@ -106,7 +106,7 @@
     pub on_new_connections: u32,
     /// How long after SIGTERM the last one was taken.
     pub latest: Duration,
-    /// Told to go elsewhere, as there was no time for them.
+    /// AgentMessage to go elsewhere, as there was no time for them.
     pub refused: u32,
     /// Answered without their worker's answer when time was over.
     pub broken_off: u32,
--- a/crates/house/src/operator/mod.rs
+++ b/crates/house/src/operator/mod.rs
@@ -4,7 +4,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::rebinding::Ask;
+use crate::rebinding::RebindingCall;
 use answers::Response;
 pub use answers::{digest_text, InForce, Reply, Unavailable};
 use std::cell::Cell;
@@ -46,7 +46,7 @@
     /// How the control state stands.
     Status { reply: oneshot::Sender<Reply> },
     /// Staff's, of moves.
-    Rebinding { ask: Ask, reply: oneshot::Sender<Reply> },
+    Rebinding { ask: RebindingCall, reply: oneshot::Sender<Reply> },
 }
 
 /// Takes connections in and hands their calls on.
@@ -60,7 +60,7 @@
         if open.get() >= MAX_CONNECTIONS {
             continue;
         }
-        crate::post::wary(&stream, UNACKNOWLEDGED);
+        crate::transport::set_stream_timeouts(&stream, UNACKNOWLEDGED);
         open.set(open.get() + 1);
         let (calls, open) = (calls.clone(), open.clone());
         tokio::task::spawn_local(async move {
@@ -206,7 +206,7 @@
         ("GET", STATUS) => Ok(Call::Status { reply }),
         (_, REPLACE | SHOW | STATUS) => Err((405, "the method is not one of this call".into())),
         (method, path) if path.starts_with("/v1/Rebinding.") => {
-            Ask::read(method, path, &body).map(|ask| Call::Rebinding { ask, reply })
+            RebindingCall::read(method, path, &body).map(|ask| Call::Rebinding { ask, reply })
         }
         _ => Err((404, "no such call".into())),
     }
--- a/crates/house/src/platform.rs
+++ b/crates/house/src/platform.rs
@@ -79,7 +79,7 @@
     fn take_quiet(&self) -> Option<TcpStream> {
         let mut kept = self.kept.borrow_mut();
         while let Some(stream) = kept.pop() {
-            if crate::post::is_quiet(&stream) {
+            if crate::transport::is_quiet(&stream) {
                 return Some(stream);
             }
         }
@@ -137,7 +137,7 @@
                 }
             }
             let stream = TcpStream::connect(self.at).await.map_err(|_| true)?;
-            crate::post::wary(&stream, PATIENCE);
+            crate::transport::set_stream_timeouts(&stream, PATIENCE);
             self.over(stream, &request).await
         };
         match timeout(PATIENCE, whole).await {
--- a/crates/house/src/desk.rs
+++ b/crates/house/src/proxy.rs
@@ -2,13 +2,13 @@
 //! Clients are served in `client`, workers called in `workers`, probes answered in `readiness`.
 
 use crate::budget::Budget;
-use crate::notes::{Demand, Desk as Other, Listed, Tells, Told};
+use crate::messages::{AgentMessage, Demand, Listed, ProxyInfo, ProxyMessage};
 use crate::open_calls::{CallId, OpenCalls, Stage, TakenWhileLeaving};
-use crate::post::{frame, read_frame};
 use crate::settings::{seconds, Settings};
+use crate::transport::{frame, read_frame};
 use crate::work::{RouteKey, Work};
 use crate::workers::{self, Workers};
-use crate::{client, leaving, loans, readiness};
+use crate::{client, leaving, readiness, slot_report};
 use spdlog::{info, warn};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -61,7 +61,7 @@
     fresh: bool,
     stacked: bool,
     lifecycle: Lifecycle,
-    /// Tells the clients' connections of the phases after SIGTERM.
+    /// ProxyMessage the clients' connections of the phases after SIGTERM.
     phases: watch::Sender<Phase>,
     /// How long requests of each route are at their workers.
     run_times: RunTimes<RouteKey>,
@@ -94,12 +94,14 @@
     let door = TcpListener::bind(front).await.map_err(|e| format!("{front}: {e}"))?;
     let probe = TcpListener::bind(ready).await.map_err(|e| format!("{ready}: {e}"))?;
     let socket = Rc::new(
-        UdpSocket::bind(settings.lending()).await.map_err(|e| format!("{}: {e}", settings.lending()))?,
+        UdpSocket::bind(settings.allocator_address())
+            .await
+            .map_err(|e| format!("{}: {e}", settings.allocator_address()))?,
     );
     let nanos =
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default().as_nanos()
             as u64;
-    let seed = nanos ^ crate::archive::hash(&settings.node_name);
+    let seed = nanos ^ crate::controller::hash(&settings.node_name);
     let life = (seed ^ seed >> 32) as u32 | 1;
     let (tells, outbox) = mpsc::channel(1024);
     let wake = Rc::new(Notify::new());
@@ -107,9 +109,15 @@
     let state = State {
         start,
         catalogue: None,
-        regions: settings.places().into_iter().collect(),
-        places: settings.places(),
-        lending: Allocator::new(settings.lending(), settings.zone.clone(), life, seed, Duration::ZERO),
+        regions: settings.zones_with_regions().into_iter().collect(),
+        places: settings.zones_with_regions(),
+        lending: Allocator::new(
+            settings.allocator_address(),
+            settings.zone.clone(),
+            life,
+            seed,
+            Duration::ZERO,
+        ),
         waiting: HashMap::new(),
         workers: Workers::new(limits.file_descriptors / 3),
         budget: Budget::new(
@@ -136,7 +144,7 @@
         ready_said: false,
         settings,
     };
-    info!("up: desk at {front}, readiness at {ready}, slots at {}", state.settings.lending());
+    info!("up: desk at {front}, readiness at {ready}, slots at {}", state.settings.allocator_address());
     let shared: Shared = Rc::new(RefCell::new(state));
 
     tokio::task::spawn_local(page_link(shared.clone(), outbox, life));
@@ -162,7 +170,7 @@
         moment.saturating_duration_since(self.start)
     }
 
-    fn tell(&self, tells: &Tells) {
+    fn tell(&self, tells: &ProxyMessage) {
         let _ = self.tells.try_send(frame(tells));
     }
 
@@ -175,7 +183,7 @@
     pub fn terminate(&mut self) -> Terminated {
         let now = self.now();
         let terminated = self.lifecycle.terminate(now);
-        self.tell(&Tells::Leaving);
+        self.tell(&ProxyMessage::Leaving);
         terminated
     }
 
@@ -224,7 +232,7 @@
         self.phases.subscribe()
     }
 
-    /// Tells the clients' connections of another phase.
+    /// ProxyMessage the clients' connections of another phase.
     pub fn tell_phase(&self) {
         let phase = self.lifecycle.phase(self.now());
         self.phases.send_if_modified(|told| std::mem::replace(told, phase) != phase);
@@ -284,7 +292,7 @@
 
     /// Whether the budget allows another send of a request that has reached a worker; what it withholds is counted.
     pub fn may_repeat(&mut self, now: Duration, kind: Kind) -> bool {
-        let allowed = self.budget.repeat(now, kind, self.desks.max(self.owners.unwrap_or(1)));
+        let allowed = self.budget.try_retry(now, kind, self.desks.max(self.owners.unwrap_or(1)));
         if !allowed {
             *self.withheld.entry(kind).or_default() += 1;
         }
@@ -348,11 +356,11 @@
     }
 
     /// False for what does not fit what is known here: the link to the page is to begin anew.
-    fn told(&mut self, told: Told) -> bool {
+    fn told(&mut self, told: AgentMessage) -> bool {
         let now = self.now();
         match told {
-            Told::Word(catalogue) => self.in_force(now, catalogue),
-            Told::Change(change) => {
+            AgentMessage::Configuration(catalogue) => self.in_force(now, catalogue),
+            AgentMessage::Change(change) => {
                 // The page has applied the same change to the same word; a desk that has another is told the whole one when
                 // it comes back, so its link ends here.
                 match self.catalogue.as_ref().and_then(|own| own.0.changed(&change)) {
@@ -360,7 +368,7 @@
                     None => return false,
                 }
             }
-            Told::Desks(desks) => {
+            AgentMessage::Proxies(desks) => {
                 self.desks = desks.len().max(1);
                 // Only until the holder of the lease has told who owns.
                 if self.owners.is_none() {
@@ -368,14 +376,14 @@
                     self.lending.set_provisional_members(now, members);
                 }
             }
-            Told::Owners(desks) => {
+            AgentMessage::Owners(desks) => {
                 self.owners = Some(desks.len().max(1));
                 let members = self.members_of(desks);
                 self.lending.set_members(now, members);
             }
-            Told::Stacks { entries, mut ended, whole } => {
+            AgentMessage::Instances { entries, mut ended, complete } => {
                 self.stacked = true;
-                if whole {
+                if complete {
                     // What ended while the link was down is told by its absence.
                     ended.extend(self.lending.entries_missing_from(&entries, |listed| &listed.instance));
                 }
@@ -385,8 +393,10 @@
                     self.workers.forget(id);
                 }
             }
-            Told::Fresh(fresh) => self.fresh = fresh,
-            Told::InTouch(in_touch) => self.lending.set_controllers_reachable(now, in_touch),
+            AgentMessage::ConfigurationIsNewest(fresh) => self.fresh = fresh,
+            AgentMessage::ControllersReachable(in_touch) => {
+                self.lending.set_controllers_reachable(now, in_touch)
+            }
         }
         if !self.ready_said && self.ready() {
             self.ready_said = true;
@@ -396,13 +406,13 @@
         true
     }
 
-    fn members_of(&self, desks: Vec<Other>) -> Vec<Member> {
-        let port = self.settings.lending().port();
-        let member = |desk: Other| Member {
+    fn members_of(&self, desks: Vec<ProxyInfo>) -> Vec<Member> {
+        let port = self.settings.allocator_address().port();
+        let member = |desk: ProxyInfo| Member {
             at: SocketAddr::new(desk.ip, port),
             region: self.regions.get(&desk.zone).cloned().unwrap_or_default(),
             zone: desk.zone,
-            incarnation: desk.life,
+            incarnation: desk.incarnation,
         };
         desks.into_iter().map(member).collect()
     }
@@ -413,8 +423,8 @@
     }
 
     /// What staff are told.
-    pub fn loans(&self) -> loans::Loans {
-        loans::loans(
+    pub fn slot_report(&self) -> slot_report::SlotReport {
+        slot_report::slot_report(
             self.now(),
             &self.settings.node_name,
             &self.settings.zone,
@@ -494,12 +504,12 @@
             Action::InstanceGone { instance } => {
                 info!("instance {instance} gone: it refuses connections, or its address is another's");
                 state.workers.forget(&instance);
-                state.tell(&Tells::Gone(instance));
+                state.tell(&ProxyMessage::InstanceGone(instance));
             }
-            Action::InstanceReady { instance } => state.tell(&Tells::Ready(instance)),
+            Action::InstanceReady { instance } => state.tell(&ProxyMessage::InstanceReady(instance)),
             Action::InstanceWanted(spoken) => {
                 if let Some(demand) = state.demand(spoken) {
-                    state.tell(&Tells::Demand(vec![demand]));
+                    state.tell(&ProxyMessage::Demand(vec![demand]));
                 }
             }
             Action::Suspected { owner: lender } => {
@@ -538,7 +548,7 @@
 
 /// The loopback link to the page: told in order; said again from the start after a break.
 async fn page_link(shared: Shared, mut outbox: mpsc::Receiver<Vec<u8>>, life: u32) {
-    let at = shared.borrow().settings.loopback();
+    let at = shared.borrow().settings.agent_address();
     loop {
         let Ok(stream) = TcpStream::connect(at).await else {
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -546,7 +556,9 @@
         };
         let _ = stream.set_nodelay(true);
         let (mut from, mut to) = stream.into_split();
-        if !shared.borrow().is_leaving() && to.write_all(&frame(&Tells::Life(life))).await.is_err() {
+        if !shared.borrow().is_leaving()
+            && to.write_all(&frame(&ProxyMessage::Incarnation(life))).await.is_err()
+        {
             continue;
         }
         let said = async {
@@ -557,7 +569,7 @@
             }
         };
         let heard = async {
-            while let Some(told) = read_frame::<Told>(&mut from).await {
+            while let Some(told) = read_frame::<AgentMessage>(&mut from).await {
                 let fits = shared.borrow_mut().told(told);
                 pump(&shared);
                 if !fits {
@@ -612,7 +624,7 @@
                 let spoken = state.lending.load_reports(now, TELL);
                 let demand: Vec<Demand> = spoken.into_iter().filter_map(|s| state.demand(s)).collect();
                 if !demand.is_empty() {
-                    state.tell(&Tells::Demand(demand));
+                    state.tell(&ProxyMessage::Demand(demand));
                 }
                 state.workers.sweep(now);
             }
--- a/crates/house/src/readiness.rs
+++ b/crates/house/src/readiness.rs
@@ -1,8 +1,8 @@
 //! The readiness address: the platform's probes, and staff's questions.
 
-use crate::desk::Shared;
-use crate::loans;
 use crate::operator::answer_with;
+use crate::proxy::Shared;
+use crate::slot_report;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -37,14 +37,14 @@
                     Read::Bad(_) => break,
                     Read::Done { value, used } => {
                         buf.drain(..used);
-                        if loans::wanted(&value) {
+                        if slot_report::is_report_request(&value) {
                             if told.get() >= TOLD_AT_ONCE {
                                 let mut out = Vec::new();
                                 write_own(&mut out, 503, None, Some(1000), true);
                                 let _ = stream.write_all(&out).await;
                                 break;
                             }
-                            let text = shared.borrow().loans().text();
+                            let text = shared.borrow().slot_report().text();
                             told.set(told.get() + 1);
                             let said = answer_with(&mut stream, 200, "OK", text.as_bytes(), value.close);
                             // A reader that stands still keeps the platform's probes out no longer than this.
--- a/crates/house/src/rebinding.rs
+++ b/crates/house/src/rebinding.rs
@@ -5,7 +5,7 @@
 #![allow(clippy::question_mark)]
 
 use crate::operator::{Reply, Unavailable};
-use crate::settings::Mode;
+use crate::settings::RebindingMode;
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use nanoserde::{DeJson, SerJson};
 use std::fmt::Write as _;
@@ -24,7 +24,7 @@
 
 /// What staff asks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ask {
+pub enum RebindingCall {
     Plan,
     Run,
     Pause { paused: bool, undo: bool },
@@ -37,20 +37,20 @@
     undo: Option<bool>,
 }
 
-impl Ask {
+impl RebindingCall {
     /// Reads a call, or says with which status and why not.
-    pub fn read(method: &str, path: &str, body: &[u8]) -> Result<Ask, (u16, String)> {
+    pub fn read(method: &str, path: &str, body: &[u8]) -> Result<RebindingCall, (u16, String)> {
         let (wants, ask) = match path {
-            "/v1/Rebinding.Plan" => ("GET", Ask::Plan),
-            "/v1/Rebinding.Show" => ("GET", Ask::Show),
-            "/v1/Rebinding.Run" => ("POST", Ask::Run),
-            "/v1/Rebinding.Pause" => ("POST", Ask::Pause { paused: true, undo: false }),
+            "/v1/Rebinding.Plan" => ("GET", RebindingCall::Plan),
+            "/v1/Rebinding.Show" => ("GET", RebindingCall::Show),
+            "/v1/Rebinding.Run" => ("POST", RebindingCall::Run),
+            "/v1/Rebinding.Pause" => ("POST", RebindingCall::Pause { paused: true, undo: false }),
             _ => return Err((404, "no such call".into())),
         };
         if method != wants {
             return Err((405, "the method is not one of this call".into()));
         }
-        if !matches!(ask, Ask::Pause { .. }) {
+        if !matches!(ask, RebindingCall::Pause { .. }) {
             return Ok(ask);
         }
         let text = std::str::from_utf8(body).map_err(|_| (400, "the body is not UTF-8".to_string()))?;
@@ -59,20 +59,22 @@
         let whole = text.starts_with('{') && text.find('}') == Some(text.len().saturating_sub(1));
         let read = PauseBody::deserialize_json(text).map_err(|why| why.to_string());
         match read {
-            Ok(body) if whole => Ok(Ask::Pause { paused: body.paused, undo: body.undo.unwrap_or_default() }),
+            Ok(body) if whole => {
+                Ok(RebindingCall::Pause { paused: body.paused, undo: body.undo.unwrap_or_default() })
+            }
             Ok(_) => Err((400, "the body is not one flat object".into())),
             Err(why) => Err((400, format!("the body is not {{\"paused\":true|false}}: {why}"))),
         }
     }
 }
 
-impl From<Mode> for Rebinding {
-    fn from(mode: Mode) -> Rebinding {
+impl From<RebindingMode> for Rebinding {
+    fn from(mode: RebindingMode) -> Rebinding {
         match mode {
-            Mode::Off => Rebinding::Off,
-            Mode::Plan => Rebinding::Plan,
-            Mode::Holes => Rebinding::Holes,
-            Mode::All => Rebinding::All,
+            RebindingMode::Off => Rebinding::Off,
+            RebindingMode::Plan => Rebinding::Plan,
+            RebindingMode::Holes => Rebinding::Holes,
+            RebindingMode::All => Rebinding::All,
         }
     }
 }
@@ -156,19 +158,21 @@
     scaler: Option<&mut Scaler>,
     holder: Option<IpAddr>,
     node: &str,
-    ask: Ask,
+    ask: RebindingCall,
 ) -> Reply {
     let Some(scaler) = scaler else {
         return holder
             .map_or(Reply::Unavailable(Unavailable::new("no holder is known", SOON)), Reply::Redirect);
     };
     let told = match ask {
-        Ask::Show => Ok(shown(node, scaler.rebinding_status(now)).serialize_json()),
-        Ask::Plan => scaler
+        RebindingCall::Show => Ok(shown(node, scaler.rebinding_status(now)).serialize_json()),
+        RebindingCall::Plan => scaler
             .rebinding_plan(now)
             .map(|(plan, may)| planned(plan, may.err().map(|no| format!("{no:?}"))).serialize_json()),
-        Ask::Run => scaler.rebinding_run(now).map(|n| Ran { moves: n as u64 }.serialize_json()),
-        Ask::Pause { paused, undo } => scaler.rebinding_pause(now, paused, undo).map(|()| "{}".to_string()),
+        RebindingCall::Run => scaler.rebinding_run(now).map(|n| Ran { moves: n as u64 }.serialize_json()),
+        RebindingCall::Pause { paused, undo } => {
+            scaler.rebinding_pause(now, paused, undo).map(|()| "{}".to_string())
+        }
     };
     match told {
         Ok(text) => Reply::Json(text.into_bytes()),
@@ -271,7 +275,7 @@
 pub fn run(matches: &ArgMatches) -> Result<String, String> {
     let Some((name, given)) = matches.subcommand() else { return Err("no subcommand".into()) };
     let address = given.get_one::<String>("ADDRESS").cloned().unwrap_or_default();
-    let at = place(&address, "10.1.0.23:8026")?;
+    let at = parse_address(&address, "10.1.0.23:8026")?;
     let flag = |name: &str| given.get_flag(name);
     let (method, call, body) = match name {
         "plan" => ("GET", "Plan", String::new()),
@@ -283,7 +287,7 @@
         "show" => ("GET", "Show", String::new()),
         other => return Err(format!("{other}: no such command")),
     };
-    let text = ask(at, method, &format!("/v1/Rebinding.{call}"), &body)?;
+    let text = call_controller(at, method, &format!("/v1/Rebinding.{call}"), &body)?;
     let unread = |why: nanoserde::DeJsonErr| format!("{at}: an answer that cannot be read: {why}");
     Ok(match name {
         "plan" => print_plan(&Plan::deserialize_json(&text).map_err(unread)?),
@@ -295,12 +299,17 @@
 }
 
 /// An address with a port.
-pub(crate) fn place(address: &str, such_as: &str) -> Result<SocketAddr, String> {
+pub(crate) fn parse_address(address: &str, such_as: &str) -> Result<SocketAddr, String> {
     address.parse().map_err(|_| format!("{address}: is not an address with a port, as {such_as}"))
 }
 
 /// The body of a 200, two redirects followed; else one line for what is wrong.
-pub(crate) fn ask(mut at: SocketAddr, method: &str, path: &str, body: &str) -> Result<String, String> {
+pub(crate) fn call_controller(
+    mut at: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &str,
+) -> Result<String, String> {
     for _ in 0..3 {
         let (status, location, text) =
             exchange(at, method, path, body).map_err(|why| format!("{at}: {why}"))?;
--- a/crates/house/src/settings.rs
+++ b/crates/house/src/settings.rs
@@ -78,12 +78,12 @@
 #[serde(deny_unknown_fields)]
 pub struct Rebinding {
     #[serde(default)]
-    pub mode: Mode,
+    pub mode: RebindingMode,
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Mode {
+pub enum RebindingMode {
     #[default]
     Off,
     Plan,
@@ -163,18 +163,18 @@
 
 /// Why the settings will not do.
 #[derive(Debug)]
-pub enum Fault {
+pub enum SettingsError {
     NoVariable,
     Unreadable(PathBuf, std::io::Error),
-    Wrong(PathBuf, String),
+    Invalid(PathBuf, String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::NoVariable => write!(f, "{VARIABLE} names no settings file"),
-            Fault::Unreadable(path, why) => write!(f, "{}: {why}", path.display()),
-            Fault::Wrong(path, why) => write!(f, "{}: {why}", path.display()),
+            SettingsError::NoVariable => write!(f, "{VARIABLE} names no settings file"),
+            SettingsError::Unreadable(path, why) => write!(f, "{}: {why}", path.display()),
+            SettingsError::Invalid(path, why) => write!(f, "{}: {why}", path.display()),
         }
     }
 }
@@ -186,14 +186,15 @@
 
 impl Settings {
     /// The file that the environment names.
-    pub fn from_environment() -> Result<Settings, Fault> {
-        let path = std::env::var_os(VARIABLE).map(PathBuf::from).ok_or(Fault::NoVariable)?;
+    pub fn from_environment() -> Result<Settings, SettingsError> {
+        let path = std::env::var_os(VARIABLE).map(PathBuf::from).ok_or(SettingsError::NoVariable)?;
         Settings::from_file(&path)
     }
 
-    pub fn from_file(path: &Path) -> Result<Settings, Fault> {
-        let text = std::fs::read_to_string(path).map_err(|why| Fault::Unreadable(path.into(), why))?;
-        Settings::read(&text).map_err(|why| Fault::Wrong(path.into(), why))
+    pub fn from_file(path: &Path) -> Result<Settings, SettingsError> {
+        let text =
+            std::fs::read_to_string(path).map_err(|why| SettingsError::Unreadable(path.into(), why))?;
+        Settings::read(&text).map_err(|why| SettingsError::Invalid(path.into(), why))
     }
 
     /// One line for what is wrong, with its place.
@@ -219,17 +220,17 @@
     }
 
     /// Where pages and archives listen for one another (TCP; pages also by datagrams).
-    pub fn peer(&self) -> SocketAddr {
+    pub fn peer_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip_address, self.ephemeral_ports.0)
     }
 
     /// Where the desk listens for other desks' datagrams.
-    pub fn lending(&self) -> SocketAddr {
+    pub fn allocator_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip_address, self.ephemeral_ports.0 + 1)
     }
 
     /// Where the page listens for the desk beside it.
-    pub fn loopback(&self) -> SocketAddr {
+    pub fn agent_address(&self) -> SocketAddr {
         // Machines that are all played on one have a loopback address each, and the same ports.
         let ip = if self.ip_address.is_loopback() { self.ip_address } else { Ipv4Addr::LOCALHOST.into() };
         SocketAddr::new(ip, self.ephemeral_ports.0 + 2)
@@ -241,12 +242,12 @@
     }
 
     /// The own zone's number among all zones.
-    pub fn place(&self) -> u8 {
-        self.places().iter().position(|(zone, _)| *zone == self.zone).unwrap_or(0) as u8
+    pub fn zone_index(&self) -> u8 {
+        self.zones_with_regions().iter().position(|(zone, _)| *zone == self.zone).unwrap_or(0) as u8
     }
 
     /// All zones with their regions, in an order that is the same everywhere.
-    pub fn places(&self) -> Vec<(String, String)> {
+    pub fn zones_with_regions(&self) -> Vec<(String, String)> {
         let mut places = self.zones.clone();
         places.entry(self.zone.clone()).or_insert_with(|| self.region.clone());
         places.into_iter().collect()
--- a/crates/house/src/loans.rs
+++ b/crates/house/src/slot_report.rs
@@ -3,7 +3,7 @@
 // What nanoserde derives is written that way.
 #![allow(clippy::question_mark)]
 
-use crate::rebinding::{ask, or_dash, place, table};
+use crate::rebinding::{call_controller, or_dash, parse_address, table};
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use nanoserde::{DeJson, SerJson};
 use std::fmt::Write as _;
@@ -14,40 +14,40 @@
 
 pub const PATH: &str = "/v1/loans";
 /// Guards the desk's one thread, and whoever reads, against a large fleet: what is over is only counted.
-pub const FUNCTIONS: usize = 2_000;
-pub const INSTANCES: usize = 10_000;
-pub const ROOMS: usize = 2_000;
+pub const MAX_FUNCTIONS: usize = 2_000;
+pub const MAX_INSTANCES: usize = 10_000;
+pub const MAX_REMOTE_CAPACITIES: usize = 2_000;
 
 #[derive(Debug, Default, PartialEq, SerJson, DeJson)]
-pub struct Loans {
+pub struct SlotReport {
     pub node: String,
     pub zone: String,
     /// 0: no configuration yet.
     pub revision: u64,
     pub calls: u64,
-    pub functions: Vec<OnLoan>,
+    pub functions: Vec<FunctionSlots>,
     pub more_functions: u64,
     /// Instances of the functions told that are not told.
     pub more_instances: u64,
-    pub rooms: Vec<Elsewhere>,
+    pub rooms: Vec<RemoteCapacity>,
     pub more_rooms: u64,
     pub passed_over: Vec<String>,
 }
 
 /// A function in this lender's care; the counts are of all its instances here.
 #[derive(Debug, Default, PartialEq, SerJson, DeJson)]
-pub struct OnLoan {
+pub struct FunctionSlots {
     pub name: String,
     pub ready: u64,
     pub lent: u64,
     pub free: u64,
     pub waiting: u64,
     pub rate: f64,
-    pub instances: Vec<Instance>,
+    pub instances: Vec<InstanceSlots>,
 }
 
 #[derive(Debug, Default, PartialEq, SerJson, DeJson)]
-pub struct Instance {
+pub struct InstanceSlots {
     pub id: String,
     pub zone: String,
     pub ready: bool,
@@ -59,7 +59,7 @@
 
 /// What another lender said of its room.
 #[derive(Debug, Default, PartialEq, SerJson, DeJson)]
-pub struct Elsewhere {
+pub struct RemoteCapacity {
     pub function: String,
     pub lender: String,
     pub zone: Option<String>,
@@ -70,11 +70,11 @@
 }
 
 /// Whether a request asks for this; all others are probes of readiness.
-pub fn wanted(head: &RequestHead) -> bool {
+pub fn is_report_request(head: &RequestHead) -> bool {
     head.method == "GET" && head.target.split('?').next() == Some(PATH)
 }
 
-fn in_use(of: &OnLoan) -> bool {
+fn in_use(of: &FunctionSlots) -> bool {
     of.lent + of.waiting + of.ready > 0
 }
 
@@ -85,9 +85,9 @@
     more
 }
 
-fn function(now: Duration, shelf: &SlotPool) -> OnLoan {
+fn function(now: Duration, shelf: &SlotPool) -> FunctionSlots {
     let slots = shelf.slots() as u64;
-    let instance = |book: &InstanceLedger| Instance {
+    let instance = |book: &InstanceLedger| InstanceSlots {
         id: book.entry.instance.clone(),
         zone: book.entry.zone.clone(),
         ready: book.entry.ready,
@@ -96,7 +96,7 @@
         lent: book.grants.len() as u64,
         rests_ms: book.pause_left(now).as_millis() as u64,
     };
-    OnLoan {
+    FunctionSlots {
         name: shelf.function.name.clone(),
         ready: shelf.ledgers.iter().filter(|book| book.entry.ready).count() as u64,
         lent: shelf.granted() as u64,
@@ -108,12 +108,12 @@
 }
 
 /// What there is to tell, in the order of names. Where there is too much, functions in use and the newest rooms go first.
-pub fn loans(now: Duration, node: &str, zone: &str, revision: u64, lending: &Allocator) -> Loans {
-    let mut functions: Vec<OnLoan> = lending.pools().map(|shelf| function(now, shelf)).collect();
+pub fn slot_report(now: Duration, node: &str, zone: &str, revision: u64, lending: &Allocator) -> SlotReport {
+    let mut functions: Vec<FunctionSlots> = lending.pools().map(|shelf| function(now, shelf)).collect();
     functions.sort_by(|a, b| (!in_use(a), &a.name).cmp(&(!in_use(b), &b.name)));
-    let more_functions = cut(&mut functions, FUNCTIONS);
+    let more_functions = cut(&mut functions, MAX_FUNCTIONS);
     functions.sort_by(|a, b| a.name.cmp(&b.name));
-    let (mut left, mut more_instances) = (INSTANCES, 0);
+    let (mut left, mut more_instances) = (MAX_INSTANCES, 0);
     for of in &mut functions {
         of.instances.sort_by(|a, b| a.id.cmp(&b.id));
         more_instances += cut(&mut of.instances, left);
@@ -121,8 +121,8 @@
     }
     let mut rooms: Vec<_> = lending.capacities().collect();
     rooms.sort_by_key(|(kind, at, room)| (std::cmp::Reverse(room.received), *kind, *at));
-    let more_rooms = cut(&mut rooms, ROOMS);
-    let room = |(kind, at, room): (u32, std::net::SocketAddr, &tindock_lending::Capacity)| Elsewhere {
+    let more_rooms = cut(&mut rooms, MAX_REMOTE_CAPACITIES);
+    let room = |(kind, at, room): (u32, std::net::SocketAddr, &tindock_lending::Capacity)| RemoteCapacity {
         // One that this desk's configuration does not have.
         function: lending.name(kind).map_or_else(|| format!("#{kind:08x}"), str::to_string),
         lender: at.to_string(),
@@ -132,11 +132,11 @@
         run_ms: room.run.into(),
         age_ms: now.saturating_sub(room.received).as_millis() as u64,
     };
-    let mut rooms: Vec<Elsewhere> = rooms.into_iter().map(room).collect();
+    let mut rooms: Vec<RemoteCapacity> = rooms.into_iter().map(room).collect();
     rooms.sort_by(|a, b| (&a.function, &a.lender).cmp(&(&b.function, &b.lender)));
     let mut passed_over: Vec<_> = lending.suspects().collect();
     passed_over.sort();
-    Loans {
+    SlotReport {
         node: node.to_string(),
         zone: zone.to_string(),
         revision,
@@ -150,7 +150,7 @@
     }
 }
 
-impl Loans {
+impl SlotReport {
     pub fn text(&self) -> String {
         self.serialize_json()
     }
@@ -184,9 +184,9 @@
 /// Asks a desk, and prints what it answers.
 pub fn run(given: &ArgMatches) -> Result<String, String> {
     let address = given.get_one::<String>("ADDRESS").cloned().unwrap_or_default();
-    let at = place(&address, "10.1.0.20:8022")?;
-    let text = ask(at, "GET", PATH, "")?;
-    let mut told = Loans::deserialize_json(&text)
+    let at = parse_address(&address, "10.1.0.20:8022")?;
+    let text = call_controller(at, "GET", PATH, "")?;
+    let mut told = SlotReport::deserialize_json(&text)
         .map_err(|why| format!("{at}: an answer that cannot be read: {why}"))?;
     let only = given.get_one::<String>("function");
     if let Some(name) = only {
@@ -206,12 +206,12 @@
     })
 }
 
-fn print(told: &Loans, all: bool, instances: bool) -> String {
+fn print(told: &SlotReport, all: bool, instances: bool) -> String {
     let mut out = format!(
         "{} in {}, revision {}, {} calls under way\n",
         told.node, told.zone, told.revision, told.calls
     );
-    let shown: Vec<&OnLoan> = told.functions.iter().filter(|of| all || in_use(of)).collect();
+    let shown: Vec<&FunctionSlots> = told.functions.iter().filter(|of| all || in_use(of)).collect();
     let rows: Vec<Vec<String>> = shown
         .iter()
         .map(|of| {
--- a/crates/house/src/status.rs
+++ b/crates/house/src/status.rs
@@ -4,7 +4,7 @@
 #![allow(clippy::question_mark)]
 
 use crate::operator::{digest_text, STATUS};
-use crate::rebinding::{ask, place, table};
+use crate::rebinding::{call_controller, parse_address, table};
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use nanoserde::{DeJson, SerJson};
 use std::fmt::Write as _;
@@ -158,8 +158,8 @@
 /// Asks a controller, and prints what it answers.
 pub fn run(given: &ArgMatches) -> Result<String, String> {
     let address = given.get_one::<String>("ADDRESS").cloned().unwrap_or_default();
-    let at = place(&address, "10.1.0.23:8026")?;
-    let text = ask(at, "GET", STATUS, "")?;
+    let at = parse_address(&address, "10.1.0.23:8026")?;
+    let text = call_controller(at, "GET", STATUS, "")?;
     let told = ControlStatus::deserialize_json(&text)
         .map_err(|why| format!("{at}: an answer that cannot be read: {why}"))?;
     Ok(match given.get_flag("json") {
--- a/crates/house/src/opening.rs
+++ b/crates/house/src/stream_header.rs
@@ -17,7 +17,7 @@
 const MAX_REFUSED: usize = 256;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Opening {
+pub struct StreamHeader {
     from: SocketAddr,
     version: u16,
 }
@@ -27,19 +27,19 @@
     static REFUSED: RefCell<BTreeSet<(SocketAddr, u16)>> = RefCell::default();
 }
 
-impl Opening {
+impl StreamHeader {
     /// Of this process.
-    pub fn new(from: SocketAddr) -> Opening {
-        Opening { from, version: PROTOCOL_VERSION }
+    pub fn new(from: SocketAddr) -> StreamHeader {
+        StreamHeader { from, version: PROTOCOL_VERSION }
     }
 
     /// Who speaks, if in this version; another one is said once in the log, and refused.
-    pub fn accepted(self) -> Option<SocketAddr> {
+    pub fn compatible_sender(self) -> Option<SocketAddr> {
         if self.version == PROTOCOL_VERSION {
             return Some(self.from);
         }
         if REFUSED.with_borrow_mut(|refused| refused.len() < MAX_REFUSED && refused.insert(self.key())) {
-            let Opening { from, version } = self;
+            let StreamHeader { from, version } = self;
             warn!("streams of {from} refused: protocol version {version}, this is {PROTOCOL_VERSION}");
         }
         None
@@ -50,7 +50,7 @@
     }
 }
 
-impl Serialize for Opening {
+impl Serialize for StreamHeader {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         let mut tuple = to.serialize_tuple(2)?;
         tuple.serialize_element(&self.from)?;
@@ -59,19 +59,19 @@
     }
 }
 
-impl<'de> Deserialize<'de> for Opening {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Opening, D::Error> {
+impl<'de> Deserialize<'de> for StreamHeader {
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<StreamHeader, D::Error> {
         struct Frame;
         impl<'de> Visitor<'de> for Frame {
-            type Value = Opening;
+            type Value = StreamHeader;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("who speaks, and a version")
             }
-            fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Opening, A::Error> {
+            fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<StreamHeader, A::Error> {
                 let from = seq.next_element()?.ok_or_else(|| A::Error::custom("nobody speaks"))?;
                 // The frame ends here in releases without a version.
                 let version = seq.next_element().ok().flatten().unwrap_or(NO_VERSION);
-                Ok(Opening { from, version })
+                Ok(StreamHeader { from, version })
             }
         }
         from.deserialize_tuple(2, Frame)
--- a/crates/house/src/post.rs
+++ b/crates/house/src/transport.rs
@@ -1,7 +1,7 @@
 //! How pages, archives and the desk beside a page carry notes to one another: frames of postcard over TCP, one stream a
 //! direction. A note may be lost with its stream; what matters is said again by who said it.
 
-use crate::opening::Opening;
+use crate::stream_header::StreamHeader;
 use serde::{de::DeserializeOwned, Serialize};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -26,7 +26,7 @@
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// Makes silence of the other side an error in bounded time: a machine without power says nothing.
-pub fn wary(stream: &TcpStream, within: Duration) {
+pub fn set_stream_timeouts(stream: &TcpStream, within: Duration) {
     let socket = socket2::SockRef::from(stream);
     let _ = stream.set_nodelay(true);
     let _ = socket.set_tcp_user_timeout(Some(within));
@@ -85,14 +85,14 @@
 }
 
 /// Outgoing streams, one a destination, opened when there is something to say.
-pub struct Post {
+pub struct PeerSender {
     me: SocketAddr,
     streams: HashMap<SocketAddr, mpsc::Sender<Vec<u8>>>,
 }
 
-impl Post {
+impl PeerSender {
     pub fn new(me: SocketAddr) -> Self {
-        Post { me, streams: HashMap::new() }
+        PeerSender { me, streams: HashMap::new() }
     }
 
     pub fn send<T: Serialize>(&mut self, to: SocketAddr, note: &T) {
@@ -165,8 +165,8 @@
             while notes.try_recv().is_ok() {}
             continue;
         };
-        wary(&stream, UNACKNOWLEDGED);
-        let mut bytes = frame(&Opening::new(me));
+        set_stream_timeouts(&stream, UNACKNOWLEDGED);
+        let mut bytes = frame(&StreamHeader::new(me));
         bytes.extend_from_slice(&first);
         loop {
             while bytes.len() < 64 << 10 {
@@ -204,12 +204,12 @@
         if open.get() >= most {
             continue;
         }
-        wary(&stream, Duration::from_secs(3));
+        set_stream_timeouts(&stream, Duration::from_secs(3));
         let (notes, open) = (notes.clone(), open.clone());
         open.set(open.get() + 1);
         tokio::task::spawn_local(async move {
-            let opening: Option<Opening> = read_frame(&mut stream).await;
-            if let Some(from) = opening.and_then(Opening::accepted) {
+            let opening: Option<StreamHeader> = read_frame(&mut stream).await;
+            if let Some(from) = opening.and_then(StreamHeader::compatible_sender) {
                 spoke(from);
                 while let Some(note) = read_frame::<T>(&mut stream).await {
                     if notes.send((from, note)).await.is_err() {
--- a/crates/house/src/work.rs
+++ b/crates/house/src/work.rs
@@ -10,7 +10,8 @@
 impl RouteKey {
     pub fn of(route: &Route) -> RouteKey {
         RouteKey(
-            crate::archive::hash(&route.hostname) ^ crate::archive::hash(&route.path_prefix).rotate_left(1),
+            crate::controller::hash(&route.hostname)
+                ^ crate::controller::hash(&route.path_prefix).rotate_left(1),
         )
     }
 }
--- a/crates/house/src/workers.rs
+++ b/crates/house/src/workers.rs
@@ -1,6 +1,6 @@
 //! Sends requests to workers: carries bytes between upstream connections and the deciders of `tindock-upstream`.
 
-use crate::desk::State;
+use crate::proxy::State;
 use crate::work::Work;
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/crates/house/tests/rebinding.rs
+++ b/crates/house/tests/rebinding.rs
@@ -4,8 +4,8 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 use tindock_house::operator::{serve, Call};
-use tindock_house::rebinding::{answer, command, run, Ask};
-use tindock_house::settings::{Mode, Settings};
+use tindock_house::rebinding::{answer, command, run, RebindingCall};
+use tindock_house::settings::{RebindingMode, Settings};
 use tindock_stacks as stacks;
 use tokio::net::TcpListener;
 
@@ -13,13 +13,13 @@
                         ephemeral_ports = [7300, 7310]\n";
 
 #[rstest]
-#[case("", Mode::Off)]
-#[case("[rebinding]\n", Mode::Off)]
-#[case("[rebinding]\nmode = \"off\"\n", Mode::Off)]
-#[case("[rebinding]\nmode = \"plan\"\n", Mode::Plan)]
-#[case("[rebinding]\nmode = \"holes\"\n", Mode::Holes)]
-#[case("[rebinding]\nmode = \"all\"\n", Mode::All)]
-fn settings_say_what_may_move(#[case] more: &str, #[case] mode: Mode) {
+#[case("", RebindingMode::Off)]
+#[case("[rebinding]\n", RebindingMode::Off)]
+#[case("[rebinding]\nmode = \"off\"\n", RebindingMode::Off)]
+#[case("[rebinding]\nmode = \"plan\"\n", RebindingMode::Plan)]
+#[case("[rebinding]\nmode = \"holes\"\n", RebindingMode::Holes)]
+#[case("[rebinding]\nmode = \"all\"\n", RebindingMode::All)]
+fn settings_say_what_may_move(#[case] more: &str, #[case] mode: RebindingMode) {
     assert_eq!(Settings::read(&format!("{SETTINGS}{more}")).unwrap().rebinding.mode, mode);
 }
 
@@ -34,11 +34,11 @@
 }
 
 #[rstest]
-#[case("GET", "Plan", "", Ok(Ask::Plan))]
-#[case("GET", "Show", "passed over", Ok(Ask::Show))]
-#[case("POST", "Run", "", Ok(Ask::Run))]
-#[case("POST", "Pause", "{\"paused\":true}", Ok(Ask::Pause { paused: true, undo: false }))]
-#[case("POST", "Pause", " {\"paused\":false,\"undo\":true}\n", Ok(Ask::Pause { paused: false, undo: true }))]
+#[case("GET", "Plan", "", Ok(RebindingCall::Plan))]
+#[case("GET", "Show", "passed over", Ok(RebindingCall::Show))]
+#[case("POST", "Run", "", Ok(RebindingCall::Run))]
+#[case("POST", "Pause", "{\"paused\":true}", Ok(RebindingCall::Pause { paused: true, undo: false }))]
+#[case("POST", "Pause", " {\"paused\":false,\"undo\":true}\n", Ok(RebindingCall::Pause { paused: false, undo: true }))]
 #[case("POST", "Pause", "", Err(400))]
 #[case("POST", "Pause", "{}", Err(400))]
 #[case("POST", "Pause", "{\"paused\":1}", Err(400))]
@@ -51,15 +51,15 @@
     #[case] method: &str,
     #[case] call: &str,
     #[case] body: &str,
-    #[case] ask: Result<Ask, u16>,
+    #[case] ask: Result<RebindingCall, u16>,
 ) {
-    let read = Ask::read(method, &format!("/v1/Rebinding.{call}"), body.as_bytes());
+    let read = RebindingCall::read(method, &format!("/v1/Rebinding.{call}"), body.as_bytes());
     assert_eq!(read.map_err(|(status, why)| if why.is_empty() { 0 } else { status }), ask);
 }
 
 #[rstest]
 fn a_body_that_is_no_text_is_refused() {
-    assert_eq!(Ask::read("POST", "/v1/Rebinding.Pause", &[0xff, 0xfe]).unwrap_err().0, 400);
+    assert_eq!(RebindingCall::read("POST", "/v1/Rebinding.Pause", &[0xff, 0xfe]).unwrap_err().0, 400);
 }
 
 /// Four functions on two hosts, and one whose start finds no room.
--- a/crates/house/tests/loans.rs
+++ b/crates/house/tests/slot_report.rs
@@ -5,10 +5,12 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 use tindock_catalogue::Catalogue;
-use tindock_house::loans::{command, loans, run, Loans, FUNCTIONS, INSTANCES, ROOMS};
-use tindock_house::notes::{Desk, Listed, Tells, Told};
-use tindock_house::post::{frame, read_frame};
+use tindock_house::messages::{AgentMessage, Listed, ProxyInfo, ProxyMessage};
 use tindock_house::settings::Settings;
+use tindock_house::slot_report::{
+    command, run, slot_report, SlotReport, MAX_FUNCTIONS, MAX_INSTANCES, MAX_REMOTE_CAPACITIES,
+};
+use tindock_house::transport::{frame, read_frame};
 use tindock_lending::messages::{kind, Datagram, Message};
 use tindock_lending::{Allocator, Entry, Function, Member};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -47,7 +49,7 @@
         port - 2
     );
     let settings = Settings::read(&settings).unwrap();
-    tokio::task::spawn_local(async move { tindock_house::desk::run(settings).await.unwrap() });
+    tokio::task::spawn_local(async move { tindock_house::proxy::run(settings).await.unwrap() });
     let page = door.accept().await.unwrap().0;
     (door, page, SocketAddr::new(host(3), port), port)
 }
@@ -92,9 +94,9 @@
         let (door, page, at, _) = desk_with_door().await;
         let nowhere = SocketAddr::new(host(1), 9);
         let (first, second) = (listed("i-1", "sums", nowhere, true), listed("i-2", "sums", nowhere, true));
-        let word = Told::Word(Catalogue::read(WORD.as_bytes()).unwrap());
-        let desks = Told::Desks(vec![Desk { ip: host(2), zone: "a".into(), life: 1 }]);
-        let told = |entries| Told::Stacks { entries, ended: Vec::new(), whole: true };
+        let word = AgentMessage::Configuration(Catalogue::read(WORD.as_bytes()).unwrap());
+        let desks = AgentMessage::Proxies(vec![ProxyInfo { ip: host(2), zone: "a".into(), incarnation: 1 }]);
+        let told = |entries| AgentMessage::Instances { entries, ended: Vec::new(), complete: true };
         let mut page = page;
         for line in [desks, word, told(vec![first, second.clone()])] {
             page.write_all(&frame(&line)).await.unwrap();
@@ -113,7 +115,9 @@
     alone(async {
         let (page, at, port) = desk().await;
         let (mut from, mut to) = page.into_split();
-        tokio::task::spawn_local(async move { while read_frame::<Tells>(&mut from).await.is_some() {} });
+        tokio::task::spawn_local(
+            async move { while read_frame::<ProxyMessage>(&mut from).await.is_some() {} },
+        );
         assert_eq!(asks(&at.to_string()).await.unwrap(), "edge-1 in a, revision 0, 0 calls under way\n");
         for probe in PROBES {
             assert_eq!(answer(at, probe).await, ("503".into(), String::new()), "{probe}");
@@ -122,14 +126,14 @@
         // Takes connections, and answers nothing.
         let worker = TcpListener::bind((host(1), 0)).await.unwrap();
         let served = worker.local_addr().unwrap();
-        let member = |ip, zone: &str| Desk { ip, zone: zone.into(), life: 1 };
+        let member = |ip, zone: &str| ProxyInfo { ip, zone: zone.into(), incarnation: 1 };
         let entries = vec![listed("i-1", "sums", served, true), listed("i-2", "rare", served, false)];
         for told in [
             // First alone: of another that is there first it would wait for a handover.
-            Told::Desks(vec![member(host(2), "a")]),
-            Told::Desks(vec![member(host(2), "a"), member(host(9), "b")]),
-            Told::Word(Catalogue::read(WORD.as_bytes()).unwrap()),
-            Told::Stacks { entries, ended: Vec::new(), whole: true },
+            AgentMessage::Proxies(vec![member(host(2), "a")]),
+            AgentMessage::Proxies(vec![member(host(2), "a"), member(host(9), "b")]),
+            AgentMessage::Configuration(Catalogue::read(WORD.as_bytes()).unwrap()),
+            AgentMessage::Instances { entries, ended: Vec::new(), complete: true },
         ] {
             to.write_all(&frame(&told)).await.unwrap();
         }
@@ -209,9 +213,9 @@
 
 #[test]
 fn no_more_is_told_than_the_bounds_and_in_order() {
-    let names = || (0..FUNCTIONS + 5).map(|n| format!("f{n:04}"));
+    let names = || (0..MAX_FUNCTIONS + 5).map(|n| format!("f{n:04}"));
     let mut lending = lending(names());
-    let last = format!("f{:04}", FUNCTIONS + 4);
+    let last = format!("f{:04}", MAX_FUNCTIONS + 4);
     let mut entries: Vec<Entry> =
         names().rev().map(|name| entry(format!("{name}-x"), &name, "a", name == last)).collect();
     let many =
@@ -220,25 +224,25 @@
     lending.update_instances(Duration::ZERO, entries, &[]);
     // Comes later, and is the first by its id.
     lending.update_instances(Duration::ZERO, vec![entry("a".into(), "f0000", "a", true)], &[]);
-    for n in 0..ROOMS as u32 + 3 {
+    for n in 0..MAX_REMOTE_CAPACITIES as u32 + 3 {
         let line = Message::Capacity { kind: n, free: 1, waiting: 0, run: 5 };
         let now = Duration::from_millis(1 + u64::from(n >= 3));
         let letter = Datagram { incarnation: 1, messages: vec![line] }.encode();
         assert!(lending.receive(now, SocketAddr::from(([10, 0, 0, 2], 7301)), &letter));
     }
-    let told = loans(Duration::from_millis(9), "n", "a", 1, &lending);
-    assert_eq!((told.functions.len(), told.more_functions), (FUNCTIONS, 5));
+    let told = slot_report(Duration::from_millis(9), "n", "a", 1, &lending);
+    assert_eq!((told.functions.len(), told.more_functions), (MAX_FUNCTIONS, 5));
     // In use, so told before those that are first by name; and in its place.
     assert_eq!(told.functions.last().map(|of| of.name.as_str()), Some(last.as_str()));
     assert!(told.functions.is_sorted_by_key(|of| &of.name));
     let instances: usize = told.functions.iter().map(|of| of.instances.len()).sum();
-    assert_eq!((instances, told.more_instances), (INSTANCES, 2_001));
+    assert_eq!((instances, told.more_instances), (MAX_INSTANCES, 2_001));
     assert!(told.functions[0].instances.is_sorted_by_key(|i| &i.id));
-    assert_eq!((told.rooms.len(), told.more_rooms), (ROOMS, 3));
+    assert_eq!((told.rooms.len(), told.more_rooms), (MAX_REMOTE_CAPACITIES, 3));
     assert!(told.rooms.iter().all(|room| room.age_ms == 7 && room.function.starts_with('#')));
     assert!(told.rooms.is_sorted_by_key(|room| &room.function));
     assert!(told.text().len() < 2 << 20, "{}", told.text().len());
-    let read: Loans = nanoserde::DeJson::deserialize_json(&told.text()).unwrap();
+    let read: SlotReport = nanoserde::DeJson::deserialize_json(&told.text()).unwrap();
     assert_eq!(read, told);
 }
 
@@ -251,7 +255,7 @@
     for name in ["far", "near", "near", "near"] {
         lending.request_slot(ms(10), kind(name), 1, ms(9_000), ms(9_000), "");
     }
-    let told = |lending: &Allocator, at| loans(ms(at), "n", "a", 1, lending);
+    let told = |lending: &Allocator, at| slot_report(ms(at), "n", "a", 1, lending);
     let near = &told(&lending, 10).functions[0];
     assert_eq!((near.name.as_str(), near.lent, near.waiting, near.free), ("near", 0, 3, 0));
     // A new lender rests for 0.2 s what others may have lent.
--- a/crates/house/tests/opening.rs
+++ b/crates/house/tests/stream_header.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_house::opening::{Opening, PROTOCOL_VERSION};
-use tindock_house::post::{frame, listen};
+use tindock_house::stream_header::{StreamHeader, PROTOCOL_VERSION};
+use tindock_house::transport::{frame, listen};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -13,12 +13,12 @@
 }
 
 fn read(bytes: &[u8]) -> Option<SocketAddr> {
-    postcard::from_bytes::<Opening>(bytes).ok().and_then(Opening::accepted)
+    postcard::from_bytes::<StreamHeader>(bytes).ok().and_then(StreamHeader::compatible_sender)
 }
 
 #[test]
 fn only_this_version_is_accepted_and_a_frame_without_one_is_version_0() {
-    let own = postcard::to_stdvec(&Opening::new(speaker())).unwrap();
+    let own = postcard::to_stdvec(&StreamHeader::new(speaker())).unwrap();
     assert_eq!(read(&own), Some(speaker()));
     let with = |version: u16| postcard::to_stdvec(&(speaker(), version)).unwrap();
     assert_eq!(with(PROTOCOL_VERSION), own);
@@ -44,7 +44,7 @@
             assert!(!matches!(other.read(&mut [0]).await, Ok(1..)));
         }
         let mut own = TcpStream::connect(at).await.unwrap();
-        let bytes = [frame(&Opening::new(speaker())), frame(&"own".to_string())].concat();
+        let bytes = [frame(&StreamHeader::new(speaker())), frame(&"own".to_string())].concat();
         own.write_all(&bytes).await.unwrap();
         assert_eq!(heard.recv().await, Some((speaker(), "own".to_string())));
     };
--- a/crates/house/tests/answers.rs
+++ b/crates/house/tests/worker_answers.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 use tindock_catalogue::Catalogue;
 use tindock_folio::{answer_head, request_head, AnswerHead, Body, Framing, Read};
-use tindock_house::notes::{Desk, Listed, Told};
-use tindock_house::post::frame;
+use tindock_house::messages::{AgentMessage, Listed, ProxyInfo};
 use tindock_house::settings::Settings;
+use tindock_house::transport::frame;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -94,7 +94,7 @@
         port - 2
     );
     let settings = Settings::read(&settings).unwrap();
-    tokio::task::spawn_local(async move { tindock_house::desk::run(settings).await.unwrap() });
+    tokio::task::spawn_local(async move { tindock_house::proxy::run(settings).await.unwrap() });
     let door = TcpListener::bind((host(1), 0)).await.unwrap();
     let at = door.local_addr().unwrap();
     let (ran, arrivals) = (Ran::default(), Ran::default());
@@ -123,9 +123,9 @@
         replaces: None,
     };
     for told in [
-        Told::Desks(vec![Desk { ip: host(2), zone: "a".into(), life: 1 }]),
-        Told::Word(Catalogue::read(text.as_bytes()).unwrap()),
-        Told::Stacks { entries: vec![listed], ended: Vec::new(), whole: true },
+        AgentMessage::Proxies(vec![ProxyInfo { ip: host(2), zone: "a".into(), incarnation: 1 }]),
+        AgentMessage::Configuration(Catalogue::read(text.as_bytes()).unwrap()),
+        AgentMessage::Instances { entries: vec![listed], ended: Vec::new(), complete: true },
     ] {
         link.write_all(&frame(&told)).await.unwrap();
     }
--- a/crates/scale-run/src/configuration.rs
+++ b/crates/scale-run/src/configuration.rs
@@ -5,8 +5,8 @@
 use crate::Size;
 use std::time::Duration;
 use tindock_catalogue::{Catalogue, Finder};
-use tindock_house::notes::Note;
-use tindock_house::post::frame;
+use tindock_house::messages::PeerMessage;
+use tindock_house::transport::frame;
 use tindock_standins::operator::{configuration, Route};
 use tindock_standins::platform::Function;
 
@@ -61,8 +61,8 @@
     let new = Catalogue::read(second.as_bytes()).ok()?;
     let (change, comparing) = timed(|| new.since(&old));
     let (applied, applying) = timed(|| old.changed(&change));
-    let whole = frame(&Note::Word(new.clone())).len();
-    let (changed, framing) = timed(|| frame(&Note::Change(change.clone())).len());
+    let whole = frame(&PeerMessage::Configuration(new.clone())).len();
+    let (changed, framing) = timed(|| frame(&PeerMessage::Change(change.clone())).len());
     // Routes come back in another order, which means nothing.
     applied.filter(|applied| applied.revision == new.revision && applied.routes.len() == new.routes.len())?;
     drop(finder);
--- a/crates/scale-run/src/distribution.rs
+++ b/crates/scale-run/src/distribution.rs
@@ -7,8 +7,8 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 use tindock_circulation::{Listed, Mark, Relay, Replica, Stacks};
-use tindock_house::notes::Note;
-use tindock_house::post::frame;
+use tindock_house::messages::PeerMessage;
+use tindock_house::transport::frame;
 
 /// Changes that are told one after the other.
 const PIECES: u64 = 40;
@@ -68,8 +68,8 @@
     let mut replica = Replica::default();
     let (_, taking) = timed(|| replica.take(Duration::ZERO, &news));
     let held = own_memory() - memory;
-    let (bytes, framing) = timed(|| frame(&Note::Stacks(news.clone())).len());
-    let piece_bytes = frame(&Note::Stacks(started(1, size))).len();
+    let (bytes, framing) = timed(|| frame(&PeerMessage::Instances(news.clone())).len());
+    let piece_bytes = frame(&PeerMessage::Instances(started(1, size))).len();
 
     let agents: Vec<IpAddr> =
         (0..size.schedulers).map(|n| Ipv4Addr::from(0x0a00_0000 + n as u32).into()).collect();
--- a/crates/scale-run/src/hollow.rs
+++ b/crates/scale-run/src/hollow.rs
@@ -11,10 +11,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
-use tindock_house::notes::{Demand, Tells, Told};
-use tindock_house::page;
-use tindock_house::post::{frame, read_frame};
+use tindock_house::agent;
+use tindock_house::messages::{AgentMessage, Demand, ProxyMessage};
 use tindock_house::settings::Settings;
+use tindock_house::transport::{frame, read_frame};
 use tokio::io::{AsyncRead, AsyncWriteExt, ReadBuf};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
@@ -106,7 +106,7 @@
 
 async fn agent(settings: Settings) {
     let name = settings.node_name.clone();
-    if let Err(why) = page::run(settings).await {
+    if let Err(why) = agent::run(settings).await {
         eprintln!("hollow agent {name}: {why}");
     }
 }
@@ -144,7 +144,7 @@
             if let Ok(stream) = TcpStream::connect(self.agent).await {
                 let (from, mut to) = stream.into_split();
                 let life = self.number as u32 + 1;
-                if to.write_all(&frame(&Tells::Life(life))).await.is_ok() {
+                if to.write_all(&frame(&ProxyMessage::Incarnation(life))).await.is_ok() {
                     let to = tokio::sync::Mutex::new(to);
                     tokio::select! {
                         () = self.listen(from, &mut revision) => {}
@@ -159,16 +159,16 @@
 
     async fn listen(&self, from: OwnedReadHalf, revision: &mut u64) {
         let mut from = Counting { inner: from, bytes: 0 };
-        while let Some(told) = read_frame::<Told>(&mut from).await {
+        while let Some(told) = read_frame::<AgentMessage>(&mut from).await {
             let bytes = std::mem::take(&mut from.bytes);
             let (kind, now) = match told {
-                Told::Word(catalogue) => ("whole configuration", Some(catalogue.revision)),
-                Told::Change(change) => ("change of configuration", Some(change.revision)),
-                Told::Desks(_) => ("members", None),
-                Told::Owners(_) => ("owners", None),
-                Told::Stacks { .. } => ("instances", None),
-                Told::Fresh(_) => ("freshness", None),
-                Told::InTouch(_) => ("contact", None),
+                AgentMessage::Configuration(catalogue) => ("whole configuration", Some(catalogue.revision)),
+                AgentMessage::Change(change) => ("change of configuration", Some(change.revision)),
+                AgentMessage::Proxies(_) => ("members", None),
+                AgentMessage::Owners(_) => ("owners", None),
+                AgentMessage::Instances { .. } => ("instances", None),
+                AgentMessage::ConfigurationIsNewest(_) => ("freshness", None),
+                AgentMessage::ControllersReachable(_) => ("contact", None),
             };
             let mut board = locked(&self.board);
             board.heard(kind, bytes);
@@ -190,7 +190,7 @@
         let mut function = self.number;
         loop {
             let demand = self.demand(function % self.size.functions, waits);
-            if to.lock().await.write_all(&frame(&Tells::Demand(vec![demand]))).await.is_err() {
+            if to.lock().await.write_all(&frame(&ProxyMessage::Demand(vec![demand]))).await.is_err() {
                 return;
             }
             function += self.size.schedulers;
--- a/crates/scale-run/src/live.rs
+++ b/crates/scale-run/src/live.rs
@@ -135,7 +135,7 @@
             .map(|number| settings(&deployment, number, hollow_address(first, number)));
         let all = all.collect::<Result<Vec<_>, _>>()?;
         for (number, settings) in all.iter().enumerate() {
-            let (agent, size, board) = (settings.loopback(), plan.size, board.clone());
+            let (agent, size, board) = (settings.agent_address(), plan.size, board.clone());
             tokio::spawn(Proxy { number, agent, size, demands, board }.run());
         }
         let real = Shared::default();
--- a/crates/scale-run/tests/tiny.rs
+++ b/crates/scale-run/tests/tiny.rs
@@ -100,8 +100,8 @@
 #[tokio::test]
 async fn a_hollow_proxy_notes_what_it_is_told() {
     use tindock_catalogue::Catalogue;
-    use tindock_house::notes::{Tells, Told};
-    use tindock_house::post::{frame, read_frame};
+    use tindock_house::messages::{AgentMessage, ProxyMessage};
+    use tindock_house::transport::{frame, read_frame};
     use tokio::io::AsyncWriteExt;
 
     let agent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("an address");
@@ -117,9 +117,9 @@
     };
     let runs = tokio::spawn(proxy.run());
     let (mut stream, _) = agent.accept().await.expect("the proxy");
-    assert!(matches!(read_frame::<Tells>(&mut stream).await, Some(Tells::Life(1))));
+    assert!(matches!(read_frame::<ProxyMessage>(&mut stream).await, Some(ProxyMessage::Incarnation(1))));
     let told = Catalogue::read(configuration::text(2, 3).as_bytes()).expect("readable");
-    stream.write_all(&frame(&Told::Word(told))).await.expect("told");
+    stream.write_all(&frame(&AgentMessage::Configuration(told))).await.expect("told");
     while locked(&board).reached(2).0 == 0 {
         tokio::task::yield_now().await;
     }
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -78,7 +78,9 @@
         .subcommand(tindock_rehearsal::command());
     let matches = whole.get_matches();
     // The whole system's commands are built beside this scheduler's own.
-    if let Some((name, given)) = matches.subcommand().filter(|(name, _)| tindock_house::cli::is_ours(name)) {
+    if let Some((name, given)) =
+        matches.subcommand().filter(|(name, _)| tindock_house::cli::is_system_command(name))
+    {
         return Ok(tindock_house::cli::run(name, given).map_err(one_line)?);
     }
     if let Some(("demo", given)) = matches.subcommand() {
