--- a/crates/house/examples/proxy_cost.rs
+++ b/crates/house/examples/proxy_cost.rs
@@ -1,4 +1,4 @@
-//! CPU that a request costs a desk: by part in memory, and all of it over loopback sockets.
+//! CPU time of a proxy per request: of each part in memory, and in total over loopback sockets.
 //!
 //!     cargo build --locked --profile system -p tindock-house --example proxy_cost
 //!     taskset -c 2 target/system/examples/proxy_cost parts
@@ -27,7 +27,7 @@
 const INSTANCE: &str = "i-080-3";
 
 fn configuration() -> Catalogue {
-    let all = |of: &dyn Fn(usize) -> String| (0..SERVICES).map(of).collect::<Vec<_>>().join(",");
+    let all = |text: &dyn Fn(usize) -> String| (0..SERVICES).map(text).collect::<Vec<_>>().join(",");
     let route = |n| {
         format!(
             r#"{{"hostname":"h{}.example","path_prefix":"/v1/p{n}/","route_type":"idempotent",
@@ -53,8 +53,9 @@
 fn answer() -> Vec<u8> {
     let body = "a".repeat(2048);
     format!(
-        "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nServer-Seal: 9f86d081884c7d65\r\nAttempt-Id: {ID}\r\n\
-         Instance-Id: {INSTANCE}\r\nKeep-Alive: timeout=5\r\nContent-Length: 2048\r\n\r\n{body}"
+        "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nServer-Seal: 9f86d081884c7d65\r\n\
+         Attempt-Id: {ID}\r\nInstance-Id: {INSTANCE}\r\n\
+         Keep-Alive: timeout=5\r\nContent-Length: 2048\r\n\r\n{body}"
     )
     .into_bytes()
 }
@@ -66,7 +67,7 @@
     (value, body.bytes())
 }
 
-/// As `workers` reads and checks it.
+/// Reads and checks an answer as `workers` does.
 fn read_answer(bytes: &[u8]) -> (AnswerHead, Vec<u8>) {
     let Read::Done { value, used } = answer_head(bytes, 64 << 10, false) else { panic!("no head") };
     let mut body = Body::new(value.framing, 1 << 24);
@@ -75,11 +76,11 @@
     (value, body.bytes())
 }
 
-fn lender(catalogue: &Catalogue) -> Allocator {
+fn allocator(catalogue: &Catalogue) -> Allocator {
     let me = SocketAddr::from(([10, 0, 0, 1], 7301));
-    let mut lending = Allocator::new(me, "a".into(), 1, 1, Duration::ZERO);
+    let mut slots = Allocator::new(me, "a".into(), 1, 1, Duration::ZERO);
     let member = Member { at: me, zone: "a".into(), region: "r".into(), incarnation: 1 };
-    lending.set_members(Duration::ZERO, vec![member]);
+    slots.set_members(Duration::ZERO, vec![member]);
     let function = |name: &String| Function {
         kind: kind(name),
         name: name.clone(),
@@ -87,7 +88,7 @@
         boot: Duration::from_secs(1),
     };
     let functions = catalogue.services.iter().map(|s| function(&s.name)).collect();
-    lending.set_functions(Duration::ZERO, functions);
+    slots.set_functions(Duration::ZERO, functions);
     let entry = |n: usize| Entry {
         kind: kind(&format!("s{:03}", n / INSTANCES)),
         instance: format!("i-{:03}-{}", n / INSTANCES, n % INSTANCES),
@@ -97,17 +98,17 @@
         accepts_calls: true,
         since: Duration::ZERO,
     };
-    lending.update_instances(Duration::ZERO, (0..SERVICES * INSTANCES).map(entry).collect(), &[]);
-    lending
+    slots.update_instances(Duration::ZERO, (0..SERVICES * INSTANCES).map(entry).collect(), &[]);
+    slots
 }
 
-/// Median, least and most of the rounds, in µs for one go.
-fn time(goes: u32, mut go: impl FnMut()) -> [f64; 3] {
+/// Median, minimum and maximum of the rounds, in µs per run.
+fn time(count: u32, mut run: impl FnMut()) -> [f64; 3] {
     let mut rounds: Vec<f64> = (0..ROUNDS + 1)
         .map(|_| {
             let start = Instant::now();
-            (0..goes).for_each(|_| go());
-            start.elapsed().as_secs_f64() * 1e6 / f64::from(goes)
+            (0..count).for_each(|_| run());
+            start.elapsed().as_secs_f64() * 1e6 / f64::from(count)
         })
         .skip(1)
         .collect();
@@ -120,20 +121,20 @@
 }
 
 fn parts() {
-    const GOES: u32 = 20_000;
+    const RUNS: u32 = 20_000;
     let catalogue = configuration();
     let finder = Finder::new(&catalogue);
-    let (asked, answered) = (request(), answer());
-    let (head, body) = read_request(&asked);
-    let (back, text) = read_answer(&answered);
-    let mut lending = lender(&catalogue);
+    let (request_bytes, answer_bytes) = (request(), answer());
+    let (head, body) = read_request(&request_bytes);
+    let (back, text) = read_answer(&answer_bytes);
+    let mut slots = allocator(&catalogue);
     let mut budget = Budget::new(0.2, 10.0, Duration::from_secs(10));
     let mut out = Vec::with_capacity(8192);
     let mut now = Duration::from_secs(3);
-    println!("| part | µs, median of {ROUNDS} rounds of {GOES} | least to most |\n| --- | --- | --- |");
-    let read = time(GOES, || drop(black_box(read_request(black_box(&asked)))));
+    println!("| part | µs, median of {ROUNDS} rounds of {RUNS} | least to most |\n| --- | --- | --- |");
+    let read = time(RUNS, || drop(black_box(read_request(black_box(&request_bytes)))));
     row("request read: head and 1 KB body", read);
-    let found = time(GOES, || {
+    let found = time(RUNS, || {
         let at = finder.find(black_box(&head.host), &head.target).expect("a route");
         let route = catalogue.routes[at].clone();
         let service = &catalogue.services[route.choose(7) as usize];
@@ -142,57 +143,57 @@
         black_box(&route);
     });
     row("route, its function, the budget", found);
-    let of = kind("s080");
-    let lent = time(GOES, || {
+    let function = kind("s080");
+    let granted = time(RUNS, || {
         now += Duration::from_micros(500);
         let (aim, end) = (now + Duration::from_millis(800), now + Duration::from_secs(2));
-        let call = lending.request_slot(now, of, 1, aim, end, "");
-        let Some(Action::Dispatch { .. }) = lending.pull() else { panic!("no slot") };
-        lending.settle(now + Duration::from_micros(400), call, Ended::Done);
-        while lending.pull().is_some() {}
+        let call = slots.request_slot(now, function, 1, aim, end, "");
+        let Some(Action::Dispatch { .. }) = slots.pull() else { panic!("no slot") };
+        slots.settle(now + Duration::from_micros(400), call, Ended::Done);
+        while slots.pull().is_some() {}
     });
-    row("slot asked for, granted, given back (own lender, 10 instances)", lent);
-    let sent = time(GOES, || {
+    row("slot requested, granted, released (local allocator, 10 instances)", granted);
+    let sent = time(RUNS, || {
         out.clear();
         write_request(&mut out, black_box(&head), &body, 1900, INSTANCE);
         black_box(&out);
     });
     row("request written", sent);
-    let heard = time(GOES, || drop(black_box(read_answer(black_box(&answered)))));
-    row("answer read and checked: head and 2 KB body", heard);
-    let told = time(GOES, || {
+    let answer_read = time(RUNS, || drop(black_box(read_answer(black_box(&answer_bytes)))));
+    row("answer read and checked: head and 2 KB body", answer_read);
+    let written = time(RUNS, || {
         out.clear();
         write_answer(&mut out, black_box(&back), &text, false, false);
         black_box(&out);
     });
-    row("answer written", told);
-    let all = [read, found, lent, sent, heard, told];
+    row("answer written", written);
+    let all = [read, found, granted, sent, answer_read, written];
     println!("| sum of the medians | {:.2} | |", all.iter().map(|part| part[0]).sum::<f64>());
     let swept = time(200, || {
         now += Duration::from_millis(25);
-        lending.tick(now);
-        while lending.pull().is_some() {}
+        slots.tick(now);
+        while slots.pull().is_some() {}
     });
-    row(&format!("beside requests, each 25 ms: a sweep of {SERVICES} functions"), swept);
-    let shown = time(20, || {
-        black_box(tindock_house::slot_report::slot_report(now, "n", "a", 1, &lending).text());
+    row(&format!("besides requests, every 25 ms: timers of {SERVICES} functions"), swept);
+    let report = time(20, || {
+        black_box(tindock_house::slot_report::slot_report(now, "n", "a", 1, &slots).to_json());
     });
-    row(&format!("when staff ask: loans of {} instances told", SERVICES * INSTANCES), shown);
+    row(&format!("on an operator's request: slot report of {} instances", SERVICES * INSTANCES), report);
 }
 
-fn host(n: u8) -> IpAddr {
+fn loopback(n: u8) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(127, 0, 0, n))
 }
 
-/// Nanoseconds that a thread has had a processor (Linux).
+/// CPU time of a thread in nanoseconds (Linux).
 fn cpu(task: &str) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{task}/schedstat")).unwrap_or_default();
     text.split(' ').next().and_then(|ns| ns.parse().ok()).expect("schedstat")
 }
 
-/// Answers on each connection as soon as a whole request (always of one length) is there.
-fn worker(door: TcpListener) {
-    for stream in door.incoming().flatten() {
+/// Answers each request on each connection as soon as it is complete.
+fn worker(listener: TcpListener) {
+    for stream in listener.incoming().flatten() {
         std::thread::spawn(move || {
             let (mut stream, mut buf) = (stream, Vec::new());
             let _ = stream.set_nodelay(true);
@@ -212,13 +213,13 @@
     }
 }
 
-/// One request after the other on one connection.
-fn client(at: SocketAddr, goes: u32) {
-    let mut stream = TcpStream::connect(at).expect("the desk");
+/// Sends one request after the other on one connection.
+fn client(at: SocketAddr, count: u32) {
+    let mut stream = TcpStream::connect(at).expect("the proxy");
     let _ = stream.set_nodelay(true);
     let (text, mut part) = (request(), [0; 8192]);
-    for _ in 0..goes {
-        stream.write_all(&text).expect("the desk");
+    for _ in 0..count {
+        stream.write_all(&text).expect("the proxy");
         let mut buf = Vec::new();
         loop {
             let n = stream.read(&mut part).expect("an answer");
@@ -234,29 +235,31 @@
 }
 
 fn sockets() {
-    let page = TcpListener::bind((host(2), 0)).expect("a port");
-    let port = page.local_addr().expect("a port").port();
+    let agent_listener = TcpListener::bind((loopback(2), 0)).expect("a port");
+    let port = agent_listener.local_addr().expect("a port").port();
     let settings = format!(
         "node_name = \"edge-1\"\nip_address = \"127.0.0.2\"\nzone = \"a\"\nregion = \"r\"\n\
          ephemeral_ports = [{}, {port}]\n[bindings]\ndata_plane = \"127.0.0.4:{port}\"\n\
          readiness = \"127.0.0.3:{port}\"\n",
         port - 2
     );
-    let (say, hear) = std::sync::mpsc::channel();
+    let (task_sender, task_receiver) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let task = std::fs::read_link("/proc/thread-self").expect("Linux");
-        say.send(task.to_string_lossy().into_owned()).expect("the measurer");
+        task_sender.send(task.to_string_lossy().into_owned()).expect("the main thread");
         let settings = Settings::read(&settings).expect("valid settings");
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-        tokio::task::LocalSet::new().block_on(&runtime, tindock_house::proxy::run(settings)).expect("a desk");
+        tokio::task::LocalSet::new()
+            .block_on(&runtime, tindock_house::proxy::run(settings))
+            .expect("a proxy");
     });
-    let task = hear.recv().expect("the desk's thread");
-    let door = TcpListener::bind((host(1), 0)).expect("a port");
-    let at = door.local_addr().expect("a port");
-    std::thread::spawn(move || worker(door));
-    let (mut link, _) = page.accept().expect("the desk");
-    let mut said = link.try_clone().expect("a handle");
-    std::thread::spawn(move || std::io::copy(&mut said, &mut std::io::sink()));
+    let task = task_receiver.recv().expect("the proxy's thread");
+    let listener = TcpListener::bind((loopback(1), 0)).expect("a port");
+    let at = listener.local_addr().expect("a port");
+    std::thread::spawn(move || worker(listener));
+    let (mut link, _) = agent_listener.accept().expect("the proxy");
+    let mut from_agent = link.try_clone().expect("a handle");
+    std::thread::spawn(move || std::io::copy(&mut from_agent, &mut std::io::sink()));
     let listed = |n: usize| Listed {
         instance: format!("i-{:03}-{}", n / INSTANCES, n % INSTANCES),
         service: format!("s{:03}", n / INSTANCES),
@@ -268,35 +271,38 @@
         lends: true,
         replaces: None,
     };
-    let desk = ProxyInfo { ip: host(2), zone: "a".into(), incarnation: 1 };
+    let proxy = ProxyInfo { ip: loopback(2), zone: "a".into(), incarnation: 1 };
     let entries = (0..SERVICES * INSTANCES).map(listed).collect();
-    for told in [
-        AgentMessage::Proxies(vec![desk]),
+    for message in [
+        AgentMessage::Proxies(vec![proxy]),
         AgentMessage::Configuration(configuration()),
         AgentMessage::Instances { entries, ended: Vec::new(), complete: true },
     ] {
-        link.write_all(&frame(&told)).expect("the desk");
+        link.write_all(&frame(&message)).expect("the proxy");
     }
     let ready = || {
-        let mut stream = TcpStream::connect((host(3), port)).expect("the desk");
-        stream.write_all(b"GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").expect("the desk");
+        let mut stream = TcpStream::connect((loopback(3), port)).expect("the proxy");
+        stream.write_all(b"GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").expect("the proxy");
         let mut text = String::new();
         let _ = stream.read_to_string(&mut text);
         text.contains(" 200 ")
     };
     while !ready() {}
-    let front = SocketAddr::new(host(4), port);
-    println!("| connections | µs of the desk's thread a request, median of 5 rounds | least to most | requests/s |");
+    let data_plane = SocketAddr::new(loopback(4), port);
+    println!(
+        "| connections | µs of the proxy's thread per request, median of 5 rounds | least to most | \
+         requests/s |"
+    );
     println!("| --- | --- | --- | --- |");
     for connections in [1, 8, 32] {
-        let goes = 40_000 / connections;
+        let count = 40_000 / connections;
         let mut rounds: Vec<(f64, f64)> = (0..6)
             .map(|_| {
                 let (before, start) = (cpu(&task), Instant::now());
                 std::thread::scope(|scope| {
-                    (0..connections).for_each(|_| drop(scope.spawn(|| client(front, goes))));
+                    (0..connections).for_each(|_| drop(scope.spawn(|| client(data_plane, count))));
                 });
-                let all = f64::from(connections * goes);
+                let all = f64::from(connections * count);
                 ((cpu(&task) - before) / 1e3 / all, all / start.elapsed().as_secs_f64())
             })
             .skip(1)
--- a/crates/house/src/agent.rs
+++ b/crates/house/src/agent.rs
@@ -1,7 +1,8 @@
-//! The page, an agent beside the desk on an edge machine: knows the other pages, pulls the operator's word and the stacks,
-//! feeds the desk over loopback and carries what the desk has to tell to whoever holds the duty.
+//! The agent beside the proxy on an edge machine: knows the other agents from peer sampling, pulls the
+//! configuration and the instances from a controller, sends them to the proxy over loopback and forwards the
+//! proxy's reports to the holder of the leadership lease.
 
-use crate::controller::{FOLLOW, UNLISTED};
+use crate::controller::{FOLLOW_INTERVAL, UNLISTED_AGE};
 use crate::messages::{AgentMessage, PeerMessage, ProxyInfo, ProxyMessage};
 use crate::settings::Settings;
 use crate::transport::{frame, listen, read_frame, PeerSender};
@@ -17,33 +18,37 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::mpsc;
 
-/// An archive is asked for news this often, and at once after a change of mind.
-const PULL: Duration = Duration::from_millis(700);
-/// One that has said nothing for so long is left for another.
-const SILENT: Duration = Duration::from_millis(1500);
-/// Controllers that were heard so lately are in reach: longer than a pull and its answer take.
-const IN_TOUCH: Duration = Duration::from_millis(1200);
-/// The same for a page that knows nothing yet: after a loss of everything each tenth of a second counts.
-const EAGER: Duration = Duration::from_millis(80);
-/// The same while the archive answers, but is not in touch with the others yet.
-const FOUNDING: Duration = Duration::from_millis(2500);
-const ANSWERS: Duration = Duration::from_millis(400);
-/// Pages that tell a new holder what it may not find on the list: young instances, and numbers.
-const TELLERS: usize = 6;
-/// So long after its start a page that has found no archive of its own zone takes another.
-const NEAR: Duration = Duration::from_millis(300);
-/// The holder's word reaches all within this; who has another one by then is told by those it meets.
-const OWNERS_SPREAD: Duration = Duration::from_millis(1000);
-/// One pull in so many asks who else is there.
-const PULL_GREETS: u32 = 6;
-/// One follow in so many asks for other pages.
-const GREETS: u32 = 4;
-/// What was confirmed so lately counts as the newest.
-const FRESH: f64 = 0.5; // of convergence_ms
-/// Without a desk, or without an archive in touch, for so long: that is said in the log.
-const ALONE: Duration = Duration::from_secs(3);
-/// And the latter again this often.
-const ALONE_AGAIN: Duration = Duration::from_secs(60);
+/// A controller is polled this often, and at once after a switch to another controller.
+const PULL_INTERVAL: Duration = Duration::from_millis(700);
+/// A controller that has not reported contact with a majority for so long is replaced by another.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Controllers that answered this recently count as reachable: longer than a pull and its answer take.
+const REACHABLE_WITHIN: Duration = Duration::from_millis(1200);
+/// `SILENCE_TIMEOUT` of an agent without any data: after a loss of the whole system each tenth of a second of
+/// outage counts.
+const EMPTY_SILENCE_TIMEOUT: Duration = Duration::from_millis(80);
+/// `SILENCE_TIMEOUT` while the controller answers, but is not in touch with a majority yet.
+const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(2500);
+/// A controller that answered this recently is given `BOOTSTRAP_TIMEOUT`.
+const ANSWERED_WITHIN: Duration = Duration::from_millis(400);
+/// Agents that send a new lease holder what the platform's list may lack: young instances, and instance
+/// counters.
+const HANDOVER_SENDERS: usize = 6;
+/// So long after its start an agent that has found no controller of its own zone uses one of another zone.
+const LOCAL_ZONE_WAIT: Duration = Duration::from_millis(300);
+/// An update of the owners from the lease holder reaches all agents within this; an agent that has older
+/// owners by then gets them from the agents that it exchanges datagrams with.
+const OWNERS_SPREAD_TIME: Duration = Duration::from_millis(1000);
+/// One pull in so many asks for the other controllers and agents.
+const PULLS_PER_PEER_REQUEST: u32 = 6;
+/// One follow message in so many asks for other agents.
+const FOLLOWS_PER_PEER_REQUEST: u32 = 4;
+/// A configuration confirmed within this share of `convergence_ms` counts as the newest.
+const NEWEST_SHARE: f64 = 0.5;
+/// A missing proxy, or the lack of a controller in touch with a majority, is logged after so long.
+const LOG_ALONE_AFTER: Duration = Duration::from_secs(3);
+/// The lack of a controller is logged again this often.
+const LOG_ALONE_INTERVAL: Duration = Duration::from_secs(60);
 
 enum Event {
     PeerMessage(SocketAddr, PeerMessage),
@@ -59,42 +64,42 @@
 struct Agent {
     settings: Settings,
     me: SocketAddr,
-    views: PeerSampler,
+    peer_sampler: PeerSampler,
     peers: PeerSender,
-    desk: Option<mpsc::Sender<Vec<u8>>>,
+    proxy: Option<mpsc::Sender<Vec<u8>>>,
     catalogue: Option<Catalogue>,
-    /// A change did not fit: the whole word is wanted.
-    whole: bool,
-    archives: Vec<SocketAddr>,
-    archive: usize,
-    heard: Duration,
-    /// When the archive that is asked last said anything, in touch with the others or not.
-    answered: Duration,
-    pulled: Duration,
-    followed: Duration,
-    follows: u32,
-    confirmed: Option<Duration>,
-    fresh: bool,
-    in_touch: bool,
+    /// A change did not apply to the local configuration: the full one is requested.
+    needs_full_configuration: bool,
+    controllers: Vec<SocketAddr>,
+    controller_index: usize,
+    last_in_touch: Duration,
+    /// When the current controller last answered, in touch with a majority or not.
+    last_answer: Duration,
+    last_pull: Duration,
+    last_follow: Duration,
+    follow_count: u32,
+    confirmed_at: Option<Duration>,
+    configuration_is_newest: bool,
+    controllers_reachable: bool,
     holder: Option<(SocketAddr, u64)>,
-    stacks: Replica,
-    /// The mark of the owners that are known, and since when.
+    instances: Replica,
+    /// The mark of the owners that were last sent to the proxy, and when they were received.
     owners: (Mark, Duration),
-    /// Zones of archives, as they told them; one that did not answer counts as far.
-    zones_of: BTreeMap<SocketAddr, u8>,
-    place: u8,
-    pulls: u32,
-    desks: Vec<ProxyInfo>,
+    /// Zones of controllers, as they reported them; one that did not answer has `u8::MAX`, which no zone has.
+    controller_zones: BTreeMap<SocketAddr, u8>,
+    zone_index: u8,
+    pull_count: u32,
+    proxies: Vec<ProxyInfo>,
     start: Instant,
-    said: Said,
+    log: LogState,
 }
 
-/// What the log was told last.
-struct Said {
-    desk: bool,
-    desk_due: Duration,
-    /// That an archive was left, in this silence.
-    left: bool,
+/// What was logged last, so that each change is logged once.
+struct LogState {
+    proxy_connected: bool,
+    proxy_missing_due: Duration,
+    /// A switch of controllers was logged since the last contact.
+    controller_left: bool,
     alone_due: Duration,
     alone: bool,
 }
@@ -104,131 +109,147 @@
     let me = settings.peer_address();
     let listener = TcpListener::bind(me).await.map_err(|e| format!("{me}: {e}"))?;
     let datagrams = std::rc::Rc::new(UdpSocket::bind(me).await.map_err(|e| format!("{me}: {e}"))?);
-    let beside = TcpListener::bind(settings.agent_address())
+    let proxy_listener = TcpListener::bind(settings.agent_address())
         .await
         .map_err(|e| format!("{}: {e}", settings.agent_address()))?;
     let (events, mut inbox) = mpsc::channel(1024);
 
-    let (notes, mut heard) = mpsc::channel(256);
-    tokio::task::spawn_local(listen::<PeerMessage>(listener, notes, 512));
-    let into = events.clone();
+    let (messages, mut received) = mpsc::channel(256);
+    tokio::task::spawn_local(listen::<PeerMessage>(listener, messages, 512));
+    let sender = events.clone();
     tokio::task::spawn_local(async move {
-        while let Some((from, note)) = heard.recv().await {
-            if into.send(Event::PeerMessage(from, note)).await.is_err() {
+        while let Some((from, message)) = received.recv().await {
+            if sender.send(Event::PeerMessage(from, message)).await.is_err() {
                 return;
             }
         }
     });
-    let (into, socket) = (events.clone(), datagrams.clone());
+    let (sender, socket) = (events.clone(), datagrams.clone());
     tokio::task::spawn_local(async move {
         let mut buf = vec![0; 2048];
         loop {
             match socket.recv_from(&mut buf).await {
                 Ok((n, from)) => {
-                    if let Some(letter) = Message::decode(&buf[..n]) {
-                        if into.send(Event::Datagram(from.ip(), letter)).await.is_err() {
+                    if let Some(datagram) = Message::decode(&buf[..n]) {
+                        if sender.send(Event::Datagram(from.ip(), datagram)).await.is_err() {
                             return;
                         }
                     }
                 }
-                // A dead port at the other end: no reason to stop hearing.
+                // An ICMP error of an earlier send, as from a closed port: goes on receiving.
                 Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
             }
         }
     });
-    let into = events.clone();
+    let sender = events.clone();
     tokio::task::spawn_local(async move {
         loop {
-            if let Ok((stream, _)) = beside.accept().await {
-                desk_link(stream, &into).await;
-                if into.send(Event::ProxyDisconnected).await.is_err() {
+            if let Ok((stream, _)) = proxy_listener.accept().await {
+                serve_proxy_link(stream, &sender).await;
+                if sender.send(Event::ProxyDisconnected).await.is_err() {
                     return;
                 }
             }
         }
     });
-    let into = events.clone();
+    let sender = events.clone();
     tokio::task::spawn_local(async move {
         if let Ok(mut term) = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()) {
             term.recv().await;
-            let _ = into.send(Event::Leave).await;
+            let _ = sender.send(Event::Leave).await;
         }
     });
-    let into = events.clone();
+    let sender = events.clone();
     tokio::task::spawn_local(async move {
         let Ok(mut hangup) = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup()) else {
             return;
         };
         while hangup.recv().await.is_some() {
-            if into.send(Event::Settings).await.is_err() {
+            if sender.send(Event::Settings).await.is_err() {
                 return;
             }
         }
     });
 
-    let life = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    let seed = life.as_nanos() as u64 ^ crate::controller::hash(&settings.node_name);
-    let place = settings.zone_index();
-    let mut page = Agent {
+    let incarnation = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    let seed = incarnation.as_nanos() as u64 ^ crate::controller::hash(&settings.node_name);
+    let zone_index = settings.zone_index();
+    let mut agent = Agent {
         me,
-        views: PeerSampler::new(settings.ip_address, place, life.as_millis() as u64, seed, Duration::ZERO),
+        peer_sampler: PeerSampler::new(
+            settings.ip_address,
+            zone_index,
+            incarnation.as_millis() as u64,
+            seed,
+            Duration::ZERO,
+        ),
         peers: PeerSender::new(me),
-        desk: None,
+        proxy: None,
         catalogue: None,
-        whole: false,
-        archives: settings.seed_peers(),
-        archive: seed as usize,
-        heard: Duration::ZERO,
-        answered: Duration::ZERO,
-        pulled: Duration::ZERO,
-        followed: Duration::ZERO,
-        follows: 0,
-        confirmed: None,
-        fresh: false,
-        in_touch: false,
+        needs_full_configuration: false,
+        controllers: settings.seed_peers(),
+        controller_index: seed as usize,
+        last_in_touch: Duration::ZERO,
+        last_answer: Duration::ZERO,
+        last_pull: Duration::ZERO,
+        last_follow: Duration::ZERO,
+        follow_count: 0,
+        confirmed_at: None,
+        configuration_is_newest: false,
+        controllers_reachable: false,
         holder: None,
-        stacks: Replica::default(),
+        instances: Replica::default(),
         owners: (Mark::default(), Duration::ZERO),
-        zones_of: BTreeMap::new(),
-        place,
-        pulls: 0,
-        desks: Vec::new(),
+        controller_zones: BTreeMap::new(),
+        zone_index,
+        pull_count: 0,
+        proxies: Vec::new(),
         start,
         settings,
-        said: Said { desk: false, desk_due: ALONE, left: true, alone_due: ALONE, alone: false },
+        log: LogState {
+            proxy_connected: false,
+            proxy_missing_due: LOG_ALONE_AFTER,
+            controller_left: true,
+            alone_due: LOG_ALONE_AFTER,
+            alone: false,
+        },
     };
-    info!("up: page at {me}, for the desk at {}", page.settings.agent_address());
-    page.pull();
+    info!("up: agent at {me}, listening for the proxy at {}", agent.settings.agent_address());
+    agent.pull();
     let mut leaving: Option<Duration> = None;
     loop {
-        let now = page.start.elapsed();
+        let now = agent.start.elapsed();
         if leaving.is_some_and(|at| now >= at) {
             return Ok(());
         }
-        for (ip, letter) in page.views.tick(now) {
-            let _ = datagrams.try_send_to(&letter.encode(), SocketAddr::new(ip, me.port()));
+        for (ip, datagram) in agent.peer_sampler.tick(now) {
+            let _ = datagrams.try_send_to(&datagram.encode(), SocketAddr::new(ip, me.port()));
         }
-        page.tick(now);
-        let due = page.views.next_due().min(page.pulled + PULL).min(leaving.unwrap_or(Duration::MAX));
+        agent.tick(now);
+        let due = agent
+            .peer_sampler
+            .next_due()
+            .min(agent.last_pull + PULL_INTERVAL)
+            .min(leaving.unwrap_or(Duration::MAX));
         let wait = due.saturating_sub(now).max(Duration::from_millis(2));
         match tokio::time::timeout(wait, inbox.recv()).await {
-            Ok(Some(Event::Datagram(from, letter))) => {
-                page.pass_owners_on(page.start.elapsed(), from, letter.owners);
-                if let Some(answer) = page.views.receive(page.start.elapsed(), &letter) {
+            Ok(Some(Event::Datagram(from, datagram))) => {
+                agent.forward_owners(agent.start.elapsed(), from, datagram.owners);
+                if let Some(answer) = agent.peer_sampler.receive(agent.start.elapsed(), &datagram) {
                     let _ = datagrams.try_send_to(&answer.encode(), SocketAddr::new(from, me.port()));
                 }
             }
             Ok(Some(Event::Leave)) => {
-                // The desk beside it ends what it holds; the page stays for that.
-                let now = page.start.elapsed();
-                info!("SIGTERM: leaving, with the desk");
-                page.serves(now, 0);
-                let grace = GracePeriod::new(crate::settings::seconds(page.settings.timers.grace_s));
+                // The proxy beside it completes its open requests; the agent runs until then.
+                let now = agent.start.elapsed();
+                info!("SIGTERM: leaving together with the proxy");
+                agent.set_serving(now, 0);
+                let grace = GracePeriod::new(crate::settings::seconds(agent.settings.timers.grace_s));
                 leaving = Some(now + grace.end());
             }
             Ok(Some(event)) => {
                 let gone = matches!(event, Event::ProxyDisconnected);
-                page.take(event, leaving.is_some());
+                agent.handle_event(event, leaving.is_some());
                 if gone && leaving.is_some() {
                     return Ok(());
                 }
@@ -239,11 +260,11 @@
     }
 }
 
-/// One desk at a time: what it says comes in as events, what it is told goes out.
-async fn desk_link(stream: TcpStream, events: &mpsc::Sender<Event>) {
+/// Serves one proxy connection: its messages become events; the frames queued for it are written to it.
+async fn serve_proxy_link(stream: TcpStream, events: &mpsc::Sender<Event>) {
     let _ = stream.set_nodelay(true);
     let (mut from, mut to) = stream.into_split();
-    let (out, mut frames) = mpsc::channel::<Vec<u8>>(1024);
+    let (sender, mut frames) = mpsc::channel::<Vec<u8>>(1024);
     let writer = tokio::task::spawn_local(async move {
         while let Some(bytes) = frames.recv().await {
             if to.write_all(&bytes).await.is_err() {
@@ -251,9 +272,9 @@
             }
         }
     });
-    if events.send(Event::ProxyConnected(out)).await.is_ok() {
-        while let Some(tells) = read_frame::<ProxyMessage>(&mut from).await {
-            if events.send(Event::ProxyMessage(tells)).await.is_err() {
+    if events.send(Event::ProxyConnected(sender)).await.is_ok() {
+        while let Some(message) = read_frame::<ProxyMessage>(&mut from).await {
+            if events.send(Event::ProxyMessage(message)).await.is_err() {
                 break;
             }
         }
@@ -262,9 +283,9 @@
 }
 
 impl Agent {
-    /// The seeds of the settings file as it is now; one that cannot be read changes nothing. Only seeds change in a
-    /// process's life: its addresses and bounds are those it started with.
-    fn reread(&mut self) {
+    /// Reads the seeds from the settings file again; an unreadable file changes nothing. Addresses and limits
+    /// stay as they were at the start of the process.
+    fn reload_settings(&mut self) {
         match Settings::from_environment() {
             Ok(settings) => {
                 if settings.seed_peers != self.settings.seed_peers {
@@ -272,83 +293,87 @@
                     self.settings.seed_peers = settings.seed_peers;
                 }
             }
-            Err(fault) => warn!("settings not read again: {fault}"),
+            Err(fault) => warn!("settings not reloaded: {fault}"),
         }
     }
 
-    /// Who serves beside this page has changed: the others and the holder are told at once.
-    fn serves(&mut self, now: Duration, life: u32) {
-        if self.views.incarnation() == life {
+    /// The proxy process beside this agent has changed: informs the other agents and the lease holder at
+    /// once. An incarnation of 0 means that no proxy serves here.
+    fn set_serving(&mut self, now: Duration, incarnation: u32) {
+        if self.peer_sampler.incarnation() == incarnation {
             return;
         }
-        self.views.set_serving(now, life);
+        self.peer_sampler.set_serving(now, incarnation);
         if let Some((holder, _)) = self.holder {
-            self.followed = now;
-            let follow = self.follow();
+            self.last_follow = now;
+            let follow = self.follow_message();
             self.peers.send(holder, &follow);
         }
     }
 
-    /// The proxies among which owners are chosen, as the desk takes them.
-    fn tell_owners(&mut self) {
-        let places = self.settings.zones_with_regions();
-        let desk = |proxy: &Proxy| {
-            let zone = places.get(usize::from(proxy.place))?.0.clone();
+    /// Sends the proxy the list of proxies among which slot owners are chosen.
+    fn send_owners(&mut self) {
+        let zones = self.settings.zones_with_regions();
+        let proxy_info = |proxy: &Proxy| {
+            let zone = zones.get(usize::from(proxy.place))?.0.clone();
             Some(ProxyInfo { ip: proxy.ip, zone, incarnation: proxy.life })
         };
-        let Some(owners) = self.stacks.owners() else { return };
+        let Some(owners) = self.instances.owners() else { return };
         let mark = owners.mark;
-        let desks = owners.proxies.iter().filter_map(desk).collect();
-        self.tell(&AgentMessage::Owners(desks));
+        let proxies = owners.proxies.iter().filter_map(proxy_info).collect();
+        self.send_to_proxy(&AgentMessage::Owners(proxies));
         if mark != self.owners.0 {
             self.owners = (mark, self.start.elapsed());
-            self.views.set_owners((mark.number, mark.version));
+            self.peer_sampler.set_owners((mark.number, mark.version));
         }
     }
 
-    /// Another page knows older owners than this one has known for a while: whatever keeps the holder's word from it, it
-    /// must not go on with those.
-    fn pass_owners_on(&mut self, now: Duration, to: IpAddr, known: (u64, u64)) {
+    /// Sends the owners to another agent that has older ones than this agent has had for a while: the lease
+    /// holder's updates do not reach it, and it must not keep using outdated owners.
+    fn forward_owners(&mut self, now: Duration, to: IpAddr, known: (u64, u64)) {
         let known = Mark { number: known.0, version: known.1 };
         let (mark, since) = self.owners;
-        if known >= mark || now < since + OWNERS_SPREAD {
+        if known >= mark || now < since + OWNERS_SPREAD_TIME {
             return;
         }
-        if let Some(owners) = self.stacks.owners() {
+        if let Some(owners) = self.instances.owners() {
             self.peers.send(SocketAddr::new(to, self.me.port()), &PeerMessage::Owners(owners.clone()));
         }
     }
 
-    fn tell(&mut self, told: &AgentMessage) {
-        if let Some(desk) = &self.desk {
-            // A desk that does not read is told everything again when it comes back.
-            if desk.try_send(frame(told)).is_err() {
-                self.desk = None;
+    fn send_to_proxy(&mut self, message: &AgentMessage) {
+        if let Some(proxy) = &self.proxy {
+            // A proxy that does not read is disconnected, and gets everything again when it reconnects.
+            if proxy.try_send(frame(message)).is_err() {
+                self.proxy = None;
             }
         }
     }
 
     fn pull(&mut self) {
         let now = self.start.elapsed();
-        self.pulled = now;
-        if self.archives.is_empty() {
-            self.archives = self.settings.seed_peers();
+        self.last_pull = now;
+        if self.controllers.is_empty() {
+            self.controllers = self.settings.seed_peers();
         }
-        if self.archives.is_empty() {
+        if self.controllers.is_empty() {
             return;
         }
-        let to = self.archives[self.archive % self.archives.len()];
-        let with_peers = self.heard == Duration::ZERO || self.pulls.is_multiple_of(PULL_GREETS);
-        self.pulls = self.pulls.wrapping_add(1);
-        let revision = self.catalogue.as_ref().filter(|_| !self.whole).map_or(0, |c| c.revision);
-        let (ip, mark) = (self.me.ip(), self.stacks.mark());
+        let to = self.controllers[self.controller_index % self.controllers.len()];
+        let with_peers =
+            self.last_in_touch == Duration::ZERO || self.pull_count.is_multiple_of(PULLS_PER_PEER_REQUEST);
+        self.pull_count = self.pull_count.wrapping_add(1);
+        let revision =
+            self.catalogue.as_ref().filter(|_| !self.needs_full_configuration).map_or(0, |c| c.revision);
+        let (ip, mark) = (self.me.ip(), self.instances.mark());
         let with_data = self.wants_data(now, &to);
         self.peers.send(to, &PeerMessage::Pull { ip, revision, mark, with_peers, with_data });
-        // All at once: the one of the own zone answers as soon as any. One that was left as silent may be that one, and back:
-        // without a look now and then all pages of a zone would stay with a far one for good.
-        let near = self.zones_of.get(&to) == Some(&self.place);
-        for other in self.archives.clone() {
-            let look = match self.zones_of.get(&other) {
+        // Controllers of unknown zones are all probed at once, to find the one of the local zone. A
+        // controller that was given up as silent is probed again now and then: it may be the local one and
+        // have returned; otherwise all agents of a zone would stay with a remote controller for good.
+        let near = self.controller_zones.get(&to) == Some(&self.zone_index);
+        for other in self.controllers.clone() {
+            let look = match self.controller_zones.get(&other) {
                 None => !with_data,
                 Some(zone) => *zone == u8::MAX && with_peers && !near,
             };
@@ -361,293 +386,319 @@
         }
     }
 
-    /// Whether this archive is to send the word and the stacks: one of the own zone, or any where there is none. The word was sent
-    /// five times to each page when each archive that was asked on the way sent it.
-    fn wants_data(&self, now: Duration, archive: &SocketAddr) -> bool {
-        let near = self.zones_of.get(archive) == Some(&self.place);
-        near || now >= NEAR || self.archives.iter().all(|at| self.zones_of.contains_key(at))
+    /// Whether this controller is to send the configuration and the instances: one of the local zone, or any
+    /// if none is found there. If every controller that is probed sent them, each agent would receive the
+    /// configuration several times (five times in one case).
+    fn wants_data(&self, now: Duration, controller: &SocketAddr) -> bool {
+        let near = self.controller_zones.get(controller) == Some(&self.zone_index);
+        near || now >= LOCAL_ZONE_WAIT
+            || self.controllers.iter().all(|at| self.controller_zones.contains_key(at))
     }
 
-    /// Whether this page is among the few that tell a new holder what all of them know; chosen by the number, so that no
-    /// word is needed.
-    fn one_of_few(&self, now: Duration, number: u64) -> bool {
+    /// Whether this agent is among the few that send a new lease holder the handover. The choice is a hash of
+    /// the lease number, so that the agents agree on it without communication.
+    fn is_handover_sender(&self, now: Duration, number: u64) -> bool {
         let weight = |ip: IpAddr| crate::controller::hash(&format!("{ip} {number}"));
-        let own = weight(self.me.ip());
-        self.views.alive(now).iter().filter(|heard| weight(heard.ip) < own).count() < TELLERS
+        let local = weight(self.me.ip());
+        self.peer_sampler.alive(now).iter().filter(|peer| weight(peer.ip) < local).count() < HANDOVER_SENDERS
     }
 
-    /// What the holder is asked; once in some follows also for other pages, or two halves of them that began at two archives
-    /// would never hear of each other.
-    fn follow(&mut self) -> PeerMessage {
-        self.follows = self.follows.wrapping_add(1);
-        let proxy = Proxy { ip: self.me.ip(), place: self.place, life: self.views.incarnation() };
+    /// The follow message to the lease holder. Some of them also ask for other agents: otherwise two groups
+    /// of agents that started from two controllers would never learn of each other.
+    fn follow_message(&mut self) -> PeerMessage {
+        self.follow_count = self.follow_count.wrapping_add(1);
+        let proxy = Proxy { ip: self.me.ip(), place: self.zone_index, life: self.peer_sampler.incarnation() };
         PeerMessage::Follow {
-            mark: self.stacks.mark(),
-            with_peers: self.follows % GREETS == 1,
+            mark: self.instances.mark(),
+            with_peers: self.follow_count % FOLLOWS_PER_PEER_REQUEST == 1,
             proxy: Some(proxy),
         }
     }
 
     fn tick(&mut self, now: Duration) {
-        // A page that has just started knows nothing: it asks one after the other until one answers.
-        let new = self.heard == Duration::ZERO || !self.stacks.is_known();
-        // One that answers is given the time that a core takes to found itself.
-        let answers = self.answered > Duration::ZERO && now < self.answered + ANSWERS;
+        // An agent that has just started has no data: it tries one controller after the other until one
+        // answers.
+        let new = self.last_in_touch == Duration::ZERO || !self.instances.is_known();
+        // A controller that answers is given the time that the controllers take to bootstrap.
+        let answers = self.last_answer > Duration::ZERO && now < self.last_answer + ANSWERED_WITHIN;
         let silent = match new {
-            true if answers => FOUNDING,
-            true => EAGER,
-            false => SILENT,
+            true if answers => BOOTSTRAP_TIMEOUT,
+            true => EMPTY_SILENCE_TIMEOUT,
+            false => SILENCE_TIMEOUT,
         };
-        if now >= self.heard + silent && now >= self.pulled + silent.min(Duration::from_millis(300)) {
-            // Silent, or not in touch with the others: the next one, and the seeds again once in a while.
-            let left = self.archive_now();
-            if let Some(left) = left {
-                self.zones_of.insert(left, u8::MAX);
+        if now >= self.last_in_touch + silent
+            && now >= self.last_pull + silent.min(Duration::from_millis(300))
+        {
+            // Silent, or not in touch with a majority: tries the next one, and once in a while the seeds
+            // again.
+            let previous = self.current_controller();
+            if let Some(previous) = previous {
+                self.controller_zones.insert(previous, u8::MAX);
             }
-            self.archive = self.archive.wrapping_add(1);
-            if self.archive.is_multiple_of(8) {
-                // The file may have changed without a signal.
-                self.reread();
+            self.controller_index = self.controller_index.wrapping_add(1);
+            if self.controller_index.is_multiple_of(8) {
+                // The settings file may have changed without a SIGHUP.
+                self.reload_settings();
                 for seed in self.settings.seed_peers() {
-                    if !self.archives.contains(&seed) {
-                        self.archives.push(seed);
+                    if !self.controllers.contains(&seed) {
+                        self.controllers.push(seed);
                     }
                 }
             }
-            if let (false, Some(left), Some(to)) = (self.said.left, left, self.archive_now()) {
-                // Once a silence: the next ones may be as silent.
-                self.said.left = true;
-                let silent = now.saturating_sub(self.heard).as_millis();
-                info!("archive {} left for {}: silent for {silent} ms", left.ip(), to.ip());
+            if let (false, Some(previous), Some(to)) =
+                (self.log.controller_left, previous, self.current_controller())
+            {
+                // Logged once per silence: the next controllers may be silent as well.
+                self.log.controller_left = true;
+                let silent = now.saturating_sub(self.last_in_touch).as_millis();
+                info!("controller {} replaced by {}: no contact for {silent} ms", previous.ip(), to.ip());
             }
             self.pull();
-        } else if now >= self.pulled + if new { 2 * EAGER } else { PULL } {
+        } else if now >= self.last_pull + if new { 2 * EMPTY_SILENCE_TIMEOUT } else { PULL_INTERVAL } {
             self.pull();
         }
         if let Some((holder, _)) = self.holder {
-            if now >= self.followed + FOLLOW {
-                self.followed = now;
-                let follow = self.follow();
+            if now >= self.last_follow + FOLLOW_INTERVAL {
+                self.last_follow = now;
+                let follow = self.follow_message();
                 self.peers.send(holder, &follow);
             }
         }
-        self.say(now);
-        let newest = crate::settings::seconds(self.settings.timers.convergence_ms / 1000.0 * FRESH);
-        let fresh = self.confirmed.is_some_and(|at| now < at + newest);
-        if fresh != self.fresh {
-            self.fresh = fresh;
-            self.tell(&AgentMessage::ConfigurationIsNewest(fresh));
+        self.log_changes(now);
+        let newest = crate::settings::seconds(self.settings.timers.convergence_ms / 1000.0 * NEWEST_SHARE);
+        let fresh = self.confirmed_at.is_some_and(|at| now < at + newest);
+        if fresh != self.configuration_is_newest {
+            self.configuration_is_newest = fresh;
+            self.send_to_proxy(&AgentMessage::ConfigurationIsNewest(fresh));
         }
-        let in_touch = self.heard > Duration::ZERO && now < self.heard + IN_TOUCH;
-        if in_touch != self.in_touch {
-            self.in_touch = in_touch;
-            self.tell(&AgentMessage::ControllersReachable(in_touch));
+        let in_touch = self.last_in_touch > Duration::ZERO && now < self.last_in_touch + REACHABLE_WITHIN;
+        if in_touch != self.controllers_reachable {
+            self.controllers_reachable = in_touch;
+            self.send_to_proxy(&AgentMessage::ControllersReachable(in_touch));
         }
-        let places = self.settings.zones_with_regions();
-        let desks: Vec<ProxyInfo> = self
-            .views
+        let zones = self.settings.zones_with_regions();
+        let proxies: Vec<ProxyInfo> = self
+            .peer_sampler
             .alive(now)
             .into_iter()
-            .filter(|heard| heard.incarnation != 0)
-            .filter_map(|heard| {
-                let zone = places.get(usize::from(heard.zone_index))?.0.clone();
-                Some(ProxyInfo { ip: heard.ip, zone, incarnation: heard.incarnation })
+            .filter(|peer| peer.incarnation != 0)
+            .filter_map(|peer| {
+                let zone = zones.get(usize::from(peer.zone_index))?.0.clone();
+                Some(ProxyInfo { ip: peer.ip, zone, incarnation: peer.incarnation })
             })
             .collect();
-        if desks != self.desks {
-            self.desks = desks.clone();
-            self.tell(&AgentMessage::Proxies(desks));
+        if proxies != self.proxies {
+            self.proxies = proxies.clone();
+            self.send_to_proxy(&AgentMessage::Proxies(proxies));
         }
     }
 
-    fn archive_now(&self) -> Option<SocketAddr> {
-        self.archives.get(self.archive % self.archives.len().max(1)).copied()
+    fn current_controller(&self) -> Option<SocketAddr> {
+        self.controllers.get(self.controller_index % self.controllers.len().max(1)).copied()
     }
 
-    /// What has lasted long enough for the log.
-    fn say(&mut self, now: Duration) {
-        let there = self.desk.is_some();
-        if there != self.said.desk || (!there && now >= self.said.desk_due) {
-            (self.said.desk, self.said.desk_due) = (there, Duration::MAX);
-            match there {
-                true => info!("desk is there"),
-                false => warn!("no desk beside this page"),
+    /// Logs states that have lasted long enough.
+    fn log_changes(&mut self, now: Duration) {
+        let connected = self.proxy.is_some();
+        if connected != self.log.proxy_connected || (!connected && now >= self.log.proxy_missing_due) {
+            (self.log.proxy_connected, self.log.proxy_missing_due) = (connected, Duration::MAX);
+            match connected {
+                true => info!("proxy connected"),
+                false => warn!("no proxy connected to this agent"),
             }
         }
-        if now >= self.said.alone_due && now >= self.heard + ALONE {
-            (self.said.alone_due, self.said.alone) = (now + ALONE_AGAIN, true);
-            warn!("no archive in touch for {} s", now.saturating_sub(self.heard).as_secs());
+        if now >= self.log.alone_due && now >= self.last_in_touch + LOG_ALONE_AFTER {
+            (self.log.alone_due, self.log.alone) = (now + LOG_ALONE_INTERVAL, true);
+            warn!(
+                "no controller in touch with a majority for {} s",
+                now.saturating_sub(self.last_in_touch).as_secs()
+            );
         }
     }
 
-    fn take(&mut self, event: Event, leaving: bool) {
+    fn handle_event(&mut self, event: Event, leaving: bool) {
         let now = self.start.elapsed();
         match event {
-            Event::PeerMessage(from, note) => self.note(now, from, note),
-            Event::ProxyConnected(out) => {
-                self.desk = Some(out);
+            Event::PeerMessage(from, message) => self.handle_message(now, from, message),
+            Event::ProxyConnected(sender) => {
+                self.proxy = Some(sender);
                 if let Some(catalogue) = self.catalogue.clone() {
-                    self.tell(&AgentMessage::Configuration(catalogue));
+                    self.send_to_proxy(&AgentMessage::Configuration(catalogue));
                 }
-                self.tell(&AgentMessage::Proxies(self.desks.clone()));
-                self.tell_owners();
-                let entries = self.stacks.entries(now);
-                if self.stacks.is_known() {
-                    self.tell(&AgentMessage::Instances { entries, ended: Vec::new(), complete: true });
+                self.send_to_proxy(&AgentMessage::Proxies(self.proxies.clone()));
+                self.send_owners();
+                let entries = self.instances.entries(now);
+                if self.instances.is_known() {
+                    self.send_to_proxy(&AgentMessage::Instances {
+                        entries,
+                        ended: Vec::new(),
+                        complete: true,
+                    });
                 }
-                self.tell(&AgentMessage::ConfigurationIsNewest(self.fresh));
-                self.tell(&AgentMessage::ControllersReachable(self.in_touch));
+                self.send_to_proxy(&AgentMessage::ConfigurationIsNewest(self.configuration_is_newest));
+                self.send_to_proxy(&AgentMessage::ControllersReachable(self.controllers_reachable));
+            }
+            Event::ProxyMessage(ProxyMessage::Incarnation(incarnation)) if !leaving => {
+                self.set_serving(now, incarnation)
             }
-            Event::ProxyMessage(ProxyMessage::Incarnation(life)) if !leaving => self.serves(now, life),
             Event::ProxyMessage(ProxyMessage::Incarnation(_)) => {}
             Event::ProxyMessage(ProxyMessage::Leaving) | Event::ProxyDisconnected => {
-                self.serves(now, 0);
+                self.set_serving(now, 0);
                 if matches!(event, Event::ProxyDisconnected) {
-                    self.desk = None;
+                    self.proxy = None;
                 }
             }
-            Event::ProxyMessage(tells) => {
+            Event::ProxyMessage(message) => {
                 let Some((holder, _)) = self.holder else { return };
-                let note = match tells {
+                let message = match message {
                     ProxyMessage::Demand(demand) => PeerMessage::Demand(demand),
                     ProxyMessage::InstanceGone(instance) => {
-                        self.stacks.gone(&instance);
+                        self.instances.gone(&instance);
                         PeerMessage::InstanceGone(instance)
                     }
                     ProxyMessage::InstanceReady(instance) => {
-                        self.stacks.ready(&instance);
+                        self.instances.ready(&instance);
                         PeerMessage::InstanceReady(instance)
                     }
                     ProxyMessage::Incarnation(_) | ProxyMessage::Leaving => return,
                 };
-                self.peers.send(holder, &note);
+                self.peers.send(holder, &message);
             }
-            Event::Settings => self.reread(),
+            Event::Settings => self.reload_settings(),
             Event::Datagram(..) | Event::Leave => {}
         }
     }
 
-    /// An archive of the own zone is asked, if there is one: news costs least there. One whose zone is unknown is asked once.
-    fn settle_near(&mut self) {
-        let rank = |at: &SocketAddr| match self.zones_of.get(at) {
-            Some(place) if *place == self.place => 0,
+    /// Switches to a controller of the local zone if there is one, where traffic costs least; else to one
+    /// whose zone is still unknown.
+    fn prefer_local_controller(&mut self) {
+        let rank = |at: &SocketAddr| match self.controller_zones.get(at) {
+            Some(zone) if *zone == self.zone_index => 0,
             None => 1,
             Some(_) => 2,
         };
-        let Some(current) = self.archive_now() else { return };
-        if let Some(best) = (0..self.archives.len()).min_by_key(|i| rank(&self.archives[*i])) {
-            if rank(&self.archives[best]) < rank(&current) {
-                self.archive = best;
-                let leaves = PeerMessage::Pull {
+        let Some(current) = self.current_controller() else { return };
+        if let Some(best) = (0..self.controllers.len()).min_by_key(|i| rank(&self.controllers[*i])) {
+            if rank(&self.controllers[best]) < rank(&current) {
+                self.controller_index = best;
+                let unsubscribe = PeerMessage::Pull {
                     ip: self.me.ip(),
                     revision: 0,
-                    mark: self.stacks.mark(),
+                    mark: self.instances.mark(),
                     with_peers: false,
                     with_data: false,
                 };
-                self.peers.send(current, &leaves);
-                if self.catalogue.is_none() || !self.stacks.is_known() {
+                self.peers.send(current, &unsubscribe);
+                if self.catalogue.is_none() || !self.instances.is_known() {
                     self.pull();
                 }
             }
         }
     }
 
-    fn note(&mut self, now: Duration, from: SocketAddr, note: PeerMessage) {
-        match note {
+    fn handle_message(&mut self, now: Duration, from: SocketAddr, message: PeerMessage) {
+        match message {
             PeerMessage::ClusterStatus { holder, revision, in_touch, zone_index, controllers, agents } => {
-                self.zones_of.insert(from, zone_index);
-                if self.archive_now() == Some(from) {
-                    self.answered = now;
+                self.controller_zones.insert(from, zone_index);
+                if self.current_controller() == Some(from) {
+                    self.last_answer = now;
                 }
-                if !controllers.is_empty() && controllers != self.archives {
-                    let current = self.archives.get(self.archive % self.archives.len().max(1)).copied();
-                    self.archives = controllers;
-                    self.archive =
-                        self.archives.iter().position(|a| Some(*a) == current).unwrap_or(self.archive);
+                if !controllers.is_empty() && controllers != self.controllers {
+                    let current =
+                        self.controllers.get(self.controller_index % self.controllers.len().max(1)).copied();
+                    self.controllers = controllers;
+                    self.controller_index = self
+                        .controllers
+                        .iter()
+                        .position(|a| Some(*a) == current)
+                        .unwrap_or(self.controller_index);
                 }
-                self.views.add_contacts(now, agents);
-                let own = self.catalogue.as_ref().map_or(0, |c| c.revision);
-                // Who knows nothing does not wait for the archives' vote: the one of its zone can show the platform's list.
-                if in_touch || !self.stacks.is_known() {
-                    self.settle_near();
+                self.peer_sampler.add_contacts(now, agents);
+                let local = self.catalogue.as_ref().map_or(0, |c| c.revision);
+                // An agent without instances does not wait for the controllers' election: the controller of
+                // its zone can send the platform's list.
+                if in_touch || !self.instances.is_known() {
+                    self.prefer_local_controller();
                 }
                 if in_touch {
-                    if self.said.alone {
-                        let silent = now.saturating_sub(self.heard).as_secs();
-                        warn!("archive {} in touch again after {silent} s", from.ip());
+                    if self.log.alone {
+                        let silent = now.saturating_sub(self.last_in_touch).as_secs();
+                        warn!("controller {} in touch with a majority again after {silent} s", from.ip());
                     }
-                    (self.said.left, self.said.alone, self.said.alone_due) = (false, false, now + ALONE);
-                    self.heard = now;
-                    if revision <= own && own > 0 {
-                        self.confirmed = Some(now);
+                    (self.log.controller_left, self.log.alone, self.log.alone_due) =
+                        (false, false, now + LOG_ALONE_AFTER);
+                    self.last_in_touch = now;
+                    if revision <= local && local > 0 {
+                        self.confirmed_at = Some(now);
                     }
                 }
-                // The holder with the highest number is the one there is.
+                // The valid lease holder is the one with the highest lease number.
                 if let Some((at, number)) = holder {
                     if self.holder.is_none_or(|(old, known)| number > known || (number == known && at != old))
                     {
-                        info!("holder is {} under {number}", at.ip());
+                        info!("lease holder is {}, lease number {number}", at.ip());
                         self.holder = Some((at, number));
-                        self.followed = now;
-                        let (known, tag) = (self.stacks.mark().number, self.stacks.tag());
-                        if number != known && tag != 0 && self.one_of_few(now, number) {
-                            let numbers = self.stacks.numbers();
-                            // What has been there for longer is on the platform's list, which the holder reads.
-                            let mut entries = self.stacks.entries(now);
-                            entries.retain(|entry| !entry.ready || entry.age < UNLISTED);
+                        self.last_follow = now;
+                        let (known, tag) = (self.instances.mark().number, self.instances.tag());
+                        if number != known && tag != 0 && self.is_handover_sender(now, number) {
+                            let numbers = self.instances.numbers();
+                            // Older instances are on the platform's list, which the lease holder reads.
+                            let mut entries = self.instances.entries(now);
+                            entries.retain(|entry| !entry.ready || entry.age < UNLISTED_AGE);
                             self.peers.send(at, &PeerMessage::Handover { entries, tag, numbers });
                         }
-                        let follow = self.follow();
+                        let follow = self.follow_message();
                         self.peers.send(at, &follow);
                     }
                 }
             }
             PeerMessage::Configuration(catalogue) => {
-                self.whole = false;
-                // A process never goes back within its life.
-                if self.catalogue.as_ref().is_none_or(|own| own.revision < catalogue.revision) {
+                self.needs_full_configuration = false;
+                // A process never goes back to an older revision.
+                if self.catalogue.as_ref().is_none_or(|local| local.revision < catalogue.revision) {
                     info!("revision {} in force", catalogue.revision);
-                    self.tell(&AgentMessage::Configuration(catalogue.clone()));
-                    self.confirmed = Some(now);
+                    self.send_to_proxy(&AgentMessage::Configuration(catalogue.clone()));
+                    self.confirmed_at = Some(now);
                     self.catalogue = Some(catalogue);
                 }
             }
             PeerMessage::Change(change) => {
-                let Some(own) = self.catalogue.as_ref().filter(|own| own.revision < change.revision) else {
+                let Some(local) = self.catalogue.as_ref().filter(|local| local.revision < change.revision)
+                else {
                     return;
                 };
-                match own.changed(&change) {
+                match local.changed(&change) {
                     Some(catalogue) => {
                         info!("revision {} in force", catalogue.revision);
-                        self.tell(&AgentMessage::Change(change));
-                        self.confirmed = Some(now);
+                        self.send_to_proxy(&AgentMessage::Change(change));
+                        self.confirmed_at = Some(now);
                         self.catalogue = Some(catalogue);
                     }
-                    // One of another revision than this page has by now: the whole one is asked for.
+                    // The change is based on another revision than the local one: requests the full
+                    // configuration.
                     None => {
-                        self.whole = true;
+                        self.needs_full_configuration = true;
                         self.pull();
                     }
                 }
             }
-            PeerMessage::Instances(news) => match self.stacks.take(now, &news) {
+            PeerMessage::Instances(update) => match self.instances.take(now, &update) {
                 Taken::Old => {}
                 Taken::Gap => {
-                    // What was missed is asked for again, of the one that is asked for all else.
+                    // An update was missed: requests the missing part from the current controller.
                     self.pull();
                 }
                 Taken::New { ended } => {
-                    let Stacks { entries, whole, owners, .. } = news;
-                    self.tell(&AgentMessage::Instances { entries, ended, complete: whole });
+                    let Stacks { entries, whole, owners, .. } = update;
+                    self.send_to_proxy(&AgentMessage::Instances { entries, ended, complete: whole });
                     if owners.is_some() {
-                        self.tell_owners();
+                        self.send_owners();
                     }
                 }
             },
             PeerMessage::Owners(owners) => {
-                if self.stacks.take_owners(&owners) {
-                    self.tell_owners();
+                if self.instances.take_owners(&owners) {
+                    self.send_owners();
                 }
             }
             PeerMessage::ControlStore(_)
--- a/crates/house/src/cli.rs
+++ b/crates/house/src/cli.rs
@@ -1,27 +1,27 @@
-//! The commands of the whole system, built for clap by hand and hung beside those of the scheduler.
+//! The commands of the system's programs, which the scheduler's command line includes.
 
 use crate::settings::Settings;
-use crate::{agent, controller, on_one_thread, proxy, rebinding, slot_report, status};
+use crate::{agent, controller, proxy, rebinding, run_on_one_thread, slot_report, status};
 use clap::{Arg, ArgMatches, Command};
 use std::path::Path;
 use tindock_catalogue::Catalogue;
 
-/// Whether a first word is one of these commands.
-pub fn is_system_command(word: &str) -> bool {
-    commands().iter().any(|command| command.get_name() == word)
+/// Whether this is the name of one of these commands.
+pub fn is_system_command(name: &str) -> bool {
+    commands().iter().any(|command| command.get_name() == name)
 }
 
-/// What a program writes to its log at once; the rest stays in the ring.
-fn level() -> Arg {
+/// The least level that a program writes to its log at once; other records stay in the ring.
+fn log_level_arg() -> Arg {
     Arg::new("log-level")
         .long("log-level")
         .value_name("LEVEL")
         .value_parser(["error", "warn", "info", "debug"])
         .default_value("warn")
-        .help("The least that is written at once; the rest is kept in a ring until something goes wrong")
+        .help("The least level that is written at once; other records stay in a ring until an error occurs")
 }
 
-fn least(matches: &ArgMatches) -> spdlog::Level {
+fn log_level(matches: &ArgMatches) -> spdlog::Level {
     match matches.get_one::<String>("log-level").map(String::as_str) {
         Some("error") => spdlog::Level::Error,
         Some("info") => spdlog::Level::Info,
@@ -31,25 +31,25 @@
 }
 
 pub fn commands() -> Vec<Command> {
-    let told = "Settings come from the TOML file that TINDOCK_BOOT names";
+    let settings_help = "Settings come from the TOML file that TINDOCK_BOOT names";
     vec![
         Command::new("desk")
-            .arg(level())
+            .arg(log_level_arg())
             .about("Serve clients on an edge machine: requests in, workers' answers out")
-            .after_help(told),
+            .after_help(settings_help),
         Command::new("page")
-            .arg(level())
-            .about("Run the agent beside a desk: the link to the control plane")
-            .after_help(told),
+            .arg(log_level_arg())
+            .about("Run the agent beside a proxy: the link to the control plane")
+            .after_help(settings_help),
         Command::new("archive")
-            .arg(level())
-            .about("Run the control plane's part on a core machine with a disk")
-            .after_help(told),
+            .arg(log_level_arg())
+            .about("Run a controller of the control plane on a core machine with a disk")
+            .after_help(settings_help),
         Command::new("check-boot")
-            .about("Read a settings file (TINDOCK_BOOT) and tell what is wrong with it")
+            .about("Check a settings file (TINDOCK_BOOT) and print what is wrong with it")
             .arg(Arg::new("FILE").required(true)),
         Command::new("check-configuration")
-            .about("Read an operator's configuration (JSON) and tell what is wrong with it, and where")
+            .about("Check an operator's configuration (JSON) and print what is wrong with it, and where")
             .arg(Arg::new("FILE").required(true)),
         slot_report::command(),
         rebinding::command(),
@@ -57,13 +57,13 @@
     ]
 }
 
-/// Runs one of these commands: what it prints, or one line for what went wrong.
+/// Runs one of these commands. Returns its output, or one line with the error.
 pub fn run(name: &str, matches: &ArgMatches) -> Result<String, String> {
     let file = || matches.get_one::<String>("FILE").cloned().unwrap_or_default();
     match name {
-        "desk" => on_one_thread(least(matches), proxy::run).map(|()| String::new()),
-        "page" => on_one_thread(least(matches), agent::run).map(|()| String::new()),
-        "archive" => on_one_thread(least(matches), controller::run).map(|()| String::new()),
+        "desk" => run_on_one_thread(log_level(matches), proxy::run).map(|()| String::new()),
+        "page" => run_on_one_thread(log_level(matches), agent::run).map(|()| String::new()),
+        "archive" => run_on_one_thread(log_level(matches), controller::run).map(|()| String::new()),
         "check-boot" => {
             let settings = Settings::from_file(Path::new(&file())).map_err(|fault| fault.to_string())?;
             Ok(format!("{}: {} in {}, fine\n", file(), settings.node_name, settings.zone))
--- a/crates/house/src/client.rs
+++ b/crates/house/src/client.rs
@@ -1,8 +1,8 @@
-//! Client connections: requests in, each request's one answer out.
+//! Client connections: reads requests and writes exactly one answer to each.
 
 use crate::leaving::RETRY_AFTER_LEAVING;
 use crate::open_calls::{CallId, Stage};
-use crate::proxy::{pump, Shared, Slot, SUMMED};
+use crate::proxy::{pump, Shared, Slot, LOG_SUMMARY_INTERVAL};
 use crate::work::Work;
 use crate::workers::{self, Failure, Outcome};
 use spdlog::{info, warn};
@@ -20,47 +20,47 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::timeout;
 
-/// An answer comes this long before the client stops waiting.
-const MARGIN: Duration = Duration::from_millis(60);
-/// After its connection a client's first request comes within this.
-const FIRST_REQUEST: Duration = Duration::from_millis(150);
-/// Searches for a slot for one attempt.
-const MAX_ROUNDS: usize = 6;
-/// Bytes of a client that are kept while its request is at work.
+/// The proxy answers this long before the client's deadline.
+const ANSWER_MARGIN: Duration = Duration::from_millis(60);
+/// After a new connection its first request is waited for so long while the process leaves.
+const FIRST_REQUEST_WAIT: Duration = Duration::from_millis(150);
+/// Slot requests for one attempt.
+const MAX_SLOT_REQUESTS: usize = 6;
+/// Bytes of a client's later requests that are buffered while one is being served.
 const MAX_EARLY_BYTES: usize = 64 << 10;
-/// A client is told to wait at least and at most so long.
+/// Bounds of the `Retry-After` that a client gets.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 const RETRY_AFTER_FULL: Duration = Duration::from_millis(60);
 const RETRY_AFTER_NO_ROUTE: Duration = Duration::from_millis(300);
 const RETRY_AFTER_NO_CONFIGURATION: Duration = Duration::from_millis(500);
-/// A full instance is said in the log at most this often.
+/// Full instances are logged at most this often.
 const FULL_LOG_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Takes connections of clients, up to half of the file descriptors, until nothing new is taken on: from then on their
-/// connections are refused, and they go elsewhere at once.
-pub async fn accept(shared: Shared, door: TcpListener) {
+/// Accepts client connections, up to half of the file descriptors, until the closing phase. From then on
+/// connections are refused, so that clients go to another proxy at once.
+pub async fn accept(shared: Shared, listener: TcpListener) {
     let mut phases = shared.borrow().phases();
     tokio::select! {
-        () = accept_all(shared, door) => {}
+        () = accept_all(shared, listener) => {}
         () = reaches(&mut phases, Phase::Closing) => {}
     }
 }
 
-async fn accept_all(shared: Shared, door: TcpListener) {
+async fn accept_all(shared: Shared, listener: TcpListener) {
     let open = Rc::new(Cell::new(0usize));
     let most = shared.borrow().settings.limits.file_descriptors / 2;
-    let mut said: Option<Instant> = None;
+    let mut last_warning: Option<Instant> = None;
     loop {
-        let Ok((stream, _)) = door.accept().await else {
+        let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
         if open.get() >= most {
-            if said.is_none_or(|at| at.elapsed() >= SUMMED) {
-                said = Some(Instant::now());
-                warn!("{most} connections are the most; new ones are closed");
+            if last_warning.is_none_or(|at| at.elapsed() >= LOG_SUMMARY_INTERVAL) {
+                last_warning = Some(Instant::now());
+                warn!("limit of {most} connections reached; new ones are closed");
             }
             continue;
         }
@@ -83,22 +83,22 @@
     buffer: Vec<u8>,
     /// When it was accepted, by the proxy's clock.
     connected: Duration,
-    /// Whose heads were read.
+    /// Requests on this connection whose heads were read.
     requests: u64,
-    /// Of this process, from its start to its end.
+    /// The shutdown phase of this process.
     phases: watch::Receiver<Phase>,
 }
 
-/// Why work on a request ended before its own end.
+/// Why a request was interrupted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Interrupted {
-    /// The client hung up.
+    /// The client closed the connection.
     ClientLeft,
-    /// This process ends, and what is unanswered is broken off.
+    /// This process ends, and unanswered requests are aborted.
     BrokenOff,
 }
 
-/// What an attempt comes to. A promise that it has not run is made of a [`Refusal`] alone.
+/// The outcome of an attempt. Only a [`Refusal`] proves that the request has not run.
 enum Final {
     /// The worker's own answer.
     Answer(Box<WorkerAnswer>),
@@ -110,7 +110,7 @@
     },
     NoAttemptId,
     NoRoute,
-    /// The client hung up.
+    /// The client closed the connection.
     Left,
 }
 
@@ -132,12 +132,12 @@
     }
 }
 
-/// A request of which nothing has been sent to anybody.
+/// The refusal of a request that was not sent to any worker.
 fn refused_unsent(after: Duration) -> Final {
     Attempt::new(Repeatability::NonIdempotent, 1).conclude(after, false).into()
 }
 
-/// The bounds that a client's connection has now.
+/// The current limits of a client connection.
 struct Bounds {
     header_timeout: Duration,
     idle_timeout: Duration,
@@ -145,25 +145,25 @@
     max_body_bytes: usize,
 }
 
-/// Where an attempt goes, and how long it may take, by the proxy's clock.
+/// The function that an attempt goes to, and its target and end by the proxy's clock.
 struct Plan {
     kind: Kind,
     route: Route,
-    aim: Duration,
+    target: Duration,
     work: Work,
 }
 
 impl Client {
-    /// Requests until the connection is to end.
+    /// Serves requests until the connection is to end.
     async fn serve(&mut self) -> std::io::Result<()> {
         loop {
             let bounds = self.bounds();
             let Some(head) = self.read_head(&bounds).await? else { return Ok(()) };
-            let came = Instant::now();
+            let received = Instant::now();
             self.requests += 1;
             let shared = self.shared.clone();
             let call = shared.borrow_mut().begin_call(self.connected);
-            let stays = self.request(call, head, came, &bounds).await;
+            let stays = self.request(call, head, received, &bounds).await;
             shared.borrow_mut().open_calls.end(call);
             if !stays? {
                 return Ok(());
@@ -181,7 +181,7 @@
         }
     }
 
-    /// The next request's head; None where the connection has ended, or was answered that it is to end.
+    /// The next request's head; None if the connection ended, or was answered with an error that ends it.
     async fn read_head(&mut self, bounds: &Bounds) -> std::io::Result<Option<RequestHead>> {
         let mut first: Option<Instant> = (!self.buffer.is_empty()).then(Instant::now);
         let mut coming: Option<ComingRequest> = None;
@@ -200,7 +200,7 @@
             let left =
                 first.map_or(bounds.idle_timeout, |at| bounds.header_timeout.saturating_sub(at.elapsed()));
             let read = timeout(left, self.stream.read_buf(&mut self.buffer));
-            // A request that has begun to come is read on, to be answered.
+            // A partly received request is read to its end even while the process leaves.
             let is_idle = first.is_none();
             tokio::select! {
                 biased;
@@ -211,12 +211,12 @@
                     }
                     _ => return Ok(None),
                 },
-                () = nothing_more_comes(&mut self.phases, self.requests), if is_idle => return Ok(None),
+                () = wait_until_idle_close(&mut self.phases, self.requests), if is_idle => return Ok(None),
             }
         }
     }
 
-    /// An answer of the proxy's own.
+    /// Writes an answer that the proxy made itself.
     async fn write_own(
         &mut self,
         status: u16,
@@ -229,16 +229,16 @@
         self.stream.write_all(&out).await
     }
 
-    /// One request, its head read. True if the connection stays.
+    /// Serves one request whose head was read. True if the connection stays open.
     async fn request(
         &mut self,
         call: CallId,
         head: RequestHead,
-        came: Instant,
+        received: Instant,
         bounds: &Bounds,
     ) -> std::io::Result<bool> {
         let Some(body) = self.read_body(&head, bounds).await? else { return Ok(false) };
-        let result = self.attempt(call, &head, &body, came).await;
+        let result = self.attempt(call, &head, &body, received).await;
         self.shared.borrow_mut().enter_stage(call, Stage::Answering);
         let close = head.close || self.shared.borrow().is_leaving();
         let id = head.attempt_id.as_deref();
@@ -261,13 +261,13 @@
         Ok(!close)
     }
 
-    /// The request's whole body; None where it has not come, or was answered that it is refused.
+    /// The request's whole body; None if it was not received, or was refused with an answer.
     async fn read_body(&mut self, head: &RequestHead, bounds: &Bounds) -> std::io::Result<Option<Vec<u8>>> {
         let mut body = Body::new(head.framing, bounds.max_body_bytes);
         if head.expect_continue && head.framing != Framing::Empty {
             self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
         }
-        let patience = bounds.header_timeout.max(Duration::from_secs(1));
+        let body_timeout = bounds.header_timeout.max(Duration::from_secs(1));
         loop {
             match body.push(&self.buffer) {
                 Read::Done { used, .. } => {
@@ -280,22 +280,23 @@
                 }
                 Read::Partial => self.buffer.clear(),
             }
-            match timeout(patience, self.stream.read_buf(&mut self.buffer)).await {
+            match timeout(body_timeout, self.stream.read_buf(&mut self.buffer)).await {
                 Ok(Ok(1..)) => {}
                 _ => return Ok(None),
             }
         }
     }
 
-    /// The route and the times of a request, or why it goes nowhere.
-    fn plan(&self, open: CallId, head: &RequestHead, came: Instant) -> Result<Plan, Final> {
+    /// The route and the times of a request, or the answer if it is not sent to a worker.
+    fn plan(&self, open: CallId, head: &RequestHead, received: Instant) -> Result<Plan, Final> {
         let mut state = self.shared.borrow_mut();
-        let Some(held) = state.configuration() else {
+        let Some(configuration) = state.configuration() else {
             return Err(refused_unsent(RETRY_AFTER_NO_CONFIGURATION));
         };
-        let (catalogue, finder) = &*held;
+        let (catalogue, finder) = &*configuration;
         let Some(route) = finder.find(&head.host, &head.target) else {
-            // Not known here may mean not yet: only who is known to have the newest may say that there is none.
+            // The route may be in a newer configuration: a 404 is correct only if the local one is known to
+            // be the newest.
             return Err(if state.has_newest() {
                 Final::NoRoute
             } else {
@@ -303,31 +304,31 @@
             });
         };
         let route = catalogue.routes[route].clone();
-        let chance = state.draw();
-        let Some(service) = catalogue.services.get(route.choose(chance) as usize) else {
+        let random = state.random();
+        let Some(service) = catalogue.services.get(route.choose(random) as usize) else {
             return Err(Final::NoRoute);
         };
         let kind = kind(&service.name);
-        state.open_calls.found(open, &service.name);
+        state.open_calls.set_service(open, &service.name);
         let now = state.now();
         state.budget.record_request(now, kind);
         let deadline_ms = head.deadline_ms.unwrap_or(u32::MAX).min(route.timeout_ms);
         let allowed = Duration::from_millis(deadline_ms.into());
-        let came = state.since_start(came);
-        let aim = came + Duration::from_millis(route.target_latency_ms.into());
-        let end = came + allowed.saturating_sub(MARGIN.min(allowed / 4));
-        let work = Work { longest: state.longest_run(&route), end };
+        let received = state.since_start(received);
+        let target = received + Duration::from_millis(route.target_latency_ms.into());
+        let end = received + allowed.saturating_sub(ANSWER_MARGIN.min(allowed / 4));
+        let work = Work { max_run_time: state.longest_run(&route), end };
         if state.admits(now, work).is_err() {
             state.taken_while_leaving.refused += 1;
             return Err(refused_unsent(RETRY_AFTER_LEAVING));
         }
-        Ok(Plan { kind, route, aim, work })
+        Ok(Plan { kind, route, target, work })
     }
 
-    /// From the route to the one answer.
-    async fn attempt(&mut self, open: CallId, head: &RequestHead, body: &[u8], came: Instant) -> Final {
+    /// Sends the request to workers until it has its one answer.
+    async fn attempt(&mut self, open: CallId, head: &RequestHead, body: &[u8], received: Instant) -> Final {
         let Some(id) = head.attempt_id.as_deref() else { return Final::NoAttemptId };
-        let plan = match self.plan(open, head, came) {
+        let plan = match self.plan(open, head, received) {
             Ok(plan) => plan,
             Err(end) => return end,
         };
@@ -338,7 +339,7 @@
         let mut attempt = Attempt::new(repeatability, plan.route.max_retries.into());
         let mut avoid = String::new();
         let mut retry_after = DEFAULT_RETRY_AFTER;
-        for _ in 0..MAX_ROUNDS {
+        for _ in 0..MAX_SLOT_REQUESTS {
             let permit = match self.permit(attempt, &plan, retry_after) {
                 Ok(permit) => permit,
                 Err(end) => return end,
@@ -346,8 +347,8 @@
             self.shared.borrow_mut().enter_stage(open, Stage::WaitingForSlot);
             let (call, slot) = self.slot(&plan, &avoid).await;
             let (instance, at) = match slot {
-                Ok(Slot::Go { instance, at }) => (instance, at),
-                Ok(Slot::No { after }) => {
+                Ok(Slot::Granted { instance, at }) => (instance, at),
+                Ok(Slot::Unavailable { after }) => {
                     let late = self.shared.borrow().now() >= plan.work.end;
                     return permit.unused().conclude(after.unwrap_or(retry_after), late).into();
                 }
@@ -364,7 +365,8 @@
             let outcome = match self.unless_interrupted(workers::send(&shared, permit, request)).await {
                 Ok(outcome) => outcome,
                 Err(interrupted) => {
-                    // Its connection to the worker is closed with it, and most workers drop what they had.
+                    // The connection to the worker is closed as well, and most workers abort the request
+                    // then.
                     self.settle(call, Ended::Silent);
                     return interrupted.into();
                 }
@@ -391,11 +393,11 @@
         attempt.conclude(retry_after, false).into()
     }
 
-    /// Permission for the next send, of the attempt and of the budget.
+    /// Permission for the next send from the attempt and from the retry budget.
     fn permit(&self, attempt: Attempt, plan: &Plan, retry_after: Duration) -> Result<SendPermit, Final> {
         let mut state = self.shared.borrow_mut();
         let now = state.now();
-        let again = attempt.workers_reached() > 0;
+        let is_retry = attempt.workers_reached() > 0;
         let permit = match attempt.permit() {
             Ok(permit) => permit,
             Err(attempt) => return Err(attempt.conclude(retry_after, now >= plan.work.end).into()),
@@ -407,29 +409,30 @@
             state.taken_while_leaving.refused += 1;
             return Err(permit.unused().conclude(RETRY_AFTER_LEAVING, false).into());
         }
-        if again && !state.may_repeat(now, plan.kind) {
+        if is_retry && !state.may_retry(now, plan.kind) {
             return Err(permit.unused().conclude(retry_after, false).into());
         }
         Ok(permit)
     }
 
-    /// A slot at a worker, with the number of the search for it.
+    /// Requests a slot at a worker, and waits for it. Returns the number of the slot request as well.
     async fn slot(&mut self, plan: &Plan, avoid: &str) -> (u32, Result<Slot, Interrupted>) {
         let (call, slot) = {
             let mut state = self.shared.borrow_mut();
             let (sender, slot) = oneshot::channel();
-            let call = state.want(plan.kind, plan.route.priority, plan.aim, plan.work, avoid, sender);
+            let call =
+                state.request_slot(plan.kind, plan.route.priority, plan.target, plan.work, avoid, sender);
             (call, slot)
         };
         pump(&self.shared);
         let slot = self.unless_interrupted(slot).await;
-        (call, slot.map(|slot| slot.unwrap_or(Slot::No { after: None })))
+        (call, slot.map(|slot| slot.unwrap_or(Slot::Unavailable { after: None })))
     }
 
     fn log_full(&self, instance: &str) {
         let mut state = self.shared.borrow_mut();
         if state.may_log_full(FULL_LOG_INTERVAL) {
-            info!("instance {instance} was full, by its own word");
+            info!("instance {instance} answered that it is full");
         }
     }
 
@@ -438,8 +441,8 @@
         pump(&self.shared);
     }
 
-    /// The work's outcome, unless the client hangs up or this process breaks off first. What the client sends early is
-    /// kept, up to a bound.
+    /// The result of `work`, unless the client closes the connection or the process aborts its requests
+    /// first. Bytes that the client sends meanwhile are buffered, up to a limit.
     async fn unless_interrupted<T>(
         &mut self,
         work: impl std::future::Future<Output = T>,
@@ -464,7 +467,8 @@
     }
 }
 
-/// A request of which some bytes have come: a process that leaves waits for the rest, to answer it.
+/// A partly received request: a process that leaves waits for the rest, to answer it. Counted while this
+/// exists.
 struct ComingRequest(Shared);
 
 impl ComingRequest {
@@ -480,16 +484,16 @@
     }
 }
 
-/// Until a connection at rest, over which so many requests came, is to be closed as the process ends. The first request of a
-/// connection that was accepted just before is on its way.
-async fn nothing_more_comes(phases: &mut watch::Receiver<Phase>, requests: u64) {
+/// Waits until an idle connection, which has had so many requests, is to be closed as the process ends. A
+/// connection without any request yet is kept a little longer: its first request may be on its way.
+async fn wait_until_idle_close(phases: &mut watch::Receiver<Phase>, requests: u64) {
     reaches(phases, Phase::Closing).await;
     if requests == 0 {
-        tokio::time::sleep(FIRST_REQUEST).await;
+        tokio::time::sleep(FIRST_REQUEST_WAIT).await;
     }
 }
 
-/// Until this process is in this phase or a later one.
+/// Waits until this process is in this phase or a later one.
 async fn reaches(phases: &mut watch::Receiver<Phase>, phase: Phase) {
     if phases.wait_for(|now| *now >= phase).await.is_err() {
         // The process has ended, and all its tasks with it.
--- a/crates/house/src/controller/agents.rs
+++ b/crates/house/src/controller/agents.rs
@@ -1,4 +1,4 @@
-//! What agents are told: the configuration in force, who holds the lease, which instances there are.
+//! Messages to agents: the configuration in force, the lease holder, the instances.
 
 use super::platform_lists::read_instances;
 use super::{Controller, Event};
@@ -11,24 +11,24 @@
 use tindock_controller::platform_instances;
 use tindock_stacks as autoscaler;
 
-/// The holder is told this often how far the instances are known here.
-pub const FOLLOW: Duration = Duration::from_millis(1000);
-/// While nobody holds the lease the platform's list is read for agents at most this often by each controller.
+/// How often the lease holder is informed which version of the instances this process has.
+pub const FOLLOW_INTERVAL: Duration = Duration::from_millis(1000);
+/// While no controller holds the lease, each one reads the platform's list for its agents at most this often.
 const FIRST_LIST_INTERVAL: Duration = Duration::from_millis(400);
 
 impl Controller {
-    /// A note of another controller or of an agent.
-    pub(super) fn receive_note(&mut self, now: Duration, from: SocketAddr, note: PeerMessage) {
-        match note {
+    /// Handles a message of another controller or of an agent.
+    pub(super) fn receive_message(&mut self, now: Duration, from: SocketAddr, message: PeerMessage) {
+        match message {
             PeerMessage::ControlStore(envelope) => self.control_store.receive(now, from, envelope),
             PeerMessage::Pull { ip, revision, mark, with_peers, with_data } => {
                 self.agents.record_pull(now, ip, revision, with_data);
-                let news = self.news(now, ip, with_peers);
-                self.peers.send(from, &news);
+                let status = self.cluster_status(now, ip, with_peers);
+                self.peers.send(from, &status);
                 if with_data {
                     self.send_configuration(now, Some(ip));
                     self.relay.pulled(now, ip, mark);
-                    self.hand_on();
+                    self.forward_instances();
                 } else {
                     self.relay.left(ip);
                 }
@@ -36,29 +36,29 @@
             }
             PeerMessage::Leaving { ip } => self.agents.remove(ip),
             PeerMessage::Follow { mark, with_peers, proxy } => {
-                let relays = self.control_store.members().contains(&from);
-                if !relays {
+                let is_controller = self.control_store.members().contains(&from);
+                if !is_controller {
                     self.agents.record_follow(now, from.ip());
                 }
                 if with_peers {
-                    let news = self.news(now, from.ip(), true);
-                    self.peers.send(from, &news);
+                    let status = self.cluster_status(now, from.ip(), true);
+                    self.peers.send(from, &status);
                 }
                 if let Some(lease) = &mut self.lease {
-                    // Its own address: a note is not to speak for another.
+                    // An agent may only report the proxy at its own address.
                     if let Some(proxy) = proxy.filter(|proxy| proxy.ip == from.ip()) {
                         lease.duties.record_proxy(now, proxy);
                     }
                     let version = lease.duties.scaler.version();
-                    lease.duties.source.follow(now, version, from.ip(), mark, relays);
+                    lease.duties.source.follow(now, version, from.ip(), mark, is_controller);
                 }
-                self.tell_instances(now);
+                self.send_instances(now);
             }
-            PeerMessage::Instances(news) => self.take_instances(now, from, news),
+            PeerMessage::Instances(update) => self.apply_instances(now, from, update),
             PeerMessage::Demand(demands) => {
                 let Some(lease) = self.lease.as_mut() else { return };
                 for demand in demands {
-                    lease.duties.scaler.update_demand(now, demand_of(demand, &self.places));
+                    lease.duties.scaler.update_demand(now, demand_of(demand, &self.zones));
                 }
             }
             PeerMessage::InstanceGone(instance) => {
@@ -76,7 +76,7 @@
                     lease.duties.receive_handover(now, entries, &numbers, tag);
                 }
             }
-            // These come from controllers alone.
+            // Only controllers and agents send these, and only to agents.
             PeerMessage::ClusterStatus { .. }
             | PeerMessage::Configuration(_)
             | PeerMessage::Change(_)
@@ -84,59 +84,61 @@
         }
     }
 
-    /// How things stand, for one agent; with `with_peers` also who else is there.
-    fn news(&mut self, now: Duration, to: IpAddr, with_peers: bool) -> PeerMessage {
+    /// The cluster status for one agent; with `with_peers` also the controllers and a sample of the agents.
+    fn cluster_status(&mut self, now: Duration, to: IpAddr, with_peers: bool) -> PeerMessage {
         let agents = if with_peers { self.agents.sample(now, to) } else { Vec::new() };
         PeerMessage::ClusterStatus {
             holder: self.holder,
             revision: self.control_store.committed().map_or(0, |committed| committed.revision),
             in_touch: self.is_in_touch(now),
-            zone_index: self.place,
+            zone_index: self.zone_index,
             controllers: if with_peers { self.control_store.members() } else { Vec::new() },
             agents,
         }
     }
 
-    pub(super) fn send_news_to_all(&mut self, now: Duration) {
+    pub(super) fn send_status_to_all(&mut self, now: Duration) {
         let port = self.settings.peer_address().port();
         for ip in self.agents.recent(now) {
-            let news = self.news(now, ip, false);
-            self.peers.send(SocketAddr::new(ip, port), &news);
+            let status = self.cluster_status(now, ip, false);
+            self.peers.send(SocketAddr::new(ip, port), &status);
         }
     }
 
-    /// The configuration in force to an agent that has an older one, or to all that asked here lately. A controller that is cut
-    /// off may know an old one only: it hands out none, and leaves its agents to controllers in touch.
+    /// Sends the configuration in force to one agent that has an older one, or to all that pulled here
+    /// recently. A controller without contact to a majority may have an outdated one: it sends none, and its
+    /// agents switch to controllers that have contact.
     pub(super) fn send_configuration(&mut self, now: Duration, only: Option<IpAddr>) {
-        if self.is_cut_off(now) {
+        if self.has_lost_contact(now) {
             return;
         }
         let Some(configuration) = &self.configuration else { return };
         let port = self.settings.peer_address().port();
         let behind = self.agents.behind(now, configuration.revision, only);
-        // By the revision that an agent has: the frame that leads on from it, made once for all who have it.
+        // By the revision that agents have: the frame that updates it, encoded once for all of them.
         let mut frames: HashMap<u64, (bool, Vec<u8>)> = HashMap::new();
         for (ip, has) in behind {
-            let (whole, bytes) = frames.entry(has).or_insert_with(|| {
-                match self.older.iter().find(|old| old.revision == has) {
+            let (is_full, bytes) = frames.entry(has).or_insert_with(|| {
+                match self.previous.iter().find(|old| old.revision == has) {
                     Some(old) => (false, frame(&PeerMessage::Change(configuration.since(old)))),
                     None => (true, frame(&PeerMessage::Configuration(configuration.clone()))),
                 }
             });
-            self.agents.record_sent(now, ip, configuration.revision, *whole);
+            self.agents.record_sent(now, ip, configuration.revision, *is_full);
             self.peers.send_frame(SocketAddr::new(ip, port), bytes.clone());
         }
     }
 
-    /// While nobody holds the lease, as after a loss of everything, an agent that asks is shown what the platform lists:
-    /// service does not wait for a vote. One reading serves all who ask meanwhile.
+    /// While no controller holds the lease, as after a loss of the whole system, agents that pull get the
+    /// platform's list, so that service does not wait for an election. One reading of the list serves all
+    /// agents that pull meanwhile.
     fn read_first_instances(&mut self, now: Duration) {
         let Some(platform) = self.platform.clone().filter(|_| self.holder.is_none()) else { return };
-        if self.reading_first || now < self.first_due {
+        if self.reading_first_list || now < self.first_list_due {
             return;
         }
-        self.reading_first = true;
-        self.first_due = now + FIRST_LIST_INTERVAL;
+        self.reading_first_list = true;
+        self.first_list_due = now + FIRST_LIST_INTERVAL;
         let events = self.events.clone();
         tokio::task::spawn_local(async move {
             let instances = read_instances(&platform).await.ok();
@@ -149,7 +151,7 @@
         now: Duration,
         read: Option<Vec<autoscaler::ListedInstance>>,
     ) {
-        self.reading_first = false;
+        self.reading_first_list = false;
         let (Some(instances), None) = (read, self.holder) else { return };
         let bytes = frame(&PeerMessage::Instances(platform_instances(instances)));
         let port = self.settings.peer_address().port();
@@ -158,10 +160,10 @@
         }
     }
 
-    /// This controller follows whoever holds the lease, itself too.
-    pub(super) fn follow_holder(&mut self, now: Duration) {
+    /// Follows the instances of the lease holder, which may be this controller itself.
+    pub(super) fn follow_lease_holder(&mut self, now: Duration) {
         let Some((holder, _)) = self.holder else { return };
-        self.followed = now;
+        self.last_follow = now;
         let mark = self.relay.replica().mark();
         if holder != self.settings.peer_address() {
             return self.peers.send(holder, &PeerMessage::Follow { mark, with_peers: false, proxy: None });
@@ -172,16 +174,16 @@
         }
     }
 
-    /// News of the instances, taken over and handed on.
-    fn take_instances(&mut self, now: Duration, from: SocketAddr, news: Stacks) {
-        if self.relay.take(now, news) == Taken::Gap {
+    /// Applies an update of the instances and forwards it.
+    fn apply_instances(&mut self, now: Duration, from: SocketAddr, update: Stacks) {
+        if self.relay.take(now, update) == Taken::Gap {
             let mark = self.relay.replica().mark();
             self.peers.send(from, &PeerMessage::Follow { mark, with_peers: false, proxy: None });
         }
-        self.hand_on();
+        self.forward_instances();
     }
 
-    fn hand_on(&mut self) {
+    fn forward_instances(&mut self) {
         let port = self.settings.peer_address().port();
         while let Some(copies) = self.relay.pull() {
             let bytes = frame(&PeerMessage::Instances((*copies.news).clone()));
@@ -191,8 +193,8 @@
         }
     }
 
-    /// What changed in the instances, to those whom the source names.
-    pub(super) fn tell_instances(&mut self, now: Duration) {
+    /// Sends changes of the instances to the followers that the source names.
+    pub(super) fn send_instances(&mut self, now: Duration) {
         let Some(lease) = self.lease.as_mut().filter(|lease| lease.duties.has_complete_view()) else {
             return;
         };
@@ -200,31 +202,31 @@
         duties.update_proxies(now);
         duties.source.tick(now, duties.scaler.version());
         let me = self.settings.peer_address();
-        // By the version it leads on from: the same piece goes to all controllers.
+        // By the version that the update is based on: the same update goes to all controllers.
         let mut frames: HashMap<u64, (Stacks, Vec<u8>)> = HashMap::new();
-        let mut own = Vec::new();
+        let mut local_updates = Vec::new();
         while let Some((ip, from)) = duties.source.pull() {
-            let (news, bytes) = frames.entry(from).or_insert_with(|| {
-                let news = duties.changes_since(now, from);
-                let bytes = frame(&PeerMessage::Instances(news.clone()));
-                (news, bytes)
+            let (update, bytes) = frames.entry(from).or_insert_with(|| {
+                let update = duties.changes_since(now, from);
+                let bytes = frame(&PeerMessage::Instances(update.clone()));
+                (update, bytes)
             });
             if ip == me.ip() {
-                own.push(news.clone());
+                local_updates.push(update.clone());
             } else {
                 self.peers.send_frame(SocketAddr::new(ip, me.port()), bytes.clone());
             }
         }
-        for news in own {
-            self.take_instances(now, me, news);
+        for update in local_updates {
+            self.apply_instances(now, me, update);
         }
     }
 }
 
-/// Demand as the autoscaler takes it: zones by their names.
-fn demand_of(demand: Demand, places: &[(String, String)]) -> autoscaler::Demand {
-    let origin = |(place, share): (u8, u8)| {
-        Some((places.get(usize::from(place))?.0.clone(), f32::from(share) / 255.0))
+/// Demand in the form of the autoscaler, with the names of zones.
+fn demand_of(demand: Demand, zones: &[(String, String)]) -> autoscaler::Demand {
+    let origin = |(zone_index, share): (u8, u8)| {
+        Some((zones.get(usize::from(zone_index))?.0.clone(), f32::from(share) / 255.0))
     };
     autoscaler::Demand {
         service: demand.service,
--- a/crates/house/src/controller/calls.rs
+++ b/crates/house/src/controller/calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls, until they are answered.
+//! Operators' calls, from their receipt to their answer.
 
 use super::Controller;
 use crate::operator::{digest_text, Call, InForce, Reply, Unavailable};
@@ -11,25 +11,25 @@
 use tokio::sync::oneshot;
 
 const NO_MAJORITY: &str = "no majority in touch";
-const LEAVING: &str = "this controller ends";
-/// Where the control store names no time.
+const SHUTTING_DOWN: &str = "this controller is shutting down";
+/// Used if the control store names no time.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// A call that the control store has in hand.
+/// A call that waits for the control store.
 struct OpenCall {
     reply: oneshot::Sender<Reply>,
-    came: Duration,
-    /// The configuration that is to be taken.
+    received: Duration,
+    /// The configuration of the call, if it replaces the one in force.
     sent: Option<InForce>,
 }
 
-/// All calls in hand, under the numbers that the control store answers them by.
+/// All open calls, by the numbers under which the control store answers them.
 #[derive(Default)]
 pub(super) struct OpenCalls {
     open: HashMap<u64, OpenCall>,
     last: u64,
     /// When an operator was last answered.
-    pub answered: Duration,
+    pub last_answer: Duration,
 }
 
 impl OpenCalls {
@@ -39,7 +39,7 @@
         self.last
     }
 
-    /// Calls whose operators still wait.
+    /// Number of calls whose operators still wait.
     pub fn len(&self) -> usize {
         self.open.values().filter(|call| !call.reply.is_closed()).count()
     }
@@ -50,7 +50,7 @@
         match call {
             Call::Replace { text, reply } => self.replace(now, text, reply),
             Call::Show { reply } => {
-                if let Some(number) = self.open_call(now, OpenCall { reply, came: now, sent: None }) {
+                if let Some(number) = self.open_call(now, OpenCall { reply, received: now, sent: None }) {
                     self.control_store.show(now, number);
                 }
             }
@@ -58,22 +58,22 @@
                 let mut status = self.control_store.status(now);
                 status.in_touch &= self.contact.is_fresh(now);
                 let _ = reply.send(Reply::Json(crate::status::answer(&self.settings.node_name, &status)));
-                self.calls.answered = now;
+                self.calls.last_answer = now;
             }
-            Call::Rebinding { ask, reply } => {
+            Call::Rebinding { call, reply } => {
                 let scaler = self.lease.as_mut().map(|lease| &mut lease.duties.scaler);
                 let holder = self.holder.map(|(at, _)| at.ip());
-                let elsewhere = holder.filter(|ip| *ip != self.settings.ip_address);
+                let other_holder = holder.filter(|ip| *ip != self.settings.ip_address);
                 let node = &self.settings.node_name;
-                let _ = reply.send(crate::rebinding::answer(now, scaler, elsewhere, node, ask));
-                self.calls.answered = now;
+                let _ = reply.send(crate::rebinding::answer(now, scaler, other_holder, node, call));
+                self.calls.last_answer = now;
             }
         }
     }
 
-    /// The number of a call for the control store; none if it was answered at once.
+    /// Registers a call, and returns its number for the control store; none if it was answered at once.
     fn open_call(&mut self, now: Duration, call: OpenCall) -> Option<u64> {
-        if self.lifecycle.is_leaving() || self.is_cut_off(now) {
+        if self.lifecycle.is_leaving() || self.has_lost_contact(now) {
             let reply = Reply::Unavailable(self.unavailable(now, RETRY_AFTER));
             self.finish(now, call, reply);
             return None;
@@ -85,9 +85,11 @@
         match Catalogue::read(&text) {
             Ok(configuration) => {
                 let revision = configuration.revision;
-                info!("revision {revision} came from the operator, {} bytes", text.len());
+                info!("revision {revision} received from an operator, {} bytes", text.len());
                 let sent = Some(InForce { revision, digest: digest(&text) });
-                let Some(number) = self.open_call(now, OpenCall { reply, came: now, sent }) else { return };
+                let Some(number) = self.open_call(now, OpenCall { reply, received: now, sent }) else {
+                    return;
+                };
                 self.control_store.replace(now, number, revision, text);
                 if let Some(lease) = &mut self.lease {
                     lease.duties.scaler.configuration_changing(now);
@@ -95,7 +97,7 @@
             }
             Err(fault) => {
                 warn!("configuration refused: {fault}");
-                self.calls.answered = now;
+                self.calls.last_answer = now;
                 let _ = reply.send(Reply::Invalid(fault.to_string()));
             }
         }
@@ -108,9 +110,9 @@
     }
 
     fn finish(&mut self, now: Duration, call: OpenCall, reply: Reply) {
-        self.calls.answered = now;
-        call.say(now, &reply);
-        // The operator may have gone.
+        self.calls.last_answer = now;
+        call.log_outcome(now, &reply);
+        // Fails if the operator has disconnected.
         let _ = call.reply.send(reply);
     }
 
@@ -128,7 +130,7 @@
         }
     }
 
-    /// An order that was taken, and may have been overtaken since.
+    /// The answer to a configuration that was stored, and may have been superseded since.
     fn acknowledged(&self, sent: Option<InForce>) -> Reply {
         let committed = self.control_store.committed();
         let in_force = committed.map(|committed| InForce::from(committed.version()));
@@ -139,33 +141,34 @@
         }
     }
 
-    /// Why a call cannot be answered now, and who may be asked in place of this controller.
+    /// Why a call cannot be answered now, and which controllers may be called instead.
     fn unavailable(&self, now: Duration, retry_after: Duration) -> Unavailable {
         let why = match (self.control_store.ready(), self.is_in_touch(now)) {
-            _ if self.lifecycle.is_leaving() => LEAVING,
+            _ if self.lifecycle.is_leaving() => SHUTTING_DOWN,
             (false, _) => "not ready yet",
             (true, false) => NO_MAJORITY,
-            (true, true) => "no majority has it on disk yet",
+            (true, true) => "not stored at a majority yet",
         };
         let others = self.control_store.redirect_candidates(now);
         Unavailable { why, retry_after, ask: others.iter().map(SocketAddr::ip).collect() }
     }
 
-    /// Whether a majority was heard since the start, and none lately. Then a call would only be held: its answer could not be
-    /// anything but unclear.
-    pub(super) fn is_cut_off(&self, now: Duration) -> bool {
+    /// Whether contact with a majority existed since the start and is lost now. A call could then only wait,
+    /// and end with an unknown outcome.
+    pub(super) fn has_lost_contact(&self, now: Duration) -> bool {
         self.control_store.ready() && !self.is_in_touch(now)
     }
 
-    /// Calls in hand when contact is lost are answered at once, as unclear: the operator may ask elsewhere.
-    pub(super) fn release_calls(&mut self, now: Duration) {
-        if self.is_cut_off(now) {
-            self.answer_all_unclear(now);
+    /// Answers open calls at once when contact with a majority is lost, so that the operator can call another
+    /// controller.
+    pub(super) fn answer_calls_after_lost_contact(&mut self, now: Duration) {
+        if self.has_lost_contact(now) {
+            self.answer_all_as_unknown(now);
         }
     }
 
-    /// Answers all calls in hand: what they asked for may or may not come about.
-    pub(super) fn answer_all_unclear(&mut self, now: Duration) {
+    /// Answers all open calls; their outcome is unknown, they may still take effect.
+    pub(super) fn answer_all_as_unknown(&mut self, now: Duration) {
         for (_, call) in std::mem::take(&mut self.calls.open) {
             let reply = Reply::Unavailable(self.unavailable(now, RETRY_AFTER));
             self.finish(now, call, reply);
@@ -174,18 +177,23 @@
 }
 
 impl OpenCall {
-    /// The line in the log for a configuration.
-    fn say(&self, now: Duration, reply: &Reply) {
+    /// Logs the outcome of a call that replaces the configuration.
+    fn log_outcome(&self, now: Duration, reply: &Reply) {
         let Some(InForce { revision, .. }) = self.sent else { return };
-        let took = now.saturating_sub(self.came).as_millis();
+        let took = now.saturating_sub(self.received).as_millis();
         match reply {
-            Reply::Acknowledged(_) => info!("revision {revision} taken, {took} ms after the call"),
+            Reply::Acknowledged(_) => {
+                info!("revision {revision} stored at a majority, {took} ms after the call")
+            }
             Reply::Superseded(by) => info!("revision {revision} superseded by {}", by.revision),
             Reply::Conflict(with, _) => {
-                warn!("revision {revision} holds with another text, of digest {}", digest_text(with.digest))
+                warn!(
+                    "revision {revision} is in force with another text, of digest {}",
+                    digest_text(with.digest)
+                )
             }
             Reply::Unavailable(Unavailable { why, .. }) => {
-                warn!("revision {revision} not taken within {took} ms: {why}")
+                warn!("revision {revision} not stored within {took} ms: {why}")
             }
             Reply::Json(_) | Reply::Redirect(_) | Reply::Invalid(_) | Reply::Refused(_) => {}
         }
--- a/crates/house/src/controller/disk.rs
+++ b/crates/house/src/controller/disk.rs
@@ -1,4 +1,4 @@
-//! The thread that writes to the disk: a disk may hang for seconds, and the rest goes on.
+//! The thread that writes to the disk: a disk may hang for seconds without blocking the run loop.
 
 use super::Event;
 use spdlog::{error, warn};
@@ -7,12 +7,13 @@
 use tindock_control_store::files::Folder;
 use tindock_control_store::Stored;
 
-/// A write that takes so long is said in the log.
-const SLOW_WRITE: Duration = Duration::from_millis(300);
+/// A write that takes longer is logged.
+const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(300);
 
-/// Writes what is sent, in order, and tells of each write whether it succeeded.
+/// Starts the thread. It writes the items sent to it in order, and reports for each write whether it
+/// succeeded.
 pub(super) fn start(files: Folder, events: tokio::sync::mpsc::Sender<Event>) -> Sender<(u64, Stored)> {
-    let (orders, queue) = std::sync::mpsc::channel::<(u64, Stored)>();
+    let (writes, queue) = std::sync::mpsc::channel::<(u64, Stored)>();
     std::thread::spawn(move || {
         while let Ok((token, what)) = queue.recv() {
             let saved = save(&files, &what);
@@ -21,7 +22,7 @@
             }
         }
     });
-    orders
+    writes
 }
 
 fn save(files: &Folder, what: &Stored) -> bool {
@@ -30,18 +31,18 @@
     let took = began.elapsed();
     if let Err(why) = &saved {
         error!("disk write of the {} failed: {why}", kind(what));
-    } else if took >= SLOW_WRITE {
+    } else if took >= SLOW_WRITE_THRESHOLD {
         warn!("disk took {} ms to write the {}", took.as_millis(), kind(what));
     }
     saved.is_ok()
 }
 
-/// As the log names it.
+/// The name of the item in the log.
 fn kind(what: &Stored) -> &'static str {
     match what {
-        Stored::Configuration(_) => "word",
-        Stored::Voters(_) => "seats",
-        Stored::LeaseNumber(_) => "duty's number",
+        Stored::Configuration(_) => "configuration",
+        Stored::Voters(_) => "voters",
+        Stored::LeaseNumber(_) => "lease number",
         Stored::Promise(_) => "promised ballot",
     }
 }
--- a/crates/house/src/controller/log_lines.rs
+++ b/crates/house/src/controller/log_lines.rs
@@ -1,31 +1,31 @@
-//! What the log is told: changes once, and what lasts when it has lasted long enough.
+//! Log lines of the controller: changes once, and lasting conditions after a while.
 
 use super::Controller;
-use crate::platform::Failed;
+use crate::platform::CallError;
 use spdlog::{info, warn};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tindock_stacks::StartResult;
 
-/// What lasts is looked at this often.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
-/// Without a majority in touch for so long: that is said.
-const UNTOUCHED_SAID_AFTER: Duration = Duration::from_secs(2);
-/// Lists that were not read for so long are said, and again this often.
-const UNREAD_SAID_AFTER: Duration = Duration::from_secs(3);
-const UNREAD_SAID_AGAIN: Duration = Duration::from_secs(30);
-/// Failed calls to the platform are summed for so long.
-const FAILURES_SUMMED: Duration = Duration::from_secs(5);
-
-/// What the log was told last.
+/// Conditions are checked this often.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Lost contact with a majority is logged after so long.
+const LOST_CONTACT_LOGGED_AFTER: Duration = Duration::from_secs(2);
+/// Lists that could not be read are logged after so long, and again at the interval below.
+const UNREAD_LOGGED_AFTER: Duration = Duration::from_secs(3);
+const UNREAD_LOG_INTERVAL: Duration = Duration::from_secs(30);
+/// Failed calls to the platform are logged as a summary this often.
+const FAILURE_SUMMARY_INTERVAL: Duration = Duration::from_secs(5);
+
+/// What was logged last, so that each change is logged once.
 pub(super) struct LogState {
-    look_due: Duration,
+    next_check: Duration,
     ready: bool,
     voters: Vec<SocketAddr>,
-    /// Since when no majority is in touch.
-    untouched_since: Option<Duration>,
-    untouched_said: bool,
-    /// The committed revision that could not be read.
+    /// Since when there is no contact with a majority.
+    lost_contact_since: Option<Duration>,
+    lost_contact_logged: bool,
+    /// The committed revision that could not be parsed.
     pub unreadable: Option<u64>,
     pub failures: Failures,
 }
@@ -33,62 +33,62 @@
 impl LogState {
     pub fn new(voters: Vec<SocketAddr>) -> LogState {
         LogState {
-            look_due: Duration::ZERO,
+            next_check: Duration::ZERO,
             ready: false,
             voters,
-            untouched_since: Some(Duration::ZERO),
-            untouched_said: false,
+            lost_contact_since: Some(Duration::ZERO),
+            lost_contact_logged: false,
             unreadable: None,
             failures: Failures::default(),
         }
     }
 
-    /// How many voters were known when they were last looked at.
+    /// Number of voters at the last check.
     pub fn voters(&self) -> usize {
         self.voters.len()
     }
 
-    /// Says when contact was lost for a while, and when it is back.
-    fn say_touch(&mut self, now: Duration, in_touch: bool) {
+    /// Logs that contact has been lost for a while, and that it is back.
+    fn log_contact(&mut self, now: Duration, in_touch: bool) {
         if in_touch {
-            if let Some(since) = self.untouched_since.take().filter(|_| self.untouched_said) {
-                warn!("in touch again after {} s", now.saturating_sub(since).as_secs());
+            if let Some(since) = self.lost_contact_since.take().filter(|_| self.lost_contact_logged) {
+                warn!("in touch with a majority again after {} s", now.saturating_sub(since).as_secs());
             }
-            self.untouched_said = false;
+            self.lost_contact_logged = false;
             return;
         }
-        let since = *self.untouched_since.get_or_insert(now);
-        if !self.untouched_said && now >= since + UNTOUCHED_SAID_AFTER {
-            self.untouched_said = true;
-            warn!("not in touch with a majority of the seats");
+        let since = *self.lost_contact_since.get_or_insert(now);
+        if !self.lost_contact_logged && now >= since + LOST_CONTACT_LOGGED_AFTER {
+            self.lost_contact_logged = true;
+            warn!("not in touch with a majority of the voters");
         }
     }
 }
 
 impl Controller {
-    /// What has lasted long enough for the log, or has changed.
-    pub(super) fn look(&mut self, now: Duration) {
-        if now < self.log.look_due {
+    /// Logs changes, and conditions that have lasted long enough.
+    pub(super) fn log_state(&mut self, now: Duration) {
+        if now < self.log.next_check {
             return;
         }
-        self.log.look_due = now + LOOK_INTERVAL;
+        self.log.next_check = now + CHECK_INTERVAL;
         let voters = self.control_store.members();
         if !self.log.ready && self.control_store.ready() {
             self.log.ready = true;
             let revision = self.control_store.committed().map_or(0, |committed| committed.revision);
-            let (after, seats) = (now.as_millis(), voters.len());
-            info!("ready first, {after} ms after the start: {seats} seats, revision {revision}");
+            let (after, count) = (now.as_millis(), voters.len());
+            info!("ready, {after} ms after the start: {count} voters, revision {revision}");
         }
         if voters != self.log.voters {
-            warn!("seats changed: {}; before: {}", ips(&voters), ips(&self.log.voters));
+            warn!("voters changed: {}; before: {}", ips(&voters), ips(&self.log.voters));
             self.log.voters = voters;
         }
         let in_touch = self.contact.is_fresh(now) && self.control_store.in_touch(now);
-        self.log.say_touch(now, in_touch);
-        self.log.failures.say(now);
+        self.log.log_contact(now, in_touch);
+        self.log.failures.log_if_due(now);
     }
 
-    pub(super) fn say_ended(&self, now: Duration, began: Duration) {
+    pub(super) fn log_end(&self, now: Duration, began: Duration) {
         let after = now.saturating_sub(began).as_secs_f64();
         match self.calls.len() {
             0 => info!("ended {after:.2} s after SIGTERM, 0 calls unanswered"),
@@ -105,55 +105,56 @@
     ips.join(" ")
 }
 
-/// Calls to the platform that failed since this was last said.
+/// Calls to the platform that failed since the last summary.
 #[derive(Default)]
 pub(super) struct Failures {
     since: Option<Duration>,
-    no_room: u32,
-    too_many: u32,
-    no_service: u32,
-    unclear: u32,
+    no_capacity: u32,
+    rate_limited: u32,
+    unknown_service: u32,
+    outcome_unknown: u32,
 }
 
 impl Failures {
-    pub fn count_start(&mut self, now: Duration, begun: &StartResult) {
-        match begun {
+    pub fn count_start(&mut self, now: Duration, result: &StartResult) {
+        match result {
             StartResult::Started { .. } => return,
-            StartResult::NoCapacity => self.no_room += 1,
-            StartResult::RateLimited => self.too_many += 1,
-            StartResult::UnknownService => self.no_service += 1,
-            StartResult::OutcomeUnknown => self.unclear += 1,
+            StartResult::NoCapacity => self.no_capacity += 1,
+            StartResult::RateLimited => self.rate_limited += 1,
+            StartResult::UnknownService => self.unknown_service += 1,
+            StartResult::OutcomeUnknown => self.outcome_unknown += 1,
         }
         self.since.get_or_insert(now);
     }
 
     pub fn count_stop(&mut self, now: Duration, ok: bool) {
         if !ok {
-            self.unclear += 1;
+            self.outcome_unknown += 1;
             self.since.get_or_insert(now);
         }
     }
 
-    fn say(&mut self, now: Duration) {
-        if self.since.is_none_or(|since| now < since + FAILURES_SUMMED) {
+    fn log_if_due(&mut self, now: Duration) {
+        if self.since.is_none_or(|since| now < since + FAILURE_SUMMARY_INTERVAL) {
             return;
         }
-        let Failures { no_room, too_many, no_service, unclear, .. } = std::mem::take(self);
+        let Failures { no_capacity, rate_limited, unknown_service, outcome_unknown, .. } =
+            std::mem::take(self);
         warn!(
-            "platform: {} calls failed in {} s: {no_room} no room, {too_many} too many, \
-             {no_service} no service, {unclear} unclear",
-            no_room + too_many + no_service + unclear,
-            FAILURES_SUMMED.as_secs()
+            "platform: {} calls failed in {} s: {no_capacity} no capacity, {rate_limited} rate limited, \
+             {unknown_service} unknown service, {outcome_unknown} outcome unknown",
+            no_capacity + rate_limited + unknown_service + outcome_unknown,
+            FAILURE_SUMMARY_INTERVAL.as_secs()
         );
     }
 }
 
-/// Since when the platform's lists were not read, and why.
+/// Since when the platform's lists could not be read, and why.
 pub(super) struct UnreadLists {
     instances_at: Duration,
     hosts_at: Duration,
-    said_due: Duration,
-    why: Failed,
+    next_log: Duration,
+    why: CallError,
 }
 
 impl UnreadLists {
@@ -161,27 +162,27 @@
         UnreadLists {
             instances_at: now,
             hosts_at: now,
-            said_due: now + UNREAD_SAID_AFTER,
-            why: Failed::Unclear,
+            next_log: now + UNREAD_LOGGED_AFTER,
+            why: CallError::OutcomeUnknown,
         }
     }
 
-    pub fn instances_read(&mut self, now: Duration, failed: Option<&Failed>) {
+    pub fn instances_read(&mut self, now: Duration, failed: Option<&CallError>) {
         match failed {
             Some(why) => self.why = *why,
             None => {
                 self.instances_at = now;
-                self.read();
+                self.list_read();
             }
         }
     }
 
-    pub fn hosts_read(&mut self, now: Duration, failed: Option<&Failed>) {
+    pub fn hosts_read(&mut self, now: Duration, failed: Option<&CallError>) {
         match failed {
             Some(why) => self.why = *why,
             None => {
                 self.hosts_at = now;
-                self.read();
+                self.list_read();
             }
         }
     }
@@ -190,20 +191,20 @@
         self.instances_at.min(self.hosts_at)
     }
 
-    fn read(&mut self) {
-        self.said_due = self.said_due.min(self.since() + UNREAD_SAID_AFTER);
+    fn list_read(&mut self) {
+        self.next_log = self.next_log.min(self.since() + UNREAD_LOGGED_AFTER);
     }
 
-    pub fn say(&mut self, now: Duration) {
+    pub fn log_if_due(&mut self, now: Duration) {
         let since = self.since();
-        if now < self.said_due || now < since + UNREAD_SAID_AFTER {
+        if now < self.next_log || now < since + UNREAD_LOGGED_AFTER {
             return;
         }
-        self.said_due = now + UNREAD_SAID_AGAIN;
+        self.next_log = now + UNREAD_LOG_INTERVAL;
         let span = now.saturating_sub(since).as_secs();
         match self.why {
-            Failed::Status(status) => warn!("platform: lists not read for {span} s: status {status}"),
-            Failed::Unclear => warn!("platform: lists not read for {span} s: no whole answer"),
+            CallError::Status(status) => warn!("platform: lists not read for {span} s: status {status}"),
+            CallError::OutcomeUnknown => warn!("platform: lists not read for {span} s: no complete answer"),
         }
     }
 }
--- a/crates/house/src/controller/mod.rs
+++ b/crates/house/src/controller/mod.rs
@@ -1,13 +1,14 @@
-//! The controller, on a core machine: keeps the operator's configuration on disk with the others, votes for the lease, tells
-//! agents what is in force; while it holds the lease it runs the autoscaler. It only carries: `control_store`, `tindock_controller`
-//! and `stacks` decide.
+//! The controller, on a core machine: replicates the operator's configuration to disk together with the other
+//! controllers, votes on the leadership lease and sends agents the configuration in force; while it holds the
+//! lease it runs the autoscaler. This module does the I/O; `control_store`, `tindock_controller` and `stacks`
+//! decide.
 //!
-//! - `calls`: operators' calls, until they are answered;
-//! - `agents`: what agents are told;
+//! - `calls`: operators' calls, from their receipt to their answer;
+//! - `agents`: messages to agents;
 //! - `lease_duties`: the autoscaler while the lease is held;
-//! - `platform_lists`: the platform's lists as the autoscaler takes them;
-//! - `disk`: the thread that writes;
-//! - `log_lines`: what the log is told.
+//! - `platform_lists`: the platform's lists in the form of the autoscaler;
+//! - `disk`: the thread that writes to the disk;
+//! - `log_lines`: the log lines.
 
 mod agents;
 mod calls;
@@ -18,7 +19,7 @@
 
 use crate::messages::PeerMessage;
 use crate::operator::{self, Call};
-use crate::platform::{Failed, Platform};
+use crate::platform::{CallError, Platform};
 use crate::settings::{seconds, Settings};
 use crate::transport::{listen, PeerSender};
 use lease_duties::HeldLease;
@@ -38,22 +39,22 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-pub use agents::FOLLOW;
-pub use tindock_controller::UNLISTED_MS as UNLISTED;
+pub use agents::FOLLOW_INTERVAL;
+pub use tindock_controller::UNLISTED_MS as UNLISTED_AGE;
 
-/// Revisions before the one in force that are kept, to tell agents what changed.
+/// Revisions before the one in force that are kept, to send agents only the changes.
 const KEPT_REVISIONS: usize = 6;
-/// After SIGTERM it stays at least so long, for those who are to hear of it.
-const STAYS_LEAST: Duration = Duration::from_millis(150);
-/// Operators' calls in hand at SIGTERM are decided in this time, or answered as unclear.
+/// After SIGTERM the process runs at least so long, so that its messages about it are sent.
+const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(150);
+/// Operators' calls that are open at SIGTERM are decided in this time, or answered with an unknown outcome.
 const CALLS_TIMEOUT: Duration = Duration::from_secs(1);
-/// After SIGTERM it hands its place as a voter over for so long at most: SIGKILL comes after `grace_s`.
+/// Limit of the time for replacing this voter by another one after SIGTERM: SIGKILL follows after `grace_s`.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(3);
-/// An answer needs so long to go out.
-const ANSWER_GOES_OUT: Duration = Duration::from_millis(30);
+/// Time for an answer to be sent.
+const ANSWER_SEND_TIME: Duration = Duration::from_millis(30);
 /// Bounds of the wait for the next event.
-const SHORTEST_WAIT: Duration = Duration::from_millis(2);
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+const MIN_WAIT: Duration = Duration::from_millis(2);
+const MAX_WAIT: Duration = Duration::from_millis(500);
 
 /// What the run loop waits for.
 enum Event {
@@ -61,12 +62,12 @@
     Operator(Call),
     /// A write of this token has ended, with success or not.
     Stored(u64, bool),
-    /// The platform's answers, with the number of the lease under which it was asked.
-    Begun(u64, u64, autoscaler::StartResult),
-    Stopped(u64, u64, bool),
-    Instances(u64, Result<Vec<autoscaler::ListedInstance>, Failed>),
-    Hosts(u64, Result<Vec<autoscaler::Host>, Failed>),
-    /// The platform's list, read while nobody holds the lease.
+    /// The platform's answers, with the number of the lease under which it was called.
+    InstanceStarted(u64, u64, autoscaler::StartResult),
+    InstanceStopped(u64, u64, bool),
+    Instances(u64, Result<Vec<autoscaler::ListedInstance>, CallError>),
+    Hosts(u64, Result<Vec<autoscaler::Host>, CallError>),
+    /// The platform's list, read while no controller holds the lease.
     FirstInstances(Option<Vec<autoscaler::ListedInstance>>),
     /// SIGTERM.
     Leave,
@@ -81,22 +82,22 @@
     events: mpsc::Sender<Event>,
     /// The configuration in force.
     configuration: Option<Catalogue>,
-    /// Revisions before it, the newest first: agents that have one of them are told what changed.
-    older: VecDeque<Catalogue>,
+    /// Revisions before it, the newest first: agents that have one of them get only the changes.
+    previous: VecDeque<Catalogue>,
     agents: Agents,
     contact: PauseDetector,
     calls: calls::OpenCalls,
     log: LogState,
     lease: Option<HeldLease>,
     holder: Option<(SocketAddr, u64)>,
-    /// The instances as the holder tells them, handed on to the agents that ask here.
+    /// The instances as received from the lease holder, forwarded to the agents that pull here.
     relay: Relay,
-    followed: Duration,
-    place: u8,
-    /// Zones in the order in which their numbers are told.
-    places: Vec<(String, String)>,
-    reading_first: bool,
-    first_due: Duration,
+    last_follow: Duration,
+    zone_index: u8,
+    /// Zones with their regions; messages name a zone by its index here.
+    zones: Vec<(String, String)>,
+    reading_first_list: bool,
+    first_list_due: Duration,
     start: Instant,
     lifecycle: Lifecycle,
 }
@@ -104,7 +105,7 @@
 /// Runs the controller until SIGTERM.
 pub async fn run(settings: Settings) -> Result<(), String> {
     let start = Instant::now();
-    let folder = settings.data_directory.clone().ok_or("data_directory: an archive needs a disk")?;
+    let folder = settings.data_directory.clone().ok_or("data_directory: a controller needs a disk")?;
     let control = settings.bindings.control_plane.ok_or("bindings.control_plane: is missing")?;
     let unusable = |e: std::io::Error| format!("{}: {e}", folder.display());
     let files = Folder::open(&folder).map_err(unusable)?;
@@ -114,39 +115,39 @@
     let (events, mut inbox) = mpsc::channel(1024);
 
     let disk = disk::start(files, events.clone());
-    receive_notes(peer_listener, settings.limits.file_descriptors / 4, events.clone());
+    receive_messages(peer_listener, settings.limits.file_descriptors / 4, events.clone());
     receive_calls(operator_listener, events.clone());
     receive_signals(events.clone());
 
     let me = settings.peer_address();
     let control_store = ControlStore::new(member_settings(&settings), kept, start.elapsed());
     if let (mode, Some(unknown)) = settings.config_mode() {
-        warn!("config_mode {unknown:?} is unknown, and taken for {mode:?}");
+        warn!("config_mode {unknown:?} is unknown, using {mode:?}");
     }
     let mut controller = Controller::new(settings, control_store, disk, events, start);
-    info!("up: archive at {me}, operators at {control}, {} seats known", controller.log.voters());
+    info!("up: controller at {me}, operators at {control}, {} voters known", controller.log.voters());
     loop {
-        controller.carry();
+        controller.perform_actions();
         let now = controller.now();
         if let Some(terminated) = controller.lifecycle.terminated() {
-            controller.break_off_calls(now, terminated);
+            controller.abort_late_calls(now, terminated);
             if controller.may_end(now, terminated) {
-                controller.say_ended(now, terminated);
+                controller.log_end(now, terminated);
                 return Ok(());
             }
         }
-        let leaves = controller.lifecycle.is_leaving();
-        let due = controller.next_due().min(if leaves { now + ANSWER_GOES_OUT } else { Duration::MAX });
-        let wait = due.saturating_sub(now).clamp(SHORTEST_WAIT, LONGEST_WAIT);
+        let leaving = controller.lifecycle.is_leaving();
+        let due = controller.next_due().min(if leaving { now + ANSWER_SEND_TIME } else { Duration::MAX });
+        let wait = due.saturating_sub(now).clamp(MIN_WAIT, MAX_WAIT);
         let event = tokio::time::timeout(wait, inbox.recv()).await;
-        controller.turn();
+        controller.observe_pause();
         match event {
-            Ok(Some(event)) => controller.take(event),
+            Ok(Some(event)) => controller.handle_event(event),
             Ok(None) => return Ok(()),
             Err(_) => {}
         }
         while let Ok(event) = inbox.try_recv() {
-            controller.take(event);
+            controller.handle_event(event);
         }
         let now = controller.now();
         controller.control_store.tick(now);
@@ -157,25 +158,25 @@
     TcpListener::bind(at).await.map_err(|e| format!("{at}: {e}"))
 }
 
-/// Hands on what other controllers and agents send.
-fn receive_notes(listener: TcpListener, most: usize, events: mpsc::Sender<Event>) {
-    let (notes, mut heard) = mpsc::channel(512);
-    tokio::task::spawn_local(listen::<PeerMessage>(listener, notes, most));
+/// Forwards messages of other controllers and agents to the run loop.
+fn receive_messages(listener: TcpListener, most: usize, events: mpsc::Sender<Event>) {
+    let (messages, mut received) = mpsc::channel(512);
+    tokio::task::spawn_local(listen::<PeerMessage>(listener, messages, most));
     tokio::task::spawn_local(async move {
-        while let Some((from, note)) = heard.recv().await {
-            if events.send(Event::PeerMessage(from, note)).await.is_err() {
+        while let Some((from, message)) = received.recv().await {
+            if events.send(Event::PeerMessage(from, message)).await.is_err() {
                 return;
             }
         }
     });
 }
 
-/// Hands on operators' calls.
+/// Forwards operators' calls to the run loop.
 fn receive_calls(listener: TcpListener, events: mpsc::Sender<Event>) {
-    let (calls, mut asked) = mpsc::channel(64);
+    let (calls, mut received) = mpsc::channel(64);
     tokio::task::spawn_local(operator::serve(listener, calls));
     tokio::task::spawn_local(async move {
-        while let Some(call) = asked.recv().await {
+        while let Some(call) = received.recv().await {
             if events.send(Event::Operator(call)).await.is_err() {
                 return;
             }
@@ -183,8 +184,9 @@
     });
 }
 
-/// Hands on SIGTERM. SIGHUP says that the settings have changed: seeds matter at a start alone, so it changes nothing, and
-/// the handler that tokio keeps from the first registration on lets the process live on.
+/// Forwards SIGTERM to the run loop. SIGHUP announces changed settings, of which only the seeds may change; a
+/// controller uses them only at its start, so SIGHUP has no effect. Its handler, which tokio keeps once it is
+/// registered, prevents it from ending the process.
 fn receive_signals(events: mpsc::Sender<Event>) {
     use tokio::signal::unix::{signal, SignalKind};
     let _hangup = signal(SignalKind::hangup());
@@ -209,7 +211,7 @@
     }
 }
 
-/// FNV-1a, 64 bits: seeds chance by the name.
+/// FNV-1a, 64 bits: makes seeds of random generators from names.
 pub fn hash(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h: u64, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
@@ -228,7 +230,7 @@
             platform: settings.provider_api.as_ref().map(|p| Rc::new(Platform::new(p.address))),
             events,
             configuration: None,
-            older: VecDeque::new(),
+            previous: VecDeque::new(),
             agents: Agents::new(settings.ip_address),
             contact: PauseDetector::default(),
             calls: calls::OpenCalls::default(),
@@ -237,11 +239,11 @@
             lease: None,
             holder: None,
             relay: Relay::default(),
-            followed: Duration::ZERO,
-            place: settings.zone_index(),
-            places: settings.zones_with_regions(),
-            reading_first: false,
-            first_due: Duration::ZERO,
+            last_follow: Duration::ZERO,
+            zone_index: settings.zone_index(),
+            zones: settings.zones_with_regions(),
+            reading_first_list: false,
+            first_list_due: Duration::ZERO,
             start,
             lifecycle: Lifecycle::new(GracePeriod::new(seconds(settings.timers.grace_s))),
             settings,
@@ -252,20 +254,20 @@
         self.start.elapsed()
     }
 
-    /// Another turn of the run loop: after a pause of the process what is heard may be old.
-    fn turn(&mut self) {
+    /// Notes another turn of the run loop: after a pause of the process, received messages may be old.
+    fn observe_pause(&mut self) {
         let now = self.now();
         if self.contact.observe(now) {
-            warn!("this process stood still: what it hears counts as fresh from {DISTRUST_AFTER_PAUSE:?} on");
+            warn!("this process was paused: messages count as recent again after {DISTRUST_AFTER_PAUSE:?}");
         }
     }
 
-    /// Whether a majority of the voters was heard since the start, and lately.
+    /// Whether messages of a majority of the voters were received since the start, and recently.
     fn is_in_touch(&self, now: Duration) -> bool {
         self.control_store.ready() && self.contact.is_fresh(now) && self.control_store.in_touch(now)
     }
 
-    /// SIGTERM has come.
+    /// Handles SIGTERM.
     fn leave(&mut self) {
         let now = self.now();
         if self.lifecycle.terminate(now) == Terminated::Leaving {
@@ -274,10 +276,10 @@
         }
     }
 
-    /// Calls that are not decided in time are answered as unclear before the process ends.
-    fn break_off_calls(&mut self, now: Duration, terminated: Duration) {
+    /// Answers calls that are not decided in time before the process ends.
+    fn abort_late_calls(&mut self, now: Duration, terminated: Duration) {
         if now >= terminated + CALLS_TIMEOUT {
-            self.answer_all_unclear(now);
+            self.answer_all_as_unknown(now);
         }
     }
 
@@ -285,11 +287,12 @@
         if self.lifecycle.phase(now) == Phase::Ended {
             return true;
         }
-        // Operators who ask again and again are refused at once, and hold up the end no longer than this.
-        let is_quiet = now >= self.calls.answered + ANSWER_GOES_OUT || now >= terminated + CALLS_TIMEOUT * 2;
-        let answered = self.calls.len() == 0 && is_quiet;
+        // Operators that retry continuously are refused at once, and delay the end no longer than this.
+        let no_recent_answer =
+            now >= self.calls.last_answer + ANSWER_SEND_TIME || now >= terminated + CALLS_TIMEOUT * 2;
+        let answered = self.calls.len() == 0 && no_recent_answer;
         let handed_over = self.control_store.may_exit(now) || now >= terminated + HANDOVER_TIMEOUT;
-        handed_over && answered && now >= terminated + STAYS_LEAST
+        handed_over && answered && now >= terminated + MIN_SHUTDOWN_TIME
     }
 
     fn next_due(&self) -> Duration {
@@ -297,14 +300,16 @@
         self.lease.as_ref().map_or(due, |lease| due.min(lease.duties.next_due()))
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now();
         match event {
-            Event::PeerMessage(from, note) => self.receive_note(now, from, note),
+            Event::PeerMessage(from, message) => self.receive_message(now, from, message),
             Event::Operator(call) => self.receive_call(now, call),
             Event::Stored(token, ok) => self.control_store.stored(now, token, ok),
-            Event::Begun(number, token, begun) => self.instance_begun(now, number, token, begun),
-            Event::Stopped(number, token, ok) => self.instance_stopped(now, number, token, ok),
+            Event::InstanceStarted(number, token, result) => {
+                self.instance_started(now, number, token, result)
+            }
+            Event::InstanceStopped(number, token, ok) => self.instance_stopped(now, number, token, ok),
             Event::FirstInstances(instances) => self.first_instances_read(now, instances),
             Event::Instances(number, instances) => self.instances_read(now, number, instances),
             Event::Hosts(number, hosts) => self.hosts_read(now, number, hosts),
@@ -312,27 +317,27 @@
         }
     }
 
-    /// Does everything that the deciders want done.
-    fn carry(&mut self) {
+    /// Performs all pending actions.
+    fn perform_actions(&mut self) {
         let now = self.now();
         while let Some(action) = self.control_store.next() {
             match action {
                 Action::Send { to, envelope } => self.peers.send(to, &PeerMessage::ControlStore(envelope)),
                 Action::Store { token, what } => {
-                    // Without its disk it would promise what it cannot keep.
+                    // Without its disk the controller could not store what it promises to others.
                     assert!(self.disk.send((token, what)).is_ok(), "the disk's thread has ended");
                 }
                 Action::Answer { call, outcome } => self.answer_call(now, call, outcome),
             }
         }
-        self.release_calls(now);
+        self.answer_calls_after_lost_contact(now);
         self.put_in_force(now);
-        self.carry_lease(now);
-        self.look(now);
-        self.note_holder(now);
+        self.run_lease(now);
+        self.log_state(now);
+        self.update_holder(now);
     }
 
-    /// A newer configuration was committed.
+    /// Puts a newer committed configuration in force.
     fn put_in_force(&mut self, now: Duration) {
         let revision = self.configuration.as_ref().map_or(0, |c| c.revision);
         let first = self.configuration.is_none();
@@ -342,7 +347,7 @@
         }) else {
             return;
         };
-        // It was checked before it was taken; what cannot be read now is not put in force.
+        // It was checked before it was stored; an invalid one is not put in force.
         match Catalogue::read(&committed.text) {
             Ok(configuration) => {
                 if let Some(lease) = &mut self.lease {
@@ -350,8 +355,8 @@
                 }
                 info!("revision {} in force", configuration.revision);
                 if let Some(old) = self.configuration.replace(configuration) {
-                    self.older.truncate(KEPT_REVISIONS - 1);
-                    self.older.push_front(old);
+                    self.previous.truncate(KEPT_REVISIONS - 1);
+                    self.previous.push_front(old);
                 }
                 self.send_configuration(now, None);
             }
@@ -362,19 +367,19 @@
         }
     }
 
-    /// Agents are told of a new holder of the lease.
-    fn note_holder(&mut self, now: Duration) {
+    /// Informs agents of a new lease holder.
+    fn update_holder(&mut self, now: Duration) {
         let holder = self.control_store.holder();
         if holder != self.holder {
             if let Some((at, number)) = holder {
-                info!("holder is {} under {number}", at.ip());
+                info!("lease holder is {}, lease number {number}", at.ip());
             }
             self.holder = holder;
-            self.send_news_to_all(now);
-            self.follow_holder(now);
+            self.send_status_to_all(now);
+            self.follow_lease_holder(now);
         }
-        if now >= self.followed + FOLLOW {
-            self.follow_holder(now);
+        if now >= self.last_follow + FOLLOW_INTERVAL {
+            self.follow_lease_holder(now);
         }
     }
 }
--- a/crates/house/src/controller/platform_lists.rs
+++ b/crates/house/src/controller/platform_lists.rs
@@ -1,29 +1,30 @@
-//! The platform's lists as the autoscaler takes them.
+//! The platform's lists in the form of the autoscaler.
 
-use crate::platform::{self, Failed, Platform};
+use crate::platform::{self, CallError, Platform};
 use tindock_stacks::{Host, ListedInstance};
 
-/// Bounds a list whose pages never end.
-const MOST_PAGES: usize = 1000;
+/// Protects against a list whose pages never end.
+const MAX_PAGES: usize = 1000;
 const DRAINING: &str = "draining";
 
-/// The whole list of instances, page by page, or why a page failed. A list without end is none.
-pub(super) async fn read_instances(platform: &Platform) -> Result<Vec<ListedInstance>, Failed> {
+/// Reads the whole list of instances, page by page; fails with the first error of a page, or after
+/// `MAX_PAGES`.
+pub(super) async fn read_instances(platform: &Platform) -> Result<Vec<ListedInstance>, CallError> {
     let mut all = Vec::new();
     let mut token = None;
-    for _ in 0..MOST_PAGES {
-        let page = platform.instances(token.as_deref()).await?;
+    for _ in 0..MAX_PAGES {
+        let page = platform.instance_page(token.as_deref()).await?;
         all.extend(page.instances.into_iter().filter_map(listed));
         token = page.next_token;
         if token.is_none() {
             return Ok(all);
         }
     }
-    Err(Failed::Unclear)
+    Err(CallError::OutcomeUnknown)
 }
 
-/// The worker machines.
-pub(super) async fn read_hosts(platform: &Platform) -> Result<Vec<Host>, Failed> {
+/// Reads the list of worker machines.
+pub(super) async fn read_hosts(platform: &Platform) -> Result<Vec<Host>, CallError> {
     let pool = platform.hosts().await?;
     Ok(pool.worker_pool.into_iter().map(host).collect())
 }
--- a/crates/house/src/leaving.rs
+++ b/crates/house/src/leaving.rs
@@ -6,24 +6,24 @@
 use tokio::signal::unix::Signal;
 use tokio::time::timeout;
 
-/// After SIGTERM it is looked this often whether something is due.
+/// After SIGTERM the state is checked this often.
 const LEAVING_TICK: Duration = Duration::from_millis(20);
-/// Who is turned away by a leaving proxy finds another at once.
+/// A client that a leaving proxy refuses can go to another proxy at once.
 pub const RETRY_AFTER_LEAVING: Duration = Duration::from_millis(50);
-/// Of the requests that a process ends with, so many are logged one by one.
+/// So many of the requests left unanswered at the end are logged one by one.
 const MAX_UNANSWERED_LOGGED: usize = 10;
 
-/// SIGTERM: not ready, slots are others' to lend, what was read is answered, and the end comes before `grace_s`.
-/// Further signals change nothing.
+/// Shuts the proxy down after SIGTERM: readiness fails, other proxies take over its slots, requests already
+/// read are answered, and the process ends before `grace_s`. Further signals change nothing.
 pub async fn leave(shared: Shared, mut signals: Signal) {
     shared.borrow_mut().terminate();
     info!("SIGTERM: leaving, {} calls open", shared.borrow().open_calls.len());
     loop {
-        shared.borrow_mut().turn_away_what_does_not_fit(RETRY_AFTER_LEAVING);
+        shared.borrow_mut().refuse_calls_without_time(RETRY_AFTER_LEAVING);
         pump(&shared);
-        shared.borrow().tell_phase();
+        shared.borrow().publish_phase();
         if shared.borrow().may_end() {
-            return say_ended(&shared.borrow());
+            return log_end(&shared.borrow());
         }
         if timeout(LEAVING_TICK, signals.recv()).await.is_ok() {
             shared.borrow_mut().terminate();
@@ -32,8 +32,8 @@
     }
 }
 
-/// What the log keeps of the end, so that it is seen which requests were given up, and how they had come.
-fn say_ended(state: &State) {
+/// Logs the end, with the requests that were given up and how they had arrived.
+fn log_end(state: &State) {
     let now = state.now();
     let terminated = state.terminated().unwrap_or(now);
     let after = now.saturating_sub(terminated).as_secs_f64();
--- a/crates/house/src/lib.rs
+++ b/crates/house/src/lib.rs
@@ -1,5 +1,6 @@
-//! The programs of the whole system: `desk` and `page` on edge machines, `archive` (the controller) on core machines. They
-//! only carry: the deciders are crates of their own (lending, gazette, control_store, controller, stacks, catalogue).
+//! The programs of the system: the proxy (command `desk`) and the agent (`page`) on edge machines, the
+//! controller (`archive`) on core machines. This crate does the I/O; the decisions are made in crates without
+//! I/O: slot allocation, peer sampling, control store, controller, autoscaler and configuration.
 
 pub mod agent;
 pub mod budget;
@@ -26,15 +27,15 @@
 use settings::Settings;
 use std::future::Future;
 
-/// Runs a program on one thread until it ends; records from the level `least` up are written at once.
-pub fn on_one_thread<F: Future<Output = Result<(), String>>>(
-    least: spdlog::Level,
+/// Runs a program on one thread until it ends; log records from the level `min_level` up are written at once.
+pub fn run_on_one_thread<F: Future<Output = Result<(), String>>>(
+    min_level: spdlog::Level,
     program: impl FnOnce(Settings) -> F,
 ) -> Result<(), String> {
     let settings = Settings::from_environment().map_err(|fault| fault.to_string())?;
-    ring::install(&settings.node_name, least);
+    ring::install(&settings.node_name, min_level);
     #[cfg(feature = "planted")]
-    plant();
+    inject_defect();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -42,9 +43,9 @@
     tokio::task::LocalSet::new().block_on(&runtime, program(settings))
 }
 
-/// A defect that the environment names, for soaks.
+/// Enables the defect that the environment names, for soak tests.
 #[cfg(feature = "planted")]
-fn plant() {
+fn inject_defect() {
     use tindock_lifecycle::planted::{Defect, PLANTED};
     let named = std::env::var("TINDOCK_PLANTED_DEFECT").unwrap_or_default();
     PLANTED.set(Defect::named(&named));
--- a/crates/house/src/messages.rs
+++ b/crates/house/src/messages.rs
@@ -13,9 +13,9 @@
 pub enum PeerMessage {
     /// Between controllers: a message of the control store.
     ControlStore(Envelope),
-    /// From an agent to a controller: asks for what the agent lacks, and subscribes to updates. The agent has the
-    /// configuration of this revision and the instances up to this mark. `with_peers` asks for the other controllers
-    /// and agents too; without `with_data` the agent only looks for the controller of its zone.
+    /// From an agent to a controller: asks for what the agent lacks, and subscribes to updates. The agent has
+    /// the configuration of this revision and the instances up to this mark. `with_peers` asks for the other
+    /// controllers and agents too; without `with_data` the agent only looks for the controller of its zone.
     Pull {
         ip: IpAddr,
         revision: u64,
@@ -25,8 +25,8 @@
         #[serde(rename = "wants")]
         with_data: bool,
     },
-    /// The answer to `Pull`: the lease holder, the newest revision in force, whether the controller is in touch with a
-    /// majority, its zone, other controllers and agents.
+    /// The answer to `Pull`: the lease holder, the newest revision in force, whether the controller is in
+    /// touch with a majority, its zone, other controllers and agents.
     #[serde(rename = "News")]
     ClusterStatus {
         holder: Option<(SocketAddr, u64)>,
@@ -45,16 +45,17 @@
     Configuration(Catalogue),
     /// The difference from the agent's configuration to a newer one.
     Change(Change),
-    /// To the lease holder: an agent or a controller follows the instances, and has them up to this mark. All follow
-    /// the one holder, so it knows all of them: `with_peers` asks it for some of the agents. An agent reports which
-    /// proxy process serves on its machine.
+    /// To the lease holder: an agent or a controller follows the instances, and has them up to this mark. All
+    /// follow the one holder, so it knows all of them: `with_peers` asks it for some of the agents. An agent
+    /// reports which proxy process serves on its machine.
     Follow {
         mark: Mark,
         #[serde(rename = "greets")]
         with_peers: bool,
         proxy: Option<Proxy>,
     },
-    /// From the lease holder, and from the controller that an agent pulls from: what changed in the instances.
+    /// From the lease holder, and from the controller that an agent pulls from: what changed in the
+    /// instances.
     #[serde(rename = "Stacks")]
     Instances(Stacks),
     /// To the lease holder: the demand that a slot allocator measured.
@@ -120,8 +121,8 @@
     /// Whether the proxy's configuration is known to be the newest, so that it may answer 404.
     #[serde(rename = "Fresh")]
     ConfigurationIsNewest(bool),
-    /// Whether messages from controllers in touch with one another arrived recently: on which side of a network
-    /// partition this machine is.
+    /// Whether messages from controllers in touch with one another arrived recently: on which side of a
+    /// network partition this machine is.
     #[serde(rename = "InTouch")]
     ControllersReachable(bool),
 }
--- a/crates/house/src/open_calls.rs
+++ b/crates/house/src/open_calls.rs
@@ -1,18 +1,19 @@
-//! Clients' requests in hand: how many there are, how far each is, and what the log says of those that a process ends with.
+//! Clients' requests being served: their number, the stage of each, and the log lines of those left
+//! unanswered when the process ends.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
 
-/// How far a request is.
+/// How far a request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Its head is read, its body not yet whole, or its route not yet found.
+    /// Its head has been read; its body is incomplete or its route not found yet.
     Reading,
     WaitingForSlot,
-    /// Handed to a worker.
+    /// Sent to a worker.
     AtWorker,
-    /// Its answer is written to the client.
+    /// Its answer is being written to the client.
     Answering,
 }
 
@@ -27,7 +28,7 @@
     }
 }
 
-/// A request in hand. Times are by the process's clock.
+/// A request being served. Times are by the process's clock.
 #[derive(Clone, Debug)]
 pub struct OpenCall {
     /// Empty until its route is found.
@@ -35,17 +36,17 @@
     /// When its client's connection was accepted.
     pub connected: Duration,
     /// When its head was read.
-    pub taken: Duration,
+    pub received: Duration,
     pub stage: Stage,
-    /// When it came to this stage.
+    /// When it entered this stage.
     pub since: Duration,
 }
 
-/// Names a request in hand within this process.
+/// Identifies a request within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(u64);
 
-/// All requests in hand.
+/// All requests being served.
 #[derive(Debug, Default)]
 pub struct OpenCalls {
     open: BTreeMap<CallId, OpenCall>,
@@ -53,24 +54,24 @@
 }
 
 impl OpenCalls {
-    /// A request's head has been read.
+    /// Adds a request whose head has been read.
     pub fn begin(&mut self, connected: Duration, now: Duration) -> CallId {
         self.last += 1;
         let id = CallId(self.last);
         let call =
-            OpenCall { service: String::new(), connected, taken: now, stage: Stage::Reading, since: now };
+            OpenCall { service: String::new(), connected, received: now, stage: Stage::Reading, since: now };
         self.open.insert(id, call);
         id
     }
 
-    /// Its route leads to this service.
-    pub fn found(&mut self, id: CallId, service: &str) {
+    /// Records the service that its route leads to.
+    pub fn set_service(&mut self, id: CallId, service: &str) {
         if let Some(call) = self.open.get_mut(&id) {
             call.service = service.to_string();
         }
     }
 
-    /// It has come to another stage.
+    /// Moves it to another stage.
     pub fn enter(&mut self, id: CallId, stage: Stage, now: Duration) {
         if let Some(call) = self.open.get_mut(&id) {
             call.stage = stage;
@@ -78,7 +79,7 @@
         }
     }
 
-    /// It is answered, or its client has gone.
+    /// Removes a request that is answered, or whose client has disconnected.
     pub fn end(&mut self, id: CallId) -> Option<OpenCall> {
         self.open.remove(&id)
     }
@@ -91,30 +92,30 @@
         self.open.is_empty()
     }
 
-    /// The oldest first.
+    /// The requests, the oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &OpenCall> {
         self.open.values()
     }
 }
 
-/// Requests that a leaving process has taken, told when it ends.
+/// Counts of the requests that a leaving process received, logged when it ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TakenWhileLeaving {
     /// On connections from before SIGTERM.
     pub on_kept_connections: u32,
     /// On connections accepted after it.
     pub on_new_connections: u32,
-    /// How long after SIGTERM the last one was taken.
+    /// How long after SIGTERM the last one was received.
     pub latest: Duration,
-    /// AgentMessage to go elsewhere, as there was no time for them.
+    /// Refused with a `Retry-After`, as too little time was left for them.
     pub refused: u32,
-    /// Answered without their worker's answer when time was over.
+    /// Answered by the proxy itself when the time was over before their worker answered.
     pub broken_off: u32,
 }
 
 impl TakenWhileLeaving {
-    /// A request was taken so long after SIGTERM.
-    pub fn note(&mut self, after: Duration, is_kept: bool) {
+    /// Records a request that was received so long after SIGTERM.
+    pub fn record(&mut self, after: Duration, is_kept: bool) {
         let count = if is_kept { &mut self.on_kept_connections } else { &mut self.on_new_connections };
         *count += 1;
         self.latest = self.latest.max(after);
@@ -131,14 +132,15 @@
 }
 
 impl OpenCall {
-    /// What the log says of it where a process ends without having answered it.
+    /// The log line for a request left unanswered when the process ends.
     pub fn unanswered(&self, terminated: Duration, now: Duration) -> String {
-        let signed = |at: Duration| at.as_secs_f64() - terminated.as_secs_f64();
+        let after_sigterm = |at: Duration| at.as_secs_f64() - terminated.as_secs_f64();
         let service = if self.service.is_empty() { "no service yet" } else { &self.service };
         format!(
-            "unanswered: for {service}, taken {:.2} s after SIGTERM, on a connection accepted {:.2} s after it, {} for {:.2} s",
-            signed(self.taken),
-            signed(self.connected),
+            "unanswered: for {service}, taken {:.2} s after SIGTERM, on a connection accepted {:.2} s \
+             after it, {} for {:.2} s",
+            after_sigterm(self.received),
+            after_sigterm(self.connected),
             self.stage,
             now.saturating_sub(self.since).as_secs_f64(),
         )
--- a/crates/house/src/operator/answers.rs
+++ b/crates/house/src/operator/answers.rs
@@ -1,4 +1,4 @@
-//! What an operator's call is answered with, as docs/openapi/controller.yaml has it.
+//! The answers to operators' calls, as docs/openapi/controller.yaml specifies them.
 
 use crate::settings::ConflictAnswer;
 use nanoserde::SerJson;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tindock_control_store::Version;
 
-/// Which configuration holds: its revision, and the digest of its bytes.
+/// The configuration in force: its revision, and the digest of its bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InForce {
     pub revision: u64,
@@ -19,7 +19,7 @@
     }
 }
 
-/// A digest as operators see it.
+/// A digest as operators get it, in hexadecimal.
 pub fn digest_text(digest: u64) -> String {
     format!("{digest:016x}")
 }
@@ -27,25 +27,25 @@
 /// The controller's answer to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// The configuration that was sent is at a majority.
+    /// The configuration is stored at a majority.
     Acknowledged(InForce),
-    /// Nothing changed: this one, of a higher revision, holds.
+    /// Nothing changed: this one, of a higher revision, is in force.
     Superseded(InForce),
-    /// Nothing changed: this one, another text under the same revision, holds.
+    /// Nothing changed: this one, another text under the same revision, is in force.
     Conflict(InForce, ConflictAnswer),
-    /// Unclear, or not possible now: worth another try, here or elsewhere.
+    /// The outcome is unknown, or the call is not possible now: to be retried, here or at another controller.
     Unavailable(Unavailable),
-    /// What was asked for, as JSON.
+    /// The requested data, as JSON.
     Json(Vec<u8>),
-    /// Another controller answers for this one.
+    /// Another controller can answer.
     Redirect(IpAddr),
-    /// What is wrong with the configuration, and where.
+    /// The error in the configuration, and its place.
     Invalid(String),
-    /// Not done, and why.
+    /// The reason why the call was not executed.
     Refused(String),
 }
 
-/// When and where to ask again.
+/// When and where to retry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Unavailable {
     pub why: &'static str,
@@ -60,52 +60,52 @@
     }
 }
 
-/// An answer over HTTP/1.1, before it is written.
+/// An HTTP/1.1 answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Response {
     pub status: u16,
-    /// For a redirect.
+    /// The target of a redirect.
     pub location: Option<String>,
     pub retry_after: Option<Duration>,
     pub body: Vec<u8>,
 }
 
 #[derive(SerJson)]
-struct Acknowledgement {
+struct AcknowledgementBody {
     revision: u64,
     digest: String,
     superseded: bool,
 }
 
 #[derive(SerJson)]
-struct Conflict {
+struct ConflictBody {
     error: String,
     revision: u64,
     digest: String,
 }
 
 #[derive(SerJson)]
-struct NotNow {
+struct UnavailableBody {
     error: String,
     ask: Vec<String>,
 }
 
 #[derive(SerJson)]
-struct Refusal {
+struct ErrorBody {
     error: String,
 }
 
 impl Response {
-    /// The answer to a call that came to `asked` for `path`.
-    pub fn to_reply(reply: Reply, asked: SocketAddr, path: &str) -> Response {
+    /// The answer to a call for `path`, received at `local_address`.
+    pub fn to_reply(reply: Reply, local_address: SocketAddr, path: &str) -> Response {
         match reply {
-            Reply::Acknowledged(in_force) => acknowledgement(in_force, false),
-            Reply::Superseded(in_force) => acknowledgement(in_force, true),
-            Reply::Conflict(in_force, answer) => conflict(in_force, answer),
-            Reply::Unavailable(unavailable) => not_now(&unavailable, asked.port()),
+            Reply::Acknowledged(in_force) => acknowledgement_response(in_force, false),
+            Reply::Superseded(in_force) => acknowledgement_response(in_force, true),
+            Reply::Conflict(in_force, answer) => conflict_response(in_force, answer),
+            Reply::Unavailable(unavailable) => unavailable_response(&unavailable, local_address.port()),
             Reply::Json(body) => Response { status: 200, body, ..Response::default() },
             Reply::Redirect(ip) => {
-                let location = format!("http://{}{path}", SocketAddr::new(ip, asked.port()));
+                let location = format!("http://{}{path}", SocketAddr::new(ip, local_address.port()));
                 Response { status: 307, location: Some(location), ..Response::default() }
             }
             Reply::Invalid(why) => Response::error(400, &why),
@@ -113,15 +113,15 @@
         }
     }
 
-    /// One clear error, as JSON.
+    /// An error, as JSON.
     pub fn error(status: u16, why: &str) -> Response {
-        let body = Refusal { error: why.to_string() }.serialize_json().into_bytes();
+        let body = ErrorBody { error: why.to_string() }.serialize_json().into_bytes();
         Response { status, body, ..Response::default() }
     }
 
-    /// The bytes; with `close` the connection ends behind them.
+    /// The bytes of the answer; with `close` it announces the end of the connection.
     pub fn write(&self, close: bool) -> Vec<u8> {
-        let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
+        let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         if let Some(location) = &self.location {
             head += &format!("Location: {location}\r\n");
         }
@@ -142,40 +142,40 @@
     }
 }
 
-fn acknowledgement(in_force: InForce, superseded: bool) -> Response {
+fn acknowledgement_response(in_force: InForce, superseded: bool) -> Response {
     let InForce { revision, digest } = in_force;
-    let body = Acknowledgement { revision, digest: digest_text(digest), superseded }.serialize_json();
+    let body = AcknowledgementBody { revision, digest: digest_text(digest), superseded }.serialize_json();
     Response { status: 200, body: body.into_bytes(), ..Response::default() }
 }
 
-/// Another text holds under the same revision: said as the settings want it, by a status that ends the operator's call or by
-/// an acknowledgement that says that it was superseded.
-fn conflict(in_force: InForce, answer: ConflictAnswer) -> Response {
+/// Another text is in force under the same revision. By the settings this is answered with an error status,
+/// or with an acknowledgement that reports it as superseded.
+fn conflict_response(in_force: InForce, answer: ConflictAnswer) -> Response {
     let InForce { revision, digest } = in_force;
     match answer {
-        ConflictAnswer::Acknowledge => acknowledgement(in_force, true),
+        ConflictAnswer::Acknowledge => acknowledgement_response(in_force, true),
         ConflictAnswer::Refuse => {
-            let error = format!("revision {revision} holds with another text");
-            let body = Conflict { error, revision, digest: digest_text(digest) }.serialize_json();
+            let error = format!("revision {revision} is in force with another text");
+            let body = ConflictBody { error, revision, digest: digest_text(digest) }.serialize_json();
             Response { status: 409, body: body.into_bytes(), ..Response::default() }
         }
     }
 }
 
-fn not_now(unavailable: &Unavailable, port: u16) -> Response {
+fn unavailable_response(unavailable: &Unavailable, port: u16) -> Response {
     let address = |ip: &IpAddr| SocketAddr::new(*ip, port).to_string();
     let ask = unavailable.ask.iter().map(address).collect();
-    let body = NotNow { error: unavailable.why.to_string(), ask }.serialize_json().into_bytes();
+    let body = UnavailableBody { error: unavailable.why.to_string(), ask }.serialize_json().into_bytes();
     Response { status: 503, retry_after: Some(unavailable.retry_after), body, ..Response::default() }
 }
 
-/// Seconds with as many decimals as are needed, in milliseconds.
+/// Seconds, with up to three decimals as needed.
 fn seconds_text(time: Duration) -> String {
     let text = format!("{}.{:03}", time.as_secs(), time.subsec_millis());
     text.trim_end_matches('0').trim_end_matches('.').to_string()
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         307 => "Temporary Redirect",
--- a/crates/house/src/operator/mod.rs
+++ b/crates/house/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' calls over HTTP/1.1, as docs/openapi/controller.yaml has them.
+//! The operators' API over HTTP/1.1, as docs/openapi/controller.yaml specifies it.
 
 mod answers;
 #[cfg(test)]
@@ -18,38 +18,38 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// The largest configuration that is read.
-const MAX_BODY: usize = 8 << 20;
-const MAX_HEAD: usize = 16 << 10;
-/// What is read of later calls while one is answered.
-const MAX_READ_AHEAD: usize = 64 << 10;
-/// A call whose bytes stop coming is given up.
-const STALLED_AFTER: Duration = Duration::from_secs(10);
-/// The control store answers sooner; no call is held for longer.
+/// Limit of a configuration's size.
+const MAX_BODY_BYTES: usize = 8 << 20;
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Bytes of later calls that are buffered while one is answered.
+const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
+/// A call is given up if no more of its bytes arrive for so long.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Longer than the control store needs; a call without a result is answered then.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 const RETRY_AFTER: Duration = Duration::from_millis(300);
-/// What the other side does not acknowledge for so long ends the connection.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(5);
+/// The connection ends if sent data is not acknowledged for so long.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(5);
 const MAX_CONNECTIONS: usize = 128;
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-const REPLACE: &str = "/v1/Configuration.Replace";
-const SHOW: &str = "/v1/Configuration.Show";
-pub const STATUS: &str = "/v1/Control.Status";
+const REPLACE_PATH: &str = "/v1/Configuration.Replace";
+const SHOW_PATH: &str = "/v1/Configuration.Show";
+pub const STATUS_PATH: &str = "/v1/Control.Status";
 
-/// What an operator wants; the answer goes to `reply`, and nowhere if the operator has gone.
+/// An operator's call; the answer is sent to `reply`, and dropped if the operator has disconnected.
 pub enum Call {
-    /// A whole configuration is to be taken.
+    /// Replaces the configuration by a new one.
     Replace { text: Vec<u8>, reply: oneshot::Sender<Reply> },
-    /// The configuration in force.
+    /// Returns the configuration in force.
     Show { reply: oneshot::Sender<Reply> },
-    /// How the control state stands.
+    /// Returns the status of the control state.
     Status { reply: oneshot::Sender<Reply> },
-    /// Staff's, of moves.
-    Rebinding { ask: RebindingCall, reply: oneshot::Sender<Reply> },
+    /// About moves of instances.
+    Rebinding { call: RebindingCall, reply: oneshot::Sender<Reply> },
 }
 
-/// Takes connections in and hands their calls on.
+/// Accepts operators' connections and forwards their calls.
 pub async fn serve(listener: TcpListener, calls: mpsc::Sender<Call>) {
     let open = Rc::new(Cell::new(0usize));
     loop {
@@ -60,45 +60,45 @@
         if open.get() >= MAX_CONNECTIONS {
             continue;
         }
-        crate::transport::set_stream_timeouts(&stream, UNACKNOWLEDGED);
+        crate::transport::set_stream_timeouts(&stream, UNACKNOWLEDGED_TIMEOUT);
         open.set(open.get() + 1);
         let (calls, open) = (calls.clone(), open.clone());
         tokio::task::spawn_local(async move {
-            if let Ok(asked) = stream.local_addr() {
-                let _ = Connection::new(stream, asked, calls).serve().await;
+            if let Ok(local_address) = stream.local_addr() {
+                let _ = Connection::new(stream, local_address, calls).serve().await;
             }
             open.set(open.get() - 1);
         });
     }
 }
 
-/// An operator's connection: one call after the other, each answered before the next is looked at.
+/// An operator's connection: each call is answered before the next is parsed.
 struct Connection<S> {
     stream: S,
-    /// The address that the operator asked.
-    asked: SocketAddr,
-    /// Read, and not used yet.
+    /// The address that the operator connected to.
+    local_address: SocketAddr,
+    /// Bytes read and not parsed yet.
     buffer: Vec<u8>,
-    /// The other side sends no more; it may still read.
-    ended: bool,
+    /// The operator sends no more; it may still read.
+    input_ended: bool,
     calls: mpsc::Sender<Call>,
 }
 
-/// A call as it came, or why it cannot be read.
+/// A received call, or the answer to an invalid one.
 enum Incoming {
     Call(RequestHead, Vec<u8>),
-    Unreadable(Response),
+    Invalid(Response),
     End,
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Connection<S> {
-    fn new(stream: S, asked: SocketAddr, calls: mpsc::Sender<Call>) -> Connection<S> {
-        Connection { stream, asked, buffer: Vec::new(), ended: false, calls }
+    fn new(stream: S, local_address: SocketAddr, calls: mpsc::Sender<Call>) -> Connection<S> {
+        Connection { stream, local_address, buffer: Vec::new(), input_ended: false, calls }
     }
 
     async fn serve(mut self) -> std::io::Result<()> {
         loop {
-            match self.read_call().await? {
+            match self.receive_call().await? {
                 Incoming::Call(head, body) => {
                     let response = self.answer(&head, body).await?;
                     self.stream.write_all(&response.write(head.close)).await?;
@@ -106,21 +106,21 @@
                         return Ok(());
                     }
                 }
-                Incoming::Unreadable(response) => return self.stream.write_all(&response.write(true)).await,
+                Incoming::Invalid(response) => return self.stream.write_all(&response.write(true)).await,
                 Incoming::End => return Ok(()),
             }
         }
     }
 
-    async fn read_call(&mut self) -> std::io::Result<Incoming> {
+    async fn receive_call(&mut self) -> std::io::Result<Incoming> {
         let head = loop {
-            match request_head(&self.buffer, MAX_HEAD) {
+            match request_head(&self.buffer, MAX_HEAD_BYTES) {
                 Read::Done { value, used } => {
                     self.buffer.drain(..used);
                     break value;
                 }
                 Read::Bad(fault) => {
-                    return Ok(Incoming::Unreadable(Response::error(fault.status(), &fault.to_string())))
+                    return Ok(Incoming::Invalid(Response::error(fault.status(), &fault.to_string())))
                 }
                 Read::Partial => {}
             }
@@ -135,7 +135,7 @@
     }
 
     async fn read_body(&mut self, head: RequestHead) -> std::io::Result<Incoming> {
-        let mut body = Body::new(head.framing, MAX_BODY);
+        let mut body = Body::new(head.framing, MAX_BODY_BYTES);
         loop {
             match body.push(&self.buffer) {
                 Read::Done { used, .. } => {
@@ -143,77 +143,79 @@
                     return Ok(Incoming::Call(head, body.bytes()));
                 }
                 Read::Bad(fault) => {
-                    return Ok(Incoming::Unreadable(Response::error(fault.status(), &fault.to_string())))
+                    return Ok(Incoming::Invalid(Response::error(fault.status(), &fault.to_string())))
                 }
                 Read::Partial => self.buffer.clear(),
             }
-            // A body that is cut short is no call: nothing has changed, and nobody waits for an answer.
+            // A call with a truncated body is dropped: nothing has changed, and its operator has
+            // disconnected.
             if !self.read_more().await {
                 return Ok(Incoming::End);
             }
         }
     }
 
-    /// Whether more came in time.
+    /// Reads more bytes; false if none came in time.
     async fn read_more(&mut self) -> bool {
-        if self.ended {
+        if self.input_ended {
             return false;
         }
-        matches!(timeout(STALLED_AFTER, self.stream.read_buf(&mut self.buffer)).await, Ok(Ok(1..)))
+        matches!(timeout(READ_TIMEOUT, self.stream.read_buf(&mut self.buffer)).await, Ok(Ok(1..)))
     }
 
-    /// The answer to a call; an error if there is nobody to be answered, or nobody who answers.
+    /// The answer to a call; an error if the operator has disconnected, or the controller has stopped.
     async fn answer(&mut self, head: &RequestHead, body: Vec<u8>) -> std::io::Result<Response> {
         let path = head.target.split('?').next().unwrap_or_default();
         let (reply, answer) = oneshot::channel();
-        let call = match read_call(&head.method, path, body, reply) {
+        let call = match parse_call(&head.method, path, body, reply) {
             Ok(call) => call,
             Err((status, why)) => return Ok(Response::error(status, &why)),
         };
-        let stopped = |_| Error::from(ErrorKind::BrokenPipe);
-        self.calls.send(call).await.map_err(stopped)?;
+        let closed = |_| Error::from(ErrorKind::BrokenPipe);
+        self.calls.send(call).await.map_err(closed)?;
         let reply = self.wait_for(answer).await?;
-        Ok(Response::to_reply(reply, self.asked, path))
+        Ok(Response::to_reply(reply, self.local_address, path))
     }
 
-    /// Waits for an answer, and reads ahead meanwhile: so a connection that is reset is noticed, and its answer dropped.
+    /// Waits for the reply and reads ahead meanwhile: so a reset connection is noticed, and its reply
+    /// dropped.
     async fn wait_for(&mut self, mut answer: oneshot::Receiver<Reply>) -> std::io::Result<Reply> {
         let until = Instant::now() + ANSWER_TIMEOUT;
         loop {
-            let reads = !self.ended && self.buffer.len() < MAX_READ_AHEAD;
+            let reads = !self.input_ended && self.buffer.len() < MAX_READ_AHEAD_BYTES;
             tokio::select! {
                 biased;
                 reply = timeout_at(until, &mut answer) => return match reply {
                     Ok(reply) => reply.map_err(|_| Error::from(ErrorKind::BrokenPipe)),
                     Err(_) => Ok(Reply::Unavailable(Unavailable::new("no answer in time", RETRY_AFTER))),
                 },
-                read = self.stream.read_buf(&mut self.buffer), if reads => self.ended = read? == 0,
+                read = self.stream.read_buf(&mut self.buffer), if reads => self.input_ended = read? == 0,
             }
         }
     }
 }
 
-/// The call that is meant, or with which status and why there is none.
-fn read_call(
+/// The call of this method and path; else the status and the error for the answer.
+fn parse_call(
     method: &str,
     path: &str,
     body: Vec<u8>,
     reply: oneshot::Sender<Reply>,
 ) -> Result<Call, (u16, String)> {
     match (method, path) {
-        ("POST", REPLACE) => Ok(Call::Replace { text: body, reply }),
-        ("GET", SHOW) => Ok(Call::Show { reply }),
-        ("GET", STATUS) => Ok(Call::Status { reply }),
-        (_, REPLACE | SHOW | STATUS) => Err((405, "the method is not one of this call".into())),
+        ("POST", REPLACE_PATH) => Ok(Call::Replace { text: body, reply }),
+        ("GET", SHOW_PATH) => Ok(Call::Show { reply }),
+        ("GET", STATUS_PATH) => Ok(Call::Status { reply }),
+        (_, REPLACE_PATH | SHOW_PATH | STATUS_PATH) => Err((405, "method not allowed for this call".into())),
         (method, path) if path.starts_with("/v1/Rebinding.") => {
-            RebindingCall::read(method, path, &body).map(|ask| Call::Rebinding { ask, reply })
+            RebindingCall::read(method, path, &body).map(|call| Call::Rebinding { call, reply })
         }
         _ => Err((404, "no such call".into())),
     }
 }
 
-/// An answer with a body in JSON.
-pub(crate) async fn answer_with(
+/// Writes an answer with a body in JSON.
+pub(crate) async fn write_json(
     stream: &mut TcpStream,
     status: u16,
     _reason: &str,
--- a/crates/house/src/platform.rs
+++ b/crates/house/src/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's calls: the list of instances, the worker machines, starts and stops. HTTP/1.1, one call a connection
-//! at a time, connections kept.
+//! A client of the platform's API: the list of instances, the worker machines, starts and stops. HTTP/1.1
+//! with kept connections, one call at a time on each.
 
-// What nanoserde derives is written that way.
+// Triggered by the code that nanoserde derives.
 #![allow(clippy::question_mark)]
 
 use nanoserde::DeJson;
@@ -13,12 +13,12 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A call without an answer for so long may have been done or not.
-const PATIENCE: Duration = Duration::from_millis(1200);
-/// The longest answer that is read.
-const LONGEST: usize = 4 << 20;
-/// Connections kept for the next call.
-const KEPT: usize = 4;
+/// After so long without an answer the outcome of a call is unknown.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
+/// Longer answers are refused.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
+/// Idle connections kept for later calls.
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
 #[derive(Debug, Clone, DeJson)]
 pub struct Instance {
@@ -31,7 +31,7 @@
 }
 
 #[derive(Debug, Clone, DeJson)]
-pub struct Page {
+pub struct InstancePage {
     pub instances: Vec<Instance>,
     pub next_token: Option<String>,
 }
@@ -46,38 +46,38 @@
 }
 
 #[derive(Debug, Clone, DeJson)]
-pub struct Pool {
+pub struct WorkerPool {
     pub worker_pool: Vec<Host>,
 }
 
 #[derive(Debug, Clone, DeJson)]
-pub struct Begun {
+pub struct StartedInstance {
     pub instance_id: String,
     pub address: String,
 }
 
-/// Why a call brought nothing.
+/// Why a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Failed {
-    /// An answer with this status.
+pub enum CallError {
+    /// The answer had this status.
     Status(u16),
-    /// No whole answer: it may have been done.
-    Unclear,
+    /// No complete answer: the call may have been executed.
+    OutcomeUnknown,
 }
 
 pub struct Platform {
     at: SocketAddr,
-    kept: RefCell<Vec<TcpStream>>,
+    idle: RefCell<Vec<TcpStream>>,
 }
 
 impl Platform {
     pub fn new(at: SocketAddr) -> Self {
-        Platform { at, kept: RefCell::new(Vec::new()) }
+        Platform { at, idle: RefCell::new(Vec::new()) }
     }
 
-    /// A kept connection on which nothing has come: what is there before a call is no answer to it.
-    fn take_quiet(&self) -> Option<TcpStream> {
-        let mut kept = self.kept.borrow_mut();
+    /// An idle connection without unread bytes: bytes received before a call cannot be its answer.
+    fn take_idle(&self) -> Option<TcpStream> {
+        let mut kept = self.idle.borrow_mut();
         while let Some(stream) = kept.pop() {
             if crate::transport::is_quiet(&stream) {
                 return Some(stream);
@@ -86,8 +86,8 @@
         None
     }
 
-    async fn over(&self, mut stream: TcpStream, request: &[u8]) -> Result<(u16, Vec<u8>), bool> {
-        // False: nothing was heard on a kept connection, which may just have been closed under it.
+    async fn exchange(&self, mut stream: TcpStream, request: &[u8]) -> Result<(u16, Vec<u8>), bool> {
+        // The error is false if nothing was received: the platform may just have closed the idle connection.
         stream.write_all(request).await.map_err(|_| false)?;
         let mut buf = Vec::with_capacity(4096);
         let mut body: Option<(tindock_folio::AnswerHead, Body)> = None;
@@ -101,7 +101,7 @@
                     Read::Done { value, used } => {
                         buf.drain(..used);
                         let framing = value.framing;
-                        body = Some((value, Body::new(framing, LONGEST)));
+                        body = Some((value, Body::new(framing, MAX_ANSWER_BYTES)));
                     }
                 }
             }
@@ -118,8 +118,8 @@
                     }
                 }
                 Read::Done { used, .. } => {
-                    if used == buf.len() && !head.close && self.kept.borrow().len() < KEPT {
-                        self.kept.borrow_mut().push(stream);
+                    if used == buf.len() && !head.close && self.idle.borrow().len() < MAX_IDLE_CONNECTIONS {
+                        self.idle.borrow_mut().push(stream);
                     }
                 }
             }
@@ -128,22 +128,22 @@
         }
     }
 
-    async fn call(&self, request: Vec<u8>) -> Result<Vec<u8>, Failed> {
+    async fn call(&self, request: Vec<u8>) -> Result<Vec<u8>, CallError> {
         let whole = async {
-            if let Some(stream) = self.take_quiet() {
-                match self.over(stream, &request).await {
+            if let Some(stream) = self.take_idle() {
+                match self.exchange(stream, &request).await {
                     Err(false) => {}
                     other => return other,
                 }
             }
             let stream = TcpStream::connect(self.at).await.map_err(|_| true)?;
-            crate::transport::set_stream_timeouts(&stream, PATIENCE);
-            self.over(stream, &request).await
+            crate::transport::set_stream_timeouts(&stream, CALL_TIMEOUT);
+            self.exchange(stream, &request).await
         };
-        match timeout(PATIENCE, whole).await {
+        match timeout(CALL_TIMEOUT, whole).await {
             Ok(Ok((200, body))) => Ok(body),
-            Ok(Ok((status, _))) => Err(Failed::Status(status)),
-            _ => Err(Failed::Unclear),
+            Ok(Ok((status, _))) => Err(CallError::Status(status)),
+            _ => Err(CallError::OutcomeUnknown),
         }
     }
 
@@ -162,24 +162,24 @@
     }
 
     /// One page of the list of instances.
-    pub async fn instances(&self, token: Option<&str>) -> Result<Page, Failed> {
+    pub async fn instance_page(&self, token: Option<&str>) -> Result<InstancePage, CallError> {
         let path =
             token.map_or_else(|| "/instances".to_string(), |token| format!("/instances?page_token={token}"));
         read(&self.call(self.get(&path)).await?)
     }
 
-    pub async fn hosts(&self) -> Result<Pool, Failed> {
+    pub async fn hosts(&self) -> Result<WorkerPool, CallError> {
         read(&self.call(self.get("/v1/workers")).await?)
     }
 
-    pub async fn begin(
+    pub async fn start_instance(
         &self,
         by: &str,
         number: u64,
         service: &str,
         host: &str,
         nonce: &str,
-    ) -> Result<Begun, Failed> {
+    ) -> Result<StartedInstance, CallError> {
         let body = format!(
             "{{\"service\":{},\"worker_id\":{},\"request_nonce\":{}}}",
             quoted(service),
@@ -189,15 +189,15 @@
         read(&self.call(self.post("/v1/begin", by, number, &body)).await?)
     }
 
-    pub async fn stop(&self, by: &str, number: u64, instance: &str) -> Result<(), Failed> {
+    pub async fn stop_instance(&self, by: &str, number: u64, instance: &str) -> Result<(), CallError> {
         let body = format!("{{\"instance_id\":{}}}", quoted(instance));
         self.call(self.post("/v1/stop", by, number, &body)).await.map(|_| ())
     }
 }
 
-fn read<T: DeJson>(body: &[u8]) -> Result<T, Failed> {
-    let text = std::str::from_utf8(body).map_err(|_| Failed::Unclear)?;
-    T::deserialize_json(text).map_err(|_| Failed::Unclear)
+fn read<T: DeJson>(body: &[u8]) -> Result<T, CallError> {
+    let text = std::str::from_utf8(body).map_err(|_| CallError::OutcomeUnknown)?;
+    T::deserialize_json(text).map_err(|_| CallError::OutcomeUnknown)
 }
 
 fn quoted(text: &str) -> String {
--- a/crates/house/src/readiness.rs
+++ b/crates/house/src/readiness.rs
@@ -1,6 +1,6 @@
-//! The readiness address: the platform's probes, and staff's questions.
+//! The readiness address: the platform's probes, and the operators' requests for the slot report.
 
-use crate::operator::answer_with;
+use crate::operator::write_json;
 use crate::proxy::Shared;
 use crate::slot_report;
 use std::cell::Cell;
@@ -11,14 +11,14 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// Answers about loans under way; each may be some MB.
-const TOLD_AT_ONCE: usize = 4;
+/// Slot reports that are sent at the same time; each may be several MB.
+const MAX_CONCURRENT_REPORTS: usize = 4;
 
-/// `GET /v1/readiness`: 200 while new connections are wanted. The body is not read by anybody. `GET /v1/loans` is staff's
-/// (docs/openapi/desk.yaml).
+/// `GET /v1/readiness`: 200 while the proxy accepts new connections, with an empty body. `GET /v1/loans` is
+/// the slot report for operators (docs/openapi/desk.yaml).
 pub async fn serve(shared: Shared, probe: TcpListener) {
     let open = Rc::new(Cell::new(0usize));
-    let told = Rc::new(Cell::new(0usize));
+    let reports = Rc::new(Cell::new(0usize));
     loop {
         let Ok((mut stream, _)) = probe.accept().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -28,7 +28,7 @@
             continue;
         }
         open.set(open.get() + 1);
-        let (shared, open, told) = (shared.clone(), open.clone(), told.clone());
+        let (shared, open, reports) = (shared.clone(), open.clone(), reports.clone());
         tokio::task::spawn_local(async move {
             let mut buf = Vec::new();
             while let Ok(Ok(1..)) = timeout(Duration::from_secs(10), stream.read_buf(&mut buf)).await {
@@ -38,19 +38,20 @@
                     Read::Done { value, used } => {
                         buf.drain(..used);
                         if slot_report::is_report_request(&value) {
-                            if told.get() >= TOLD_AT_ONCE {
+                            if reports.get() >= MAX_CONCURRENT_REPORTS {
                                 let mut out = Vec::new();
                                 write_own(&mut out, 503, None, Some(1000), true);
                                 let _ = stream.write_all(&out).await;
                                 break;
                             }
-                            let text = shared.borrow().slot_report().text();
-                            told.set(told.get() + 1);
-                            let said = answer_with(&mut stream, 200, "OK", text.as_bytes(), value.close);
-                            // A reader that stands still keeps the platform's probes out no longer than this.
-                            let said = timeout(Duration::from_secs(5), said).await;
-                            told.set(told.get() - 1);
-                            if !matches!(said, Ok(Ok(()))) || value.close {
+                            let text = shared.borrow().slot_report().to_json();
+                            reports.set(reports.get() + 1);
+                            let written = write_json(&mut stream, 200, "OK", text.as_bytes(), value.close);
+                            // A reader that stalls holds one of the connections for probes no longer than
+                            // this.
+                            let written = timeout(Duration::from_secs(5), written).await;
+                            reports.set(reports.get() - 1);
+                            if !matches!(written, Ok(Ok(()))) || value.close {
                                 break;
                             }
                             continue;
