--- a/crates/folio/src/body.rs
+++ b/crates/folio/src/body.rs
@@ -1,4 +1,4 @@
-use crate::{Fault, Framing, Read, MAX_CHUNK_EXTENSION, MAX_TRAILERS};
+use crate::{Framing, ParseError, Read, MAX_CHUNK_EXTENSION, MAX_TRAILERS};
 
 /// The most room set aside for a body before its bytes come.
 const MAX_RESERVE: u64 = 64 * 1024;
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug)]
 enum State {
     Whole,
-    Failed(Fault),
+    Failed(ParseError),
     UntilClose,
     /// So many bytes until the body is whole.
     Left(u64),
@@ -43,11 +43,11 @@
 
 impl Body {
     /// A body yet to come, of at most `max` bytes once decoded. If `framing` already says that it will
-    /// be longer, every [`Body::push`] (also of nothing) gives [`Fault::BodyTooLarge`].
+    /// be longer, every [`Body::push`] (also of nothing) gives [`ParseError::BodyTooLarge`].
     pub fn new(framing: Framing, max: usize) -> Body {
         let (state, room) = match framing {
             Framing::Empty | Framing::Length(0) => (State::Whole, 0),
-            Framing::Length(n) if n > max as u64 => (State::Failed(Fault::BodyTooLarge), 0),
+            Framing::Length(n) if n > max as u64 => (State::Failed(ParseError::BodyTooLarge), 0),
             Framing::Length(n) => (State::Left(n), n.min(MAX_RESERVE) as usize),
             Framing::Chunked => (State::Size, 0),
             Framing::UntilClose => (State::UntilClose, 0),
@@ -63,11 +63,11 @@
             let rest = &buf[at..];
             match self.state {
                 State::Whole => return Read::Done { value: (), used: at },
-                State::Failed(fault) => return Read::Bad(fault),
+                State::Failed(fault) => return Read::Invalid(fault),
                 _ if rest.is_empty() => return Read::Partial,
                 State::UntilClose => {
                     if rest.len() > self.max - self.bytes.len() {
-                        self.state = State::Failed(Fault::BodyTooLarge);
+                        self.state = State::Failed(ParseError::BodyTooLarge);
                     } else {
                         self.bytes.extend_from_slice(rest);
                         at = buf.len();
@@ -93,7 +93,7 @@
 
     /// The peer closed its side: whether the body is whole. Only [`Framing::UntilClose`] ends so; any
     /// other body that is not whole yet was cut short.
-    pub fn ended(&mut self) -> bool {
+    pub fn end_of_input(&mut self) -> bool {
         if matches!(self.state, State::UntilClose) {
             self.state = State::Whole;
         }
@@ -123,12 +123,12 @@
     }
 
     /// One byte of what stands around the chunks.
-    fn step(&mut self, byte: u8) -> Result<State, Fault> {
+    fn step(&mut self, byte: u8) -> Result<State, ParseError> {
         let state = self.state;
         if matches!(state, State::Line | State::Name | State::Value | State::ValueLf | State::EndLf) {
             self.seen += 1;
             if self.seen > MAX_TRAILERS {
-                return Err(Fault::TooLarge);
+                return Err(ParseError::TooLarge);
             }
         }
         Ok(match (state, byte) {
@@ -138,10 +138,10 @@
                 State::Extension
             }
             (State::Size, _) => {
-                let digit = (byte as char).to_digit(16).ok_or(Fault::Framing)?;
+                let digit = (byte as char).to_digit(16).ok_or(ParseError::Framing)?;
                 self.seen += 1;
                 if self.seen > MAX_SIZE_DIGITS {
-                    return Err(Fault::Framing);
+                    return Err(ParseError::Framing);
                 }
                 self.size = self.size << 4 | u64::from(digit);
                 State::Size
@@ -154,7 +154,7 @@
             (State::SizeLf, b'\n') => {
                 self.seen = 0;
                 if self.size > (self.max - self.bytes.len()) as u64 {
-                    return Err(Fault::BodyTooLarge);
+                    return Err(ParseError::BodyTooLarge);
                 }
                 match std::mem::take(&mut self.size) {
                     0 => State::Line,
@@ -170,7 +170,7 @@
             (State::Value, _) if is_text(byte) => State::Value,
             (State::ValueLf, b'\n') => State::Line,
             (State::EndLf, b'\n') => State::Whole,
-            _ => return Err(Fault::Framing),
+            _ => return Err(ParseError::Framing),
         })
     }
 }
--- a/crates/folio/src/head.rs
+++ b/crates/folio/src/head.rs
@@ -1,4 +1,4 @@
-use crate::{Fault, Framing, Read, MAX_ATTEMPT_ID, MAX_HEADERS};
+use crate::{Framing, ParseError, Read, MAX_ATTEMPT_ID, MAX_HEADERS};
 use httparse::{Header, Status, EMPTY_HEADER};
 
 /// The most digits of a whole number in a header.
@@ -59,7 +59,7 @@
 
 /// Reads the head of a request of at most `max_bytes` bytes (empty lines before it included).
 ///
-/// `used` ends at the empty line; the body follows. Errors: see [`Fault`]; a request that could be read
+/// `used` ends at the empty line; the body follows. Errors: see [`ParseError`]; a request that could be read
 /// in two ways is refused (RFC 9112, 3.2, 5.1, 6.1 and 6.3).
 pub fn request_head(buf: &[u8], max_bytes: usize) -> Read<RequestHead> {
     let window = &buf[..buf.len().min(max_bytes)];
@@ -72,26 +72,26 @@
     }
     let end = match head_end(&window[start..]) {
         Ok(end) => end,
-        Err(fault) => return Read::Bad(fault),
+        Err(fault) => return Read::Invalid(fault),
     };
     let head = &window[start..end.map_or(window.len(), |n| start + n)];
     let mut room = [EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut room);
     match parsed.parse(head) {
-        Err(error) => Read::Bad(fault_of(error, head)),
+        Err(error) => Read::Invalid(fault_of(error, head)),
         Ok(Status::Partial) if end.is_none() => partial(buf, max_bytes),
         Ok(Status::Complete(n)) if end == Some(n) => match request(&parsed) {
             Ok(value) => Read::Done { value, used: start + n },
-            Err(fault) => Read::Bad(fault),
+            Err(fault) => Read::Invalid(fault),
         },
-        Ok(_) => Read::Bad(Fault::Syntax),
+        Ok(_) => Read::Invalid(ParseError::Syntax),
     }
 }
 
 /// Reads the head of an answer, whose request was a HEAD if `to_head`.
 ///
 /// Interim answers (1xx) before it are skipped and count in `used` and in `max_bytes`. Errors: see
-/// [`Fault`]; also 101, as no upgrade is ever asked for, and whatever leaves the length of the body
+/// [`ParseError`]; also 101, as no upgrade is ever asked for, and whatever leaves the length of the body
 /// unclear (RFC 9112, 6.3).
 pub fn answer_head(buf: &[u8], max_bytes: usize, to_head: bool) -> Read<AnswerHead> {
     let window = &buf[..buf.len().min(max_bytes)];
@@ -99,46 +99,46 @@
     loop {
         // httparse would skip empty lines, which no answer begins with.
         if matches!(window.get(start), Some(b'\r' | b'\n')) {
-            return Read::Bad(Fault::Syntax);
+            return Read::Invalid(ParseError::Syntax);
         }
         let end = match head_end(&window[start..]) {
             Ok(end) => end,
-            Err(fault) => return Read::Bad(fault),
+            Err(fault) => return Read::Invalid(fault),
         };
         let head = &window[start..end.map_or(window.len(), |n| start + n)];
         let mut room = [EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut room);
         match parsed.parse(head) {
-            Err(error) => return Read::Bad(fault_of(error, head)),
+            Err(error) => return Read::Invalid(fault_of(error, head)),
             Ok(Status::Partial) if end.is_none() => return partial(buf, max_bytes),
             Ok(Status::Complete(n)) if end == Some(n) => start += n,
-            Ok(_) => return Read::Bad(Fault::Syntax),
+            Ok(_) => return Read::Invalid(ParseError::Syntax),
         }
         match answer(&parsed, to_head) {
             Ok(Some(value)) => return Read::Done { value, used: start },
             Ok(None) => {}
-            Err(fault) => return Read::Bad(fault),
+            Err(fault) => return Read::Invalid(fault),
         }
     }
 }
 
 fn partial<T>(buf: &[u8], max_bytes: usize) -> Read<T> {
     if buf.len() >= max_bytes {
-        return Read::Bad(Fault::TooLarge);
+        return Read::Invalid(ParseError::TooLarge);
     }
     Read::Partial
 }
 
 /// Where the first empty line ends, if it is there. Every CR and LF must be half of a CRLF.
-fn head_end(buf: &[u8]) -> Result<Option<usize>, Fault> {
+fn head_end(buf: &[u8]) -> Result<Option<usize>, ParseError> {
     let mut line = 0;
     for (i, &byte) in buf.iter().enumerate() {
         if byte > b'\r' {
             continue;
         }
         match byte {
-            b'\r' if buf.get(i + 1).is_some_and(|&next| next != b'\n') => return Err(Fault::Syntax),
-            b'\n' if i == 0 || buf[i - 1] != b'\r' => return Err(Fault::Syntax),
+            b'\r' if buf.get(i + 1).is_some_and(|&next| next != b'\n') => return Err(ParseError::Syntax),
+            b'\n' if i == 0 || buf[i - 1] != b'\r' => return Err(ParseError::Syntax),
             b'\n' if i - line == 1 => return Ok(Some(i + 1)),
             b'\n' => line = i + 1,
             _ => {}
@@ -147,16 +147,16 @@
     Ok(None)
 }
 
-fn fault_of(error: httparse::Error, head: &[u8]) -> Fault {
+fn fault_of(error: httparse::Error, head: &[u8]) -> ParseError {
     match error {
-        httparse::Error::TooManyHeaders => Fault::TooLarge,
+        httparse::Error::TooManyHeaders => ParseError::TooLarge,
         // Also what httparse calls a request line of too many parts.
         httparse::Error::Version => {
             let third = head.split(|&b| b == b' ').nth(2).unwrap_or_default();
             let named = head.starts_with(b"HTTP/") || third.starts_with(b"HTTP/");
-            [Fault::Syntax, Fault::Version][usize::from(named)]
+            [ParseError::Syntax, ParseError::Version][usize::from(named)]
         }
-        _ => Fault::Syntax,
+        _ => ParseError::Syntax,
     }
 }
 
@@ -170,7 +170,7 @@
 }
 
 impl<'a> Common<'a> {
-    fn read(headers: &[Header<'a>], minor: u8) -> Result<Common<'a>, Fault> {
+    fn read(headers: &[Header<'a>], minor: u8) -> Result<Common<'a>, ParseError> {
         let mut common = Common { length: None, chunked: false, close: false, named: Vec::new() };
         let mut keep = minor == 1;
         for header in headers {
@@ -184,19 +184,19 @@
                         } else if common.named.len() < MAX_HEADERS {
                             common.named.push(option);
                         } else {
-                            return Err(Fault::TooLarge);
+                            return Err(ParseError::TooLarge);
                         }
                     }
                 }
                 b"content-length" => {
-                    let length = number(header.value).ok_or(Fault::Framing)?;
+                    let length = number(header.value).ok_or(ParseError::Framing)?;
                     if common.length.replace(length).is_some_and(|before| before != length) {
-                        return Err(Fault::Framing);
+                        return Err(ParseError::Framing);
                     }
                 }
                 b"transfer-encoding" => {
                     if common.chunked || !header.value.eq_ignore_ascii_case(b"chunked") {
-                        return Err(Fault::Framing);
+                        return Err(ParseError::Framing);
                     }
                     common.chunked = true;
                 }
@@ -204,7 +204,7 @@
             }
         }
         if common.chunked && (common.length.is_some() || minor == 0) {
-            return Err(Fault::Framing);
+            return Err(ParseError::Framing);
         }
         common.close |= !keep;
         Ok(common)
@@ -236,9 +236,9 @@
     }
 }
 
-fn request(parsed: &httparse::Request) -> Result<RequestHead, Fault> {
+fn request(parsed: &httparse::Request) -> Result<RequestHead, ParseError> {
     let (Some(method), Some(target), Some(minor)) = (parsed.method, parsed.path, parsed.version) else {
-        return Err(Fault::Syntax);
+        return Err(ParseError::Syntax);
     };
     let common = Common::read(parsed.headers, minor)?;
     let (mut host, mut attempt_id, mut deadline_ms) = (None, None, None);
@@ -250,19 +250,19 @@
         match lowered {
             b"host" => {
                 if host.replace(host_text(value)?).is_some() {
-                    return Err(Fault::BadHost);
+                    return Err(ParseError::BadHost);
                 }
             }
             b"attempt-id" => {
                 let visible = !value.is_empty() && value.iter().all(u8::is_ascii_graphic);
                 if !visible || value.len() > MAX_ATTEMPT_ID {
-                    return Err(Fault::AttemptId);
+                    return Err(ParseError::AttemptId);
                 }
-                single(&mut attempt_id, text(value)?, Fault::AttemptId)?;
+                single(&mut attempt_id, text(value)?, ParseError::AttemptId)?;
             }
             b"deadline-ms" => {
-                let ms = number(value).ok_or(Fault::Deadline)?;
-                single(&mut deadline_ms, u32::try_from(ms).unwrap_or(u32::MAX), Fault::Deadline)?;
+                let ms = number(value).ok_or(ParseError::Deadline)?;
+                single(&mut deadline_ms, u32::try_from(ms).unwrap_or(u32::MAX), ParseError::Deadline)?;
             }
             b"expect" => expect_continue |= value.eq_ignore_ascii_case(b"100-continue"),
             b"target-instance" => {}
@@ -271,10 +271,10 @@
         }
     }
     if host.is_none() && minor == 1 {
-        return Err(Fault::NoHost);
+        return Err(ParseError::NoHost);
     }
     if method == "CONNECT" || !target.bytes().all(|b| b.is_ascii_graphic() && b != b'#') {
-        return Err(Fault::Target);
+        return Err(ParseError::Target);
     }
     let (own_host, target) = match absolute(target) {
         Some((authority, rest)) => (Some(host_text(authority.as_bytes())?), rest),
@@ -284,7 +284,7 @@
         Some(b'/') => target.to_string(),
         Some(b'?') if own_host.is_some() => format!("/{target}"),
         None if own_host.is_some() => "/".to_string(),
-        _ => return Err(Fault::Target),
+        _ => return Err(ParseError::Target),
     };
     let framing = common.framing(Framing::Empty);
     Ok(RequestHead {
@@ -301,15 +301,15 @@
 }
 
 /// None for an interim answer.
-fn answer(parsed: &httparse::Response, to_head: bool) -> Result<Option<AnswerHead>, Fault> {
-    let (Some(status), Some(minor)) = (parsed.code, parsed.version) else { return Err(Fault::Syntax) };
+fn answer(parsed: &httparse::Response, to_head: bool) -> Result<Option<AnswerHead>, ParseError> {
+    let (Some(status), Some(minor)) = (parsed.code, parsed.version) else { return Err(ParseError::Syntax) };
     let common = Common::read(parsed.headers, minor)?;
     let bodied = common.chunked || common.length.is_some_and(|n| n > 0);
     match status {
-        100..=199 if bodied => return Err(Fault::Framing),
+        100..=199 if bodied => return Err(ParseError::Framing),
         100 | 102..=199 => return Ok(None),
         200..=599 => {}
-        _ => return Err(Fault::Syntax),
+        _ => return Err(ParseError::Syntax),
     }
     let framing = match status {
         204 | 304 => Framing::Empty,
@@ -324,9 +324,9 @@
         let mut room = [0; ROOM];
         let lowered = lower(name, &mut room);
         match lowered {
-            b"server-seal" => single(&mut seal, text(value)?, Fault::Ambiguous)?,
-            b"attempt-id" => single(&mut attempt_id, text(value)?, Fault::Ambiguous)?,
-            b"instance-id" => single(&mut instance_id, text(value)?, Fault::Ambiguous)?,
+            b"server-seal" => single(&mut seal, text(value)?, ParseError::Ambiguous)?,
+            b"attempt-id" => single(&mut attempt_id, text(value)?, ParseError::Ambiguous)?,
+            b"instance-id" => single(&mut instance_id, text(value)?, ParseError::Ambiguous)?,
             b"not-executed" => not_executed |= *value != b"0" && !value.eq_ignore_ascii_case(b"false"),
             b"retry-after" => retry_after_ms = seconds(value),
             b"keep-alive" => keep_alive_ms = list(value).find_map(timeout).or(keep_alive_ms),
@@ -372,8 +372,8 @@
     value.split(|&b| b == b',').map(<[u8]>::trim_ascii).filter(|element| !element.is_empty())
 }
 
-fn text(value: &[u8]) -> Result<&str, Fault> {
-    std::str::from_utf8(value).map_err(|_| Fault::Ambiguous)
+fn text(value: &[u8]) -> Result<&str, ParseError> {
+    std::str::from_utf8(value).map_err(|_| ParseError::Ambiguous)
 }
 
 /// Digits alone, up to 15 of them.
@@ -402,7 +402,7 @@
     number(value).map(|seconds| seconds * 1000)
 }
 
-fn single<T: PartialEq>(slot: &mut Option<T>, value: T, fault: Fault) -> Result<(), Fault> {
+fn single<T: PartialEq>(slot: &mut Option<T>, value: T, fault: ParseError) -> Result<(), ParseError> {
     match slot {
         Some(before) if *before != value => Err(fault),
         _ => {
@@ -422,7 +422,7 @@
 }
 
 /// A name or address with an optional port (RFC 3986, 3.2.2), without user information or commas.
-fn host_text(value: &[u8]) -> Result<&str, Fault> {
+fn host_text(value: &[u8]) -> Result<&str, ParseError> {
     let end = match value.first() {
         Some(b'[') => value.iter().position(|&b| b == b']').map_or(0, |at| at + 1),
         _ => value.iter().position(|&b| b == b':').unwrap_or(value.len()),
@@ -441,7 +441,7 @@
         _ => false,
     };
     if !valid || !port_valid {
-        return Err(Fault::BadHost);
+        return Err(ParseError::BadHost);
     }
-    std::str::from_utf8(value).map_err(|_| Fault::BadHost)
+    std::str::from_utf8(value).map_err(|_| ParseError::BadHost)
 }
--- a/crates/folio/src/lib.rs
+++ b/crates/folio/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub use body::Body;
 pub use head::{answer_head, request_head, AnswerHead, RequestHead};
-pub use write::{write_answer, write_own, write_request};
+pub use write::{write_answer, write_local_answer, write_request};
 
 /// The most header lines a head may have.
 pub const MAX_HEADERS: usize = 100;
@@ -39,12 +39,12 @@
     /// Whole, and made of the first `used` bytes of the buffer.
     Done { value: T, used: usize },
     /// It can never become valid; nothing more on the connection can be trusted.
-    Bad(Fault),
+    Invalid(ParseError),
 }
 
 /// Why a message was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Fault {
+pub enum ParseError {
     /// Not HTTP/1: a malformed line, a bare CR or LF, a folded line, a NUL (RFC 9112, 2.2 and 5).
     Syntax,
     /// The head or the trailers have more bytes or lines than allowed.
@@ -69,37 +69,37 @@
     Ambiguous,
 }
 
-impl Fault {
+impl ParseError {
     /// The status to refuse a request with.
     pub fn status(&self) -> u16 {
         match self {
-            Fault::TooLarge => 431,
-            Fault::BodyTooLarge => 413,
-            Fault::Version => 505,
+            ParseError::TooLarge => 431,
+            ParseError::BodyTooLarge => 413,
+            ParseError::Version => 505,
             _ => 400,
         }
     }
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for ParseError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Fault::Syntax => "malformed HTTP/1 message",
-            Fault::TooLarge => "head or trailers too large",
-            Fault::BodyTooLarge => "body too large",
-            Fault::Framing => "unclear or malformed body framing",
-            Fault::Version => "HTTP version not supported",
-            Fault::NoHost => "no Host",
-            Fault::BadHost => "bad Host",
-            Fault::Target => "unsupported form of request target",
-            Fault::AttemptId => "bad Attempt-Id",
-            Fault::Deadline => "bad Deadline-Ms",
-            Fault::Ambiguous => "ambiguous header",
+            ParseError::Syntax => "malformed HTTP/1 message",
+            ParseError::TooLarge => "head or trailers too large",
+            ParseError::BodyTooLarge => "body too large",
+            ParseError::Framing => "unclear or malformed body framing",
+            ParseError::Version => "HTTP version not supported",
+            ParseError::NoHost => "no Host",
+            ParseError::BadHost => "bad Host",
+            ParseError::Target => "unsupported form of request target",
+            ParseError::AttemptId => "bad Attempt-Id",
+            ParseError::Deadline => "bad Deadline-Ms",
+            ParseError::Ambiguous => "ambiguous header",
         })
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ParseError {}
 
 /// Where the body of a message ends (RFC 9112, 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/folio/src/write.rs
+++ b/crates/folio/src/write.rs
@@ -52,7 +52,7 @@
 /// Appends an answer of the front's own, without a body. `retry_after_ms`, in milliseconds, becomes a
 /// `Retry-After` in seconds with a fraction. Bytes of `attempt_id` that are not visible ASCII are left
 /// out.
-pub fn write_own(
+pub fn write_local_answer(
     out: &mut Vec<u8>,
     status: u16,
     attempt_id: Option<&str>,
--- a/crates/folio/tests/framing.rs
+++ b/crates/folio/tests/framing.rs
@@ -17,7 +17,7 @@
 fn join<T>(buf: &[u8], head: Read<T>, framing: impl Fn(&T) -> Framing) -> Read<(T, Vec<u8>)> {
     match head {
         Read::Partial => Read::Partial,
-        Read::Bad(fault) => Read::Bad(fault),
+        Read::Invalid(fault) => Read::Invalid(fault),
         Read::Done { value, used } => {
             let mut body = Body::new(framing(&value), 1000);
             match body.push(&buf[used..]) {
@@ -25,7 +25,7 @@
                     Read::Done { value: (value, body.bytes()), used: used + more }
                 }
                 Read::Partial => Read::Partial,
-                Read::Bad(fault) => Read::Bad(fault),
+                Read::Invalid(fault) => Read::Invalid(fault),
             }
         }
     }
@@ -35,7 +35,7 @@
     match read {
         Read::Done { value, used } => (value, used),
         Read::Partial => panic!("partial"),
-        Read::Bad(fault) => panic!("{fault}"),
+        Read::Invalid(fault) => panic!("{fault}"),
     }
 }
 
@@ -133,53 +133,53 @@
 #[case(None, "")]
 fn an_own_answer(#[case] ms: Option<u64>, #[case] line: &str) {
     let mut out = Vec::new();
-    write_own(&mut out, 503, Some("a1"), ms, false);
+    write_local_answer(&mut out, 503, Some("a1"), ms, false);
     let expected =
         format!("HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: a1\r\n{line}Content-Length: 0\r\n\r\n");
     assert_eq!(String::from_utf8_lossy(&out), expected);
 }
 
 #[rstest]
-#[case("Content-Length: 3\r\nTransfer-Encoding: chunked", Fault::Framing)]
-#[case("Content-Length: 3\r\nContent-Length: 4", Fault::Framing)]
-#[case("Content-Length: 3, 3", Fault::Framing)]
-#[case("Content-Length: +3", Fault::Framing)]
-#[case("Content-Length: 3 3", Fault::Framing)]
-#[case("Content-Length:", Fault::Framing)]
-#[case("Content-Length: 0000000000000003", Fault::Framing)]
-#[case("Content-Length: 1001", Fault::BodyTooLarge)]
-#[case("Transfer-Encoding: gzip, chunked", Fault::Framing)]
-#[case("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked", Fault::Framing)]
-#[case("Transfer-Encoding: \x0bchunked", Fault::Syntax)]
-#[case("Transfer-Encoding : chunked", Fault::Syntax)]
-#[case("X: a\r\n b", Fault::Syntax)]
-#[case("X:\r\n b", Fault::Syntax)]
-#[case("X: a\rb", Fault::Syntax)]
-#[case("X: a\nY: b", Fault::Syntax)]
-#[case("X: a\0", Fault::Syntax)]
-#[case("Host: h", Fault::BadHost)]
-#[case("Attempt-Id: a\r\nAttempt-Id: b", Fault::AttemptId)]
-#[case("Attempt-Id: a b", Fault::AttemptId)]
-#[case("Deadline-Ms: 1\r\nDeadline-Ms: 2", Fault::Deadline)]
-#[case("Deadline-Ms: -1", Fault::Deadline)]
-fn an_ambiguous_request_is_refused(#[case] lines: &str, #[case] fault: Fault) {
+#[case("Content-Length: 3\r\nTransfer-Encoding: chunked", ParseError::Framing)]
+#[case("Content-Length: 3\r\nContent-Length: 4", ParseError::Framing)]
+#[case("Content-Length: 3, 3", ParseError::Framing)]
+#[case("Content-Length: +3", ParseError::Framing)]
+#[case("Content-Length: 3 3", ParseError::Framing)]
+#[case("Content-Length:", ParseError::Framing)]
+#[case("Content-Length: 0000000000000003", ParseError::Framing)]
+#[case("Content-Length: 1001", ParseError::BodyTooLarge)]
+#[case("Transfer-Encoding: gzip, chunked", ParseError::Framing)]
+#[case("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked", ParseError::Framing)]
+#[case("Transfer-Encoding: \x0bchunked", ParseError::Syntax)]
+#[case("Transfer-Encoding : chunked", ParseError::Syntax)]
+#[case("X: a\r\n b", ParseError::Syntax)]
+#[case("X:\r\n b", ParseError::Syntax)]
+#[case("X: a\rb", ParseError::Syntax)]
+#[case("X: a\nY: b", ParseError::Syntax)]
+#[case("X: a\0", ParseError::Syntax)]
+#[case("Host: h", ParseError::BadHost)]
+#[case("Attempt-Id: a\r\nAttempt-Id: b", ParseError::AttemptId)]
+#[case("Attempt-Id: a b", ParseError::AttemptId)]
+#[case("Deadline-Ms: 1\r\nDeadline-Ms: 2", ParseError::Deadline)]
+#[case("Deadline-Ms: -1", ParseError::Deadline)]
+fn an_ambiguous_request_is_refused(#[case] lines: &str, #[case] fault: ParseError) {
     let message = format!("POST / HTTP/1.1\r\nHost: h\r\n{lines}\r\n\r\n");
-    assert_eq!(request(message.as_bytes()), Read::Bad(fault));
+    assert_eq!(request(message.as_bytes()), Read::Invalid(fault));
 }
 
 #[rstest]
-#[case("GET / HTTP/1.1\r\n\r\n", Fault::NoHost, 400)]
-#[case("GET / HTTP/1.1\r\nHost: a@b\r\n\r\n", Fault::BadHost, 400)]
-#[case("GET http://u@h/ HTTP/1.1\r\nHost: h\r\n\r\n", Fault::BadHost, 400)]
-#[case("GET / HTTP/1.1\r\nHost: \r\n\r\n", Fault::BadHost, 400)]
-#[case("OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n", Fault::Target, 400)]
-#[case("CONNECT h:80 HTTP/1.1\r\nHost: h\r\n\r\n", Fault::Target, 400)]
-#[case("GET / HTTP/2.0\r\n", Fault::Version, 505)]
-#[case("GET /a b HTTP/1.1\r\n", Fault::Syntax, 400)]
-#[case("\u{16}\u{3}\u{1}", Fault::Syntax, 400)]
-#[case("POST / HTTP/1.0\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n", Fault::Framing, 400)]
-fn a_bad_request_line_or_host(#[case] message: &str, #[case] fault: Fault, #[case] status: u16) {
-    assert_eq!(request(message.as_bytes()), Read::Bad(fault));
+#[case("GET / HTTP/1.1\r\n\r\n", ParseError::NoHost, 400)]
+#[case("GET / HTTP/1.1\r\nHost: a@b\r\n\r\n", ParseError::BadHost, 400)]
+#[case("GET http://u@h/ HTTP/1.1\r\nHost: h\r\n\r\n", ParseError::BadHost, 400)]
+#[case("GET / HTTP/1.1\r\nHost: \r\n\r\n", ParseError::BadHost, 400)]
+#[case("OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n", ParseError::Target, 400)]
+#[case("CONNECT h:80 HTTP/1.1\r\nHost: h\r\n\r\n", ParseError::Target, 400)]
+#[case("GET / HTTP/2.0\r\n", ParseError::Version, 505)]
+#[case("GET /a b HTTP/1.1\r\n", ParseError::Syntax, 400)]
+#[case("\u{16}\u{3}\u{1}", ParseError::Syntax, 400)]
+#[case("POST / HTTP/1.0\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n", ParseError::Framing, 400)]
+fn a_bad_request_line_or_host(#[case] message: &str, #[case] fault: ParseError, #[case] status: u16) {
+    assert_eq!(request(message.as_bytes()), Read::Invalid(fault));
     assert_eq!(fault.status(), status);
 }
 
@@ -188,43 +188,46 @@
     let head =
         |n: usize| format!("GET / HTTP/1.1\r\nHost: h\r\n{}\r\n", "X: y\r\n".repeat(n - 1)).into_bytes();
     assert_eq!(done(request_head(&head(100), MAX)).1, head(100).len());
-    assert_eq!(request_head(&head(101), MAX), Read::Bad(Fault::TooLarge));
+    assert_eq!(request_head(&head(101), MAX), Read::Invalid(ParseError::TooLarge));
     let two = head(2);
     assert_eq!(done(request_head(&two, two.len())).1, two.len());
-    assert_eq!(request_head(&two, two.len() - 1), Read::Bad(Fault::TooLarge));
-    assert_eq!(answer_head(&b"HTTP/1.1 100 \r\n\r\n".repeat(9), 100, false), Read::Bad(Fault::TooLarge));
+    assert_eq!(request_head(&two, two.len() - 1), Read::Invalid(ParseError::TooLarge));
+    assert_eq!(
+        answer_head(&b"HTTP/1.1 100 \r\n\r\n".repeat(9), 100, false),
+        Read::Invalid(ParseError::TooLarge)
+    );
 }
 
 #[rstest]
 #[case("5\r\nhello\r\n0\r\n\r\n", None)]
 #[case("000000000000005\r\nhello\r\n0\r\n\r\n", None)]
-#[case("0000000000000005\r\nhello\r\n0\r\n\r\n", Some(Fault::Framing))]
-#[case("5 \r\nhello", Some(Fault::Framing))]
-#[case("\r\n", Some(Fault::Framing))]
-#[case("5\nhello", Some(Fault::Framing))]
-#[case("5;a\nhello", Some(Fault::Framing))]
-#[case("-5\r\n", Some(Fault::Framing))]
-#[case("0x5\r\n", Some(Fault::Framing))]
-#[case("5\r\nhelloX", Some(Fault::Framing))]
-#[case("fffffffffffffff\r\n", Some(Fault::BodyTooLarge))]
-#[case("5\r\nhello\r\n6\r\n", Some(Fault::BodyTooLarge))]
-#[case("0\r\nno colon\r\n", Some(Fault::Framing))]
-#[case("0\r\nX: a\r\n b\r\n", Some(Fault::Framing))]
-fn chunks(#[case] text: &str, #[case] fault: Option<Fault>) {
+#[case("0000000000000005\r\nhello\r\n0\r\n\r\n", Some(ParseError::Framing))]
+#[case("5 \r\nhello", Some(ParseError::Framing))]
+#[case("\r\n", Some(ParseError::Framing))]
+#[case("5\nhello", Some(ParseError::Framing))]
+#[case("5;a\nhello", Some(ParseError::Framing))]
+#[case("-5\r\n", Some(ParseError::Framing))]
+#[case("0x5\r\n", Some(ParseError::Framing))]
+#[case("5\r\nhelloX", Some(ParseError::Framing))]
+#[case("fffffffffffffff\r\n", Some(ParseError::BodyTooLarge))]
+#[case("5\r\nhello\r\n6\r\n", Some(ParseError::BodyTooLarge))]
+#[case("0\r\nno colon\r\n", Some(ParseError::Framing))]
+#[case("0\r\nX: a\r\n b\r\n", Some(ParseError::Framing))]
+fn chunks(#[case] text: &str, #[case] fault: Option<ParseError>) {
     let mut body = Body::new(Framing::Chunked, 10);
     let read = body.push(text.as_bytes());
-    assert_eq!(read, fault.map_or(Read::Done { value: (), used: text.len() }, Read::Bad));
+    assert_eq!(read, fault.map_or(Read::Done { value: (), used: text.len() }, Read::Invalid));
     let mut slow = Body::new(Framing::Chunked, 10);
     let last = text.bytes().map(|byte| slow.push(&[byte])).find(|read| *read != Read::Partial);
-    assert_eq!(last, Some(fault.map_or(Read::Done { value: (), used: 1 }, Read::Bad)));
+    assert_eq!(last, Some(fault.map_or(Read::Done { value: (), used: 1 }, Read::Invalid)));
     assert_eq!(slow.bytes(), body.bytes());
 }
 
 #[rstest]
 #[case(format!("1;{}\r\n", "x".repeat(256)), Read::Partial)]
-#[case(format!("1;{}\r\n", "x".repeat(257)), Read::Bad(Fault::Framing))]
+#[case(format!("1;{}\r\n", "x".repeat(257)), Read::Invalid(ParseError::Framing))]
 #[case(format!("0\r\nX:{}\r\n", "x".repeat(4090)), Read::Partial)]
-#[case(format!("0\r\nX:{}\r\n\r\n", "x".repeat(4091)), Read::Bad(Fault::TooLarge))]
+#[case(format!("0\r\nX:{}\r\n\r\n", "x".repeat(4091)), Read::Invalid(ParseError::TooLarge))]
 fn extensions_and_trailers_are_bounded(#[case] text: String, #[case] read: Read<()>) {
     assert_eq!(Body::new(Framing::Chunked, 10).push(text.as_bytes()), read);
 }
@@ -236,23 +239,23 @@
     {
         let mut body = Body::new(framing, 10);
         assert_eq!(body.push(b"1"), Read::Partial);
-        assert_eq!(body.ended(), whole);
+        assert_eq!(body.end_of_input(), whole);
     }
-    assert_eq!(Body::new(Framing::UntilClose, 3).push(b"1234"), Read::Bad(Fault::BodyTooLarge));
+    assert_eq!(Body::new(Framing::UntilClose, 3).push(b"1234"), Read::Invalid(ParseError::BodyTooLarge));
 }
 
 #[rstest]
-#[case("\r\nHTTP/1.1 200 OK\r\n\r\n", Fault::Syntax)]
-#[case("garbage", Fault::Syntax)]
-#[case("HTTP/2 200 OK\r\n\r\n", Fault::Version)]
-#[case("HTTP/1.1 101 Up\r\n\r\n", Fault::Syntax)]
-#[case("HTTP/1.1 600 X\r\n\r\n", Fault::Syntax)]
-#[case("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", Fault::Framing)]
-#[case("HTTP/1.1 204 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", Fault::Framing)]
-#[case("HTTP/1.1 100 C\r\nContent-Length: 1\r\n\r\n", Fault::Framing)]
-#[case("HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nAttempt-Id: b\r\n\r\n", Fault::Ambiguous)]
-fn a_malformed_answer_is_bad(#[case] message: &str, #[case] fault: Fault) {
-    assert_eq!(answer(message.as_bytes()), Read::Bad(fault));
+#[case("\r\nHTTP/1.1 200 OK\r\n\r\n", ParseError::Syntax)]
+#[case("garbage", ParseError::Syntax)]
+#[case("HTTP/2 200 OK\r\n\r\n", ParseError::Version)]
+#[case("HTTP/1.1 101 Up\r\n\r\n", ParseError::Syntax)]
+#[case("HTTP/1.1 600 X\r\n\r\n", ParseError::Syntax)]
+#[case("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", ParseError::Framing)]
+#[case("HTTP/1.1 204 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", ParseError::Framing)]
+#[case("HTTP/1.1 100 C\r\nContent-Length: 1\r\n\r\n", ParseError::Framing)]
+#[case("HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nAttempt-Id: b\r\n\r\n", ParseError::Ambiguous)]
+fn a_malformed_answer_is_bad(#[case] message: &str, #[case] fault: ParseError) {
+    assert_eq!(answer(message.as_bytes()), Read::Invalid(fault));
 }
 
 /// What is accepted after any change is written such that it reads back as itself, alone.
--- a/crates/house/src/client.rs
+++ b/crates/house/src/client.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tindock_catalogue::{Route, RouteKind};
-use tindock_folio::{request_head, write_answer, write_own, Body, Framing, Read, RequestHead};
+use tindock_folio::{request_head, write_answer, write_local_answer, Body, Framing, Read, RequestHead};
 use tindock_lending::messages::{kind, Ended, Kind};
 use tindock_lifecycle::planted::{planted, Defect};
 use tindock_lifecycle::Phase;
@@ -191,7 +191,7 @@
                     self.buffer.drain(..used);
                     return Ok(Some(value));
                 }
-                Read::Bad(fault) => {
+                Read::Invalid(fault) => {
                     self.write_own(fault.status(), None, None, true).await?;
                     return Ok(None);
                 }
@@ -225,7 +225,7 @@
         close: bool,
     ) -> std::io::Result<()> {
         let mut out = Vec::new();
-        write_own(&mut out, status, id, after.map(|a| a.as_millis() as u64), close);
+        write_local_answer(&mut out, status, id, after.map(|a| a.as_millis() as u64), close);
         self.stream.write_all(&out).await
     }
 
@@ -274,7 +274,7 @@
                     self.buffer.drain(..used);
                     return Ok(Some(body.bytes()));
                 }
-                Read::Bad(fault) => {
+                Read::Invalid(fault) => {
                     self.write_own(fault.status(), head.attempt_id.as_deref(), None, true).await?;
                     return Ok(None);
                 }
--- a/crates/house/src/operator/mod.rs
+++ b/crates/house/src/operator/mod.rs
@@ -119,7 +119,7 @@
                     self.buffer.drain(..used);
                     break value;
                 }
-                Read::Bad(fault) => {
+                Read::Invalid(fault) => {
                     return Ok(Incoming::Invalid(Response::error(fault.status(), &fault.to_string())))
                 }
                 Read::Partial => {}
@@ -142,7 +142,7 @@
                     self.buffer.drain(..used);
                     return Ok(Incoming::Call(head, body.bytes()));
                 }
-                Read::Bad(fault) => {
+                Read::Invalid(fault) => {
                     return Ok(Incoming::Invalid(Response::error(fault.status(), &fault.to_string())))
                 }
                 Read::Partial => self.buffer.clear(),
--- a/crates/house/src/platform.rs
+++ b/crates/house/src/platform.rs
@@ -97,7 +97,7 @@
                 match answer_head(&buf, 64 << 10, false) {
                     Read::Partial if got == 0 => return Err(!buf.is_empty()),
                     Read::Partial => continue,
-                    Read::Bad(_) => return Err(true),
+                    Read::Invalid(_) => return Err(true),
                     Read::Done { value, used } => {
                         buf.drain(..used);
                         let framing = value.framing;
@@ -107,10 +107,10 @@
             }
             let Some((head, reader)) = body.as_mut() else { continue };
             match reader.push(&buf) {
-                Read::Bad(_) => return Err(true),
+                Read::Invalid(_) => return Err(true),
                 Read::Partial => {
                     buf.clear();
-                    if got == 0 && !reader.ended() {
+                    if got == 0 && !reader.end_of_input() {
                         return Err(true);
                     }
                     if got > 0 {
--- a/crates/house/src/readiness.rs
+++ b/crates/house/src/readiness.rs
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
-use tindock_folio::{request_head, write_own, Read};
+use tindock_folio::{request_head, write_local_answer, Read};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::time::timeout;
@@ -34,13 +34,13 @@
             while let Ok(Ok(1..)) = timeout(Duration::from_secs(10), stream.read_buf(&mut buf)).await {
                 match request_head(&buf, 4096) {
                     Read::Partial => continue,
-                    Read::Bad(_) => break,
+                    Read::Invalid(_) => break,
                     Read::Done { value, used } => {
                         buf.drain(..used);
                         if slot_report::is_report_request(&value) {
                             if reports.get() >= MAX_CONCURRENT_REPORTS {
                                 let mut out = Vec::new();
-                                write_own(&mut out, 503, None, Some(1000), true);
+                                write_local_answer(&mut out, 503, None, Some(1000), true);
                                 let _ = stream.write_all(&out).await;
                                 break;
                             }
@@ -58,7 +58,7 @@
                         }
                         let status = if shared.borrow().ready() { 200 } else { 503 };
                         let mut out = Vec::new();
-                        write_own(&mut out, status, None, None, value.close);
+                        write_local_answer(&mut out, status, None, None, value.close);
                         if stream.write_all(&out).await.is_err() || value.close {
                             break;
                         }
--- a/crates/house/src/rebinding.rs
+++ b/crates/house/src/rebinding.rs
@@ -379,7 +379,7 @@
         return Err("incomplete answer".into());
     };
     let mut whole = Body::new(head.framing, MAX_ANSWER_BYTES);
-    let done = matches!(whole.push(&buf[used..]), Read::Done { .. }) || whole.ended();
+    let done = matches!(whole.push(&buf[used..]), Read::Done { .. }) || whole.end_of_input();
     if !done {
         return Err("incomplete answer".into());
     }
--- a/crates/rehearsal/src/desk.rs
+++ b/crates/rehearsal/src/desk.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tindock_catalogue::{Catalogue, Finder, RouteKind};
 use tindock_folio::{
-    answer_head, request_head, write_answer, write_own, write_request, AnswerHead, Body, Framing, Read,
-    RequestHead,
+    answer_head, request_head, write_answer, write_local_answer, write_request, AnswerHead, Body, Framing,
+    Read, RequestHead,
 };
 use tindock_lending::messages::{kind, Ended, Kind};
 use tindock_lending::{Action, Allocator, Entry, Function, LoadReport, Member};
@@ -766,10 +766,12 @@
         match answer {
             Answer::Done(answer) => write_answer(&mut bytes, &answer.0, &answer.1, false, close),
             Answer::MayHaveRun { late } => {
-                write_own(&mut bytes, if *late { 504 } else { 502 }, id, None, close)
+                write_local_answer(&mut bytes, if *late { 504 } else { 502 }, id, None, close)
             }
-            Answer::NotRun(after) => write_own(&mut bytes, 503, id, Some(after.as_millis() as u64), close),
-            Answer::Own(status) => write_own(&mut bytes, *status, id, None, close),
+            Answer::NotRun(after) => {
+                write_local_answer(&mut bytes, 503, id, Some(after.as_millis() as u64), close)
+            }
+            Answer::Own(status) => write_local_answer(&mut bytes, *status, id, None, close),
         }
         self.out.push_back(Out::Back { attempt, bytes, close });
     }
@@ -846,7 +848,7 @@
                 at += used;
                 value
             }
-            Read::Bad(_) => return Some(lost()),
+            Read::Invalid(_) => return Some(lost()),
             Read::Partial => return more,
         };
         if head.framing == Framing::UntilClose && head.status < 300 && planted != Some(Planted::CutIsWhole) {
@@ -855,8 +857,8 @@
         let mut body = Body::new(head.framing, 16 << 20);
         match body.push(&bytes[at..]) {
             Read::Done { used, .. } => at += used,
-            Read::Bad(_) => return Some(lost()),
-            Read::Partial if closed && (body.ended() || planted == Some(Planted::CutIsWhole)) => {
+            Read::Invalid(_) => return Some(lost()),
+            Read::Partial if closed && (body.end_of_input() || planted == Some(Planted::CutIsWhole)) => {
                 at = bytes.len();
             }
             Read::Partial => return more,
--- a/crates/upstream/src/exchange.rs
+++ b/crates/upstream/src/exchange.rs
@@ -110,7 +110,7 @@
             let (head, mut body) = match phase {
                 Phase::Head => match answer_head(&self.buffer, MAX_HEAD_BYTES, self.is_head) {
                     Read::Partial => return Step::NeedsBytes,
-                    Read::Bad(_) => return Step::Done(Reply::lost()),
+                    Read::Invalid(_) => return Step::Done(Reply::lost()),
                     Read::Done { value, used } => {
                         self.buffer.drain(..used);
                         if has_ambiguous_end(&value) {
@@ -123,7 +123,7 @@
                 Phase::Body(head, body) => (head, body),
             };
             match body.push(&self.buffer) {
-                Read::Bad(_) => return Step::Done(Reply::lost()),
+                Read::Invalid(_) => return Step::Done(Reply::lost()),
                 Read::Partial => {
                     self.buffer.clear();
                     self.phase = Phase::Body(head, body);
@@ -145,7 +145,7 @@
         let Phase::Body(head, mut body) = std::mem::replace(&mut self.phase, Phase::Head) else {
             return Reply::lost();
         };
-        if !body.ended() {
+        if !body.end_of_input() {
             return Reply::lost();
         }
         self.complete_message(head, body.bytes()).unwrap_or_else(Reply::lost)
