--- a/crates/folio/src/body.rs
+++ b/crates/folio/src/body.rs
@@ -1,103 +1,103 @@
 use crate::{Framing, ParseError, Read, MAX_CHUNK_EXTENSION, MAX_TRAILERS};
 
-/// The most room set aside for a body before its bytes come.
-const MAX_RESERVE: u64 = 64 * 1024;
-/// The most hexadecimal digits of a chunk's size.
-const MAX_SIZE_DIGITS: usize = 15;
+/// Limit of the memory reserved for a body before its bytes are received.
+const MAX_INITIAL_CAPACITY: u64 = 64 * 1024;
+/// Limit of hexadecimal digits in a chunk's size.
+const MAX_CHUNK_SIZE_DIGITS: usize = 15;
 
 #[derive(Clone, Copy, Debug)]
 enum State {
-    Whole,
+    Complete,
     Failed(ParseError),
     UntilClose,
-    /// So many bytes until the body is whole.
-    Left(u64),
-    /// In the digits of a chunk's size, of which there were `seen`.
+    /// So many bytes of the body are missing.
+    Remaining(u64),
+    /// In the digits of a chunk's size, of which `count` have been read.
     Size,
-    /// In the extensions of a chunk, of which there were `seen` bytes.
+    /// In the extensions of a chunk, of which `count` bytes have been read.
     Extension,
     SizeLf,
-    /// So many bytes until the chunk is whole.
+    /// So many bytes of the chunk are missing.
     Chunk(u64),
     ChunkCr,
     ChunkLf,
-    /// At the start of a trailer or of the empty line; `seen` bytes of trailers so far.
-    Line,
-    Name,
-    Value,
-    ValueLf,
+    /// At the start of a trailer or of the empty line; `count` bytes of trailers have been read.
+    TrailerStart,
+    TrailerName,
+    TrailerValue,
+    TrailerLf,
     EndLf,
 }
 
-/// Takes a body in pieces as they come, and takes chunks apart (RFC 9112, 6 and 7.1).
+/// Parses a body incrementally, and decodes chunks (RFC 9112, 6 and 7.1).
 ///
-/// Every byte is looked at once. Chunk extensions and trailers are dropped.
+/// Every byte is processed once. Chunk extensions and trailers are dropped.
 #[derive(Clone, Debug)]
 pub struct Body {
     state: State,
-    max: usize,
-    size: u64,
-    seen: usize,
+    max_bytes: usize,
+    chunk_size: u64,
+    count: usize,
     bytes: Vec<u8>,
 }
 
 impl Body {
-    /// A body yet to come, of at most `max` bytes once decoded. If `framing` already says that it will
-    /// be longer, every [`Body::push`] (also of nothing) gives [`ParseError::BodyTooLarge`].
-    pub fn new(framing: Framing, max: usize) -> Body {
-        let (state, room) = match framing {
-            Framing::Empty | Framing::Length(0) => (State::Whole, 0),
-            Framing::Length(n) if n > max as u64 => (State::Failed(ParseError::BodyTooLarge), 0),
-            Framing::Length(n) => (State::Left(n), n.min(MAX_RESERVE) as usize),
+    /// A body to be received, of at most `max_bytes` bytes once decoded. If `framing` states a greater
+    /// length, every [`Body::push`] (even of no bytes) returns [`ParseError::BodyTooLarge`].
+    pub fn new(framing: Framing, max_bytes: usize) -> Body {
+        let (state, capacity) = match framing {
+            Framing::Empty | Framing::Length(0) => (State::Complete, 0),
+            Framing::Length(n) if n > max_bytes as u64 => (State::Failed(ParseError::BodyTooLarge), 0),
+            Framing::Length(n) => (State::Remaining(n), n.min(MAX_INITIAL_CAPACITY) as usize),
             Framing::Chunked => (State::Size, 0),
             Framing::UntilClose => (State::UntilClose, 0),
         };
-        Body { state, max, size: 0, seen: 0, bytes: Vec::with_capacity(room) }
+        Body { state, max_bytes, chunk_size: 0, count: 0, bytes: Vec::with_capacity(capacity) }
     }
 
-    /// Takes the next bytes. `Done`: the body is whole after `used` bytes of `buf`, the rest belongs to
-    /// something else. `Partial`: all of `buf` was taken. A fault stays.
+    /// Parses the next bytes. `Done`: the body is complete after `used` bytes of `buf`, the rest belongs to
+    /// the next message. `Partial`: all of `buf` was used. After an error every further call returns it.
     pub fn push(&mut self, buf: &[u8]) -> Read<()> {
-        let mut at = 0;
+        let mut used = 0;
         loop {
-            let rest = &buf[at..];
+            let rest = &buf[used..];
             match self.state {
-                State::Whole => return Read::Done { value: (), used: at },
-                State::Failed(fault) => return Read::Invalid(fault),
+                State::Complete => return Read::Done { value: (), used },
+                State::Failed(error) => return Read::Invalid(error),
                 _ if rest.is_empty() => return Read::Partial,
                 State::UntilClose => {
-                    if rest.len() > self.max - self.bytes.len() {
+                    if rest.len() > self.max_bytes - self.bytes.len() {
                         self.state = State::Failed(ParseError::BodyTooLarge);
                     } else {
                         self.bytes.extend_from_slice(rest);
-                        at = buf.len();
+                        used = buf.len();
                     }
                 }
-                State::Left(n) => {
-                    let (taken, left) = self.take(rest, n);
-                    at += taken;
-                    self.state = if left == 0 { State::Whole } else { State::Left(left) };
+                State::Remaining(n) => {
+                    let (taken, remaining) = self.take_bytes(rest, n);
+                    used += taken;
+                    self.state = if remaining == 0 { State::Complete } else { State::Remaining(remaining) };
                 }
                 State::Chunk(n) => {
-                    let (taken, left) = self.take(rest, n);
-                    at += taken;
-                    self.state = if left == 0 { State::ChunkCr } else { State::Chunk(left) };
+                    let (taken, remaining) = self.take_bytes(rest, n);
+                    used += taken;
+                    self.state = if remaining == 0 { State::ChunkCr } else { State::Chunk(remaining) };
                 }
                 _ => {
-                    self.state = self.step(rest[0]).unwrap_or_else(State::Failed);
-                    at += 1;
+                    self.state = self.parse_byte(rest[0]).unwrap_or_else(State::Failed);
+                    used += 1;
                 }
             }
         }
     }
 
-    /// The peer closed its side: whether the body is whole. Only [`Framing::UntilClose`] ends so; any
-    /// other body that is not whole yet was cut short.
+    /// Handles the end of the peer's input, and returns whether the body is complete. Only a body with
+    /// [`Framing::UntilClose`] ends so; any other incomplete body was truncated.
     pub fn end_of_input(&mut self) -> bool {
         if matches!(self.state, State::UntilClose) {
-            self.state = State::Whole;
+            self.state = State::Complete;
         }
-        matches!(self.state, State::Whole)
+        matches!(self.state, State::Complete)
     }
 
     /// The decoded bytes so far.
@@ -115,72 +115,75 @@
         self.bytes.is_empty()
     }
 
-    /// Takes up to `n` bytes: how many, and how many are still to come.
-    fn take(&mut self, rest: &[u8], n: u64) -> (usize, u64) {
+    /// Takes up to `n` bytes of the body. Returns how many, and how many are still missing.
+    fn take_bytes(&mut self, rest: &[u8], n: u64) -> (usize, u64) {
         let taken = usize::try_from(n).map_or(rest.len(), |n| n.min(rest.len()));
         self.bytes.extend_from_slice(&rest[..taken]);
         (taken, n - taken as u64)
     }
 
-    /// One byte of what stands around the chunks.
-    fn step(&mut self, byte: u8) -> Result<State, ParseError> {
+    /// Parses one byte of the chunked coding outside of chunk data.
+    fn parse_byte(&mut self, byte: u8) -> Result<State, ParseError> {
         let state = self.state;
-        if matches!(state, State::Line | State::Name | State::Value | State::ValueLf | State::EndLf) {
-            self.seen += 1;
-            if self.seen > MAX_TRAILERS {
+        if matches!(
+            state,
+            State::TrailerStart | State::TrailerName | State::TrailerValue | State::TrailerLf | State::EndLf
+        ) {
+            self.count += 1;
+            if self.count > MAX_TRAILERS {
                 return Err(ParseError::TooLarge);
             }
         }
         Ok(match (state, byte) {
-            (State::Size, b'\r') if self.seen > 0 => State::SizeLf,
-            (State::Size, b';') if self.seen > 0 => {
-                self.seen = 0;
+            (State::Size, b'\r') if self.count > 0 => State::SizeLf,
+            (State::Size, b';') if self.count > 0 => {
+                self.count = 0;
                 State::Extension
             }
             (State::Size, _) => {
                 let digit = (byte as char).to_digit(16).ok_or(ParseError::Framing)?;
-                self.seen += 1;
-                if self.seen > MAX_SIZE_DIGITS {
+                self.count += 1;
+                if self.count > MAX_CHUNK_SIZE_DIGITS {
                     return Err(ParseError::Framing);
                 }
-                self.size = self.size << 4 | u64::from(digit);
+                self.chunk_size = self.chunk_size << 4 | u64::from(digit);
                 State::Size
             }
             (State::Extension, b'\r') => State::SizeLf,
-            (State::Extension, _) if is_text(byte) && self.seen < MAX_CHUNK_EXTENSION => {
-                self.seen += 1;
+            (State::Extension, _) if is_text(byte) && self.count < MAX_CHUNK_EXTENSION => {
+                self.count += 1;
                 State::Extension
             }
             (State::SizeLf, b'\n') => {
-                self.seen = 0;
-                if self.size > (self.max - self.bytes.len()) as u64 {
+                self.count = 0;
+                if self.chunk_size > (self.max_bytes - self.bytes.len()) as u64 {
                     return Err(ParseError::BodyTooLarge);
                 }
-                match std::mem::take(&mut self.size) {
-                    0 => State::Line,
+                match std::mem::take(&mut self.chunk_size) {
+                    0 => State::TrailerStart,
                     n => State::Chunk(n),
                 }
             }
             (State::ChunkCr, b'\r') => State::ChunkLf,
             (State::ChunkLf, b'\n') => State::Size,
-            (State::Line, b'\r') => State::EndLf,
-            (State::Name, b':') => State::Value,
-            (State::Line | State::Name, _) if is_token(byte) => State::Name,
-            (State::Value, b'\r') => State::ValueLf,
-            (State::Value, _) if is_text(byte) => State::Value,
-            (State::ValueLf, b'\n') => State::Line,
-            (State::EndLf, b'\n') => State::Whole,
+            (State::TrailerStart, b'\r') => State::EndLf,
+            (State::TrailerName, b':') => State::TrailerValue,
+            (State::TrailerStart | State::TrailerName, _) if is_token(byte) => State::TrailerName,
+            (State::TrailerValue, b'\r') => State::TrailerLf,
+            (State::TrailerValue, _) if is_text(byte) => State::TrailerValue,
+            (State::TrailerLf, b'\n') => State::TrailerStart,
+            (State::EndLf, b'\n') => State::Complete,
             _ => return Err(ParseError::Framing),
         })
     }
 }
 
-/// Whether a field value may hold this byte (RFC 9110, 5.5).
+/// Whether a field value may contain this byte (RFC 9110, 5.5).
 fn is_text(byte: u8) -> bool {
     byte == b'\t' || byte >= b' ' && byte != 0x7f
 }
 
-/// Whether a token may hold this byte (RFC 9110, 5.6.2).
+/// Whether a token may contain this byte (RFC 9110, 5.6.2).
 fn is_token(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
--- a/crates/folio/src/head.rs
+++ b/crates/folio/src/head.rs
@@ -1,29 +1,29 @@
 use crate::{Framing, ParseError, Read, MAX_ATTEMPT_ID, MAX_HEADERS};
 use httparse::{Header, Status, EMPTY_HEADER};
 
-/// The most digits of a whole number in a header.
+/// Limit of digits of an integer in a header.
 const MAX_DIGITS: usize = 15;
 
 /// The head of a client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
     pub method: String,
-    /// Path and query as sent; of an absolute target, what follows its host.
+    /// Path and query as sent; of an absolute target, the part after its host.
     pub target: String,
     /// The host as sent, with its port if there was one; empty only for HTTP/1.0 without `Host`.
     pub host: String,
     /// At most [`MAX_ATTEMPT_ID`] visible characters.
     pub attempt_id: Option<String>,
-    /// How long the client will wait, in milliseconds; larger values are taken as `u32::MAX`.
+    /// How long the client waits, in milliseconds; larger values are stored as `u32::MAX`.
     pub deadline_ms: Option<u32>,
-    /// The client wants no further request on this connection.
+    /// The client sends no further request on this connection.
     pub close: bool,
     /// The client waits for `100 Continue` before it sends the body (never for an empty one).
     pub expect_continue: bool,
     /// Never [`Framing::UntilClose`].
     pub framing: Framing,
-    /// The headers to pass along, in order and with their names as sent: none that concern only this
-    /// connection, and none that [`crate::write_request`] writes anew.
+    /// The headers to forward, in order and with their names as sent, without hop-by-hop headers and
+    /// without those that [`crate::write_request`] writes itself.
     pub headers: Vec<(String, Vec<u8>)>,
 }
 
@@ -39,28 +39,28 @@
     pub attempt_id: Option<String>,
     /// `Instance-Id`, unless empty.
     pub instance_id: Option<String>,
-    /// The worker states that it did not run the request.
+    /// The worker states that it did not execute the request.
     pub not_executed: bool,
     /// `Retry-After` in milliseconds, if it is a number of seconds (fractions included).
     pub retry_after_ms: Option<u64>,
-    /// The worker takes no further request on this connection.
+    /// The worker accepts no further request on this connection.
     pub close: bool,
     /// The `timeout` of `Keep-Alive`, in milliseconds.
     pub keep_alive_ms: Option<u64>,
-    /// There is a `Content-Encoding` other than `identity`: the body is not the worker's.
+    /// There is a `Content-Encoding` other than `identity`: the body is not as the worker made it.
     pub encoded: bool,
     pub framing: Framing,
-    /// `Content-Length` as sent, which says in an answer to HEAD how long the body would be.
+    /// `Content-Length` as sent; in an answer to HEAD it states the length that the body would have.
     pub length: Option<u64>,
-    /// The headers to pass to the client, in order and with their names as sent: none that concern only
-    /// this connection, and no `Content-Length`.
+    /// The headers to forward to the client, in order and with their names as sent, without hop-by-hop
+    /// headers and `Content-Length`.
     pub headers: Vec<(String, Vec<u8>)>,
 }
 
-/// Reads the head of a request of at most `max_bytes` bytes (empty lines before it included).
+/// Parses the head of a request of at most `max_bytes` bytes (empty lines before it included).
 ///
-/// `used` ends at the empty line; the body follows. Errors: see [`ParseError`]; a request that could be read
-/// in two ways is refused (RFC 9112, 3.2, 5.1, 6.1 and 6.3).
+/// `used` ends with the empty line; the body follows. Errors: see [`ParseError`]; an ambiguous request is
+/// refused (RFC 9112, 3.2, 5.1, 6.1 and 6.3).
 pub fn request_head(buf: &[u8], max_bytes: usize) -> Read<RequestHead> {
     let window = &buf[..buf.len().min(max_bytes)];
     let mut start = 0;
@@ -68,68 +68,68 @@
         start += 2;
     }
     if window[start..] == *b"\r" {
-        return partial(buf, max_bytes);
+        return partial_or_too_large(buf, max_bytes);
     }
     let end = match head_end(&window[start..]) {
         Ok(end) => end,
-        Err(fault) => return Read::Invalid(fault),
+        Err(error) => return Read::Invalid(error),
     };
     let head = &window[start..end.map_or(window.len(), |n| start + n)];
-    let mut room = [EMPTY_HEADER; MAX_HEADERS];
-    let mut parsed = httparse::Request::new(&mut room);
+    let mut buffer = [EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut buffer);
     match parsed.parse(head) {
-        Err(error) => Read::Invalid(fault_of(error, head)),
-        Ok(Status::Partial) if end.is_none() => partial(buf, max_bytes),
-        Ok(Status::Complete(n)) if end == Some(n) => match request(&parsed) {
+        Err(error) => Read::Invalid(parse_error(error, head)),
+        Ok(Status::Partial) if end.is_none() => partial_or_too_large(buf, max_bytes),
+        Ok(Status::Complete(n)) if end == Some(n) => match parse_request(&parsed) {
             Ok(value) => Read::Done { value, used: start + n },
-            Err(fault) => Read::Invalid(fault),
+            Err(error) => Read::Invalid(error),
         },
         Ok(_) => Read::Invalid(ParseError::Syntax),
     }
 }
 
-/// Reads the head of an answer, whose request was a HEAD if `to_head`.
+/// Parses the head of an answer, whose request was a HEAD if `to_head`.
 ///
 /// Interim answers (1xx) before it are skipped and count in `used` and in `max_bytes`. Errors: see
-/// [`ParseError`]; also 101, as no upgrade is ever asked for, and whatever leaves the length of the body
-/// unclear (RFC 9112, 6.3).
+/// [`ParseError`]; also for 101, as no upgrade is ever requested, and if the length of the body is
+/// ambiguous (RFC 9112, 6.3).
 pub fn answer_head(buf: &[u8], max_bytes: usize, to_head: bool) -> Read<AnswerHead> {
     let window = &buf[..buf.len().min(max_bytes)];
     let mut start = 0;
     loop {
-        // httparse would skip empty lines, which no answer begins with.
+        // httparse would skip empty lines, but an answer must not begin with one.
         if matches!(window.get(start), Some(b'\r' | b'\n')) {
             return Read::Invalid(ParseError::Syntax);
         }
         let end = match head_end(&window[start..]) {
             Ok(end) => end,
-            Err(fault) => return Read::Invalid(fault),
+            Err(error) => return Read::Invalid(error),
         };
         let head = &window[start..end.map_or(window.len(), |n| start + n)];
-        let mut room = [EMPTY_HEADER; MAX_HEADERS];
-        let mut parsed = httparse::Response::new(&mut room);
+        let mut buffer = [EMPTY_HEADER; MAX_HEADERS];
+        let mut parsed = httparse::Response::new(&mut buffer);
         match parsed.parse(head) {
-            Err(error) => return Read::Invalid(fault_of(error, head)),
-            Ok(Status::Partial) if end.is_none() => return partial(buf, max_bytes),
+            Err(error) => return Read::Invalid(parse_error(error, head)),
+            Ok(Status::Partial) if end.is_none() => return partial_or_too_large(buf, max_bytes),
             Ok(Status::Complete(n)) if end == Some(n) => start += n,
             Ok(_) => return Read::Invalid(ParseError::Syntax),
         }
-        match answer(&parsed, to_head) {
+        match parse_answer(&parsed, to_head) {
             Ok(Some(value)) => return Read::Done { value, used: start },
             Ok(None) => {}
-            Err(fault) => return Read::Invalid(fault),
+            Err(error) => return Read::Invalid(error),
         }
     }
 }
 
-fn partial<T>(buf: &[u8], max_bytes: usize) -> Read<T> {
+fn partial_or_too_large<T>(buf: &[u8], max_bytes: usize) -> Read<T> {
     if buf.len() >= max_bytes {
         return Read::Invalid(ParseError::TooLarge);
     }
     Read::Partial
 }
 
-/// Where the first empty line ends, if it is there. Every CR and LF must be half of a CRLF.
+/// The end of the first empty line, if there is one. A CR or LF outside of a CRLF is an error.
 fn head_end(buf: &[u8]) -> Result<Option<usize>, ParseError> {
     let mut line = 0;
     for (i, &byte) in buf.iter().enumerate() {
@@ -147,83 +147,84 @@
     Ok(None)
 }
 
-fn fault_of(error: httparse::Error, head: &[u8]) -> ParseError {
+fn parse_error(error: httparse::Error, head: &[u8]) -> ParseError {
     match error {
         httparse::Error::TooManyHeaders => ParseError::TooLarge,
-        // Also what httparse calls a request line of too many parts.
+        // httparse returns this also for a request line with too many parts.
         httparse::Error::Version => {
             let third = head.split(|&b| b == b' ').nth(2).unwrap_or_default();
-            let named = head.starts_with(b"HTTP/") || third.starts_with(b"HTTP/");
-            [ParseError::Syntax, ParseError::Version][usize::from(named)]
+            let has_version = head.starts_with(b"HTTP/") || third.starts_with(b"HTTP/");
+            [ParseError::Syntax, ParseError::Version][usize::from(has_version)]
         }
         _ => ParseError::Syntax,
     }
 }
 
-/// What requests and answers have in common.
-struct Common<'a> {
+/// The headers of requests and answers that concern the connection and the framing.
+struct ConnectionHeaders<'a> {
     length: Option<u64>,
     chunked: bool,
     close: bool,
     /// The headers that `Connection` names.
-    named: Vec<&'a [u8]>,
+    named_headers: Vec<&'a [u8]>,
 }
 
-impl<'a> Common<'a> {
-    fn read(headers: &[Header<'a>], minor: u8) -> Result<Common<'a>, ParseError> {
-        let mut common = Common { length: None, chunked: false, close: false, named: Vec::new() };
-        let mut keep = minor == 1;
+impl<'a> ConnectionHeaders<'a> {
+    fn parse(headers: &[Header<'a>], minor: u8) -> Result<ConnectionHeaders<'a>, ParseError> {
+        let mut connection =
+            ConnectionHeaders { length: None, chunked: false, close: false, named_headers: Vec::new() };
+        let mut keep_alive = minor == 1;
         for header in headers {
-            match lower(header.name, &mut [0; ROOM]) {
+            match lower_case(header.name, &mut [0; MAX_KNOWN_NAME]) {
                 b"connection" => {
-                    for option in list(header.value) {
+                    for option in list_elements(header.value) {
                         if option.eq_ignore_ascii_case(b"close") {
-                            common.close = true;
+                            connection.close = true;
                         } else if option.eq_ignore_ascii_case(b"keep-alive") {
-                            keep = true;
-                        } else if common.named.len() < MAX_HEADERS {
-                            common.named.push(option);
+                            keep_alive = true;
+                        } else if connection.named_headers.len() < MAX_HEADERS {
+                            connection.named_headers.push(option);
                         } else {
                             return Err(ParseError::TooLarge);
                         }
                     }
                 }
                 b"content-length" => {
-                    let length = number(header.value).ok_or(ParseError::Framing)?;
-                    if common.length.replace(length).is_some_and(|before| before != length) {
+                    let length = parse_integer(header.value).ok_or(ParseError::Framing)?;
+                    if connection.length.replace(length).is_some_and(|earlier| earlier != length) {
                         return Err(ParseError::Framing);
                     }
                 }
                 b"transfer-encoding" => {
-                    if common.chunked || !header.value.eq_ignore_ascii_case(b"chunked") {
+                    if connection.chunked || !header.value.eq_ignore_ascii_case(b"chunked") {
                         return Err(ParseError::Framing);
                     }
-                    common.chunked = true;
+                    connection.chunked = true;
                 }
                 _ => {}
             }
         }
-        if common.chunked && (common.length.is_some() || minor == 0) {
+        if connection.chunked && (connection.length.is_some() || minor == 0) {
             return Err(ParseError::Framing);
         }
-        common.close |= !keep;
-        Ok(common)
+        connection.close |= !keep_alive;
+        Ok(connection)
     }
 
-    fn framing(&self, otherwise: Framing) -> Framing {
+    fn framing(&self, default: Framing) -> Framing {
         match self.length {
             _ if self.chunked => Framing::Chunked,
             Some(length) => Framing::Length(length),
-            None => otherwise,
+            None => default,
         }
     }
 
-    /// Whether a header concerns only one connection (RFC 9110, 7.6.1) or the framing. `lowered` is its
-    /// name by [`lower`].
-    fn is_hop(&self, name: &str, lowered: &[u8]) -> bool {
+    /// Whether a header is hop-by-hop (RFC 9110, 7.6.1) or concerns the framing. `lower_name` is its name by
+    /// [`lower_case`].
+    fn is_hop_by_hop(&self, name: &str, lower_name: &[u8]) -> bool {
         let name = name.as_bytes();
         matches!(
-            lowered,
+            lower_name,
             b"connection"
                 | b"keep-alive"
                 | b"te"
@@ -232,25 +233,25 @@
                 | b"upgrade"
                 | b"content-length"
         ) || name.get(..6).is_some_and(|start| start.eq_ignore_ascii_case(b"proxy-"))
-            || self.named.iter().any(|named| named.eq_ignore_ascii_case(name))
+            || self.named_headers.iter().any(|other| other.eq_ignore_ascii_case(name))
     }
 }
 
-fn request(parsed: &httparse::Request) -> Result<RequestHead, ParseError> {
+fn parse_request(parsed: &httparse::Request) -> Result<RequestHead, ParseError> {
     let (Some(method), Some(target), Some(minor)) = (parsed.method, parsed.path, parsed.version) else {
         return Err(ParseError::Syntax);
     };
-    let common = Common::read(parsed.headers, minor)?;
+    let connection = ConnectionHeaders::parse(parsed.headers, minor)?;
     let (mut host, mut attempt_id, mut deadline_ms) = (None, None, None);
     let mut expect_continue = false;
     let mut headers = Vec::with_capacity(parsed.headers.len());
     for Header { name, value } in parsed.headers.iter() {
-        let mut room = [0; ROOM];
-        let lowered = lower(name, &mut room);
-        match lowered {
+        let mut buffer = [0; MAX_KNOWN_NAME];
+        let lower_name = lower_case(name, &mut buffer);
+        match lower_name {
             b"host" => {
-                if host.replace(host_text(value)?).is_some() {
-                    return Err(ParseError::BadHost);
+                if host.replace(parse_host(value)?).is_some() {
+                    return Err(ParseError::InvalidHost);
                 }
             }
             b"attempt-id" => {
@@ -258,55 +259,55 @@
                 if !visible || value.len() > MAX_ATTEMPT_ID {
                     return Err(ParseError::AttemptId);
                 }
-                single(&mut attempt_id, text(value)?, ParseError::AttemptId)?;
+                set_unique(&mut attempt_id, utf8(value)?, ParseError::AttemptId)?;
             }
             b"deadline-ms" => {
-                let ms = number(value).ok_or(ParseError::Deadline)?;
-                single(&mut deadline_ms, u32::try_from(ms).unwrap_or(u32::MAX), ParseError::Deadline)?;
+                let ms = parse_integer(value).ok_or(ParseError::Deadline)?;
+                set_unique(&mut deadline_ms, u32::try_from(ms).unwrap_or(u32::MAX), ParseError::Deadline)?;
             }
             b"expect" => expect_continue |= value.eq_ignore_ascii_case(b"100-continue"),
             b"target-instance" => {}
-            _ if common.is_hop(name, lowered) => {}
+            _ if connection.is_hop_by_hop(name, lower_name) => {}
             _ => headers.push((name.to_string(), value.to_vec())),
         }
     }
     if host.is_none() && minor == 1 {
-        return Err(ParseError::NoHost);
+        return Err(ParseError::MissingHost);
     }
     if method == "CONNECT" || !target.bytes().all(|b| b.is_ascii_graphic() && b != b'#') {
         return Err(ParseError::Target);
     }
-    let (own_host, target) = match absolute(target) {
-        Some((authority, rest)) => (Some(host_text(authority.as_bytes())?), rest),
+    let (target_host, target) = match split_absolute(target) {
+        Some((authority, rest)) => (Some(parse_host(authority.as_bytes())?), rest),
         None => (None, target),
     };
     let target = match target.as_bytes().first() {
         Some(b'/') => target.to_string(),
-        Some(b'?') if own_host.is_some() => format!("/{target}"),
-        None if own_host.is_some() => "/".to_string(),
+        Some(b'?') if target_host.is_some() => format!("/{target}"),
+        None if target_host.is_some() => "/".to_string(),
         _ => return Err(ParseError::Target),
     };
-    let framing = common.framing(Framing::Empty);
+    let framing = connection.framing(Framing::Empty);
     Ok(RequestHead {
         method: method.to_string(),
         target,
-        host: own_host.or(host).unwrap_or_default().to_string(),
+        host: target_host.or(host).unwrap_or_default().to_string(),
         attempt_id: attempt_id.map(str::to_string),
         deadline_ms,
-        close: common.close,
+        close: connection.close,
         expect_continue: expect_continue && minor == 1 && framing != Framing::Empty,
         framing,
         headers,
     })
 }
 
-/// None for an interim answer.
-fn answer(parsed: &httparse::Response, to_head: bool) -> Result<Option<AnswerHead>, ParseError> {
+/// The head of an answer; None for an interim one.
+fn parse_answer(parsed: &httparse::Response, to_head: bool) -> Result<Option<AnswerHead>, ParseError> {
     let (Some(status), Some(minor)) = (parsed.code, parsed.version) else { return Err(ParseError::Syntax) };
-    let common = Common::read(parsed.headers, minor)?;
-    let bodied = common.chunked || common.length.is_some_and(|n| n > 0);
+    let connection = ConnectionHeaders::parse(parsed.headers, minor)?;
+    let has_body = connection.chunked || connection.length.is_some_and(|n| n > 0);
     match status {
-        100..=199 if bodied => return Err(ParseError::Framing),
+        100..=199 if has_body => return Err(ParseError::Framing),
         100 | 102..=199 => return Ok(None),
         200..=599 => {}
         _ => return Err(ParseError::Syntax),
@@ -314,78 +315,82 @@
     let framing = match status {
         204 | 304 => Framing::Empty,
         _ if to_head => Framing::Empty,
-        _ => common.framing(Framing::UntilClose),
+        _ => connection.framing(Framing::UntilClose),
     };
     let (mut seal, mut attempt_id, mut instance_id) = (None, None, None);
     let (mut retry_after_ms, mut keep_alive_ms) = (None, None);
     let (mut not_executed, mut encoded) = (false, false);
     let mut headers = Vec::with_capacity(parsed.headers.len());
     for Header { name, value } in parsed.headers.iter() {
-        let mut room = [0; ROOM];
-        let lowered = lower(name, &mut room);
-        match lowered {
-            b"server-seal" => single(&mut seal, text(value)?, ParseError::Ambiguous)?,
-            b"attempt-id" => single(&mut attempt_id, text(value)?, ParseError::Ambiguous)?,
-            b"instance-id" => single(&mut instance_id, text(value)?, ParseError::Ambiguous)?,
+        let mut buffer = [0; MAX_KNOWN_NAME];
+        let lower_name = lower_case(name, &mut buffer);
+        match lower_name {
+            b"server-seal" => set_unique(&mut seal, utf8(value)?, ParseError::Ambiguous)?,
+            b"attempt-id" => set_unique(&mut attempt_id, utf8(value)?, ParseError::Ambiguous)?,
+            b"instance-id" => set_unique(&mut instance_id, utf8(value)?, ParseError::Ambiguous)?,
             b"not-executed" => not_executed |= *value != b"0" && !value.eq_ignore_ascii_case(b"false"),
-            b"retry-after" => retry_after_ms = seconds(value),
-            b"keep-alive" => keep_alive_ms = list(value).find_map(timeout).or(keep_alive_ms),
-            b"content-encoding" => encoded |= list(value).any(|c| !c.eq_ignore_ascii_case(b"identity")),
+            b"retry-after" => retry_after_ms = decimal_seconds_ms(value),
+            b"keep-alive" => {
+                keep_alive_ms = list_elements(value).find_map(keep_alive_timeout_ms).or(keep_alive_ms)
+            }
+            b"content-encoding" => {
+                encoded |= list_elements(value).any(|c| !c.eq_ignore_ascii_case(b"identity"))
+            }
             _ => {}
         }
-        if !common.is_hop(name, lowered) {
+        if !connection.is_hop_by_hop(name, lower_name) {
             headers.push((name.to_string(), value.to_vec()));
         }
     }
-    let owned = |text: Option<&str>| text.filter(|text| !text.is_empty()).map(str::to_string);
+    let non_empty = |text: Option<&str>| text.filter(|text| !text.is_empty()).map(str::to_string);
     Ok(Some(AnswerHead {
         status,
         reason: parsed.reason.unwrap_or_default().to_string(),
-        seal: owned(seal),
-        attempt_id: owned(attempt_id),
-        instance_id: owned(instance_id),
+        seal: non_empty(seal),
+        attempt_id: non_empty(attempt_id),
+        instance_id: non_empty(instance_id),
         not_executed,
         retry_after_ms,
-        // A 204 has no body, so one that announces it has confused its framing (RFC 9112, 6.3).
-        close: common.close || framing == Framing::UntilClose || status == 204 && bodied,
+        // A 204 must not announce a body: the peer's framing cannot be trusted after it (RFC 9112, 6.3).
+        close: connection.close || framing == Framing::UntilClose || status == 204 && has_body,
         keep_alive_ms,
         encoded,
         framing,
-        length: common.length,
+        length: connection.length,
         headers,
     }))
 }
 
-/// Room for the longest name that means something here.
-const ROOM: usize = 20;
+/// Length of the longest header name that is matched here.
+const MAX_KNOWN_NAME: usize = 20;
 
-/// The name in lower case; empty if it is longer than any that means something here.
-fn lower<'r>(name: &str, room: &'r mut [u8; ROOM]) -> &'r [u8] {
-    let Some(lowered) = room.get_mut(..name.len()) else { return &[] };
-    lowered.copy_from_slice(name.as_bytes());
-    lowered.make_ascii_lowercase();
-    lowered
+/// The name in lower case; empty if it is longer than every name that is matched here.
+fn lower_case<'r>(name: &str, buffer: &'r mut [u8; MAX_KNOWN_NAME]) -> &'r [u8] {
+    let Some(lower_name) = buffer.get_mut(..name.len()) else { return &[] };
+    lower_name.copy_from_slice(name.as_bytes());
+    lower_name.make_ascii_lowercase();
+    lower_name
 }
 
 /// The elements of a comma-separated list, without the empty ones (RFC 9110, 5.6.1).
-fn list(value: &[u8]) -> impl Iterator<Item = &[u8]> {
+fn list_elements(value: &[u8]) -> impl Iterator<Item = &[u8]> {
     value.split(|&b| b == b',').map(<[u8]>::trim_ascii).filter(|element| !element.is_empty())
 }
 
-fn text(value: &[u8]) -> Result<&str, ParseError> {
+fn utf8(value: &[u8]) -> Result<&str, ParseError> {
     std::str::from_utf8(value).map_err(|_| ParseError::Ambiguous)
 }
 
-/// Digits alone, up to 15 of them.
-fn number(value: &[u8]) -> Option<u64> {
+/// An integer of up to 15 digits, without a sign.
+fn parse_integer(value: &[u8]) -> Option<u64> {
     if value.is_empty() || value.len() > MAX_DIGITS || !value.iter().all(u8::is_ascii_digit) {
         return None;
     }
     Some(value.iter().fold(0, |n, b| n * 10 + u64::from(b - b'0')))
 }
 
-/// Seconds with an optional fraction, in milliseconds.
-fn seconds(value: &[u8]) -> Option<u64> {
+/// Parses seconds with an optional fraction; the result is in milliseconds.
+fn decimal_seconds_ms(value: &[u8]) -> Option<u64> {
     if value.len() > MAX_DIGITS || !value.iter().all(|b| b.is_ascii_digit() || *b == b'.') {
         return None;
     }
@@ -393,18 +398,19 @@
     Some((seconds * 1000.0).round() as u64)
 }
 
-/// The `timeout=` of a `Keep-Alive`, in milliseconds.
-fn timeout(parameter: &[u8]) -> Option<u64> {
+/// The value of the parameter `timeout=` of a `Keep-Alive`, in milliseconds.
+fn keep_alive_timeout_ms(parameter: &[u8]) -> Option<u64> {
     let (name, value) = parameter.split_at_checked(8)?;
     if !name.eq_ignore_ascii_case(b"timeout=") {
         return None;
     }
-    number(value).map(|seconds| seconds * 1000)
+    parse_integer(value).map(|seconds| seconds * 1000)
 }
 
-fn single<T: PartialEq>(slot: &mut Option<T>, value: T, fault: ParseError) -> Result<(), ParseError> {
+/// Sets a value that may occur only once, or repeatedly with the same value.
+fn set_unique<T: PartialEq>(slot: &mut Option<T>, value: T, error: ParseError) -> Result<(), ParseError> {
     match slot {
-        Some(before) if *before != value => Err(fault),
+        Some(earlier) if *earlier != value => Err(error),
         _ => {
             *slot = Some(value);
             Ok(())
@@ -412,8 +418,8 @@
     }
 }
 
-/// Authority and the rest of an absolute target.
-fn absolute(target: &str) -> Option<(&str, &str)> {
+/// Splits an absolute target into the authority and the rest.
+fn split_absolute(target: &str) -> Option<(&str, &str)> {
     let (scheme, rest) = target.split_once("://")?;
     if !scheme.eq_ignore_ascii_case("http") && !scheme.eq_ignore_ascii_case("https") {
         return None;
@@ -422,7 +428,7 @@
 }
 
 /// A name or address with an optional port (RFC 3986, 3.2.2), without user information or commas.
-fn host_text(value: &[u8]) -> Result<&str, ParseError> {
+fn parse_host(value: &[u8]) -> Result<&str, ParseError> {
     let end = match value.first() {
         Some(b'[') => value.iter().position(|&b| b == b']').map_or(0, |at| at + 1),
         _ => value.iter().position(|&b| b == b':').unwrap_or(value.len()),
@@ -441,7 +447,7 @@
         _ => false,
     };
     if !valid || !port_valid {
-        return Err(ParseError::BadHost);
+        return Err(ParseError::InvalidHost);
     }
-    std::str::from_utf8(value).map_err(|_| ParseError::BadHost)
+    std::str::from_utf8(value).map_err(|_| ParseError::InvalidHost)
 }
--- a/crates/folio/src/lib.rs
+++ b/crates/folio/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 framing (RFC 9112) for a front that takes requests from clients and sends them to workers.
+//! HTTP/1.1 framing (RFC 9112) for a proxy that receives requests from clients and sends them to workers.
 //!
-//! Pure functions over byte buffers: no I/O, no panic on any input, memory bounded by the limits given.
-//! Whatever two readers could take differently is refused, so that nothing can be smuggled inside a
-//! message (RFC 9112, 11.2). Heads are parsed by `httparse`, which is held to strict CRLF here.
+//! Pure functions over byte buffers: no I/O, no panic on any input, memory bounded by the given limits.
+//! Messages that two parsers could interpret differently are refused, which prevents request smuggling (RFC
+//! 9112, 11.2). Heads are parsed by `httparse`, with an additional check for strict CRLF line ends.
 //!
 //! ```
 //! use tindock_folio::{request_head, Body, Read};
@@ -22,23 +22,23 @@
 pub use head::{answer_head, request_head, AnswerHead, RequestHead};
 pub use write::{write_answer, write_local_answer, write_request};
 
-/// The most header lines a head may have.
+/// Limit of header lines in a head.
 pub const MAX_HEADERS: usize = 100;
-/// The longest `Attempt-Id` of a request, in bytes.
+/// Limit of the length of a request's `Attempt-Id`, in bytes.
 pub const MAX_ATTEMPT_ID: usize = 256;
-/// The most bytes of extensions on one chunk.
+/// Limit of the extensions of one chunk, in bytes.
 pub const MAX_CHUNK_EXTENSION: usize = 256;
-/// The most bytes of trailers after the last chunk, line ends included.
+/// Limit of the trailers after the last chunk, in bytes with line ends.
 pub const MAX_TRAILERS: usize = 4096;
 
-/// What reading a buffer came to.
+/// The result of parsing a buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Read<T> {
-    /// Not whole yet: more bytes are needed.
+    /// Incomplete: more bytes are needed.
     Partial,
-    /// Whole, and made of the first `used` bytes of the buffer.
+    /// Complete, and made of the first `used` bytes of the buffer.
     Done { value: T, used: usize },
-    /// It can never become valid; nothing more on the connection can be trusted.
+    /// Invalid whatever bytes follow; the connection cannot be used further.
     Invalid(ParseError),
 }
 
@@ -51,26 +51,26 @@
     TooLarge,
     /// The body has more bytes than allowed.
     BodyTooLarge,
-    /// The length of the body is unclear, or its chunks are malformed (RFC 9112, 6.3 and 7.1).
+    /// The length of the body is ambiguous, or its chunks are malformed (RFC 9112, 6.3 and 7.1).
     Framing,
     /// A version of HTTP other than 1.0 and 1.1.
     Version,
     /// HTTP/1.1 without `Host` (RFC 9112, 3.2).
-    NoHost,
-    /// Several `Host` lines, or a value that is no host with an optional port.
-    BadHost,
+    MissingHost,
+    /// Several `Host` lines, or a value that is not a host with an optional port.
+    InvalidHost,
     /// A target in neither origin nor absolute form (RFC 9112, 3.2).
     Target,
     /// An `Attempt-Id` that is empty, too long, not visible ASCII, or given twice with two values.
     AttemptId,
-    /// A `Deadline-Ms` that is no whole number, or given twice with two values.
+    /// A `Deadline-Ms` that is not an integer, or given twice with two values.
     Deadline,
-    /// A header of an answer that must be single has two values, or a value that is not text.
+    /// A header of an answer that must be unique has two values, or a value that is not UTF-8.
     Ambiguous,
 }
 
 impl ParseError {
-    /// The status to refuse a request with.
+    /// The status of the answer to a request with this error.
     pub fn status(&self) -> u16 {
         match self {
             ParseError::TooLarge => 431,
@@ -87,13 +87,13 @@
             ParseError::Syntax => "malformed HTTP/1 message",
             ParseError::TooLarge => "head or trailers too large",
             ParseError::BodyTooLarge => "body too large",
-            ParseError::Framing => "unclear or malformed body framing",
+            ParseError::Framing => "ambiguous or malformed body framing",
             ParseError::Version => "HTTP version not supported",
-            ParseError::NoHost => "no Host",
-            ParseError::BadHost => "bad Host",
+            ParseError::MissingHost => "missing Host",
+            ParseError::InvalidHost => "invalid Host",
             ParseError::Target => "unsupported form of request target",
-            ParseError::AttemptId => "bad Attempt-Id",
-            ParseError::Deadline => "bad Deadline-Ms",
+            ParseError::AttemptId => "invalid Attempt-Id",
+            ParseError::Deadline => "invalid Deadline-Ms",
             ParseError::Ambiguous => "ambiguous header",
         })
     }
@@ -101,15 +101,15 @@
 
 impl std::error::Error for ParseError {}
 
-/// Where the body of a message ends (RFC 9112, 6.3).
+/// How the end of a message body is determined (RFC 9112, 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Framing {
     /// There is no body.
     Empty,
-    /// After so many bytes.
+    /// The body has so many bytes.
     Length(u64),
-    /// At the last chunk and its trailers.
+    /// The body ends with the last chunk and its trailers.
     Chunked,
-    /// Where the peer closes; answers only.
+    /// The body ends where the peer closes the connection; in answers only.
     UntilClose,
 }
--- a/crates/folio/src/write.rs
+++ b/crates/folio/src/write.rs
@@ -4,28 +4,29 @@
 /// Appends the request to a worker: method, target, host, id, other headers and body as the client sent
 /// them, `left_ms` milliseconds as `Deadline-Ms`, and `Target-Instance` unless `instance` is empty.
 ///
-/// A body that came in chunks goes with its length. Where the head says that there is none, `body` is
-/// left out. Bytes of `instance` that are not visible ASCII are left out, which leaves an id that no
-/// worker has.
+/// A body received in chunks is written with its length. `body` is omitted if the head states that there
+/// is none. Bytes of `instance` that are not visible ASCII are omitted; the remaining id matches no worker.
 pub fn write_request(out: &mut Vec<u8>, head: &RequestHead, body: &[u8], left_ms: u32, instance: &str) {
-    let bodied = head.framing != Framing::Empty;
-    out.reserve(256 + size(&head.headers) + head.target.len() + if bodied { body.len() } else { 0 });
+    let has_body = head.framing != Framing::Empty;
+    out.reserve(
+        256 + headers_size(&head.headers) + head.target.len() + if has_body { body.len() } else { 0 },
+    );
     for part in [&head.method, " ", &head.target, " HTTP/1.1\r\nHost: ", &head.host, "\r\n"] {
         out.extend_from_slice(part.as_bytes());
     }
     if let Some(id) = &head.attempt_id {
-        line(out, b"Attempt-Id", id.as_bytes());
+        write_line(out, b"Attempt-Id", id.as_bytes());
     }
-    digits(out, "Deadline-Ms", left_ms.into());
+    write_number(out, "Deadline-Ms", left_ms.into());
     if !instance.is_empty() {
-        visible(out, b"Target-Instance", instance);
+        write_visible(out, b"Target-Instance", instance);
     }
-    lines(out, &head.headers);
-    if bodied {
-        digits(out, "Content-Length", body.len() as u64);
+    write_headers(out, &head.headers);
+    if has_body {
+        write_number(out, "Content-Length", body.len() as u64);
     }
     out.extend_from_slice(b"\r\n");
-    if bodied {
+    if has_body {
         out.extend_from_slice(body);
     }
 }
@@ -34,24 +35,24 @@
 /// `Connection: close` if `close`.
 ///
 /// There is always a `Content-Length`, except with 204 and 304, and except in an answer to HEAD (with
-/// `to_head`) where the worker stated none; none of the three has a body.
+/// `to_head`) for which the worker stated none; none of the three has a body.
 pub fn write_answer(out: &mut Vec<u8>, head: &AnswerHead, body: &[u8], to_head: bool, close: bool) {
-    let bodiless = matches!(head.status, 204 | 304);
-    let body = if bodiless || to_head { &[] } else { body };
-    out.reserve(128 + size(&head.headers) + head.reason.len() + body.len());
-    status_line(out, head.status, &head.reason);
-    lines(out, &head.headers);
+    let has_no_body = matches!(head.status, 204 | 304);
+    let body = if has_no_body || to_head { &[] } else { body };
+    out.reserve(128 + headers_size(&head.headers) + head.reason.len() + body.len());
+    write_status_line(out, head.status, &head.reason);
+    write_headers(out, &head.headers);
     let length = if to_head { head.length } else { Some(body.len() as u64) };
-    if let Some(length) = length.filter(|_| !bodiless) {
-        digits(out, "Content-Length", length);
+    if let Some(length) = length.filter(|_| !has_no_body) {
+        write_number(out, "Content-Length", length);
     }
     finish(out, close);
     out.extend_from_slice(body);
 }
 
-/// Appends an answer of the front's own, without a body. `retry_after_ms`, in milliseconds, becomes a
-/// `Retry-After` in seconds with a fraction. Bytes of `attempt_id` that are not visible ASCII are left
-/// out.
+/// Appends an answer that the proxy makes itself, without a body. `retry_after_ms`, in milliseconds,
+/// becomes a `Retry-After` in seconds with a fraction. Bytes of `attempt_id` that are not visible ASCII
+/// are omitted.
 pub fn write_local_answer(
     out: &mut Vec<u8>,
     status: u16,
@@ -59,46 +60,46 @@
     retry_after_ms: Option<u64>,
     close: bool,
 ) {
-    status_line(out, status, reason(status));
+    write_status_line(out, status, reason_phrase(status));
     if let Some(id) = attempt_id {
-        visible(out, b"Attempt-Id", id);
+        write_visible(out, b"Attempt-Id", id);
     }
     if let Some(ms) = retry_after_ms {
         let text = format!("{}.{:03}", ms / 1000, ms % 1000);
-        line(out, b"Retry-After", text.trim_end_matches('0').trim_end_matches('.').as_bytes());
+        write_line(out, b"Retry-After", text.trim_end_matches('0').trim_end_matches('.').as_bytes());
     }
     if !matches!(status, 100..=199 | 204 | 304) {
-        digits(out, "Content-Length", 0);
+        write_number(out, "Content-Length", 0);
     }
     finish(out, close);
 }
 
-fn size(headers: &[(String, Vec<u8>)]) -> usize {
+fn headers_size(headers: &[(String, Vec<u8>)]) -> usize {
     headers.iter().map(|(name, value)| name.len() + value.len() + 4).sum()
 }
 
-fn status_line(out: &mut Vec<u8>, status: u16, reason: &str) {
-    // Writing to a Vec cannot fail, here and below.
-    let _ = write!(out, "HTTP/1.1 {status} {reason}\r\n");
+fn write_status_line(out: &mut Vec<u8>, status: u16, reason_phrase: &str) {
+    // Writing to a Vec cannot fail; the same holds below.
+    let _ = write!(out, "HTTP/1.1 {status} {reason_phrase}\r\n");
 }
 
-fn line(out: &mut Vec<u8>, name: &[u8], value: &[u8]) {
+fn write_line(out: &mut Vec<u8>, name: &[u8], value: &[u8]) {
     for part in [name, b": ", value, b"\r\n"] {
         out.extend_from_slice(part);
     }
 }
 
-fn lines(out: &mut Vec<u8>, headers: &[(String, Vec<u8>)]) {
+fn write_headers(out: &mut Vec<u8>, headers: &[(String, Vec<u8>)]) {
     for (name, value) in headers {
-        line(out, name.as_bytes(), value);
+        write_line(out, name.as_bytes(), value);
     }
 }
 
-fn digits(out: &mut Vec<u8>, name: &str, value: u64) {
+fn write_number(out: &mut Vec<u8>, name: &str, value: u64) {
     let _ = write!(out, "{name}: {value}\r\n");
 }
 
-fn visible(out: &mut Vec<u8>, name: &[u8], value: &str) {
+fn write_visible(out: &mut Vec<u8>, name: &[u8], value: &str) {
     out.extend_from_slice(name);
     out.extend_from_slice(b": ");
     out.extend(value.bytes().filter(u8::is_ascii_graphic));
@@ -109,8 +110,8 @@
     out.extend_from_slice(if close { b"Connection: close\r\n\r\n" } else { b"\r\n" });
 }
 
-/// The usual phrase (RFC 9110, 15); empty for a status that this front has no use for.
-fn reason(status: u16) -> &'static str {
+/// The standard phrase (RFC 9110, 15); empty for a status that the proxy does not use.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
         200 => "OK",
--- a/crates/folio/tests/framing.rs
+++ b/crates/folio/tests/framing.rs
@@ -1,23 +1,23 @@
-//! Requests, answers and bodies: whole, cut at every byte, ambiguous, and with bytes changed.
+//! Requests, answers and bodies: complete, truncated at every byte, ambiguous, and with changed bytes.
 
 use rstest::rstest;
 use tindock_folio::*;
 
 const MAX: usize = 16_384;
 
-/// The head and body of one request, or the fault, and how many bytes it took.
+/// The head and body of one request, or the error, and how many bytes were used.
 fn request(buf: &[u8]) -> Read<(RequestHead, Vec<u8>)> {
-    join(buf, request_head(buf, MAX), |head| head.framing)
+    with_body(buf, request_head(buf, MAX), |head| head.framing)
 }
 
 fn answer(buf: &[u8]) -> Read<(AnswerHead, Vec<u8>)> {
-    join(buf, answer_head(buf, MAX, false), |head| head.framing)
+    with_body(buf, answer_head(buf, MAX, false), |head| head.framing)
 }
 
-fn join<T>(buf: &[u8], head: Read<T>, framing: impl Fn(&T) -> Framing) -> Read<(T, Vec<u8>)> {
+fn with_body<T>(buf: &[u8], head: Read<T>, framing: impl Fn(&T) -> Framing) -> Read<(T, Vec<u8>)> {
     match head {
         Read::Partial => Read::Partial,
-        Read::Invalid(fault) => Read::Invalid(fault),
+        Read::Invalid(error) => Read::Invalid(error),
         Read::Done { value, used } => {
             let mut body = Body::new(framing(&value), 1000);
             match body.push(&buf[used..]) {
@@ -25,17 +25,17 @@
                     Read::Done { value: (value, body.bytes()), used: used + more }
                 }
                 Read::Partial => Read::Partial,
-                Read::Invalid(fault) => Read::Invalid(fault),
+                Read::Invalid(error) => Read::Invalid(error),
             }
         }
     }
 }
 
-fn done<T>(read: Read<T>) -> (T, usize) {
+fn expect_done<T>(read: Read<T>) -> (T, usize) {
     match read {
         Read::Done { value, used } => (value, used),
         Read::Partial => panic!("partial"),
-        Read::Invalid(fault) => panic!("{fault}"),
+        Read::Invalid(error) => panic!("{error}"),
     }
 }
 
@@ -57,10 +57,10 @@
 #[case(CHUNKED)]
 #[case(GET)]
 #[case(LENGTH)]
-fn a_request_cut_anywhere_is_partial_and_then_whole(#[case] message: &str) {
+fn a_request_truncated_anywhere_is_partial_and_then_complete(#[case] message: &str) {
     let next = format!("{message}GET / HT");
     let whole = request(next.as_bytes());
-    assert_eq!(done(whole.clone()).1, message.len());
+    assert_eq!(expect_done(whole.clone()).1, message.len());
     for cut in 0..message.len() {
         assert_eq!(request(&message.as_bytes()[..cut]), Read::Partial, "{cut}");
     }
@@ -70,16 +70,16 @@
 #[rstest]
 #[case(OK)]
 #[case(BUSY)]
-fn an_answer_cut_anywhere_is_partial_and_then_whole(#[case] message: &str) {
+fn an_answer_truncated_anywhere_is_partial_and_then_complete(#[case] message: &str) {
     for cut in 0..message.len() {
         assert_eq!(answer(&message.as_bytes()[..cut]), Read::Partial, "{cut}");
     }
-    assert_eq!(done(answer(message.as_bytes())).1, message.len());
+    assert_eq!(expect_done(answer(message.as_bytes())).1, message.len());
 }
 
 #[test]
-fn a_request_is_read_and_passed_on() {
-    let ((head, body), _) = done(request(CHUNKED.as_bytes()));
+fn a_request_is_parsed_and_forwarded_without_hop_by_hop_headers() {
+    let ((head, body), _) = expect_done(request(CHUNKED.as_bytes()));
     assert_eq!((head.target.as_str(), head.host.as_str()), ("/a/b?c=%20d", "h.example:80"));
     assert_eq!((head.attempt_id.as_deref(), head.deadline_ms), (Some("9c41"), Some(4000)));
     assert!(head.close && head.expect_continue);
@@ -91,16 +91,16 @@
         Target-Instance: i-7f\r\nX-Two: \u{e9}\r\nContent-Length: 13\r\n\r\nabc0123456789";
     assert_eq!(String::from_utf8_lossy(&out), expected);
 
-    let ((head, _), _) = done(request(GET.as_bytes()));
+    let ((head, _), _) = expect_done(request(GET.as_bytes()));
     assert_eq!((head.target.as_str(), head.host.as_str(), head.close), ("/?x", "Other.example", true));
     out.clear();
-    write_request(&mut out, &head, b"not this", 1, "");
+    write_request(&mut out, &head, b"omitted", 1, "");
     assert_eq!(out, b"GET /?x HTTP/1.1\r\nHost: Other.example\r\nDeadline-Ms: 1\r\nAccept: */*\r\n\r\n");
 }
 
 #[test]
-fn an_answer_is_read_and_passed_back() {
-    let ((head, body), _) = done(answer(OK.as_bytes()));
+fn an_answer_is_parsed_and_forwarded_without_hop_by_hop_headers() {
+    let ((head, body), _) = expect_done(answer(OK.as_bytes()));
     assert_eq!((head.seal.as_deref(), head.attempt_id.as_deref()), (Some("3e.0"), Some("9c41")));
     assert_eq!((head.instance_id.as_deref(), head.keep_alive_ms), (Some("i-2"), Some(7000)));
     assert!(!head.not_executed && !head.encoded && !head.close);
@@ -110,17 +110,17 @@
         Content-Encoding: identity\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello";
     assert_eq!(String::from_utf8_lossy(&out), expected);
 
-    let ((head, _), _) = done(answer(BUSY.as_bytes()));
+    let ((head, _), _) = expect_done(answer(BUSY.as_bytes()));
     assert!(head.not_executed && head.encoded && head.close);
     assert_eq!(head.retry_after_ms, Some(250));
 
-    let (head, _) = done(answer_head(OK.as_bytes(), MAX, true));
+    let (head, _) = expect_done(answer_head(OK.as_bytes(), MAX, true));
     assert_eq!(head.framing, Framing::Empty);
     out.clear();
     write_answer(&mut out, &head, b"", true, false);
     assert!(out.ends_with(b"Content-Length: 5\r\n\r\n"));
 
-    let (head, _) = done(answer_head(b"HTTP/1.1 204 No Content\r\n\r\n", MAX, false));
+    let (head, _) = expect_done(answer_head(b"HTTP/1.1 204 No Content\r\n\r\n", MAX, false));
     out.clear();
     write_answer(&mut out, &head, b"x", false, false);
     assert_eq!(out, b"HTTP/1.1 204 No Content\r\n\r\n");
@@ -131,7 +131,7 @@
 #[case(Some(10_000), "Retry-After: 10\r\n")]
 #[case(Some(1_005), "Retry-After: 1.005\r\n")]
 #[case(None, "")]
-fn an_own_answer(#[case] ms: Option<u64>, #[case] line: &str) {
+fn a_local_answer_has_its_retry_after_in_seconds(#[case] ms: Option<u64>, #[case] line: &str) {
     let mut out = Vec::new();
     write_local_answer(&mut out, 503, Some("a1"), ms, false);
     let expected =
@@ -157,40 +157,44 @@
 #[case("X: a\rb", ParseError::Syntax)]
 #[case("X: a\nY: b", ParseError::Syntax)]
 #[case("X: a\0", ParseError::Syntax)]
-#[case("Host: h", ParseError::BadHost)]
+#[case("Host: h", ParseError::InvalidHost)]
 #[case("Attempt-Id: a\r\nAttempt-Id: b", ParseError::AttemptId)]
 #[case("Attempt-Id: a b", ParseError::AttemptId)]
 #[case("Deadline-Ms: 1\r\nDeadline-Ms: 2", ParseError::Deadline)]
 #[case("Deadline-Ms: -1", ParseError::Deadline)]
-fn an_ambiguous_request_is_refused(#[case] lines: &str, #[case] fault: ParseError) {
+fn an_ambiguous_request_is_refused(#[case] lines: &str, #[case] error: ParseError) {
     let message = format!("POST / HTTP/1.1\r\nHost: h\r\n{lines}\r\n\r\n");
-    assert_eq!(request(message.as_bytes()), Read::Invalid(fault));
+    assert_eq!(request(message.as_bytes()), Read::Invalid(error));
 }
 
 #[rstest]
-#[case("GET / HTTP/1.1\r\n\r\n", ParseError::NoHost, 400)]
-#[case("GET / HTTP/1.1\r\nHost: a@b\r\n\r\n", ParseError::BadHost, 400)]
-#[case("GET http://u@h/ HTTP/1.1\r\nHost: h\r\n\r\n", ParseError::BadHost, 400)]
-#[case("GET / HTTP/1.1\r\nHost: \r\n\r\n", ParseError::BadHost, 400)]
+#[case("GET / HTTP/1.1\r\n\r\n", ParseError::MissingHost, 400)]
+#[case("GET / HTTP/1.1\r\nHost: a@b\r\n\r\n", ParseError::InvalidHost, 400)]
+#[case("GET http://u@h/ HTTP/1.1\r\nHost: h\r\n\r\n", ParseError::InvalidHost, 400)]
+#[case("GET / HTTP/1.1\r\nHost: \r\n\r\n", ParseError::InvalidHost, 400)]
 #[case("OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n", ParseError::Target, 400)]
 #[case("CONNECT h:80 HTTP/1.1\r\nHost: h\r\n\r\n", ParseError::Target, 400)]
 #[case("GET / HTTP/2.0\r\n", ParseError::Version, 505)]
 #[case("GET /a b HTTP/1.1\r\n", ParseError::Syntax, 400)]
 #[case("\u{16}\u{3}\u{1}", ParseError::Syntax, 400)]
 #[case("POST / HTTP/1.0\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n", ParseError::Framing, 400)]
-fn a_bad_request_line_or_host(#[case] message: &str, #[case] fault: ParseError, #[case] status: u16) {
-    assert_eq!(request(message.as_bytes()), Read::Invalid(fault));
-    assert_eq!(fault.status(), status);
+fn an_invalid_request_line_or_host_is_refused_with_its_status(
+    #[case] message: &str,
+    #[case] error: ParseError,
+    #[case] status: u16,
+) {
+    assert_eq!(request(message.as_bytes()), Read::Invalid(error));
+    assert_eq!(error.status(), status);
 }
 
 #[test]
-fn heads_are_bounded() {
+fn heads_beyond_the_limits_are_refused() {
     let head =
         |n: usize| format!("GET / HTTP/1.1\r\nHost: h\r\n{}\r\n", "X: y\r\n".repeat(n - 1)).into_bytes();
-    assert_eq!(done(request_head(&head(100), MAX)).1, head(100).len());
+    assert_eq!(expect_done(request_head(&head(100), MAX)).1, head(100).len());
     assert_eq!(request_head(&head(101), MAX), Read::Invalid(ParseError::TooLarge));
     let two = head(2);
-    assert_eq!(done(request_head(&two, two.len())).1, two.len());
+    assert_eq!(expect_done(request_head(&two, two.len())).1, two.len());
     assert_eq!(request_head(&two, two.len() - 1), Read::Invalid(ParseError::TooLarge));
     assert_eq!(
         answer_head(&b"HTTP/1.1 100 \r\n\r\n".repeat(9), 100, false),
@@ -213,14 +217,14 @@
 #[case("5\r\nhello\r\n6\r\n", Some(ParseError::BodyTooLarge))]
 #[case("0\r\nno colon\r\n", Some(ParseError::Framing))]
 #[case("0\r\nX: a\r\n b\r\n", Some(ParseError::Framing))]
-fn chunks(#[case] text: &str, #[case] fault: Option<ParseError>) {
+fn malformed_chunks_are_refused_also_byte_by_byte(#[case] text: &str, #[case] error: Option<ParseError>) {
     let mut body = Body::new(Framing::Chunked, 10);
     let read = body.push(text.as_bytes());
-    assert_eq!(read, fault.map_or(Read::Done { value: (), used: text.len() }, Read::Invalid));
-    let mut slow = Body::new(Framing::Chunked, 10);
-    let last = text.bytes().map(|byte| slow.push(&[byte])).find(|read| *read != Read::Partial);
-    assert_eq!(last, Some(fault.map_or(Read::Done { value: (), used: 1 }, Read::Invalid)));
-    assert_eq!(slow.bytes(), body.bytes());
+    assert_eq!(read, error.map_or(Read::Done { value: (), used: text.len() }, Read::Invalid));
+    let mut bytewise = Body::new(Framing::Chunked, 10);
+    let last = text.bytes().map(|byte| bytewise.push(&[byte])).find(|read| *read != Read::Partial);
+    assert_eq!(last, Some(error.map_or(Read::Done { value: (), used: 1 }, Read::Invalid)));
+    assert_eq!(bytewise.bytes(), body.bytes());
 }
 
 #[rstest]
@@ -228,12 +232,12 @@
 #[case(format!("1;{}\r\n", "x".repeat(257)), Read::Invalid(ParseError::Framing))]
 #[case(format!("0\r\nX:{}\r\n", "x".repeat(4090)), Read::Partial)]
 #[case(format!("0\r\nX:{}\r\n\r\n", "x".repeat(4091)), Read::Invalid(ParseError::TooLarge))]
-fn extensions_and_trailers_are_bounded(#[case] text: String, #[case] read: Read<()>) {
+fn extensions_and_trailers_beyond_the_limits_are_refused(#[case] text: String, #[case] read: Read<()>) {
     assert_eq!(Body::new(Framing::Chunked, 10).push(text.as_bytes()), read);
 }
 
 #[test]
-fn only_a_body_until_close_ends_by_closing() {
+fn only_a_body_until_close_is_complete_at_the_end_of_input() {
     for (framing, whole) in
         [(Framing::UntilClose, true), (Framing::Length(9), false), (Framing::Chunked, false)]
     {
@@ -254,23 +258,24 @@
 #[case("HTTP/1.1 204 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", ParseError::Framing)]
 #[case("HTTP/1.1 100 C\r\nContent-Length: 1\r\n\r\n", ParseError::Framing)]
 #[case("HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nAttempt-Id: b\r\n\r\n", ParseError::Ambiguous)]
-fn a_malformed_answer_is_bad(#[case] message: &str, #[case] fault: ParseError) {
-    assert_eq!(answer(message.as_bytes()), Read::Invalid(fault));
+fn a_malformed_answer_is_refused(#[case] message: &str, #[case] error: ParseError) {
+    assert_eq!(answer(message.as_bytes()), Read::Invalid(error));
 }
 
-/// What is accepted after any change is written such that it reads back as itself, alone.
+/// A message with changed bytes that is accepted is written so that parsing it again gives the same single
+/// message.
 #[test]
-fn changed_bytes_never_panic_nor_smuggle() {
-    let mut rand = oorandom::Rand32::new(20);
+fn changed_bytes_never_cause_a_panic_or_request_smuggling() {
+    let mut rng = oorandom::Rand32::new(20);
     for round in 0..60_000 {
         let base = [CHUNKED, GET, LENGTH, OK, BUSY][round % 5];
         let mut bytes = base.as_bytes().to_vec();
-        for _ in 0..rand.rand_range(1..5) {
-            let at = rand.rand_range(0..bytes.len() as u32) as usize;
-            bytes[at] = match rand.rand_range(0..3) {
-                0 => b"\r\n \t:,;0/"[rand.rand_range(0..9) as usize],
-                1 => rand.rand_u32() as u8,
-                _ => bytes[at] ^ 1 << rand.rand_range(0..8),
+        for _ in 0..rng.rand_range(1..5) {
+            let at = rng.rand_range(0..bytes.len() as u32) as usize;
+            bytes[at] = match rng.rand_range(0..3) {
+                0 => b"\r\n \t:,;0/"[rng.rand_range(0..9) as usize],
+                1 => rng.rand_u32() as u8,
+                _ => bytes[at] ^ 1 << rng.rand_range(0..8),
             };
         }
         if let Read::Done { value: (head, body), .. } = request(&bytes) {
@@ -279,15 +284,15 @@
             }
             let mut out = Vec::new();
             write_request(&mut out, &head, &body, 5, "i-1");
-            let ((again, same), used) = done(request(&out));
-            assert_eq!((used, same, again.headers), (out.len(), body, head.headers));
+            let ((again, same_body), used) = expect_done(request(&out));
+            assert_eq!((used, same_body, again.headers), (out.len(), body, head.headers));
             assert_eq!((again.method, again.target, again.host), (head.method, head.target, head.host));
         }
         if let Read::Done { value: (head, body), .. } = answer(&bytes) {
             let mut out = Vec::new();
             write_answer(&mut out, &head, &body, false, false);
-            let ((again, same), used) = done(answer(&out));
-            assert_eq!((used, same, again.headers), (out.len(), body, head.headers));
+            let ((again, same_body), used) = expect_done(answer(&out));
+            assert_eq!((used, same_body, again.headers), (out.len(), body, head.headers));
             assert_eq!((again.status, again.seal), (head.status, head.seal));
         }
     }
