--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -78,7 +78,9 @@
         .subcommand(tindock_rehearsal::command());
     let matches = command_line.get_matches();
     // The commands of the whole system are built alongside those of the scheduler.
-    if let Some((name, given)) = matches.subcommand().filter(|(name, _)| tindock_house::cli::is_ours(name)) {
+    if let Some((name, given)) =
+        matches.subcommand().filter(|(name, _)| tindock_house::cli::is_system_command(name))
+    {
         return Ok(tindock_house::cli::run(name, given).map_err(one_line)?);
     }
     if let Some(("demo", given)) = matches.subcommand() {
