--- a/crates/scheduler/src/clients/door.rs
+++ b/crates/scheduler/src/clients/door.rs
@@ -8,8 +8,8 @@
 use crate::exchange::{Answer, Exchange};
 use crate::operators::telemetry::{Outcome, Telemetry};
 use crate::rows::Titles;
-use crate::succession::line::Line;
-use crate::succession::stopping::Stopping;
+use crate::succession::link::Link;
+use crate::succession::shutdown::Shutdown;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -45,10 +45,10 @@
 pub struct Door {
     exchange: Rc<Exchange>,
     names: RefCell<Titles>,
-    stopping: Rc<Stopping>,
+    stopping: Rc<Shutdown>,
     most: Cell<usize>,
     paused: watch::Sender<bool>,
-    line: Rc<Line>,
+    line: Rc<Link>,
     guests: RefCell<BTreeMap<u64, Rc<Guest>>>,
     next: Cell<u64>,
     gone: Notify,
@@ -79,9 +79,9 @@
 impl Door {
     pub fn new(
         exchange: Rc<Exchange>,
-        stopping: Rc<Stopping>,
+        stopping: Rc<Shutdown>,
         most: usize,
-        line: Rc<Line>,
+        line: Rc<Link>,
         rooms: Rooms,
         telemetry: Rc<Telemetry>,
         log: Logger,
@@ -290,7 +290,7 @@
                 guest.standing.set(Standing::Worker);
                 // Guards against news lost between two processes at one address.
                 if self.exchange.is_strange(&news.id) {
-                    self.line.hand_on(&words).await;
+                    self.line.forward_event(&words).await;
                 }
                 self.exchange.news(news);
                 answering::heard()
@@ -312,7 +312,7 @@
                     return self.turn_down(Bad(StatusCode::BAD_REQUEST, "with an id in hand already"));
                 };
                 if guest.standing.replace(Standing::Client) != Standing::Client {
-                    self.stopping.newcomer();
+                    self.stopping.record_task();
                 }
                 let waiting = Waiting { exchange: &self.exchange, place: hold.place, life: hold.life };
                 let answer = hold.answer.await.unwrap_or(Answer::BrokenOff);
--- a/crates/scheduler/src/exchange.rs
+++ b/crates/scheduler/src/exchange.rs
@@ -5,7 +5,7 @@
 use crate::operators::telemetry::Moment;
 use crate::others::telling::{self, Message, Telling};
 use crate::rows::{Rows, Titles};
-use crate::succession::heritage::{self, Heritage};
+use crate::succession::handover_state::{self, HandoverState};
 use crate::workers::endings::Close;
 use crate::workers::loads;
 use crate::workers::news::{News, State as Said};
@@ -467,11 +467,11 @@
     }
 
     /// All that this process knows of workers and workloads; from now on another one takes the tasks.
-    pub fn bequeath(&self, words: &Words) -> Heritage {
+    pub fn bequeath(&self, words: &Words) -> HandoverState {
         self.yielded(true);
         let state = self.state.borrow();
         let entries = || state.workers.iter().map(|listed| &listed.entry);
-        heritage::leave(&state.rules, &state.rows, entries, state.bans.clone(), words, &self.clock)
+        handover_state::capture(&state.rules, &state.rows, entries, state.bans.clone(), words, &self.clock)
     }
 
     /// Whether another process takes the tasks.
@@ -480,10 +480,10 @@
     }
 
     /// What the process before this one left, once its list was taken in.
-    pub fn inherit(&self, heritage: &Heritage, words: &Words) {
+    pub fn inherit(&self, heritage: &HandoverState, words: &Words) {
         self.feed(|state| {
             let (names, rows, rules) = (&state.names, &state.rows, &mut state.rules);
-            heritage.take(rules, rows, |name| names.get(name).copied(), words, &self.clock);
+            heritage.restore(rules, rows, |name| names.get(name).copied(), words, &self.clock);
         });
     }
 
--- a/crates/scheduler/src/operators/management.rs
+++ b/crates/scheduler/src/operators/management.rs
@@ -8,7 +8,7 @@
 use crate::operators::reloading::Reread;
 use crate::operators::telemetry::Telemetry;
 use crate::operators::version::Version;
-use crate::succession::line::Line;
+use crate::succession::link::Link;
 use slog::{info, warn, Logger};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -37,7 +37,7 @@
     /// To who reads the configuration.
     pub rereads: mpsc::Sender<Reread>,
     /// To the process beside this one, during an upgrade.
-    pub line: Rc<Line>,
+    pub line: Rc<Link>,
     /// Where a group decides the policy.
     pub group: Option<Rc<Accord>>,
     /// Clients are let in, and nothing that is handed over is still to come.
@@ -189,7 +189,7 @@
             return Err(format!("worker {name:?} was never listed"));
         };
         if changed {
-            self.line.tell_ban(name, banned);
+            self.line.send_ban(name, banned);
             let what = if banned { "taken out" } else { "put back" };
             info!(self.log, "worker {name} {what} by hand");
             if let Err(e) = self.bans.write(self.exchange.bans()) {
--- a/crates/scheduler/src/operators/reloading.rs
+++ b/crates/scheduler/src/operators/reloading.rs
@@ -10,7 +10,7 @@
 use crate::list::muster::Muster;
 use crate::operators::telemetry::Telemetry;
 use crate::operators::version::Version;
-use crate::succession::stopping::Stopping;
+use crate::succession::shutdown::Shutdown;
 use slog::{info, warn, Logger};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -47,7 +47,7 @@
     pub exchange: Rc<Exchange>,
     pub muster: Rc<Muster>,
     pub door: Rc<Door>,
-    pub stopping: Rc<Stopping>,
+    pub stopping: Rc<Shutdown>,
     pub telemetry: Rc<Telemetry>,
     pub version: Rc<Version>,
     pub log: Logger,
@@ -130,7 +130,7 @@
     fn take_in(&self, berth: Berth) {
         self.keys.replace(berth.keys);
         self.version.took(berth.digest);
-        self.stopping.reaches(self.exchange.retune(berth.sheet, &berth.words));
+        self.stopping.set_hard_limit(self.exchange.retune(berth.sheet, &berth.words));
         self.door.rename();
         let names = berth.words.workloads.join(", ");
         let at = self.discovery.as_ref().map(|discovery| {
--- a/crates/scheduler/src/start.rs
+++ b/crates/scheduler/src/start.rs
@@ -18,10 +18,10 @@
 use crate::operators::version::Version;
 use crate::others::peers::{self, Peers};
 use crate::rows::Rows;
+use crate::succession::draining;
 use crate::succession::handover::{self, Handover};
-use crate::succession::leaving;
-use crate::succession::line::Line;
-use crate::succession::stopping::Stopping;
+use crate::succession::link::Link;
+use crate::succession::shutdown::Shutdown;
 use crate::workers::pool::Pool;
 use crate::workers::sending::Sending;
 use slog::{info, o, warn, Logger};
@@ -68,8 +68,8 @@
         Some(at) => Some(listen(at, false).map_err(|e| format!("management, {at}: {e}"))?),
     };
     let telemetry = Rc::new(Telemetry::default());
-    let place = berth.runtime.as_deref().map(|runtime| handover::place(runtime, &berth.name));
-    let taken = place.as_deref().map_or(Ok(None), |place| handover::ask(place, berth.listen));
+    let place = berth.runtime.as_deref().map(|runtime| handover::socket_path(runtime, &berth.name));
+    let taken = place.as_deref().map_or(Ok(None), |place| handover::request(place, berth.listen));
     let taken = taken.unwrap_or_else(|e| {
         warn!(log, "nothing is taken over from the process that runs: {e}");
         None
@@ -79,7 +79,7 @@
         None => listen(berth.listen, place.is_some()).map_err(|e| format!("{}: {e}", berth.listen))?,
         Some(taken) => {
             before = Some(UnixStream::from_std(taken.stream).map_err(|e| e.to_string())?);
-            heritage = Some(taken.heritage);
+            heritage = Some(taken.state);
             TcpListener::from_std(taken.listener).map_err(|e| e.to_string())?
         }
     };
@@ -106,8 +106,8 @@
     let part = |name: &'static str| log.new(o!("part" => name));
     let clock = Clock::start();
     let version = Rc::new(Version::new(std::mem::take(&mut berth.digest), clock));
-    let stopping = Rc::new(Stopping::new(part("stopping")));
-    stopping.reaches(berth.sheet.workloads.iter().map(|row| row.hard_limit).max().unwrap_or_default());
+    let stopping = Rc::new(Shutdown::new(part("stopping")));
+    stopping.set_hard_limit(berth.sheet.workloads.iter().map(|row| row.hard_limit).max().unwrap_or_default());
     let rows = Rows::new(&berth.sheet, &berth.words);
     let began = clock.now();
     let rules = Policy::new(berth.sheet, berth.seed, began);
@@ -178,7 +178,7 @@
         spawn_local(peers.hear());
     }
     exchange.equip(berth.words.reports.clone(), told);
-    let line = Rc::new(Line::default());
+    let line = Rc::new(Link::default());
     let door = Door::new(
         exchange.clone(),
         stopping.clone(),
@@ -226,22 +226,22 @@
     spawn_local(async move { sums.tell_sums().await });
     spawn_local(door.clone().accept(listener.clone()));
     let handover = Rc::new(Handover {
-        place,
-        line: line.clone(),
+        socket_path: place,
+        link: line.clone(),
         listener,
         exchange: exchange.clone(),
-        muster,
-        door: door.clone(),
+        workers: muster,
+        clients: door.clone(),
         pool,
-        stopping: stopping.clone(),
+        shutdown: stopping.clone(),
         group: accord.clone(),
-        open: open.clone(),
-        again: Notify::new(),
+        accepting: open.clone(),
+        rebind: Notify::new(),
         log: part("handover"),
     });
     let place = handover.listen();
-    before.into_iter().for_each(|stream| drop(spawn_local(handover.clone().after(stream))));
-    spawn_local(handover.keep(place));
+    before.into_iter().for_each(|stream| drop(spawn_local(handover.clone().finish_takeover(stream))));
+    spawn_local(handover.accept(place));
     open.set(true);
     if let Some(listener) = manages {
         info!(log, "operators' address is {}", listener.local_addr().map_err(|e| e.to_string())?);
@@ -251,7 +251,7 @@
             Management { exchange, telemetry, bans, version, rereads, line, group: accord, open, log };
         spawn_local(Rc::new(management).accept(listener));
     }
-    leaving::over(&stopping, terminate, &door, &exchange, &open).await;
+    draining::run(&stopping, terminate, &door, &exchange, &open).await;
     info!(log, "{} ends", berth.name);
     Ok(())
 }
--- a/crates/scheduler/src/succession/handover.rs
+++ b/crates/scheduler/src/succession/handover.rs
@@ -1,15 +1,17 @@
-//! An upgrade under load: the process that runs hands its listening socket and what it knows to the one that was started
-//! beside it, and both hand each other what reaches the wrong one, for as long as both live. The new one asks over a
-//! Unix socket in the runtime folder.
+//! An upgrade under load: the running process passes its listening socket and its state to a newly started
+//! one. While both run, each forwards worker events meant for the other. The new process requests the
+//! handover over a Unix socket in the runtime folder.
 
 use crate::accord::Accord;
 use crate::clients::door::{Door, SHORT_OF_DESCRIPTORS};
 use crate::exchange::Exchange;
 use crate::list::muster::Muster;
-use crate::succession::heritage::{Heritage, VERSION};
-use crate::succession::line::{frame, read_frame, room, Line, Partner, Word, PATIENCE, WAITING};
-use crate::succession::passing;
-use crate::succession::stopping::Stopping;
+use crate::succession::fd_passing;
+use crate::succession::handover_state::{HandoverState, VERSION};
+use crate::succession::link::{
+    frame, frame_buffer, read_frame, Link, Message, Peer, PEER_TIMEOUT, QUEUE_CAPACITY,
+};
+use crate::succession::shutdown::Shutdown;
 use crate::workers::news;
 use crate::workers::pool::Pool;
 use slog::{info, warn, Logger};
@@ -17,7 +19,7 @@
 use std::collections::HashMap;
 use std::io::{Error, ErrorKind, Read, Result, Write};
 use std::net::{SocketAddr, TcpListener};
-use std::os::unix::net::UnixStream as Blocking;
+use std::os::unix::net::UnixStream as BlockingStream;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,182 +29,192 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// A new process that does not serve by then will not: the platform waits for six seconds.
-const TO_SERVE: Duration = Duration::from_secs(3);
+/// The new process has to serve within this time: the platform waits for six seconds.
+const READY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the process before this one has handed over.
-pub struct Taken {
+/// What the predecessor of this process has handed over.
+pub struct Takeover {
     pub listener: TcpListener,
-    pub heritage: Heritage,
-    /// The line to it.
-    pub stream: Blocking,
+    pub state: HandoverState,
+    /// The connection to the predecessor.
+    pub stream: BlockingStream,
 }
 
-/// Where the process that runs can be asked.
-pub fn place(runtime: &Path, name: &str) -> PathBuf {
+/// Path of the Unix socket on which the running process accepts handover requests.
+pub fn socket_path(runtime: &Path, name: &str) -> PathBuf {
     runtime.join(format!("tindock-{name}.sock"))
 }
 
-/// Asks the process that runs already; none where there is none. Waits for it: this one has nothing else to do yet.
-pub fn ask(place: &Path, at: SocketAddr) -> Result<Option<Taken>> {
-    let mut stream = match Blocking::connect(place) {
+/// Requests the handover from the running process; `None` if there is none. Blocks: there is nothing else to
+/// do yet.
+pub fn request(path: &Path, at: SocketAddr) -> Result<Option<Takeover>> {
+    let mut stream = match BlockingStream::connect(path) {
         Ok(stream) => stream,
-        // No file, or one that a process left which is gone.
+        // No file, or one left behind by a process that has exited.
         Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => return Ok(None),
         Err(e) => return Err(e),
     };
-    stream.set_read_timeout(Some(PATIENCE))?;
-    stream.set_write_timeout(Some(PATIENCE))?;
-    stream.write_all(&frame(&Word::Hello { version: VERSION })?)?;
-    let listener = TcpListener::from(passing::receive(&stream)?);
-    let is = listener.local_addr()?;
-    if is != at && (is.ip(), 0) != (at.ip(), at.port()) {
-        return Err(Error::new(ErrorKind::AddrNotAvailable, format!("it listens on {is}, not on {at}")));
+    stream.set_read_timeout(Some(PEER_TIMEOUT))?;
+    stream.set_write_timeout(Some(PEER_TIMEOUT))?;
+    stream.write_all(&frame(&Message::Hello { version: VERSION })?)?;
+    let listener = TcpListener::from(fd_passing::receive_socket(&stream)?);
+    let bound = listener.local_addr()?;
+    if bound != at && (bound.ip(), 0) != (at.ip(), at.port()) {
+        return Err(Error::new(
+            ErrorKind::AddrNotAvailable,
+            format!("the running process listens on {bound}, not on {at}"),
+        ));
     }
     listener.set_nonblocking(true)?;
     let mut length = [0; 4];
     stream.read_exact(&mut length)?;
-    let mut text = room(u32::from_be_bytes(length))?;
+    let mut text = frame_buffer(u32::from_be_bytes(length))?;
     stream.read_exact(&mut text)?;
-    let heritage = Heritage::read(&text).map_err(|why| Error::new(ErrorKind::InvalidData, why))?;
+    let state = HandoverState::parse(&text).map_err(|why| Error::new(ErrorKind::InvalidData, why))?;
     stream.set_nonblocking(true)?;
-    Ok(Some(Taken { listener, heritage, stream }))
+    Ok(Some(Takeover { listener, state, stream }))
 }
 
 pub struct Handover {
-    pub place: Option<PathBuf>,
-    pub line: Rc<Line>,
+    pub socket_path: Option<PathBuf>,
+    pub link: Rc<Link>,
     /// The clients' listening socket.
     pub listener: Rc<tokio::net::TcpListener>,
     pub exchange: Rc<Exchange>,
-    pub muster: Rc<Muster>,
-    pub door: Rc<Door>,
+    pub workers: Rc<Muster>,
+    pub clients: Rc<Door>,
     pub pool: Rc<Pool>,
-    pub stopping: Rc<Stopping>,
-    /// Where a group decides the policy: its place there goes along.
+    pub shutdown: Rc<Shutdown>,
+    /// Where a group of schedulers agrees on the policy: this scheduler's membership is handed over too.
     pub group: Option<Rc<Accord>>,
-    /// Clients are let in here.
-    pub open: Rc<Cell<bool>>,
-    /// The file that names this process's place may be another's by now.
-    pub again: Notify,
+    /// Whether this process accepts clients.
+    pub accepting: Rc<Cell<bool>>,
+    /// Wakes `accept` to bind the Unix socket again: a failed successor may have replaced the file.
+    pub rebind: Notify,
     pub log: Logger,
 }
 
 impl Handover {
-    /// This process took over: it tells the one before that it serves, and has all of the room once that one is gone.
-    pub async fn after(self: Rc<Self>, stream: UnixStream) {
-        let (clients, workers) = (self.door.half(), self.pool.half());
-        self.talk(stream, Some(Word::Serving), || ()).await;
-        info!(self.log, "the process before this one has ended");
-        self.door.widen(clients);
+    /// Runs in the new process: reports to the predecessor that it serves, and uses the whole connection
+    /// limits once the predecessor has exited.
+    pub async fn finish_takeover(self: Rc<Self>, stream: UnixStream) {
+        let (clients, workers) = (self.clients.half(), self.pool.half());
+        self.exchange_messages(stream, Some(Message::Serving), || ()).await;
+        info!(self.log, "the previous process has exited");
+        self.clients.widen(clients);
         self.pool.widen(workers);
     }
 
-    /// The place where the process that is started beside this one asks. Bound before anybody can take this one for
-    /// ready: guards against an upgrade right after the start that finds nobody to ask, and shares the address instead.
+    /// Binds the Unix socket for handover requests. Bound before this process reports ready: otherwise an
+    /// upgrade right after the start would find no socket, and the new process would share the address
+    /// instead.
     pub fn listen(&self) -> Option<UnixListener> {
-        let place = self.place.as_deref()?;
-        let _ = std::fs::remove_file(place);
-        let listener = UnixListener::bind(place);
-        listener.map_err(|e| warn!(self.log, "nothing can be handed over, {}: {e}", place.display())).ok()
+        let path = self.socket_path.as_deref()?;
+        let _ = std::fs::remove_file(path);
+        let listener = UnixListener::bind(path);
+        listener.map_err(|e| warn!(self.log, "handover is not possible, {}: {e}", path.display())).ok()
     }
 
-    /// Waits for a process that is started beside this one, for as long as this one lives.
-    pub async fn keep(self: Rc<Self>, mut place: Option<UnixListener>) {
-        while let Some(listener) = place {
+    /// Accepts handover requests for as long as this process runs.
+    pub async fn accept(self: Rc<Self>, mut requests: Option<UnixListener>) {
+        while let Some(listener) = requests {
             loop {
                 let stream = tokio::select! {
-                    came = listener.accept() => came,
-                    () = self.again.notified() => break,
+                    accepted = listener.accept() => accepted,
+                    () = self.rebind.notified() => break,
                 };
                 match stream {
-                    Ok((stream, _)) => drop(spawn_local(self.clone().offer(stream))),
+                    Ok((stream, _)) => drop(spawn_local(self.clone().hand_over(stream))),
                     Err(_) => tokio::time::sleep(SHORT_OF_DESCRIPTORS).await,
                 }
             }
-            place = self.listen();
+            requests = self.listen();
         }
     }
 
-    /// A process that was started beside this one asks. Until it serves, this one goes on if it ends.
-    async fn offer(self: Rc<Self>, mut stream: UnixStream) {
-        let hello = timeout(PATIENCE, read_frame(&mut stream)).await;
+    /// Answers a handover request. If the new process exits before it serves, this one resumes.
+    async fn hand_over(self: Rc<Self>, mut stream: UnixStream) {
+        let hello = timeout(PEER_TIMEOUT, read_frame(&mut stream)).await;
         let hello = hello.ok().and_then(Result::ok).and_then(|text| serde_json::from_slice(&text).ok());
-        let knows = matches!(hello, Some(Word::Hello { version }) if version == VERSION);
-        if !knows || self.line.partner.borrow().is_some() {
-            warn!(self.log, "who asks for what is here is of another version, or a second one: not answered");
+        let supported = matches!(hello, Some(Message::Hello { version }) if version == VERSION);
+        if !supported || self.link.peer.borrow().is_some() {
+            warn!(
+                self.log,
+                "handover request refused: unsupported version, or another handover is in progress"
+            );
             return;
         }
-        // From here on it takes the new tasks: whoever connects waits in the one queue until it serves.
-        self.open.set(false);
-        self.door.pause(true);
+        // The new process will take the new tasks: connections wait in the shared accept queue until it
+        // serves.
+        self.accepting.set(false);
+        self.clients.pause(true);
         self.group.iter().for_each(|group| group.rest());
-        let heritage = self.exchange.bequeath(&self.muster.words());
+        let state = self.exchange.bequeath(&self.workers.words());
         let sent = async {
             stream.writable().await?;
-            passing::pass(&stream, &*self.listener)?;
-            stream.write_all(&frame(&heritage)?).await
+            fd_passing::send_socket(&stream, &*self.listener)?;
+            stream.write_all(&frame(&state)?).await
         };
         let serves = Cell::new(false);
-        match timeout(PATIENCE, sent).await {
+        match timeout(PEER_TIMEOUT, sent).await {
             Ok(Ok(())) => {
-                info!(self.log, "handed over to the process started beside this one");
-                let begins = || {
+                info!(self.log, "handed over to the new process");
+                let on_serving = || {
                     serves.set(true);
-                    self.stopping.succeeded(true);
-                    self.door.dismiss_all();
+                    self.shutdown.set_succeeded(true);
+                    self.clients.dismiss_all();
                 };
-                let in_time = async {
-                    tokio::time::sleep(TO_SERVE).await;
+                let ready_timeout = async {
+                    tokio::time::sleep(READY_TIMEOUT).await;
                     if serves.get() {
                         std::future::pending::<()>().await;
                     }
                 };
                 tokio::select! {
-                    () = self.talk(stream, None, begins) => {}
-                    () = in_time => {}
+                    () = self.exchange_messages(stream, None, on_serving) => {}
+                    () = ready_timeout => {}
                 }
             }
-            Ok(Err(e)) => warn!(self.log, "could not hand over: {e}"),
-            Err(_) => warn!(self.log, "could not hand over in {} s", PATIENCE.as_secs()),
+            Ok(Err(e)) => warn!(self.log, "handover failed: {e}"),
+            Err(_) => warn!(self.log, "handover did not finish within {} s", PEER_TIMEOUT.as_secs()),
         }
-        self.line.partner.replace(None);
-        if !self.stopping.is_told() {
-            warn!(self.log, "the process started beside this one is gone: this one goes on");
-            self.stopping.succeeded(false);
+        self.link.peer.replace(None);
+        if !self.shutdown.is_requested() {
+            warn!(self.log, "the new process is gone: this process resumes");
+            self.shutdown.set_succeeded(false);
             self.exchange.yielded(false);
             self.group.iter().for_each(|group| drop(spawn_local(group.clone().resume())));
-            self.door.pause(false);
-            self.open.set(true);
-            self.again.notify_one();
+            self.clients.pause(false);
+            self.accepting.set(true);
+            self.rebind.notify_one();
         }
     }
 
-    /// Speaks with the other process until one of both ends.
-    async fn talk(&self, stream: UnixStream, first: Option<Word>, serves: impl Fn()) {
+    /// Exchanges messages with the other process until either of the two exits.
+    async fn exchange_messages(&self, stream: UnixStream, first: Option<Message>, serves: impl Fn()) {
         let (mut read, mut write) = stream.into_split();
-        let (words, mut told) = mpsc::channel(WAITING);
-        self.line.partner.replace(Some(Partner { words, waiting: HashMap::new(), next: 0 }));
-        first.into_iter().for_each(|word| self.line.say(word));
+        let (outgoing, mut queued) = mpsc::channel(QUEUE_CAPACITY);
+        self.link.peer.replace(Some(Peer { outgoing, unconfirmed: HashMap::new(), next_number: 0 }));
+        first.into_iter().for_each(|message| self.link.send(message));
         let writes = async {
-            while let Some(word) = told.recv().await {
-                write.write_all(&frame(&word)?).await?;
+            while let Some(message) = queued.recv().await {
+                write.write_all(&frame(&message)?).await?;
             }
             Ok::<(), Error>(())
         };
         let reads = async {
             loop {
                 match serde_json::from_slice(&read_frame(&mut read).await?)? {
-                    Word::Hello { .. } => {}
-                    Word::Serving => serves(),
-                    Word::News { number, body } => {
-                        if let Ok(news) = news::decode(body.as_bytes()) {
-                            self.exchange.news(news);
+                    Message::Hello { .. } => {}
+                    Message::Serving => serves(),
+                    Message::Event { number, body } => {
+                        if let Ok(event) = news::decode(body.as_bytes()) {
+                            self.exchange.news(event);
                         }
-                        self.line.say(Word::Heard { number });
+                        self.link.send(Message::Received { number });
                     }
-                    Word::Heard { number } => self.line.heard(number),
-                    Word::Ban { name, banned } => self.exchange.ban_told(&name, banned),
+                    Message::Received { number } => self.link.received(number),
+                    Message::Ban { name, banned } => self.exchange.ban_told(&name, banned),
                 }
             }
         };
@@ -211,8 +223,8 @@
             ended = reads => ended,
         };
         if let Some(e) = ended.err().filter(|e| e.kind() == ErrorKind::InvalidData) {
-            warn!(self.log, "the other process said what cannot be read: {e}");
+            warn!(self.log, "the other process sent an unreadable message: {e}");
         }
-        self.line.partner.replace(None);
+        self.link.peer.replace(None);
     }
 }
--- a/crates/scheduler/src/succession/heritage.rs
+++ b/crates/scheduler/src/succession/handover_state.rs
@@ -1,5 +1,5 @@
-//! What a process leaves to the one that takes over from it, as JSON, by names and in Unix time: indices and clocks are
-//! each process's own.
+//! The state that a process passes to its successor, as JSON, with names and Unix times: indices and
+//! monotonic clocks differ between processes.
 
 use crate::clock::Clock;
 use crate::rows::Rows;
@@ -14,83 +14,90 @@
 pub const VERSION: u32 = 1;
 
 #[derive(Serialize, Deserialize)]
-pub struct Heritage {
+pub struct HandoverState {
     pub version: u32,
-    /// Taken out by the start of the process that takes over.
+    /// Removed while the successor starts up.
     pub list: Option<ListingDoc>,
     pub banned: BTreeSet<String>,
-    stands: BTreeMap<String, StandDoc>,
-    /// By workload: logarithm, spread and mean of the running time, completions.
+    #[serde(rename = "stands")]
+    workers: BTreeMap<String, WorkerDoc>,
+    /// By workload: logarithm, spread and mean of the run time, completions.
     runs: BTreeMap<String, [f64; 4]>,
     /// By machine kind: logarithm of the speed, slots.
     kinds: BTreeMap<String, [f64; 2]>,
-    /// By zone and kind: the others' share.
-    others: Vec<(String, String, f64)>,
-    hold: f64,
+    /// By zone and kind: the load share of the other schedulers.
+    #[serde(rename = "others")]
+    peer_shares: Vec<(String, String, f64)>,
+    #[serde(rename = "hold")]
+    slot_time: f64,
     setup: f64,
-    mine: f64,
+    #[serde(rename = "mine")]
+    local_share: f64,
 }
 
 #[derive(Serialize, Deserialize)]
-struct StandDoc {
+struct WorkerDoc {
     rest_ms: u64,
     barred_ms: Option<u64>,
-    apart: f64,
+    #[serde(rename = "apart")]
+    speed_offset: f64,
     completions: f64,
     fresh: bool,
-    hidden: f64,
+    #[serde(rename = "hidden")]
+    peer_load: f64,
 }
 
-pub fn leave<'a, I: Iterator<Item = &'a Entry>>(
+pub fn capture<'a, I: Iterator<Item = &'a Entry>>(
     rules: &Policy,
     rows: &Rows,
     entries: impl Fn() -> I,
     banned: BTreeSet<String>,
     words: &Words,
     clock: &Clock,
-) -> Heritage {
+) -> HandoverState {
     let (known, workers) = rules.records();
-    let stands = entries().zip(workers).map(|(entry, worker)| {
-        let stand = worker.snapshot();
+    let workers = entries().zip(workers).map(|(entry, worker)| {
+        let snapshot = worker.snapshot();
         let (rest_ms, barred_ms) =
-            (clock.to_unix_ms(stand.rest_until), stand.barred_until.map(|at| clock.to_unix_ms(at)));
-        let WorkerState { speed_offset: apart, completions, fresh, peer_load: hidden, .. } = stand;
-        (entry.name.clone(), StandDoc { rest_ms, barred_ms, apart, completions, fresh, hidden })
+            (clock.to_unix_ms(snapshot.rest_until), snapshot.barred_until.map(|at| clock.to_unix_ms(at)));
+        let WorkerState { speed_offset, completions, fresh, peer_load, .. } = snapshot;
+        (entry.name.clone(), WorkerDoc { rest_ms, barred_ms, speed_offset, completions, fresh, peer_load })
     });
     let runs = rows.names.iter().zip(&known.runs);
     let runs =
         runs.filter_map(|(name, r)| Some((name.as_deref()?.into(), [r.log, r.spread, r.mean, r.seen])));
     let kinds = words.kinds.iter().cloned().zip(&known.kinds).map(|(name, k)| (name, [k.speed, k.slots]));
-    let others = known.peer_shares.iter().zip(&words.zones).flat_map(|(shares, zone)| {
+    let peer_shares = known.peer_shares.iter().zip(&words.zones).flat_map(|(shares, zone)| {
         let shares = shares.iter().zip(&words.kinds);
         shares.map(|(share, kind)| (zone.clone(), kind.clone(), *share))
     });
-    Heritage {
+    HandoverState {
         version: VERSION,
         list: Some(ListingDoc::of(entries(), words)),
         banned,
-        stands: stands.collect(),
+        workers: workers.collect(),
         runs: runs.collect(),
         kinds: kinds.collect(),
-        others: others.collect(),
-        hold: known.slot_time,
+        peer_shares: peer_shares.collect(),
+        slot_time: known.slot_time,
         setup: known.setup,
-        mine: known.local_share,
+        local_share: known.local_share,
     }
 }
 
-impl Heritage {
-    /// Reads what another process left; one of another version is of no use.
-    pub fn read(text: &[u8]) -> Result<Self, String> {
-        let heritage: Heritage = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-        if heritage.version != VERSION {
-            return Err(format!("version {} is not known", heritage.version));
+impl HandoverState {
+    /// Parses the state of another process; another format version is refused.
+    pub fn parse(text: &[u8]) -> Result<Self, String> {
+        let state: HandoverState = serde_json::from_slice(text).map_err(|e| e.to_string())?;
+        if state.version != VERSION {
+            return Err(format!("version {} is not supported", state.version));
         }
-        Ok(heritage)
+        Ok(state)
     }
 
-    /// What is not named here is as it was: workloads of a new file, workers that were not listed.
-    pub fn take(
+    /// Applies this state to the policy. Workloads and workers that are not named here keep their initial
+    /// state.
+    pub fn restore(
         &self,
         rules: &mut Policy,
         rows: &Rows,
@@ -109,31 +116,31 @@
                 *kind = MachineKind { speed, slots, ..MachineKind::default() };
             }
         }
-        let at = |words: &[String], word: &str| words.iter().position(|w| w == word);
-        for (zone, kind, share) in &self.others {
+        let at = |names: &[String], name: &str| names.iter().position(|n| n == name);
+        for (zone, kind, share) in &self.peer_shares {
             let (zone, kind) = (at(&words.zones, zone), at(&words.kinds, kind));
             let shares = zone.and_then(|zone| known.peer_shares.get_mut(zone));
             if let Some(known) = shares.zip(kind).and_then(|(shares, kind)| shares.get_mut(kind)) {
                 *known = *share;
             }
         }
-        (known.slot_time, known.setup, known.local_share) = (self.hold, self.setup, self.mine);
+        (known.slot_time, known.setup, known.local_share) = (self.slot_time, self.setup, self.local_share);
         let moment = |ms: u64| clock.from_unix_ms(ms).unwrap_or(Duration::ZERO);
-        let stands = self.stands.iter().filter_map(|(name, doc)| {
+        let workers = self.workers.iter().filter_map(|(name, doc)| {
             let (rest, barred) = (moment(doc.rest_ms), doc.barred_ms.map(moment));
-            let StandDoc { apart, completions, fresh, hidden, .. } = *doc;
+            let WorkerDoc { speed_offset, completions, fresh, peer_load, .. } = *doc;
             Some((
                 index(name)?,
                 WorkerState {
                     rest_until: rest,
                     barred_until: barred,
-                    speed_offset: apart,
+                    speed_offset,
                     completions,
                     fresh,
-                    peer_load: hidden,
+                    peer_load,
                 },
             ))
         });
-        rules.restore(known, &stands.collect::<Vec<_>>());
+        rules.restore(known, &workers.collect::<Vec<_>>());
     }
 }
--- a/crates/scheduler/src/succession/mod.rs
+++ b/crates/scheduler/src/succession/mod.rs
@@ -1,8 +1,8 @@
-//! From one process to the next: an upgrade under load, and the end.
+//! Process replacement: the handover to a new process during an upgrade, and the graceful shutdown.
 
+pub mod draining;
+pub mod fd_passing;
 pub mod handover;
-pub mod heritage;
-pub mod leaving;
-pub mod line;
-pub mod passing;
-pub mod stopping;
+pub mod handover_state;
+pub mod link;
+pub mod shutdown;
--- a/crates/scheduler/tests/upgrades.rs
+++ b/crates/scheduler/tests/upgrades.rs
@@ -1,4 +1,4 @@
-//! Upgrades under load: two processes of one scheduler on 127.0.0.1, between stand-ins for clients and workers.
+//! Upgrades under load: two processes of one scheduler on 127.0.0.1, between simulated clients and workers.
 
 use std::net::{SocketAddr, TcpListener};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -7,24 +7,25 @@
 use std::time::Duration;
 use tindock_trial::peers::*;
 
-/// A worker that takes each task, tells the scheduler's address that it is done, and counts what it ran.
+/// A worker that accepts each task, reports to the scheduler's address that it is done, and counts the tasks
+/// it ran.
 fn worker(name: &'static str, scheduler: SocketAddr, ran: Arc<AtomicUsize>) -> SocketAddr {
     let (listener, at) = listener();
     serve_each(listener, move |stream| {
-        let mut line = Peer::over(stream);
-        while let Some(task) = line.try_read() {
+        let mut connection = Peer::over(stream);
+        while let Some(task) = connection.try_read() {
             let id = task.header("x-trace-id").expect("an id").to_string();
-            line.taken();
+            connection.taken();
             ran.fetch_add(1, Ordering::SeqCst);
             std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_millis(30));
-                let news = format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"{id}"}}"#);
-                // As often as the platform's workers try.
+                let event = format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"{id}"}}"#);
+                // The platform's workers try ten times as well.
                 for _ in 0..10 {
                     let mut peer = Peer::connect(scheduler);
-                    let length = news.len();
+                    let length = event.len();
                     peer.write(&format!(
-                        "POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{news}"
+                        "POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{event}"
                     ));
                     if peer.try_read().is_some_and(|answer| answer.first == "HTTP/1.1 204 No Content") {
                         return;
@@ -36,27 +37,27 @@
     at
 }
 
-/// A free address for clients, since workers must know it before the start.
-fn free() -> SocketAddr {
+/// A free address for clients: workers must know it before the scheduler starts.
+fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").expect("a listener").local_addr().expect("its address")
 }
 
-fn on(listen: SocketAddr, config: &str) -> String {
+fn config_at(listen: SocketAddr, config: &str) -> String {
     operated(&config.replacen("127.0.0.1:0", &listen.to_string(), 1))
 }
 
-/// Upgrades one after the other.
+/// Successive upgrades in one run.
 const UPGRADES: usize = 2;
 
-/// Guards against tasks lost or run twice while one process takes over from another, twice in a row, against clients
-/// that meet a closed door, and against a ban that is forgotten.
+/// Guards against tasks lost or run twice while one process takes over from another, twice in a row; against
+/// clients whose connections are refused; and against a ban that the new process does not know.
 #[test]
-fn a_new_version_takes_over_under_load() {
+fn upgrades_under_load_lose_no_task_and_run_none_twice() {
     let (discovery, agent) = listener();
-    let (listen, ran) = (free(), [(); 3].map(|()| Arc::new(AtomicUsize::new(0))));
+    let (listen, ran) = (free_address(), [(); 3].map(|()| Arc::new(AtomicUsize::new(0))));
     let workers = [("w0", &ran[0]), ("w1", &ran[1]), ("w2", &ran[2])];
     let entries = workers.map(|(name, ran)| entry(name, worker(name, listen, ran.clone()), "active"));
-    let text = on(listen, &config(agent, &entries, 512));
+    let text = config_at(listen, &config(agent, &entries, 512));
     let mut old = Scheduler::over(spawn("takes-over", &text, 512));
     let at = operators(&mut old);
     assert_eq!(call(at, b"exclude w2\n"), "done\n");
@@ -71,15 +72,16 @@
                 }
                 let id = format!("c{n}-{k}");
                 client.post("/release", &id, "x");
-                // An idle connection may be closed just as it writes; then it sends once more, on a new one. That
-                // can meet it once an upgrade, and what was read before would show as a task that ran twice.
+                // An idle connection may be closed just as the client writes; it then resends on a new one.
+                // This can happen once per upgrade. If the first copy had been read, the task would count as
+                // run twice.
                 let answer = client.try_read().unwrap_or_else(|| {
                     crossed += 1;
                     client = Peer::connect(listen);
                     client.post("/release", &id, "x");
                     client.read()
                 });
-                assert!(crossed <= UPGRADES, "a client met a closed connection again");
+                assert!(crossed <= UPGRADES, "a client met more closed connections than upgrades");
                 assert_eq!((answer.first.as_str(), answer.body), ("HTTP/1.1 200 OK", id));
                 sent.fetch_add(1, Ordering::SeqCst);
                 if answer.headers.contains("connection: close") {
@@ -91,7 +93,10 @@
     let wait_for = |tasks: usize| {
         let so_far = sent.load(Ordering::SeqCst);
         while sent.load(Ordering::SeqCst) < so_far + tasks {
-            assert!(clients.iter().all(|client| !client.is_finished()), "a client met a closed door");
+            assert!(
+                clients.iter().all(|client| !client.is_finished()),
+                "a client got no answer on a new connection"
+            );
             std::thread::sleep(Duration::from_millis(2));
         }
     };
@@ -102,10 +107,10 @@
         while call(at, b"readyz\n") != "done\n" {}
         old.signal("-TERM");
         wait_for(20);
-        // What staff tell one process holds for both, and for the next.
+        // An operator's call to one process applies to both, and to the next.
         assert_eq!(call(at, b"exclude w2\n"), "done\n");
         assert!(old.child.wait().expect("its end").success());
-        new.line("the process before this one has ended");
+        new.line("the previous process has exited");
         old = new;
     }
     stop.store(true, Ordering::SeqCst);
@@ -115,53 +120,53 @@
     drop(discovery);
 }
 
-/// Guards against an upgrade that breaks what it was to replace: the new process ends before it serves.
+/// Guards against an upgrade that breaks the running process: the new one exits before it serves.
 #[test]
-fn a_new_process_that_ends_early_changes_nothing() {
+fn the_old_process_resumes_when_the_new_one_exits_early() {
     let ((discovery, agent), (worker, at)) = (listener(), listener());
     let text = operated(&config(agent, &[entry("w0", at, "active")], 128));
     let mut old = Scheduler::over(spawn("ends-early", &text, 256));
     let operators = operators(&mut old);
-    let place = runtime("ends-early").join("tindock-n1.sock");
+    let socket = runtime("ends-early").join("tindock-n1.sock");
     let hello = r#"{"Hello":{"version":1}}"#;
-    let said = [&(hello.len() as u32).to_be_bytes(), hello.as_bytes()].concat();
-    let mut new = UnixStream::connect(&place).expect("a place to ask");
-    std::io::Write::write_all(&mut new, &said).expect("room to write");
-    old.line("handed over");
+    let frame = [&(hello.len() as u32).to_be_bytes(), hello.as_bytes()].concat();
+    let mut new = UnixStream::connect(&socket).expect("the handover socket");
+    std::io::Write::write_all(&mut new, &frame).expect("written");
+    old.line("handed over to the new process");
     assert_eq!(call(operators, b"readyz\n"), "error not ready: clients are not let in\n");
     drop(new);
-    old.line("this one goes on");
+    old.line("this process resumes");
     assert_eq!(call(operators, b"readyz\n"), "done\n");
     let mut client = Peer::connect(old.address);
     client.post("/plan", "e1", "x");
-    let mut line = Peer::accept(&worker);
-    line.read();
+    let mut connection = Peer::accept(&worker);
+    connection.read();
     old.done("e1", "w0", "goes on");
     assert_eq!(client.read().body, "goes on");
-    // Who says what is no hello changes nothing.
-    let mut odd = UnixStream::connect(&place).expect("a place to ask");
-    std::io::Write::write_all(&mut odd, b"\0\0\0\x02{}").expect("room to write");
-    old.line("not answered");
+    // A first frame that is no hello changes nothing.
+    let mut odd = UnixStream::connect(&socket).expect("the handover socket");
+    std::io::Write::write_all(&mut odd, b"\0\0\0\x02{}").expect("written");
+    old.line("handover request refused");
     assert_eq!(call(operators, b"readyz\n"), "done\n");
     drop(discovery);
 }
 
-/// Guards against a start that waits, or fails, for what an earlier process left: a file that nobody answers at, a
-/// process that stands still, bans that cannot be read.
+/// Guards against a start that hangs or fails because of leftovers of an earlier process: a socket file that
+/// nobody listens on, a process that hangs, a file of bans that cannot be read.
 #[test]
-fn a_start_goes_on_without_what_cannot_be_taken_over() {
+fn a_start_succeeds_despite_leftovers_of_an_earlier_process() {
     let ((discovery, agent), (_worker, at)) = (listener(), listener());
     let text = operated(&config(agent, &[entry("w0", at, "active")], 128));
     let _ = std::fs::remove_dir_all(runtime("left-over"));
     std::fs::create_dir_all(runtime("left-over")).expect("a folder");
     std::fs::write(runtime("left-over").join("tindock-n1.bans"), "{\"version\":1,").expect("a file");
-    let place = runtime("left-over").join("tindock-n1.sock");
-    drop(UnixListener::bind(&place).expect("a file that nobody answers at"));
+    let socket = runtime("left-over").join("tindock-n1.sock");
+    drop(UnixListener::bind(&socket).expect("a socket file without a listener"));
     let mut first = Scheduler::over(spawn_beside("left-over", &text, 256));
     assert_eq!(call(operators(&mut first), b"readyz\n"), "done\n");
     drop(first);
-    std::fs::remove_file(&place).expect("its place");
-    let silent = UnixListener::bind(&place).expect("a process that stands still");
+    std::fs::remove_file(&socket).expect("removed");
+    let silent = UnixListener::bind(&socket).expect("a process that hangs");
     let mut next = Scheduler::over(spawn_beside("left-over", &text, 256));
     assert_eq!(call(operators(&mut next), b"readyz\n"), "done\n");
     drop((silent, discovery));
