--- a/crates/scheduler/src/accord/commands.rs
+++ b/crates/scheduler/src/accord/commands.rs
@@ -2,7 +2,7 @@
 
 use crate::accord::text::Text;
 use crate::operators::calls;
-use crate::rollout::{StatusForm, Wrong};
+use crate::rollout::{CommandError, StatusFormat};
 use clap::{Args, Subcommand};
 use serde::Deserialize;
 use similar::TextDiff;
@@ -47,7 +47,7 @@
         #[command(flatten)]
         asked: Asked,
         #[arg(long, default_value = "text")]
-        format: StatusForm,
+        format: StatusFormat,
     },
     /// Tell what was in force, number by number
     History {
@@ -133,24 +133,25 @@
     what: String,
 }
 
-fn wrong(code: i32, line: impl Into<String>) -> Wrong {
-    Wrong { code, lines: vec![line.into()] }
+fn wrong(code: i32, line: impl Into<String>) -> CommandError {
+    CommandError { code, lines: vec![line.into()] }
 }
 
 impl Asked {
-    fn address(&self) -> Result<SocketAddr, Wrong> {
-        crate::cli::management(self.at, self.config.as_deref()).map_err(|lines| Wrong { code: 2, lines })
+    fn address(&self) -> Result<SocketAddr, CommandError> {
+        crate::cli::management(self.at, self.config.as_deref())
+            .map_err(|lines| CommandError { code: 2, lines })
     }
 
     /// The answer to a call, without its last line.
-    fn ask(&self, call: &str, bytes: &[u8]) -> Result<String, Wrong> {
+    fn ask(&self, call: &str, bytes: &[u8]) -> Result<String, CommandError> {
         let at = self.address()?;
         let told = |why: String| wrong(1, format!("{at}: {why}"));
         let answer = calls::ask_with(at, call, bytes, ANSWER).map_err(|e| told(e.to_string()))?;
         calls::yes(&answer).map(String::from).map_err(told)
     }
 
-    fn status(&self) -> Result<Status, Wrong> {
+    fn status(&self) -> Result<Status, CommandError> {
         let status: Status = read(&self.ask("policy", &[])?)?;
         match status.version {
             1 => Ok(status),
@@ -158,18 +159,18 @@
         }
     }
 
-    fn text(&self, number: u64) -> Result<Text, Wrong> {
+    fn text(&self, number: u64) -> Result<Text, CommandError> {
         let text = self.ask(&format!("policy-text {number}"), &[])?;
         Text::read(text.as_bytes()).map_err(|why| wrong(1, format!("number {number} {why}")))
     }
 }
 
-fn read<'t, T: Deserialize<'t>>(text: &'t str) -> Result<T, Wrong> {
+fn read<'t, T: Deserialize<'t>>(text: &'t str) -> Result<T, CommandError> {
     serde_json::from_str(text).map_err(|e| wrong(1, format!("its answer: {e}")))
 }
 
 /// Makes a proposal and waits for what becomes of it.
-fn propose(asked: &Asked, within: &Within, call: &str, bytes: &[u8]) -> Result<String, Wrong> {
+fn propose(asked: &Asked, within: &Within, call: &str, bytes: &[u8]) -> Result<String, CommandError> {
     let ends = Instant::now() + Duration::from_secs(within.within);
     let began = asked.ask(call, bytes)?;
     let mut words = began.split(' ').skip(1);
@@ -214,8 +215,8 @@
     }
 }
 
-fn status(asked: &Asked, format: StatusForm) -> Result<String, Wrong> {
-    if let StatusForm::Json = format {
+fn status(asked: &Asked, format: StatusFormat) -> Result<String, CommandError> {
+    if let StatusFormat::Json = format {
         return asked.ask("policy", &[]).map(|line| line + "\n");
     }
     let status = asked.status()?;
@@ -245,7 +246,7 @@
     Ok(lines.join("\n") + "\n")
 }
 
-fn members(asked: &Asked) -> Result<String, Wrong> {
+fn members(asked: &Asked) -> Result<String, CommandError> {
     let line = |m: &Member| {
         let number = m.number.map_or("-".into(), |number| number.to_string());
         let heard = m.heard_ms.map_or("never heard here".into(), |ms| format!("heard {ms} ms ago"));
@@ -255,14 +256,14 @@
     Ok(asked.status()?.members.iter().map(line).collect())
 }
 
-fn history(asked: &Asked) -> Result<String, Wrong> {
+fn history(asked: &Asked) -> Result<String, CommandError> {
     let all: Vec<Past> = read(&asked.ask("policy-history", &[])?)?;
     let line = |past: &Past| format!("{} {} by {} at {}\n", past.number, past.what, past.by, past.at_ms);
     Ok(all.iter().map(line).collect())
 }
 
 /// Carries out one of the commands; what it has to say, or what is wrong with its exit code.
-pub fn command(command: &Policies) -> Result<String, Wrong> {
+pub fn command(command: &Policies) -> Result<String, CommandError> {
     match command {
         Policies::Propose { file, asked, within } => {
             let told = |why: String| wrong(2, format!("{}: {why}", file.display()));
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -5,7 +5,7 @@
 use crate::list::shelves;
 use crate::list::stocking::accept_file;
 use crate::operators::calls;
-use crate::rollout::Rollouts;
+use crate::rollout::RolloutCommand;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -51,7 +51,7 @@
     Inventory(Inventories),
     /// Change the settings of many schedulers in stages, stopped and undone when a stage does worse
     #[command(subcommand)]
-    Rollout(Rollouts),
+    Rollout(RolloutCommand),
     /// Change a policy that takes hold at all schedulers of a group or at none
     #[command(subcommand)]
     Policy(Policies),
--- a/crates/scheduler/src/keep/mod.rs
+++ b/crates/scheduler/src/keep/mod.rs
@@ -1,211 +1,223 @@
-//! `tindock keep`: stands over the schedulers of one machine. [`tindock_rollout::supervisor`] decides for each; here are
-//! its hands: [`processes`] starts and ends them, [`standing`] keeps which program each runs, [`control`] hears calls.
+//! `tindock keep`: supervises the schedulers of member machine. The state machine of each is
+//! [`tindock_rollout::supervisor`]; this module does its input and output: [`processes`] starts and ends
+//! processes, [`store`] persists which program each scheduler runs, and [`control`] accepts calls.
 //!
-//! It can die and be started again: schedulers go on by themselves, and what is found at their operators' addresses is
-//! taken as it is.
+//! The keeper can be killed and restarted: schedulers keep running without it, and it adopts the processes
+//! that it finds at their operators' addresses.
 
 pub mod control;
 pub mod processes;
-pub mod standing;
+pub mod store;
 
 use crate::operators::calls::each;
-use control::{Asked, Call};
+use control::{Call, Request};
 use processes::Processes;
 use serde_json::json;
 use slog::{info, o, warn, Logger};
-use standing::{Programs, Standing};
 use std::path::Path;
 use std::sync::mpsc::{self, Receiver};
 use std::time::{Duration, Instant};
+use store::{Programs, SchedulerState};
 use tindock_berth::keeper::{Keeper, Kept};
 use tindock_rollout::supervisor::{Order, ProcessStatus, State, Supervisor, Upgrade};
 use tindock_rollout::Lease;
 
-/// A process that ended is seen, and started again, within so long.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which processes that have exited are noticed and restarted.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One scheduler.
-struct One {
-    is: Kept,
-    keeping: Supervisor,
+/// One supervised scheduler.
+struct Member {
+    config: Kept,
+    supervisor: Supervisor,
     processes: Processes,
     lease: Lease,
-    said: (State, Option<Upgrade>),
+    /// The state and upgrade outcome that were logged last.
+    reported: (State, Option<Upgrade>),
 }
 
 pub struct Host {
     keeper: Keeper,
     programs: Programs,
-    all: Vec<One>,
+    members: Vec<Member>,
     began: Instant,
     log: Logger,
 }
 
-/// Keeps them until the process ends; an error where it could not begin.
+/// Supervises the schedulers until the process ends; an error only if it could not start.
 pub fn run(path: &Path, log: &Logger) -> Result<(), Vec<String>> {
     let keeper = tindock_berth::keeper::open(path)?;
-    let one = |why: String| vec![why];
-    let alone = standing::alone(&keeper.folder).map_err(one)?;
-    let (tell, asked) = mpsc::sync_channel(control::WAITING);
-    let listens = control::listen(keeper.control, tell)
-        .map_err(|e| one(format!("control, {}: {e}", keeper.control)))?;
-    info!(log, "{} keeps {} schedulers, control at {listens}", keeper.name, keeper.schedulers.len());
-    let mut host = Host::begin(keeper, log.clone()).map_err(one)?;
-    host.keep(&asked);
-    drop(alone);
+    let single = |why: String| vec![why];
+    let lock = store::lock_folder(&keeper.folder).map_err(single)?;
+    let (sender, requests) = mpsc::sync_channel(control::QUEUE_CAPACITY);
+    let address = control::listen(keeper.control, sender)
+        .map_err(|e| single(format!("control, {}: {e}", keeper.control)))?;
+    info!(log, "{} supervises {} schedulers, control at {address}", keeper.name, keeper.schedulers.len());
+    let mut host = Host::begin(keeper, log.clone()).map_err(single)?;
+    host.run_loop(&requests);
+    drop(lock);
     Ok(())
 }
 
 impl Host {
     fn begin(keeper: Keeper, log: Logger) -> Result<Self, String> {
         let mut programs = Programs::open(&keeper.folder)?;
-        // The file's program is the one for schedulers that were never started here.
-        let first = programs.bring(&keeper.program)?;
-        let mut all = Vec::new();
-        for is in &keeper.schedulers {
-            let standing = Standing::read(&keeper.folder, &is.name)?;
+        // The configured program is for schedulers that were never started here.
+        let first = programs.add(&keeper.program)?;
+        let mut members = Vec::new();
+        for config in &keeper.schedulers {
+            let state = SchedulerState::read(&keeper.folder, &config.name)?;
             let known = |digest: &str, programs: &mut Programs| programs.find(digest);
-            let program = standing.as_ref().and_then(|s| known(&s.program, &mut programs)).unwrap_or(first);
-            let previous = standing.as_ref().and_then(|s| known(s.previous.as_deref()?, &mut programs));
+            let program = state.as_ref().and_then(|s| known(&s.program, &mut programs)).unwrap_or(first);
+            let previous = state.as_ref().and_then(|s| known(s.previous.as_deref()?, &mut programs));
             let mut lease = Lease::default();
-            if let Some(standing) = standing {
-                // What is older stays older over a restart of this process.
-                lease = Lease::after(standing.number, &standing.run);
+            if let Some(state) = state {
+                // Restored, so that older run numbers are refused after a restart of the keeper too.
+                lease = Lease::after(state.number, &state.run);
             }
-            let mut processes = Processes::new(is, &keeper.folder);
-            let sights = processes.look();
-            let keeping = Supervisor::adopt(program, previous, sights, Duration::ZERO);
-            let log = log.new(o!("part" => is.name.clone()));
-            sights.iter().zip(&is.management).filter(|(sight, _)| **sight != ProcessStatus::Gone).for_each(
-                |(_, at)| {
-                    info!(log, "found at {at}, goes on");
-                },
-            );
-            let said = (keeping.state(), None);
-            all.push(One { is: is.clone(), keeping, processes, lease, said });
+            let mut processes = Processes::new(config, &keeper.folder);
+            let statuses = processes.poll();
+            let supervisor = Supervisor::adopt(program, previous, statuses, Duration::ZERO);
+            let log = log.new(o!("part" => config.name.clone()));
+            statuses
+                .iter()
+                .zip(&config.management)
+                .filter(|(status, _)| **status != ProcessStatus::Gone)
+                .for_each(|(_, at)| {
+                    info!(log, "found running at {at}");
+                });
+            let reported = (supervisor.state(), None);
+            members.push(Member { config: config.clone(), supervisor, processes, lease, reported });
         }
-        Ok(Host { keeper, programs, all, began: Instant::now(), log })
+        Ok(Host { keeper, programs, members, began: Instant::now(), log })
     }
 
     fn now(&self) -> Duration {
         self.began.elapsed()
     }
 
-    fn keep(&mut self, asked: &Receiver<Asked>) {
+    fn run_loop(&mut self, requests: &Receiver<Request>) {
         loop {
             let turn = Instant::now();
-            self.look();
-            for at in 0..self.all.len() {
+            self.poll();
+            for at in 0..self.members.len() {
                 self.act(at);
             }
-            // Calls are answered at once; the next look waits for none.
-            while let Some(rest) = LOOK.checked_sub(turn.elapsed()).filter(|rest| !rest.is_zero()) {
-                let Ok(Asked { call, answer }) = asked.recv_timeout(rest) else { break };
-                let said = self.answer(call);
-                // A caller that went away wants no answer.
-                let _ = answer.send(said);
+            // Calls are answered until the next poll is due.
+            while let Some(rest) = POLL_INTERVAL.checked_sub(turn.elapsed()).filter(|rest| !rest.is_zero()) {
+                let Ok(Request { call, reply }) = requests.recv_timeout(rest) else { break };
+                let answer = self.answer(call);
+                // The caller may have closed the connection.
+                let _ = reply.send(answer);
             }
         }
     }
 
-    fn look(&mut self) {
-        let sights = each(&mut self.all, |one| one.processes.look());
+    fn poll(&mut self) {
+        let statuses = each(&mut self.members, |member| member.processes.poll());
         let now = self.now();
-        for (one, sights) in self.all.iter_mut().zip(sights) {
-            sights.into_iter().enumerate().for_each(|(place, sight)| one.keeping.observe(place, sight, now));
+        for (member, statuses) in self.members.iter_mut().zip(statuses) {
+            statuses
+                .into_iter()
+                .enumerate()
+                .for_each(|(place, status)| member.supervisor.observe(place, status, now));
         }
     }
 
-    /// Carries out what is decided for one scheduler. Which program it runs is on the disk before a process of it begins.
+    /// Carries out the supervisor's orders for member scheduler, and logs and saves a change of its state.
+    /// The program of an upgrade is on disk before a process of it starts.
     fn act(&mut self, at: usize) {
         let now = self.now();
-        let log = self.log.new(o!("part" => self.all[at].is.name.clone()));
-        while let Some(order) = self.all[at].keeping.next_order(now) {
-            let one = &mut self.all[at];
+        let log = self.log.new(o!("part" => self.members[at].config.name.clone()));
+        while let Some(order) = self.members[at].supervisor.next_order(now) {
+            let member = &mut self.members[at];
             match order {
                 Order::Start { program, place } => {
                     let program = self.programs.path(program);
-                    match one.processes.start(&program, place) {
+                    match member.processes.start(&program, place) {
                         Ok(id) => info!(
                             log,
-                            "started as process {id}, operators' address {}", one.is.management[place]
+                            "started as process {id}, operators' address {}", member.config.management[place]
                         ),
-                        Err(e) => warn!(log, "cannot be started: {}: {e}", program.display()),
+                        Err(e) => warn!(log, "cannot start: {}: {e}", program.display()),
                     }
                 }
-                Order::Stop { place } => one.processes.signal(place, false),
+                Order::Stop { place } => member.processes.signal(place, false),
                 Order::Kill { place } => {
-                    warn!(log, "the process at {} is killed", one.is.management[place]);
-                    one.processes.signal(place, true);
+                    warn!(log, "killing the process at {}", member.config.management[place]);
+                    member.processes.signal(place, true);
                 }
             }
         }
-        let said = (self.all[at].keeping.state(), self.all[at].keeping.last_upgrade());
-        if said == std::mem::replace(&mut self.all[at].said, said) {
+        let current = (self.members[at].supervisor.state(), self.members[at].supervisor.last_upgrade());
+        if current == std::mem::replace(&mut self.members[at].reported, current) {
             return;
         }
-        match said {
-            (State::GivenUp, _) => warn!(log, "given up: it ended again and again; `anew` begins anew"),
+        match current {
+            (State::GivenUp, _) => warn!(log, "given up after repeated exits; the call `anew` restarts it"),
             (State::Down(until), _) => {
-                warn!(log, "ended; started again in {:.2} s", until.saturating_sub(now).as_secs_f64());
+                warn!(
+                    log,
+                    "exited; will be started again in {:.2} s",
+                    until.saturating_sub(now).as_secs_f64()
+                );
             }
-            (State::Upgrading, _) => info!(log, "another program begins beside it"),
+            (State::Upgrading, _) => info!(log, "starting another program beside the running member"),
             (State::Serving, Some(Upgrade::Done)) => info!(log, "the new program serves"),
             (State::Serving, Some(Upgrade::ExitedEarly)) => {
-                warn!(log, "the new program ended before it served; the old one goes on")
+                warn!(log, "the new program exited before it served; the old member keeps serving")
             }
             (State::Serving, Some(Upgrade::TimedOut)) => {
-                warn!(log, "the new program did not serve in time; the old one goes on")
+                warn!(log, "the new program did not serve in time; the old member keeps serving")
             }
             (State::Serving, Some(Upgrade::RolledBack)) => {
-                warn!(log, "the new program ended soon after it served; the old one is back")
+                warn!(log, "the new program exited soon after it served; rolled back to the old member")
             }
             (State::Serving, None) => {}
         }
-        self.write(at);
+        self.save(at);
     }
 
-    fn write(&self, at: usize) {
-        let one = &self.all[at];
-        let (number, run) = one.lease.holder();
-        let standing = Standing::new(
-            self.programs.digest(one.keeping.program()),
-            one.keeping.previous().map(|program| self.programs.digest(program)),
+    fn save(&self, at: usize) {
+        let member = &self.members[at];
+        let (number, run) = member.lease.holder();
+        let state = SchedulerState::new(
+            self.programs.digest(member.supervisor.program()),
+            member.supervisor.previous().map(|program| self.programs.digest(program)),
             number,
             run,
         );
-        if let Err(why) = standing.write(&self.keeper.folder, &one.is.name) {
-            warn!(self.log, "which program {} runs will be forgotten: {why}", one.is.name);
+        if let Err(why) = state.write(&self.keeper.folder, &member.config.name) {
+            warn!(self.log, "cannot store which program {} runs: {why}", member.config.name);
         }
     }
 
     fn answer(&mut self, call: Call) -> Result<String, String> {
-        let find = |name: &str, all: &[One]| {
-            let found = all.iter().position(|one| one.is.name == name);
-            found.ok_or_else(|| format!("no scheduler {name:?} is kept here"))
+        let find = |name: &str, all: &[Member]| {
+            let found = all.iter().position(|member| member.config.name == name);
+            found.ok_or_else(|| format!("no scheduler {name:?} is supervised here"))
         };
         match call {
-            Call::Ready => match self.all.iter().find(|one| !one.keeping.is_ready()) {
-                Some(one) => Err(format!("{} does not serve", one.is.name)),
+            Call::Ready => match self.members.iter().find(|member| !member.supervisor.is_ready()) {
+                Some(member) => Err(format!("{} does not serve", member.config.name)),
                 None => Ok("done\n".into()),
             },
-            Call::Programs => Ok(self.programs_line() + "\nend\n"),
-            Call::Anew { name } => {
-                let at = find(&name, &self.all)?;
-                self.all[at].keeping.restart(self.began.elapsed());
+            Call::Programs => Ok(self.programs_json() + "\nend\n"),
+            Call::Restart { name } => {
+                let at = find(&name, &self.members)?;
+                self.members[at].supervisor.restart(self.began.elapsed());
                 Ok("done\n".into())
             }
-            Call::Bring { name, run, number, digest, path } => {
-                let at = find(&name, &self.all)?;
+            Call::Upgrade { name, run, number, digest, path } => {
+                let at = find(&name, &self.members)?;
                 let now = self.now();
-                self.all[at].lease.take(&run, number, now)?;
+                self.members[at].lease.take(&run, number, now)?;
                 let program = match path {
                     None => self
                         .programs
                         .find(&digest)
-                        .ok_or_else(|| format!("no program {digest} is kept here"))?,
+                        .ok_or_else(|| format!("no copy of program {digest} is stored here"))?,
                     Some(path) => {
-                        let program = self.programs.bring(&path)?;
+                        let program = self.programs.add(&path)?;
                         if self.programs.digest(program) != digest {
                             return Err(format!(
                                 "{}: has digest {}",
@@ -216,36 +228,36 @@
                         program
                     }
                 };
-                self.all[at].keeping.upgrade(program, now)?;
-                // The number holds from now on, whatever becomes of this process.
-                self.write(at);
+                self.members[at].supervisor.upgrade(program, now)?;
+                // The run number is stored, so that it also holds after a restart of the keeper.
+                self.save(at);
                 self.act(at);
                 Ok("done\n".into())
             }
         }
     }
 
-    fn programs_line(&self) -> String {
-        let schedulers = self.all.iter().map(|one| {
-            let state = match one.keeping.state() {
+    fn programs_json(&self) -> String {
+        let schedulers = self.members.iter().map(|member| {
+            let state = match member.supervisor.state() {
                 State::Serving => "serves",
                 State::Upgrading => "upgrades",
                 State::Down(_) => "down",
                 State::GivenUp => "given up",
             };
-            let last = one.keeping.last_upgrade().map(|last| match last {
+            let last = member.supervisor.last_upgrade().map(|last| match last {
                 Upgrade::Done => "done",
                 Upgrade::ExitedEarly => "ended",
                 Upgrade::TimedOut => "late",
                 Upgrade::RolledBack => "went back",
             });
-            let (number, run) = one.lease.holder();
+            let (number, run) = member.lease.holder();
             json!({
-                "name": one.is.name,
-                "program": self.programs.digest(one.keeping.program()),
+                "name": member.config.name,
+                "program": self.programs.digest(member.supervisor.program()),
                 "state": state,
                 "last": last,
-                "management": one.is.management[one.keeping.place()].to_string(),
+                "management": member.config.management[member.supervisor.place()].to_string(),
                 "fence": number,
                 "run": run,
             })
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -12,7 +12,7 @@
 use tindock_scheduler::berth::{self, Layers, Level, LogForm};
 use tindock_scheduler::cli::{self, Cli, Command, LogFormat, LogLevel};
 use tindock_scheduler::keep;
-use tindock_scheduler::rollout::{self, Wrong};
+use tindock_scheduler::rollout::{self, CommandError};
 use tindock_scheduler::start;
 use tindock_soak::command::Verdict;
 
@@ -68,7 +68,7 @@
     ended
 }
 
-fn go() -> Result<String, Wrong> {
+fn go() -> Result<String, CommandError> {
     let one_line = |why: String| vec![format!("tindock: {}", why.replace('\n', " "))];
     let named = || std::env::var_os("GW_CONFIG").map(PathBuf::from).ok_or("GW_CONFIG names no configuration");
     let whole = Cli::command()
@@ -86,11 +86,11 @@
     }
     if let Some(("soak", given)) = matches.subcommand() {
         let played = tindock_soak::command::run(given);
-        let played = played.map_err(|why| Wrong { code: 2, lines: one_line(why.to_string()) })?;
+        let played = played.map_err(|why| CommandError { code: 2, lines: one_line(why.to_string()) })?;
         let _ = std::io::stdout().write_all(played.text.as_bytes());
         return match played.verdict {
             Verdict::Kept => Ok(String::new()),
-            Verdict::Broken => Err(Wrong { code: 1, lines: one_line("a rule is broken".into()) }),
+            Verdict::Broken => Err(CommandError { code: 1, lines: one_line("a rule is broken".into()) }),
         };
     }
     if let Some(("play", given)) = matches.subcommand() {
@@ -99,7 +99,7 @@
             return Ok(played.text);
         }
         let _ = std::io::stdout().write_all(played.text.as_bytes());
-        return Err(Wrong { code: 3, lines: one_line("a rule or an expectation is broken".into()) });
+        return Err(CommandError { code: 3, lines: one_line("a rule or an expectation is broken".into()) });
     }
     match Cli::from_arg_matches(&matches).map_err(|e| e.exit()).map(|cli| cli.command).unwrap_or(None) {
         None => {
@@ -144,7 +144,7 @@
             let _ = std::io::stdout().write_all(said.as_bytes());
             0
         }
-        Err(Wrong { code, lines }) => {
+        Err(CommandError { code, lines }) => {
             lines.iter().for_each(|line| eprintln!("{line}"));
             code
         }
--- a/crates/scheduler/src/rollout/coordinator.rs
+++ b/crates/scheduler/src/rollout/coordinator.rs
@@ -1,10 +1,11 @@
-//! Carries out what the machine decides: looks at all schedulers at once, twice a second, and gives its orders. Writes
-//! down what it will do before it does it. Schedulers go on as they are while it is dead.
-
-use super::files::{self, Hand};
-use super::looking::{self, Look, Said, Standing};
-use super::record::{self, Kept, Record, Step, Story};
-use super::Wrong;
+//! Drives the rollout state machine: polls all schedulers concurrently, twice a second, and carries out its
+//! orders. Each step is recorded before it is carried out. Schedulers keep running unchanged while the
+//! coordinator is dead.
+
+use super::files::{self, ConfigFile, FileError};
+use super::record::{self, History, MemberDigests, Record, Step};
+use super::remote::{self, Reply, SchedulerInfo, Snapshot};
+use super::CommandError;
 use crate::berth::{self, Layers};
 use crate::cli::LogFormat;
 use crate::operators::calls::each;
@@ -18,14 +19,14 @@
     planning, Observation, Order, Outcome, Reason, Rollout, SettingsVersion, State, TaskTotals,
 };
 
-const LOOK: Duration = Duration::from_millis(500);
-/// Of a lease of fifteen seconds; renewed often enough that a few calls may be lost.
-const RENEW: Duration = Duration::from_secs(3);
-/// A scheduler reads its own program when it is first asked, in the background.
-const TO_FIND_OUT: Duration = Duration::from_secs(3);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Leases last fifteen seconds: a few lost renewals are tolerated.
+const LEASE_RENEWAL: Duration = Duration::from_secs(3);
+/// Time for a scheduler to compute its program's digest: it does so in the background after the first query.
+const DIGEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum Mode {
     Run,
     Undo,
     Resume,
@@ -33,34 +34,34 @@
 
 /// One scheduler of the run.
 struct Member {
-    is: Managed,
-    /// The texts of its file, where those change.
+    scheduler: Managed,
+    /// The texts of its configuration before and after, if the run changes settings.
     old: String,
     new: String,
-    /// Digests of what changes, before and after.
+    /// Digests of the configuration or program before and after.
     digests: (String, String),
-    look: Option<Look>,
+    snapshot: Option<Snapshot>,
 }
 
 impl Member {
-    fn new(is: Managed, old: String, new: String) -> Self {
+    fn new(scheduler: Managed, old: String, new: String) -> Self {
         let digests = (digest(&old), digest(&new));
-        Member { is, old, new, digests, look: None }
+        Member { scheduler, old, new, digests, snapshot: None }
     }
 
-    fn of_programs(is: Managed, old: String, new: String) -> Self {
-        Member { is, old: String::new(), new: String::new(), digests: (old, new), look: None }
+    fn for_program(scheduler: Managed, old: String, new: String) -> Self {
+        Member { scheduler, old: String::new(), new: String::new(), digests: (old, new), snapshot: None }
     }
 
-    /// Which of the two it runs with; none where it has not found out yet. What is the same before and after counts by
-    /// what was ordered.
-    fn stand(&self, what: &Change, standing: &Standing, changed: bool) -> Option<SettingsVersion> {
-        let is = match what {
-            Change::Settings(_) => &standing.settings,
-            Change::Program(_) => standing.program.as_ref()?,
+    /// Which version the scheduler runs; `None` while it does not know its program. Where old and new are the
+    /// same, it counts as changed once the change was ordered.
+    fn version(&self, change: &Change, info: &SchedulerInfo, changed: bool) -> Option<SettingsVersion> {
+        let current = match change {
+            Change::Settings(_) => &info.settings,
+            Change::Program(_) => info.program.as_ref()?,
         };
         let (old, new) = &self.digests;
-        Some(match (is == old, is == new) {
+        Some(match (current == old, current == new) {
             (true, true) if changed => SettingsVersion::New,
             (true, _) => SettingsVersion::Old,
             (_, true) => SettingsVersion::New,
@@ -69,100 +70,103 @@
     }
 }
 
-/// The schedulers' files with the new settings in them, each read as the scheduler will read it.
-fn grafted(plan: &Plan, settings: &Path) -> Result<Vec<Member>, Vec<String>> {
+/// Members with the new settings grafted into their configurations, each validated as the scheduler will read
+/// it.
+fn members_for_settings(plan: &Plan, settings: &Path) -> Result<Vec<Member>, Vec<String>> {
     let read =
         |path: &Path| std::fs::read_to_string(path).map_err(|e| vec![format!("{}: {e}", path.display())]);
     let next = read(settings)?;
-    let (mut members, mut wrong) = (Vec::new(), Vec::new());
-    for is in &plan.schedulers {
-        let path = &is.configuration;
-        let made = read(path).and_then(|old| {
+    let (mut members, mut errors) = (Vec::new(), Vec::new());
+    for scheduler in &plan.schedulers {
+        let path = &scheduler.configuration;
+        let texts = read(path).and_then(|old| {
             let new = grafting::graft(path, &old, settings, &next).map_err(|why| vec![why])?;
             berth::parse(path, &new, &Layers::default())?;
             Ok((old, new))
         });
-        match made {
-            Ok((old, new)) => members.push(Member::new(is.clone(), old, new)),
-            Err(lines) => wrong.extend(lines),
+        match texts {
+            Ok((old, new)) => members.push(Member::new(scheduler.clone(), old, new)),
+            Err(lines) => errors.extend(lines),
         }
     }
-    if wrong.is_empty() {
+    if errors.is_empty() {
         Ok(members)
     } else {
-        Err(wrong)
+        Err(errors)
     }
 }
 
-/// The schedulers with the program that each runs now, and the one that it is to run.
-fn programs(plan: &Plan, program: &Path) -> Result<Vec<Member>, Vec<String>> {
+/// Members with the digests of the programs that they run now and are to run.
+fn members_for_program(plan: &Plan, program: &Path) -> Result<Vec<Member>, Vec<String>> {
     let new = std::fs::File::open(program).and_then(digest_of);
     let new = new.map_err(|e| vec![format!("{}: {e}", program.display())])?;
-    let found = each(&plan.schedulers, |is| {
+    let found = each(&plan.schedulers, |scheduler| {
         let began = Instant::now();
         loop {
-            let standing = looking::way(is).and_then(|(at, _)| looking::standing(at));
-            match standing.map_err(|why| format!("{}: {why}", is.name))?.program {
-                Some(old) => return Ok(Member::of_programs(is.clone(), old, new.clone())),
-                None if began.elapsed() < TO_FIND_OUT => std::thread::sleep(LOOK / 2),
-                None => return Err(format!("{}: does not know its own program", is.name)),
+            let info = remote::management_address(scheduler).and_then(|(at, _)| remote::info(at));
+            match info.map_err(|why| format!("{}: {why}", scheduler.name))?.program {
+                Some(old) => return Ok(Member::for_program(scheduler.clone(), old, new.clone())),
+                None if began.elapsed() < DIGEST_TIMEOUT => std::thread::sleep(POLL_INTERVAL / 2),
+                None => return Err(format!("{}: does not report the digest of its program", scheduler.name)),
             }
         }
     });
-    let (members, wrong): (Vec<_>, Vec<_>) = found.into_iter().partition(Result::is_ok);
-    match wrong.is_empty() {
+    let (members, errors): (Vec<_>, Vec<_>) = found.into_iter().partition(Result::is_ok);
+    match errors.is_empty() {
         true => Ok(members.into_iter().flatten().collect()),
-        false => Err(wrong.into_iter().filter_map(Result::err).collect()),
+        false => Err(errors.into_iter().filter_map(Result::err).collect()),
     }
 }
 
-/// Whether a run could begin: its files are whole, all schedulers are ready with what the files say. The largest number
-/// that any run had there.
-fn ready(plan: &Plan, members: &[Member]) -> Result<u64, Vec<String>> {
+/// Checks that a run could start: the files are valid, and all schedulers are ready and run what their files
+/// say. Returns the largest number of any earlier run.
+fn check_ready(plan: &Plan, members: &[Member]) -> Result<u64, Vec<String>> {
     let found = each(members, |member| {
-        let name = &member.is.name;
-        let (at, kept) = looking::way(&member.is).map_err(|why| format!("{name}: {why}"))?;
-        let standing = looking::standing(at).map_err(|why| format!("{name}: {why}"))?;
-        if !standing.ready {
+        let name = &member.scheduler.name;
+        let (at, keeper) =
+            remote::management_address(&member.scheduler).map_err(|why| format!("{name}: {why}"))?;
+        let info = remote::info(at).map_err(|why| format!("{name}: {why}"))?;
+        if !info.ready {
             return Err(format!("{name}: not ready"));
         }
-        if matches!(plan.change, Change::Settings(_)) && standing.settings != member.digests.0 {
-            let file = member.is.configuration.display();
-            return Err(format!("{name}: runs with other settings than {file} says; SIGHUP first"));
+        if matches!(plan.change, Change::Settings(_)) && info.settings != member.digests.0 {
+            let file = member.scheduler.configuration.display();
+            return Err(format!("{name}: its settings differ from {file}; reload it with SIGHUP first"));
         }
-        let (number, _) = files::holder(&member.is.configuration).map_err(|why| why.text().to_string())?;
-        Ok(number.max(standing.fence).max(kept.map_or(0, |kept| kept.fence)))
+        let (number, _) =
+            files::holder(&member.scheduler.configuration).map_err(|why| why.text().to_string())?;
+        Ok(number.max(info.fence).max(keeper.map_or(0, |keeper| keeper.fence)))
     });
-    let (mut most, mut wrong) = (0, Vec::new());
-    for one in found {
-        match one {
-            Ok(number) => most = most.max(number),
-            Err(why) => wrong.push(why),
+    let (mut largest, mut errors) = (0, Vec::new());
+    for result in found {
+        match result {
+            Ok(number) => largest = largest.max(number),
+            Err(why) => errors.push(why),
         }
     }
     let same = |member: &Member| member.digests.0 == member.digests.1;
     if members.iter().all(same) {
-        wrong.push("nothing to change: every scheduler has it".into());
+        errors.push("nothing to change: every scheduler has this version".into());
     }
-    if wrong.is_empty() {
-        Ok(most)
+    if errors.is_empty() {
+        Ok(largest)
     } else {
-        Err(wrong)
+        Err(errors)
     }
 }
 
-/// The schedulers with what each has and is to have.
-fn changed(plan: &Plan) -> Result<Vec<Member>, Vec<String>> {
+/// Members with their old and new versions.
+fn load_members(plan: &Plan) -> Result<Vec<Member>, Vec<String>> {
     match &plan.change {
-        Change::Settings(path) => grafted(plan, path),
-        Change::Program(path) => programs(plan, path),
+        Change::Settings(path) => members_for_settings(plan, path),
+        Change::Program(path) => members_for_program(plan, path),
     }
 }
 
-pub fn check(plan: &Plan) -> Result<String, Wrong> {
-    let not_yet = |lines| Wrong { code: 1, lines };
-    let members = changed(plan).map_err(not_yet)?;
-    ready(plan, &members).map_err(not_yet)?;
+pub fn check(plan: &Plan) -> Result<String, CommandError> {
+    let failed = |lines| CommandError { code: 1, lines };
+    let members = load_members(plan).map_err(failed)?;
+    check_ready(plan, &members).map_err(failed)?;
     let names: Vec<&str> = plan.schedulers.iter().map(|s| s.name.as_str()).collect();
     let stages = stages(plan);
     let lines = stages.iter().enumerate().map(|(at, stage)| {
@@ -179,72 +183,72 @@
 
 pub struct Coordinator {
     plan: Plan,
-    how: How,
+    mode: Mode,
     stages: Vec<Vec<usize>>,
     members: Vec<Member>,
     record: Record,
-    rolling: Rollout,
-    /// By which schedulers and files know it.
+    rollout: Rollout,
+    /// The run's identity in leases and fences.
     id: String,
     number: u64,
     began: Instant,
     renewed: Option<Instant>,
-    /// Names of workloads, in the order in which they were first seen.
+    /// Names of workloads, in the order of their first appearance.
     workloads: Vec<String>,
-    said: State,
-    form: LogFormat,
+    /// The state that was reported last.
+    reported: State,
+    log_format: LogFormat,
 }
 
 impl Coordinator {
-    /// Takes the fleet: its record, the files of all schedulers, and a lease at each that answers.
-    pub fn begin(plan: Plan, how: How, form: LogFormat) -> Result<Self, Wrong> {
-        let not_begun = |lines| Wrong { code: 1, lines };
-        let one = |why: String| not_begun(vec![why]);
-        let (mut record, story) = Record::open(&plan.record).map_err(one)?;
-        let story = story.filter(|story| how != How::Run || !story.is_settled());
-        // Guards against two runs of one name: by its moment, each is another one.
-        let fresh = || format!("{}.{:x}", plan.name, record::unix_ms());
-        let id = story.as_ref().map_or_else(fresh, |story| story.id.clone());
-        let (members, number) = match (&story, how) {
-            (Some(story), How::Run) => {
-                let why = format!(
-                    "run {} was left in the midst: `resume` goes on with it, `undo` undoes it",
-                    story.run
-                );
+    /// Acquires the record, a lease of each scheduler that answers, and the fences of all configuration
+    /// files.
+    pub fn begin(plan: Plan, mode: Mode, log_format: LogFormat) -> Result<Self, CommandError> {
+        let not_started = |lines| CommandError { code: 1, lines };
+        let one = |why: String| not_started(vec![why]);
+        let (mut record, history) = Record::open(&plan.record).map_err(one)?;
+        let history = history.filter(|history| mode != Mode::Run || !history.is_settled());
+        // The start time distinguishes runs of the same name.
+        let new_id = || format!("{}.{:x}", plan.name, record::unix_ms());
+        let id = history.as_ref().map_or_else(new_id, |history| history.id.clone());
+        let (members, number) = match (&history, mode) {
+            (Some(history), Mode::Run) => {
+                let why =
+                    format!("run {} was interrupted: `resume` continues it, `undo` undoes it", history.run);
                 return Err(one(why));
             }
-            (None, How::Undo | How::Resume) => return Err(one("no run was begun here".into())),
-            (Some(story), How::Resume) if story.is_settled() => {
-                return Err(one(format!("run {} has ended; `undo` undoes it", story.run)));
+            (None, Mode::Undo | Mode::Resume) => return Err(one("no run was started here".into())),
+            (Some(history), Mode::Resume) if history.is_settled() => {
+                return Err(one(format!("run {} has ended; `undo` undoes it", history.run)));
             }
-            (None, How::Run) => {
-                let members = changed(&plan).map_err(not_begun)?;
-                let number = ready(&plan, &members).map_err(not_begun)? + 1;
+            (None, Mode::Run) => {
+                let members = load_members(&plan).map_err(not_started)?;
+                let number = check_ready(&plan, &members).map_err(not_started)? + 1;
                 (members, number)
             }
-            (Some(story), _) => Self::recorded(&plan, &record, story).map_err(one)?,
+            (Some(history), _) => Self::recorded(&plan, &record, history).map_err(one)?,
         };
-        // Guards against a run that takes the files from one that works there: it asks the schedulers first.
-        let leased = each(&members, |member| looking::lease(&member.is, &id, number));
-        let held = leased.into_iter().zip(&members).filter_map(|(said, member)| match said {
-            Said::Outrun(why) | Said::Refused(why) => Some(format!("{}: {why}", member.is.name)),
-            // A run begins with all; one that goes on does what it can.
-            Said::Nothing(why) if how == How::Run => Some(format!("{}: {why}", member.is.name)),
-            Said::Done | Said::Nothing(_) => None,
+        // Leases come before the file fences, so that this run cannot take the files from one in progress.
+        let leased = each(&members, |member| remote::lease(&member.scheduler, &id, number));
+        let held = leased.into_iter().zip(&members).filter_map(|(reply, member)| match reply {
+            Reply::Superseded(why) | Reply::Refused(why) => Some(format!("{}: {why}", member.scheduler.name)),
+            // A new run needs every scheduler; a resumed one does what it can.
+            Reply::NoAnswer(why) if mode == Mode::Run => Some(format!("{}: {why}", member.scheduler.name)),
+            Reply::Done | Reply::NoAnswer(_) => None,
         });
         let held: Vec<String> = held.collect();
-        // Guards against runs that hold one another up for ever, each with a part of the fleet: who does not get all
-        // lets go of what it got.
-        let let_go = |lines| {
-            each(&members, |member| looking::release(&member.is, &id, number));
-            not_begun(lines)
+        // Guards against a deadlock of two runs that each hold some of the leases: a run that does not get
+        // all releases those that it got.
+        let give_up = |lines| {
+            each(&members, |member| remote::release(&member.scheduler, &id, number));
+            not_started(lines)
         };
         if !held.is_empty() {
-            return Err(let_go(held));
+            return Err(give_up(held));
         }
         for member in &members {
-            let hand = Hand { path: &member.is.configuration, run: &id, number };
-            hand.fence().map_err(|why| let_go(vec![why.text().into()]))?;
+            let file = ConfigFile { path: &member.scheduler.configuration, run: &id, number };
+            file.fence().map_err(|why| give_up(vec![why.text().into()]))?;
         }
         let stages = stages(&plan);
         let machine = tindock_rollout::Plan {
@@ -258,18 +262,18 @@
             replaces_process: matches!(plan.change, Change::Program(_)),
         };
         let zero = Duration::ZERO;
-        let written = match &story {
-            None => Self::write_down(&mut record, &plan, &id, number, &members),
+        let written = match &history {
+            None => Self::write_start(&mut record, &plan, &id, number, &members),
             Some(_) => record.write(Step::Taken { number }),
         };
         written.map_err(one)?;
-        let rolling = match story {
+        let rollout = match history {
             None => Rollout::new(machine, zero),
-            Some(story) => {
-                let named = |who: &usize| story.changed.contains(&plan.schedulers[*who].name);
+            Some(history) => {
+                let named = |who: &usize| history.changed.contains(&plan.schedulers[*who].name);
                 let changed: Vec<usize> = (0..members.len()).filter(named).collect();
-                match (how, story.turned.is_some(), story.stage) {
-                    (How::Undo, ..) | (_, true, _) => {
+                match (mode, history.undo_reason.is_some(), history.stage) {
+                    (Mode::Undo, ..) | (_, true, _) => {
                         Rollout::undoing(machine, &changed, Reason::StoppedByOperator, zero)
                     }
                     (_, false, Some(stage)) => Rollout::resumed(machine, stage, &changed, zero),
@@ -277,101 +281,115 @@
                 }
             }
         };
-        let (began, said) = (Instant::now(), State::Planned);
+        let (began, reported) = (Instant::now(), State::Planned);
         let workloads = Vec::new();
         Ok(Coordinator {
             plan,
-            how,
+            mode,
             stages,
             members,
             record,
-            rolling,
+            rollout,
             id,
             number,
             began,
             renewed: Some(began),
             workloads,
-            said,
-            form,
+            reported,
+            log_format,
         })
     }
 
-    /// The schedulers as a record has them, and the number to go on with.
-    fn recorded(plan: &Plan, record: &Record, story: &Story) -> Result<(Vec<Member>, u64), String> {
+    /// The members as recorded, and the number to continue with.
+    fn recorded(plan: &Plan, record: &Record, history: &History) -> Result<(Vec<Member>, u64), String> {
         let mut members = Vec::new();
-        for is in &plan.schedulers {
-            let kept = story.kept.iter().find(|kept| kept.name == is.name);
-            let kept =
-                kept.ok_or_else(|| format!("the record of run {} has no scheduler {}", story.run, is.name))?;
+        for scheduler in &plan.schedulers {
+            let recorded = history.members.iter().find(|recorded| recorded.name == scheduler.name);
+            let recorded = recorded.ok_or_else(|| {
+                format!("the record of run {} has no scheduler {}", history.run, scheduler.name)
+            })?;
             let member = match &plan.change {
                 Change::Settings(_) => {
-                    let (old, new) = (record.kept(&is.name, "old")?, record.kept(&is.name, "new")?);
-                    Member::new(is.clone(), old, new)
+                    let (old, new) = (
+                        record.read_text(&scheduler.name, "old")?,
+                        record.read_text(&scheduler.name, "new")?,
+                    );
+                    Member::new(scheduler.clone(), old, new)
+                }
+                Change::Program(_) => {
+                    Member::for_program(scheduler.clone(), recorded.old.clone(), recorded.new.clone())
                 }
-                Change::Program(_) => Member::of_programs(is.clone(), kept.old.clone(), kept.new.clone()),
             };
-            if member.digests != (kept.old.clone(), kept.new.clone()) {
-                return Err(format!("the record's texts for {} are not those it was begun with", is.name));
+            if member.digests != (recorded.old.clone(), recorded.new.clone()) {
+                return Err(format!(
+                    "the record's texts for {} do not match the digests in its log",
+                    scheduler.name
+                ));
             }
             members.push(member);
         }
-        if story.run != plan.name || story.kept.len() != members.len() {
-            return Err(format!("the record is of run {} over {} schedulers", story.run, story.kept.len()));
+        if history.run != plan.name || history.members.len() != members.len() {
+            return Err(format!(
+                "the record is of run {} with {} schedulers",
+                history.run,
+                history.members.len()
+            ));
         }
         let held = each(&members, |member| {
-            let number = files::holder(&member.is.configuration).map_or(0, |(number, _)| number);
-            let Ok((at, kept)) = looking::way(&member.is) else { return number };
-            let told = looking::standing(at).map_or(0, |told| told.fence);
-            number.max(told).max(kept.map_or(0, |kept| kept.fence))
+            let number = files::holder(&member.scheduler.configuration).map_or(0, |(number, _)| number);
+            let Ok((at, keeper)) = remote::management_address(&member.scheduler) else { return number };
+            let fence = remote::info(at).map_or(0, |info| info.fence);
+            number.max(fence).max(keeper.map_or(0, |keeper| keeper.fence))
         });
-        // Those of this run itself count too: whoever worked on it before has none any more.
-        let most = held.into_iter().max().unwrap_or(0).max(story.number);
-        Ok((members, most + 1))
+        // The run's own numbers count too: this fences off a process that worked on it before.
+        let largest = held.into_iter().max().unwrap_or(0).max(history.number);
+        Ok((members, largest + 1))
     }
 
-    fn write_down(
+    fn write_start(
         record: &mut Record,
         plan: &Plan,
         id: &str,
         number: u64,
         members: &[Member],
     ) -> Result<(), String> {
-        record.anew(number)?;
-        let mut kept = Vec::new();
+        record.start_new_log(number)?;
+        let mut digests = Vec::new();
         for member in members {
-            let name = member.is.name.clone();
+            let name = member.scheduler.name.clone();
             if matches!(plan.change, Change::Settings(_)) {
-                record.keep(&name, "old", &member.old)?;
-                record.keep(&name, "new", &member.new)?;
+                record.save_text(&name, "old", &member.old)?;
+                record.save_text(&name, "new", &member.new)?;
             }
             let (old, new) = member.digests.clone();
-            kept.push(Kept { name, old, new });
+            digests.push(MemberDigests { name, old, new });
         }
-        record.begun(&plan.name, id, number, kept)
+        record.write_begun(&plan.name, id, number, digests)
     }
 
-    /// Runs to the end, with a line a stage.
-    pub fn run(mut self) -> Result<String, Wrong> {
-        if *self.rolling.state() == State::Planned {
-            self.line(format!("watching {} unchanged schedulers first", self.members.len()));
+    /// Runs to the end and prints a line per stage.
+    pub fn run(mut self) -> Result<String, CommandError> {
+        if *self.rollout.state() == State::Planned {
+            self.print(format!("watching {} unchanged schedulers first", self.members.len()));
         }
         loop {
             let turn = Instant::now();
-            self.look();
-            if self.record.is_told_to_stop() {
-                self.rolling.stop(Reason::StoppedByOperator, self.now());
+            self.poll();
+            if self.record.stop_requested() {
+                self.rollout.stop(Reason::StoppedByOperator, self.now());
             }
-            // What cannot be written down is not done, and what was done stays written: exit 3, `resume` goes on.
-            self.act().map_err(|why| self.left(why))?;
-            if self.rolling.is_over() {
-                // What is told last is what is there last.
-                self.look();
+            // A step that cannot be recorded is not carried out, and earlier steps stay recorded: exit 3,
+            // `resume` continues.
+            self.act().map_err(|why| self.interrupted(why))?;
+            if self.rollout.is_over() {
+                // The last status shows the final state of the schedulers.
+                self.poll();
             }
-            self.record.tell(&self.status());
-            if self.rolling.is_over() {
-                return self.end();
+            self.record.write_status(&self.status());
+            if self.rollout.is_over() {
+                return self.finish();
             }
-            std::thread::sleep(LOOK.saturating_sub(turn.elapsed()));
+            std::thread::sleep(POLL_INTERVAL.saturating_sub(turn.elapsed()));
         }
     }
 
@@ -379,57 +397,59 @@
         self.began.elapsed()
     }
 
-    fn look(&mut self) {
-        let renews = self.renewed.is_none_or(|at| at.elapsed() >= RENEW);
+    fn poll(&mut self) {
+        let renew = self.renewed.is_none_or(|at| at.elapsed() >= LEASE_RENEWAL);
         let (run, number) = (&self.id, self.number);
-        let looks = each(&self.members, |member| {
-            let said = renews.then(|| looking::lease(&member.is, run, number));
-            (looking::look(&member.is), said)
+        let results = each(&self.members, |member| {
+            let reply = renew.then(|| remote::lease(&member.scheduler, run, number));
+            (remote::snapshot(&member.scheduler), reply)
         });
-        if renews {
+        if renew {
             self.renewed = Some(Instant::now());
         }
-        let changed = self.rolling.changed();
-        for (who, (look, said)) in looks.into_iter().enumerate() {
-            if let Some(Said::Outrun(why)) = said {
-                self.rolling.supersede(why);
+        let changed = self.rollout.changed();
+        for (who, (snapshot, reply)) in results.into_iter().enumerate() {
+            if let Some(Reply::Superseded(why)) = reply {
+                self.rollout.supersede(why);
                 return;
             }
-            let look = look.ok();
-            let seen = look.as_ref().and_then(|look| self.seen(who, look, changed.contains(&who)));
-            self.rolling.observe(who, seen, self.now());
-            // A keeper's yes is a beginning; what became of it stands beside.
-            let failed = look.as_ref().and_then(|look| look.kept.as_ref()?.failed());
+            let snapshot = snapshot.ok();
+            let seen = snapshot
+                .as_ref()
+                .and_then(|snapshot| self.observation(who, snapshot, changed.contains(&who)));
+            self.rollout.observe(who, seen, self.now());
+            // The keeper's reply to the command only confirmed the start of the upgrade; this is its outcome.
+            let failed = snapshot.as_ref().and_then(|snapshot| snapshot.keeper_entry.as_ref()?.failed());
             if let Some(why) = failed.filter(|_| changed.contains(&who)) {
-                self.rolling.record_outcome(Order::Change(who), Outcome::Refused(why.into()), self.now());
+                self.rollout.record_outcome(Order::Change(who), Outcome::Refused(why.into()), self.now());
             }
-            self.members[who].look = look;
+            self.members[who].snapshot = snapshot;
         }
     }
 
-    fn seen(&mut self, who: usize, look: &Look, changed: bool) -> Option<Observation> {
-        for name in look.totals.keys() {
+    fn observation(&mut self, who: usize, snapshot: &Snapshot, changed: bool) -> Option<Observation> {
+        for name in snapshot.totals.keys() {
             if !self.workloads.contains(name) {
                 self.workloads.push(name.clone());
             }
         }
-        let total = |name: &String| look.totals.get(name).copied().unwrap_or_else(TaskTotals::default);
+        let total = |name: &String| snapshot.totals.get(name).copied().unwrap_or_else(TaskTotals::default);
         Some(Observation {
-            settings: self.members[who].stand(&self.plan.change, &look.standing, changed)?,
-            ready: look.standing.ready,
-            process: look.standing.began_ms,
+            settings: self.members[who].version(&self.plan.change, &snapshot.info, changed)?,
+            ready: snapshot.info.ready,
+            process: snapshot.info.began_ms,
             totals: self.workloads.iter().map(total).collect(),
         })
     }
 
-    /// Carries out what is decided now; each step is written down before it is done.
+    /// Carries out the orders that are due now; each step is recorded before it.
     fn act(&mut self) -> Result<(), String> {
         loop {
             let mut orders = Vec::new();
-            while let Some(order) = self.rolling.next_order(self.now()) {
+            while let Some(order) = self.rollout.next_order(self.now()) {
                 orders.push(order);
             }
-            self.tell()?;
+            self.report_state()?;
             if orders.is_empty() {
                 return Ok(());
             }
@@ -443,79 +463,80 @@
             for (order, outcome) in orders.into_iter().zip(outcomes) {
                 let outcome = match outcome {
                     Ok(outcome) => outcome,
-                    Err(outrun) => {
-                        self.rolling.supersede(outrun);
-                        return self.tell();
+                    Err(why) => {
+                        self.rollout.supersede(why);
+                        return self.report_state();
                     }
                 };
-                let said = match &outcome {
+                let text = match &outcome {
                     Outcome::Done => "done".into(),
                     Outcome::Refused(why) => format!("refused: {why}"),
                     Outcome::Unknown(why) => format!("unknown: {why}"),
                 };
                 self.record.write(match order {
-                    Order::Change(who) => Step::Changed { who: self.name(who), outcome: said },
-                    Order::Undo(who) => Step::Undone { who: self.name(who), outcome: said },
+                    Order::Change(who) => Step::Changed { who: self.name(who), outcome: text },
+                    Order::Undo(who) => Step::Undone { who: self.name(who), outcome: text },
                 })?;
-                self.rolling.record_outcome(order, outcome, self.now());
+                self.rollout.record_outcome(order, outcome, self.now());
             }
         }
     }
 
-    /// An error: another run has the scheduler.
+    /// An error means that another run holds the scheduler.
     fn carry_out(&self, order: Order) -> Result<Outcome, String> {
         match &self.plan.change {
-            Change::Settings(_) => self.settings(order),
-            Change::Program(path) => self.program(order, path),
+            Change::Settings(_) => self.apply_settings(order),
+            Change::Program(path) => self.apply_program(order, path),
         }
     }
 
-    /// The word to the keeper. A change has begun then, and is seen by the looks; it is undone once the old one serves.
-    fn program(&self, order: Order, path: &Path) -> Result<Outcome, String> {
+    /// Commands the keeper to upgrade. A change counts as done when it has started, polling shows its
+    /// outcome; an undo counts as done once the old program serves.
+    fn apply_program(&self, order: Order, path: &Path) -> Result<Outcome, String> {
         let (Order::Change(who) | Order::Undo(who)) = order;
-        let Member { is, digests: (old, new), .. } = &self.members[who];
-        let whole = std::path::absolute(path).unwrap_or_else(|_| PathBuf::from(path));
+        let Member { scheduler, digests: (old, new), .. } = &self.members[who];
+        let absolute = std::path::absolute(path).unwrap_or_else(|_| PathBuf::from(path));
         let (digest, path) = match order {
-            Order::Change(_) => (new, Some(whole.as_path())),
+            Order::Change(_) => (new, Some(absolute.as_path())),
             Order::Undo(_) => (old, None),
         };
-        match looking::bring(is, &self.id, self.number, digest, path) {
-            Said::Refused(why) => return Ok(Outcome::Refused(why)),
-            Said::Outrun(why) => return Err(why),
-            Said::Nothing(why) => return Ok(Outcome::Unknown(why)),
-            Said::Done => {}
+        match remote::start_upgrade(scheduler, &self.id, self.number, digest, path) {
+            Reply::Refused(why) => return Ok(Outcome::Refused(why)),
+            Reply::Superseded(why) => return Err(why),
+            Reply::NoAnswer(why) => return Ok(Outcome::Unknown(why)),
+            Reply::Done => {}
         }
         let serves = || {
-            let (at, _) = looking::way(is)?;
-            let standing = looking::standing(at)?;
-            Ok(standing.ready && standing.program.as_ref() == Some(digest))
+            let (at, _) = remote::management_address(scheduler)?;
+            let info = remote::info(at)?;
+            Ok(info.ready && info.program.as_ref() == Some(digest))
         };
         Ok(match (order, serves()) {
             (Order::Change(_), _) | (_, Ok(true)) => Outcome::Done,
-            (Order::Undo(_), Ok(false)) => Outcome::Unknown("on its way back".into()),
+            (Order::Undo(_), Ok(false)) => Outcome::Unknown("the old program does not serve yet".into()),
             (Order::Undo(_), Err::<_, String>(why)) => Outcome::Unknown(why),
         })
     }
 
-    /// The file, then the word to read it.
-    fn settings(&self, order: Order) -> Result<Outcome, String> {
+    /// Replaces the file, then commands the scheduler to reload it.
+    fn apply_settings(&self, order: Order) -> Result<Outcome, String> {
         let (Order::Change(who) | Order::Undo(who)) = order;
         let member = &self.members[who];
         let (from, to, text) = match order {
             Order::Change(_) => (&member.digests.0, &member.digests.1, &member.new),
             Order::Undo(_) => (&member.digests.1, &member.digests.0, &member.old),
         };
-        let hand = Hand { path: &member.is.configuration, run: &self.id, number: self.number };
-        match hand.swap(from, text) {
+        let file = ConfigFile { path: &member.scheduler.configuration, run: &self.id, number: self.number };
+        match file.swap(from, text) {
             Ok(()) => {}
-            Err(files::Wrong::Outrun(why)) => return Err(why),
-            Err(wrong) => return Ok(Outcome::Refused(wrong.text().into())),
+            Err(FileError::Superseded(why)) => return Err(why),
+            Err(e) => return Ok(Outcome::Refused(e.text().into())),
         }
-        match looking::reread(&member.is, &self.id, self.number, to) {
-            Said::Done => Ok(Outcome::Done),
-            Said::Refused(why) => Ok(Outcome::Refused(why)),
-            Said::Outrun(why) => Err(why),
-            Said::Nothing(why) => Ok(Outcome::Unknown(why)),
+        match remote::reread(&member.scheduler, &self.id, self.number, to) {
+            Reply::Done => Ok(Outcome::Done),
+            Reply::Refused(why) => Ok(Outcome::Refused(why)),
+            Reply::Superseded(why) => Err(why),
+            Reply::NoAnswer(why) => Ok(Outcome::Unknown(why)),
         }
     }
 
@@ -532,19 +553,19 @@
         reason.text(&names, &self.workloads)
     }
 
-    /// One line, and one step of the record, for each change of state.
-    fn tell(&mut self) -> Result<(), String> {
-        let state = self.rolling.state().clone();
-        if state == self.said {
+    /// Prints a line and records a step for each change of state.
+    fn report_state(&mut self) -> Result<(), String> {
+        let state = self.rollout.state().clone();
+        if state == self.reported {
             return Ok(());
         }
-        let before = std::mem::replace(&mut self.said, state.clone());
+        let before = std::mem::replace(&mut self.reported, state.clone());
         let of = self.stages.len();
         match &state {
             State::Planned => {}
             State::Running { stage } => {
                 self.record.write(Step::Stage { stage: *stage })?;
-                self.line(format!("stage {} of {of}: {}", stage + 1, self.names(&self.stages[*stage])));
+                self.print(format!("stage {} of {of}: {}", stage + 1, self.names(&self.stages[*stage])));
             }
             State::Stopping(why) => {
                 let why = self.why(why);
@@ -553,29 +574,29 @@
                     State::Running { stage } => format!("stage {} of {of}: ", stage + 1),
                     _ => String::new(),
                 };
-                self.line(format!("{stage}stopped, {why}; undoing {}", self.names(&self.rolling.changed())));
+                self.print(format!("{stage}stopped, {why}; undoing {}", self.names(&self.rollout.changed())));
             }
             State::Undone(_) | State::Done | State::Stuck(..) => {
-                self.record.write(Step::Ended { state: self.word().into() })?;
+                self.record.write(Step::Ended { state: self.state_name().into() })?;
             }
         }
         Ok(())
     }
 
-    fn line(&self, text: String) {
-        let text = match self.form {
+    fn print(&self, text: String) {
+        let text = match self.log_format {
             LogFormat::Text => format!("{:6.1} s  {text}", self.now().as_secs_f64()),
             LogFormat::Json => {
                 let status = self.status();
                 json!({"at_s": self.now().as_secs_f64(), "says": text, "status": status}).to_string()
             }
         };
-        // A reader that went away wants no more of it; the run goes on.
+        // The run continues when its output is closed.
         let _ = writeln!(std::io::stdout(), "{text}");
     }
 
-    fn word(&self) -> &'static str {
-        match self.rolling.state() {
+    fn state_name(&self) -> &'static str {
+        match self.rollout.state() {
             State::Planned => "planned",
             State::Running { .. } => "running",
             State::Stopping(_) => "stopping",
@@ -586,73 +607,76 @@
     }
 
     fn status(&self) -> Value {
-        let changed = self.rolling.changed();
-        let (stage, why) = match self.rolling.state() {
+        let changed = self.rollout.changed();
+        let (stage, why) = match self.rollout.state() {
             State::Running { stage } => (Some(stage + 1), None),
             State::Stopping(why) | State::Undone(why) | State::Stuck(why, _) => (None, Some(self.why(why))),
             State::Planned | State::Done => (None, None),
         };
         let schedulers = self.members.iter().enumerate().map(|(who, member)| {
-            let seen = member.look.as_ref().filter(|_| self.rolling.last_observation(who).is_some());
-            let stand =
-                seen.and_then(|look| member.stand(&self.plan.change, &look.standing, changed.contains(&who)));
-            let state = match stand {
+            let seen = member.snapshot.as_ref().filter(|_| self.rollout.last_observation(who).is_some());
+            let version = seen.and_then(|snapshot| {
+                member.version(&self.plan.change, &snapshot.info, changed.contains(&who))
+            });
+            let state = match version {
                 None => "silent",
                 Some(SettingsVersion::Old) => "old",
                 Some(SettingsVersion::New) => "new",
                 Some(SettingsVersion::Other) => "by hand",
             };
             json!({
-                "name": member.is.name,
-                "settings": seen.map(|look| look.standing.settings.clone()),
-                "program": seen.and_then(|look| look.standing.program.clone()),
+                "name": member.scheduler.name,
+                "settings": seen.map(|snapshot| snapshot.info.settings.clone()),
+                "program": seen.and_then(|snapshot| snapshot.info.program.clone()),
                 "state": state,
-                "trouble": self.rolling.last_error(who),
+                "trouble": self.rollout.last_error(who),
             })
         });
         json!({
             "run": self.plan.name,
             "number": self.number,
-            "state": self.word(),
+            "state": self.state_name(),
             "stage": stage,
             "stages": self.stages.len(),
             "why": why,
-            "harm": self.rolling.harm().map(|harm| json!({"share": harm.share, "spread": harm.std_dev, "tasks": harm.tasks})),
+            "harm": self.rollout.harm().map(|harm| json!({"share": harm.share, "spread": harm.std_dev, "tasks": harm.tasks})),
             "schedulers": schedulers.collect::<Vec<_>>(),
         })
     }
 
-    fn left(&self, why: String) -> Wrong {
-        let names = self.names(&self.rolling.changed());
-        Wrong {
+    fn interrupted(&self, why: String) -> CommandError {
+        let names = self.names(&self.rollout.changed());
+        CommandError {
             code: 3,
-            lines: vec![format!("left in the midst, {why}; may be changed: {names}; `resume` goes on")],
+            lines: vec![format!("interrupted, {why}; may be changed: {names}; `resume` continues")],
         }
     }
 
-    fn end(self) -> Result<String, Wrong> {
+    fn finish(self) -> Result<String, CommandError> {
         each(&self.members, |member| {
-            Hand { path: &member.is.configuration, run: &self.id, number: self.number }.tidy();
-            looking::release(&member.is, &self.id, self.number);
+            ConfigFile { path: &member.scheduler.configuration, run: &self.id, number: self.number }
+                .remove_backup();
+            remote::release(&member.scheduler, &self.id, self.number);
         });
         let run = &self.plan.name;
-        match self.rolling.state() {
-            State::Undone(why) if self.how == How::Undo => {
-                self.line(format!("undone, {}", self.why(why)));
+        match self.rollout.state() {
+            State::Undone(why) if self.mode == Mode::Undo => {
+                self.print(format!("undone, {}", self.why(why)));
                 Ok(String::new())
             }
             State::Undone(why) => {
                 let why = self.why(why);
-                Err(Wrong::not_begun(format!("{run}: not changed, all as before: {why}")))
+                Err(CommandError::not_started(format!("{run}: no change remains: {why}")))
             }
-            State::Stuck(why, left) => {
-                let mut lines = vec![format!("{run}: {}; not undone: {}", self.why(why), self.names(left))];
-                let trouble = left.iter().filter_map(|&who| Some((who, self.rolling.last_error(who)?)));
-                lines.extend(trouble.map(|(who, why)| format!("{}: {why}", self.name(who))));
-                Err(Wrong { code: 3, lines })
+            State::Stuck(why, changed) => {
+                let mut lines =
+                    vec![format!("{run}: {}; not undone: {}", self.why(why), self.names(changed))];
+                let errors = changed.iter().filter_map(|&who| Some((who, self.rollout.last_error(who)?)));
+                lines.extend(errors.map(|(who, why)| format!("{}: {why}", self.name(who))));
+                Err(CommandError { code: 3, lines })
             }
             _ => {
-                self.line(format!("done: {} schedulers have it in force", self.members.len()));
+                self.print(format!("done: the change is in force at {} schedulers", self.members.len()));
                 Ok(String::new())
             }
         }
--- a/crates/scheduler/src/rollout/files.rs
+++ b/crates/scheduler/src/rollout/files.rs
@@ -1,5 +1,6 @@
-//! The configurations on disk. Each is replaced under a lock, by a run that holds the largest number seen there: a run
-//! that was stopped in the midst and wakes after another has begun replaces nothing any more.
+//! The schedulers' configuration files. A file is replaced under a lock, and only by the run with the largest
+//! number seen there: a run that was suspended and continues after a newer one has started can no longer
+//! replace it.
 
 use crate::disk::{beside, locked, replace};
 use std::fs;
@@ -8,91 +9,96 @@
 use std::time::Duration;
 use tindock_berth::digest;
 
-/// A lock is held for the time of a write; whoever holds it for longer stands still.
-const LOCK_WITHIN: Duration = Duration::from_secs(1);
+/// A lock is held for the time of one write; a process that holds it for longer hangs.
+const LOCK_TIMEOUT: Duration = Duration::from_secs(1);
 
 #[derive(Debug, PartialEq)]
-pub enum Wrong {
-    /// Another run has a larger number there.
-    Outrun(String),
-    /// The file is neither what it was nor what this run gave it.
-    ByHand(String),
-    /// It cannot be read or written now.
-    Out(String),
+pub enum FileError {
+    /// Another run has a larger number for this file.
+    Superseded(String),
+    /// The content is neither the one from before the run nor the one that this run wrote.
+    ChangedByHand(String),
+    /// The file cannot be read or written, or its lock is held.
+    Io(String),
 }
 
-impl Wrong {
+impl FileError {
     pub fn text(&self) -> &str {
-        let (Wrong::Outrun(why) | Wrong::ByHand(why) | Wrong::Out(why)) = self;
+        let (FileError::Superseded(why) | FileError::ChangedByHand(why) | FileError::Io(why)) = self;
         why
     }
 }
 
-fn out(path: &Path) -> impl Fn(std::io::Error) -> Wrong + '_ {
-    move |e| Wrong::Out(format!("{}: {e}", path.display()))
+fn io_error(path: &Path) -> impl Fn(std::io::Error) -> FileError + '_ {
+    move |e| FileError::Io(format!("{}: {e}", path.display()))
 }
 
-/// The number and the run that last said they have this file; 0 with none.
-pub fn holder(path: &Path) -> Result<(u64, String), Wrong> {
+/// The number and name of the run that last fenced this file; 0 and an empty name if none did.
+pub fn holder(path: &Path) -> Result<(u64, String), FileError> {
     let fence = beside(path, ".fence");
     let text = match fs::read_to_string(&fence) {
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok((0, String::new())),
-        text => text.map_err(out(&fence))?,
+        text => text.map_err(io_error(&fence))?,
     };
-    // It is renamed into place, so that one that cannot be read was not written by a run.
-    let parted = text.trim_end().split_once(' ').and_then(|(n, run)| Some((n.parse().ok()?, run.into())));
-    parted.ok_or_else(|| Wrong::Out(format!("{}: no number and run stand there", fence.display())))
+    // A run renames the fence into place, so an unreadable fence was not written by a run.
+    let parsed = text.trim_end().split_once(' ').and_then(|(n, run)| Some((n.parse().ok()?, run.into())));
+    parsed.ok_or_else(|| FileError::Io(format!("{}: a number and a run were expected", fence.display())))
 }
 
-/// One run's hand on one configuration.
-pub struct Hand<'a> {
+/// One configuration file, as one run accesses it.
+pub struct ConfigFile<'a> {
     pub path: &'a Path,
     pub run: &'a str,
     pub number: u64,
 }
 
-impl Hand<'_> {
-    /// Under the lock of the file, with no larger number in its fence.
-    fn held<T>(&self, act: impl FnOnce() -> Result<T, Wrong>) -> Result<T, Wrong> {
+impl ConfigFile<'_> {
+    /// Runs `act` under the lock of the file, if no run with a larger number has fenced it.
+    fn with_lock<T>(&self, act: impl FnOnce() -> Result<T, FileError>) -> Result<T, FileError> {
         let path = beside(self.path, ".lock");
-        let lock = locked(&path, LOCK_WITHIN).map_err(out(&path))?;
-        let _held = lock.ok_or_else(|| Wrong::Out(format!("{}: held by another process", path.display())))?;
+        let lock = locked(&path, LOCK_TIMEOUT).map_err(io_error(&path))?;
+        let _guard =
+            lock.ok_or_else(|| FileError::Io(format!("{}: held by another process", path.display())))?;
         let (number, run) = holder(self.path)?;
         if number > self.number || number == self.number && run != self.run {
-            return Err(Wrong::Outrun(format!("{run} has number {number} at {}", self.path.display())));
+            return Err(FileError::Superseded(format!(
+                "{run} has number {number} at {}",
+                self.path.display()
+            )));
         }
         act()
     }
 
-    /// From now on no run with a smaller number replaces the file.
-    pub fn fence(&self) -> Result<(), Wrong> {
-        self.held(|| {
+    /// Fences the file: from now on no run with a smaller number can replace it.
+    pub fn fence(&self) -> Result<(), FileError> {
+        self.with_lock(|| {
             let fence = beside(self.path, ".fence");
-            replace(&fence, format!("{} {}\n", self.number, self.run).as_bytes()).map_err(out(&fence))
+            replace(&fence, format!("{} {}\n", self.number, self.run).as_bytes()).map_err(io_error(&fence))
         })
     }
 
-    /// What has digest `from` becomes `to`; what is `to` already stays. The one before is kept beside.
-    pub fn swap(&self, from: &str, to: &str) -> Result<(), Wrong> {
-        self.held(|| {
-            let now = fs::read(self.path).map_err(out(self.path))?;
-            let is = digest(&now);
-            if is == digest(to) {
+    /// Replaces the content of digest `from` by `to`, and keeps the previous content in a backup file.
+    /// Content that is `to` already stays.
+    pub fn swap(&self, from: &str, to: &str) -> Result<(), FileError> {
+        self.with_lock(|| {
+            let now = fs::read(self.path).map_err(io_error(self.path))?;
+            let current = digest(&now);
+            if current == digest(to) {
                 return Ok(());
             }
-            if is != from {
-                let why = format!("{}: was changed by hand meanwhile", self.path.display());
-                return Err(Wrong::ByHand(why));
+            if current != from {
+                let why = format!("{}: was changed by hand during the run", self.path.display());
+                return Err(FileError::ChangedByHand(why));
             }
             let before = beside(self.path, ".before");
-            replace(&before, &now).map_err(out(&before))?;
-            replace(self.path, to.as_bytes()).map_err(out(self.path))
+            replace(&before, &now).map_err(io_error(&before))?;
+            replace(self.path, to.as_bytes()).map_err(io_error(self.path))
         })
     }
 
-    /// The run has ended: the file of before goes.
-    pub fn tidy(&self) {
-        let _ = self.held(|| fs::remove_file(beside(self.path, ".before")).map_err(out(self.path)));
+    /// Removes the backup file at the end of a run.
+    pub fn remove_backup(&self) {
+        let _ = self.with_lock(|| fs::remove_file(beside(self.path, ".before")).map_err(io_error(self.path)));
     }
 }
 
@@ -109,42 +115,43 @@
         folder
     }
 
-    /// Guards against a run that wakes late, and against a file that staff have changed meanwhile.
+    /// Guards against a superseded run that still writes, and against overwriting a file that an operator has
+    /// changed during the run.
     #[test]
-    fn who_comes_late_or_upon_a_strange_file_changes_nothing() {
+    fn a_superseded_run_or_a_file_changed_by_hand_replaces_nothing() {
         let folder = folder("late");
         let path = folder.join("n0.json");
-        let hand = |run, number| Hand { path: &path, run, number };
+        let file = |run, number| ConfigFile { path: &path, run, number };
         fs::write(&path, "old").expect("written");
         let (old, new) = (digest("old"), digest("new"));
-        assert_eq!(hand("first", 1).fence(), Ok(()));
-        assert_eq!(hand("first", 1).swap(&old, "new"), Ok(()));
-        assert_eq!(hand("second", 2).fence(), Ok(()));
-        for late in [hand("first", 1).swap(&new, "old"), hand("other", 2).swap(&new, "old")] {
-            assert!(matches!(late, Err(Wrong::Outrun(_))), "{late:?}");
+        assert_eq!(file("first", 1).fence(), Ok(()));
+        assert_eq!(file("first", 1).swap(&old, "new"), Ok(()));
+        assert_eq!(file("second", 2).fence(), Ok(()));
+        for late in [file("first", 1).swap(&new, "old"), file("other", 2).swap(&new, "old")] {
+            assert!(matches!(late, Err(FileError::Superseded(_))), "{late:?}");
         }
         assert_eq!(fs::read_to_string(&path).expect("text"), "new");
-        assert_eq!(hand("second", 2).swap(&new, "old"), Ok(()));
-        // Twice is as good as once.
-        assert_eq!(hand("second", 2).swap(&new, "old"), Ok(()));
+        assert_eq!(file("second", 2).swap(&new, "old"), Ok(()));
+        // A repeated swap succeeds.
+        assert_eq!(file("second", 2).swap(&new, "old"), Ok(()));
         fs::write(&path, "mine").expect("written");
-        assert!(matches!(hand("second", 2).swap(&old, "new"), Err(Wrong::ByHand(_))));
+        assert!(matches!(file("second", 2).swap(&old, "new"), Err(FileError::ChangedByHand(_))));
         assert_eq!(fs::read_to_string(&path).expect("text"), "mine");
         fs::write(beside(&path, ".fence"), "torn").expect("written");
-        assert!(matches!(hand("third", 3).fence(), Err(Wrong::Out(_))));
+        assert!(matches!(file("third", 3).fence(), Err(FileError::Io(_))));
         fs::remove_dir_all(&folder).expect("removed");
     }
 
-    /// Guards against a run that hangs, or goes on, while another process holds the file.
+    /// Guards against a run that hangs, or writes all the same, while another process holds the lock.
     #[test]
-    fn a_lock_that_is_held_is_not_waited_for_long() {
+    fn a_held_lock_times_out_and_the_file_is_unchanged() {
         let folder = folder("held");
         let path = folder.join("n0.json");
         fs::write(&path, "old").expect("written");
         let lock = File::create(beside(&path, ".lock")).expect("a lock");
         lock.lock().expect("held");
-        let late = Hand { path: &path, run: "first", number: 1 }.swap(&digest("old"), "new");
-        assert!(matches!(late, Err(Wrong::Out(_))), "{late:?}");
+        let late = ConfigFile { path: &path, run: "first", number: 1 }.swap(&digest("old"), "new");
+        assert!(matches!(late, Err(FileError::Io(_))), "{late:?}");
         assert_eq!(fs::read_to_string(&path).expect("text"), "old");
         fs::remove_dir_all(&folder).expect("removed");
     }
--- a/crates/scheduler/src/rollout/mod.rs
+++ b/crates/scheduler/src/rollout/mod.rs
@@ -1,41 +1,41 @@
-//! `tindock rollout`: a change of settings that goes round the schedulers in stages. `tindock_rollout` decides; here are
-//! its hands: [`looking`] asks the schedulers, [`files`] replaces what they read, [`record`] keeps what was done, and
-//! [`coordinator`] puts them together.
+//! `tindock rollout`: a staged change of settings or program over all schedulers. The state machine is in
+//! `tindock_rollout`; this module does its input and output: [`remote`] calls the schedulers, [`files`]
+//! replaces their configurations, [`record`] stores the steps of a run, and [`coordinator`] drives the run.
 
 pub mod coordinator;
 pub mod files;
-pub mod looking;
 pub mod record;
+pub mod remote;
 
 use clap::{Subcommand, ValueEnum};
 use std::path::PathBuf;
 
 #[derive(Debug, Subcommand)]
-pub enum Rollouts {
-    /// Read the plan, ask every scheduler, and tell whether the run could begin
+pub enum RolloutCommand {
+    /// Read the plan, query every scheduler, and report whether the run could start
     Check { plan: PathBuf },
-    /// Change all schedulers in stages; stopped and undone when a stage does worse
+    /// Change all schedulers in stages; stop and undo when a stage performs worse
     Run {
         plan: PathBuf,
-        /// How the lines of the run are written
+        /// Format of the run's output lines
         #[arg(long, value_name = "FORM", default_value = "text")]
         log_format: crate::cli::LogFormat,
     },
-    /// Tell where the run stands
+    /// Report the progress of the run
     Status {
         plan: PathBuf,
         #[arg(long, default_value = "text")]
-        format: StatusForm,
+        format: StatusFormat,
     },
-    /// Tell the run to stop and undo what it has changed
+    /// Stop the run and undo what it has changed
     Stop { plan: PathBuf },
-    /// Undo what a run has changed, whether it has ended or was left in the midst
+    /// Undo what a run has changed, whether it has ended or was interrupted
     Undo {
         plan: PathBuf,
         #[arg(long, value_name = "FORM", default_value = "text")]
         log_format: crate::cli::LogFormat,
     },
-    /// Go on with a run that was left in the midst
+    /// Continue an interrupted run
     Resume {
         plan: PathBuf,
         #[arg(long, value_name = "FORM", default_value = "text")]
@@ -44,42 +44,47 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum StatusForm {
+pub enum StatusFormat {
     Text,
     Json,
 }
 
-/// What a command has to say against itself, with its exit code: 1 not begun, or stopped and undone; 2 used wrongly; 3
-/// something is left as it should not be.
-pub struct Wrong {
+/// Why a command failed, with its exit code: 1 not started, or stopped and undone; 2 wrong usage; 3 some
+/// schedulers are left in an unintended state.
+pub struct CommandError {
     pub code: i32,
     pub lines: Vec<String>,
 }
 
-impl From<Vec<String>> for Wrong {
+impl From<Vec<String>> for CommandError {
     fn from(lines: Vec<String>) -> Self {
-        Wrong { code: 1, lines }
+        CommandError { code: 1, lines }
     }
 }
 
-impl Wrong {
-    pub fn not_begun(why: impl Into<String>) -> Self {
-        Wrong { code: 1, lines: vec![why.into()] }
+impl CommandError {
+    pub fn not_started(why: impl Into<String>) -> Self {
+        CommandError { code: 1, lines: vec![why.into()] }
     }
 }
 
-/// Carries out one of the commands; what it has to say at its end, or what is wrong.
-pub fn command(command: &Rollouts) -> Result<String, Wrong> {
-    use coordinator::{Coordinator, How};
-    let open = |path: &PathBuf| tindock_berth::plan::open(path).map_err(|lines| Wrong { code: 2, lines });
+/// Runs one of the commands. Returns its final output, or why it failed.
+pub fn command(command: &RolloutCommand) -> Result<String, CommandError> {
+    use coordinator::{Coordinator, Mode};
+    let open =
+        |path: &PathBuf| tindock_berth::plan::open(path).map_err(|lines| CommandError { code: 2, lines });
     match command {
-        Rollouts::Check { plan } => coordinator::check(&open(plan)?),
-        Rollouts::Run { plan, log_format } => Coordinator::begin(open(plan)?, How::Run, *log_format)?.run(),
-        Rollouts::Undo { plan, log_format } => Coordinator::begin(open(plan)?, How::Undo, *log_format)?.run(),
-        Rollouts::Resume { plan, log_format } => {
-            Coordinator::begin(open(plan)?, How::Resume, *log_format)?.run()
+        RolloutCommand::Check { plan } => coordinator::check(&open(plan)?),
+        RolloutCommand::Run { plan, log_format } => {
+            Coordinator::begin(open(plan)?, Mode::Run, *log_format)?.run()
         }
-        Rollouts::Status { plan, format } => record::status(&open(plan)?.record, *format),
-        Rollouts::Stop { plan } => record::tell_to_stop(&open(plan)?.record),
+        RolloutCommand::Undo { plan, log_format } => {
+            Coordinator::begin(open(plan)?, Mode::Undo, *log_format)?.run()
+        }
+        RolloutCommand::Resume { plan, log_format } => {
+            Coordinator::begin(open(plan)?, Mode::Resume, *log_format)?.run()
+        }
+        RolloutCommand::Status { plan, format } => record::status(&open(plan)?.record, *format),
+        RolloutCommand::Stop { plan } => record::request_stop(&open(plan)?.record),
     }
 }
--- a/crates/scheduler/src/rollout/record.rs
+++ b/crates/scheduler/src/rollout/record.rs
@@ -1,8 +1,8 @@
-//! The record of a run: each step is on the disk before it is done, so that a run that was killed at any line can be
-//! gone on with, or undone. One line of JSON a step; a last line that is torn was not begun, any other that cannot be
-//! read is an error with its place.
+//! The record of a run: a write-ahead log with one line of JSON per step. Each step is on disk before it is
+//! carried out, so that a run killed at any point can be resumed or undone. A truncated last line is ignored,
+//! since its step was not started; any other unreadable line is an error with its position.
 
-use super::{StatusForm, Wrong};
+use super::{CommandError, StatusFormat};
 use crate::disk;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -16,12 +16,13 @@
 const STATUS: &str = "status.json";
 const STOP: &str = "stop";
 const LOCK: &str = "lock";
-/// The end of a run that could not undo all.
+/// Final state of a run that could not undo every change.
 pub const STUCK: &str = "stuck";
 
-/// One scheduler's two files, by their digests; the texts stand beside, as NAME.old and NAME.new.
+/// Digests of one scheduler's configuration or program before and after. Configuration texts are in the same
+/// folder, as NAME.old and NAME.new.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct MemberDigests {
     pub name: String,
     pub old: String,
     pub new: String,
@@ -35,9 +36,9 @@
         run: String,
         id: String,
         number: u64,
-        schedulers: Vec<Kept>,
+        schedulers: Vec<MemberDigests>,
     },
-    /// Another process goes on with it.
+    /// Another process continues the run.
     Taken {
         number: u64,
     },
@@ -51,7 +52,7 @@
         who: String,
         outcome: String,
     },
-    /// The run goes backwards from here on.
+    /// From here on the run undoes its changes.
     Turn {
         why: String,
     },
@@ -68,69 +69,70 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct Line {
+struct Entry {
     at_ms: u64,
     #[serde(flatten)]
     step: Step,
 }
 
-/// What a record says.
+/// The contents of a record.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Story {
+pub struct History {
     pub run: String,
-    /// By which schedulers and files know it.
+    /// The run's identity in leases and fences.
     pub id: String,
     pub number: u64,
-    pub kept: Vec<Kept>,
-    /// The stage that was begun last.
+    pub members: Vec<MemberDigests>,
+    /// The stage that was started last.
     pub stage: Option<usize>,
-    /// Who may have been changed, by name.
+    /// Names of the schedulers that may have been changed.
     pub changed: BTreeSet<String>,
-    pub turned: Option<String>,
+    pub undo_reason: Option<String>,
     pub ended: Option<String>,
-    /// Bytes of whole lines.
-    whole: u64,
+    /// Length of all complete lines.
+    valid_bytes: u64,
 }
 
-impl Story {
-    /// Ended with all old or all new. Guards against a run that is forgotten with some left as they should not be.
+impl History {
+    /// Ended with all schedulers old or all new. A stuck run is not settled, so that it is not replaced by
+    /// another one.
     pub fn is_settled(&self) -> bool {
         self.ended.as_ref().is_some_and(|state| state != STUCK)
     }
 
-    fn read(path: &Path) -> Result<Option<Story>, String> {
+    fn read(path: &Path) -> Result<Option<History>, String> {
         let text = match fs::read_to_string(path) {
             Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
             text => text.map_err(|e| format!("{}: {e}", path.display()))?,
         };
-        let mut story = Story::default();
+        let mut history = History::default();
         for (number, line) in text.split_inclusive('\n').enumerate() {
             if !line.ends_with('\n') {
                 break;
             }
-            let step = serde_json::from_str::<Line>(line).map_err(|e| e.to_string());
-            let taken = step.and_then(|line| story.take(line.step, number == 0));
-            taken.map_err(|why| format!("{}:{}: {why}", path.display(), number + 1))?;
-            story.whole += line.len() as u64;
+            let step = serde_json::from_str::<Entry>(line).map_err(|e| e.to_string());
+            let applied = step.and_then(|line| history.apply(line.step, number == 0));
+            applied.map_err(|why| format!("{}:{}: {why}", path.display(), number + 1))?;
+            history.valid_bytes += line.len() as u64;
         }
-        Ok((story.whole > 0).then_some(story))
+        Ok((history.valid_bytes > 0).then_some(history))
     }
 
-    fn take(&mut self, step: Step, first: bool) -> Result<(), String> {
+    fn apply(&mut self, step: Step, first: bool) -> Result<(), String> {
         if first != matches!(step, Step::Begun { .. }) {
-            return Err("a record begins with its step begun, and has one".into());
+            return Err("a record starts with its only `begun` step".into());
         }
         match step {
             Step::Begun { version, .. } if version != VERSION => {
-                return Err(format!("version {version} is not known"));
+                return Err(format!("version {version} is not supported"));
             }
             Step::Begun { run, id, number, schedulers, .. } => {
-                (self.run, self.id, self.number, self.kept) = (run, id, number, schedulers);
+                (self.run, self.id, self.number, self.members) = (run, id, number, schedulers);
             }
             Step::Taken { number } => (self.number, self.ended) = (number, None),
             Step::Stage { stage } => self.stage = Some(stage),
             Step::Change { who } => drop(self.changed.insert(who)),
-            Step::Turn { why } => self.turned = Some(why),
+            Step::Turn { why } => self.undo_reason = Some(why),
             Step::Ended { state } => self.ended = Some(state),
             Step::Changed { .. } | Step::Undo { .. } | Step::Undone { .. } => {}
         }
@@ -145,106 +147,115 @@
 pub struct Record {
     folder: PathBuf,
     log: File,
-    /// Held for as long as this process lives.
+    /// Held until this process exits.
     _lock: File,
 }
 
-fn plain(path: &Path) -> impl Fn(std::io::Error) -> String + '_ {
+fn io_error(path: &Path) -> impl Fn(std::io::Error) -> String + '_ {
     move |e| format!("{}: {e}", path.display())
 }
 
-fn locked(folder: &Path) -> Result<Result<File, String>, String> {
+/// Locks the folder; the inner error is the id of the process that holds it.
+fn lock(folder: &Path) -> Result<Result<File, String>, String> {
     let path = folder.join(LOCK);
-    let Some(mut lock) = disk::locked(&path, Duration::ZERO).map_err(plain(&path))? else {
+    let Some(mut lock) = disk::locked(&path, Duration::ZERO).map_err(io_error(&path))? else {
         return Ok(Err(fs::read_to_string(&path).unwrap_or_default().trim().into()));
     };
-    // For whoever wants to know which process it is.
-    let tells = lock.set_len(0).and_then(|()| writeln!(lock, "{}", std::process::id()));
-    tells.map_err(plain(&path))?;
+    // The id is for error messages of other processes.
+    let written = lock.set_len(0).and_then(|()| writeln!(lock, "{}", std::process::id()));
+    written.map_err(io_error(&path))?;
     Ok(Ok(lock))
 }
 
 impl Record {
-    /// Opens the record of a folder, alone: a second process is refused. Gives what it says, if it was begun.
-    pub fn open(folder: &Path) -> Result<(Self, Option<Story>), String> {
-        fs::create_dir_all(folder).map_err(plain(folder))?;
-        let lock = locked(folder)?.map_err(|id| {
-            format!(
-                "{}: process {id} works on this run; `tindock rollout stop` tells it to stop",
-                folder.display()
-            )
+    /// Opens and locks the record in a folder; a second process is refused. Also returns its contents, if
+    /// any.
+    pub fn open(folder: &Path) -> Result<(Self, Option<History>), String> {
+        fs::create_dir_all(folder).map_err(io_error(folder))?;
+        let lock = lock(folder)?.map_err(|id| {
+            format!("{}: process {id} works on this run; `tindock rollout stop` stops it", folder.display())
         })?;
         let path = folder.join(LOG);
-        let story = Story::read(&path)?;
+        let history = History::read(&path)?;
         let open = File::options().create(true).truncate(false).write(true).open(&path);
-        let mut log = open.map_err(plain(&path))?;
-        // A torn last line was never acted upon: the next one takes its place.
-        let whole = story.as_ref().map_or(0, |story| story.whole);
-        log.set_len(whole).and_then(|()| log.seek(SeekFrom::Start(whole))).map_err(plain(&path))?;
+        let mut log = open.map_err(io_error(&path))?;
+        // The step of a truncated last line was not started: the next line replaces it.
+        let valid_bytes = history.as_ref().map_or(0, |history| history.valid_bytes);
+        log.set_len(valid_bytes)
+            .and_then(|()| log.seek(SeekFrom::Start(valid_bytes)))
+            .map_err(io_error(&path))?;
         let _ = fs::remove_file(folder.join(STOP));
-        Ok((Record { folder: folder.into(), log, _lock: lock }, story))
+        Ok((Record { folder: folder.into(), log, _lock: lock }, history))
     }
 
-    /// Puts the log of an ended run aside: this one begins anew.
-    pub fn anew(&mut self, number: u64) -> Result<(), String> {
+    /// Renames the log of an ended run and starts an empty one.
+    pub fn start_new_log(&mut self, number: u64) -> Result<(), String> {
         let path = self.folder.join(LOG);
-        let aside = self.folder.join(format!("log-before-{number}.jsonl"));
-        let renewed = fs::rename(&path, aside).and_then(|()| File::create(&path));
-        self.log = renewed.map_err(plain(&path))?;
+        let archived = self.folder.join(format!("log-before-{number}.jsonl"));
+        let renewed = fs::rename(&path, archived).and_then(|()| File::create(&path));
+        self.log = renewed.map_err(io_error(&path))?;
         Ok(())
     }
 
-    /// A step is on the disk when this returns.
+    /// Appends a step; it is on disk when this returns.
     pub fn write(&mut self, step: Step) -> Result<(), String> {
         let at_ms = unix_ms();
-        let mut line = serde_json::to_vec(&Line { at_ms, step }).map_err(|e| e.to_string())?;
+        let mut line = serde_json::to_vec(&Entry { at_ms, step }).map_err(|e| e.to_string())?;
         line.push(b'\n');
         let written = self.log.write_all(&line).and_then(|()| self.log.sync_data());
-        written.map_err(plain(&self.folder.join(LOG)))
+        written.map_err(io_error(&self.folder.join(LOG)))
     }
 
-    pub fn begun(&mut self, run: &str, id: &str, number: u64, schedulers: Vec<Kept>) -> Result<(), String> {
+    pub fn write_begun(
+        &mut self,
+        run: &str,
+        id: &str,
+        number: u64,
+        schedulers: Vec<MemberDigests>,
+    ) -> Result<(), String> {
         let (run, id) = (run.into(), id.into());
         self.write(Step::Begun { version: VERSION, run, id, number, schedulers })
     }
 
-    pub fn keep(&self, name: &str, ending: &str, text: &str) -> Result<(), String> {
+    pub fn save_text(&self, name: &str, ending: &str, text: &str) -> Result<(), String> {
         let path = self.folder.join(format!("{name}.{ending}"));
-        disk::replace(&path, text.as_bytes()).map_err(plain(&path))
+        disk::replace(&path, text.as_bytes()).map_err(io_error(&path))
     }
 
-    pub fn kept(&self, name: &str, ending: &str) -> Result<String, String> {
+    pub fn read_text(&self, name: &str, ending: &str) -> Result<String, String> {
         let path = self.folder.join(format!("{name}.{ending}"));
-        fs::read_to_string(&path).map_err(plain(&path))
+        fs::read_to_string(&path).map_err(io_error(&path))
     }
 
-    /// For `status`, which may read it at any time; not needed to go on.
-    pub fn tell(&self, status: &serde_json::Value) {
+    /// Writes the status file for `status`. A resumed run does not need it.
+    pub fn write_status(&self, status: &serde_json::Value) {
         let path = self.folder.join(STATUS);
         let _ = crate::list::stocking::replace(&path, status.to_string());
     }
 
-    pub fn is_told_to_stop(&self) -> bool {
+    pub fn stop_requested(&self) -> bool {
         self.folder.join(STOP).exists()
     }
 }
 
-/// Where the run stands, from its status.
-pub fn status(folder: &Path, form: StatusForm) -> Result<String, Wrong> {
+/// The progress of the run, from its status file.
+pub fn status(folder: &Path, form: StatusFormat) -> Result<String, CommandError> {
     let path = folder.join(STATUS);
-    let none =
-        |e: std::io::Error| Wrong::not_begun(format!("no run was begun here: {}: {e}", path.display()));
+    let none = |e: std::io::Error| {
+        CommandError::not_started(format!("no run was started here: {}: {e}", path.display()))
+    };
     let text = fs::read_to_string(&path).map_err(none)?;
-    let odd = |e: serde_json::Error| Wrong { code: 3, lines: vec![format!("{}: {e}", path.display())] };
-    let mut status: serde_json::Value = serde_json::from_str(&text).map_err(odd)?;
-    let works = matches!(locked(folder), Ok(Err(_)));
-    status["coordinator"] = if works { "works" } else { "gone" }.into();
+    let unreadable =
+        |e: serde_json::Error| CommandError { code: 3, lines: vec![format!("{}: {e}", path.display())] };
+    let mut status: serde_json::Value = serde_json::from_str(&text).map_err(unreadable)?;
+    let running = matches!(lock(folder), Ok(Err(_)));
+    status["coordinator"] = if running { "works" } else { "gone" }.into();
     let word = |value: &serde_json::Value| value.as_str().map_or_else(|| value.to_string(), String::from);
-    let said = match form {
-        StatusForm::Json => format!("{status}\n"),
-        StatusForm::Text => {
+    let output = match form {
+        StatusFormat::Json => format!("{status}\n"),
+        StatusFormat::Text => {
             let top = ["run", "state", "stage", "why", "coordinator"].into_iter();
-            let mut said: String = top
+            let mut lines: String = top
                 .filter(|key| !status[key].is_null())
                 .map(|key| format!("{key}: {}\n", word(&status[key])))
                 .collect();
@@ -252,29 +263,29 @@
                 let short = |key: &str| word(&one[key]).chars().take(12).collect::<String>();
                 let (name, state) = (word(&one["name"]), word(&one["state"]));
                 let (settings, program) = (short("settings"), short("program"));
-                said += &format!("{name}: {state}, settings {settings}, program {program}\n");
+                lines += &format!("{name}: {state}, settings {settings}, program {program}\n");
             }
-            said
+            lines
         }
     };
     match status["state"].as_str() {
-        Some(STUCK) => Err(Wrong { code: 3, lines: said.lines().map(String::from).collect() }),
-        _ => Ok(said),
+        Some(STUCK) => Err(CommandError { code: 3, lines: output.lines().map(String::from).collect() }),
+        _ => Ok(output),
     }
 }
 
-pub fn tell_to_stop(folder: &Path) -> Result<String, Wrong> {
-    match locked(folder) {
+pub fn request_stop(folder: &Path) -> Result<String, CommandError> {
+    match lock(folder) {
         Ok(Err(id)) => {
             let path = folder.join(STOP);
-            File::create(&path).map_err(|e| Wrong::not_begun(plain(&path)(e)))?;
-            Ok(format!("process {id} is told to stop and undo\n"))
+            File::create(&path).map_err(|e| CommandError::not_started(io_error(&path)(e)))?;
+            Ok(format!("process {id} will stop and undo\n"))
         }
-        Ok(Ok(_)) => Err(Wrong::not_begun(format!(
+        Ok(Ok(_)) => Err(CommandError::not_started(format!(
             "no process works on this run; `undo` undoes it: {}",
             folder.display()
         ))),
-        Err(why) => Err(Wrong::not_begun(why)),
+        Err(why) => Err(CommandError::not_started(why)),
     }
 }
 
@@ -292,14 +303,14 @@
         Step::Change { who: who.into() }
     }
 
-    /// Guards against a record that is cut anywhere: what was whole counts, what was torn was not done, and the next
-    /// step stands where the torn one began.
+    /// Guards against a record truncated by a crash: complete lines count, a truncated one does not, and the
+    /// next step overwrites it.
     #[test]
-    fn a_record_cut_at_any_byte_is_read_up_to_its_last_whole_line() {
+    fn a_record_cut_at_any_byte_is_read_up_to_its_last_complete_line() {
         let folder = folder("cut");
-        let (mut record, story) = Record::open(&folder).expect("a record");
-        assert_eq!(story, None);
-        record.begun("first", "first.1", 7, Vec::new()).expect("written");
+        let (mut record, history) = Record::open(&folder).expect("a record");
+        assert_eq!(history, None);
+        record.write_begun("first", "first.1", 7, Vec::new()).expect("written");
         for step in [Step::Stage { stage: 0 }, change("n0"), Step::Turn { why: "told".into() }] {
             record.write(step).expect("written");
         }
@@ -308,27 +319,28 @@
         let whole = fs::read(&path).expect("a log");
         for cut in 0..=whole.len() {
             fs::write(&path, &whole[..cut]).expect("written");
-            let (mut record, story) = Record::open(&folder).expect("a record");
+            let (mut record, history) = Record::open(&folder).expect("a record");
             let lines = whole[..cut].iter().filter(|&&b| b == b'\n').count();
-            let changed = story.as_ref().is_some_and(|story| story.changed.contains("n0"));
-            let turned = story.as_ref().is_some_and(|story| story.turned.is_some());
-            assert_eq!((story.is_some(), changed, turned), (lines >= 1, lines >= 3, lines >= 4), "{cut}");
+            let changed = history.as_ref().is_some_and(|history| history.changed.contains("n0"));
+            let turned = history.as_ref().is_some_and(|history| history.undo_reason.is_some());
+            assert_eq!((history.is_some(), changed, turned), (lines >= 1, lines >= 3, lines >= 4), "{cut}");
             if lines > 0 {
                 record.write(change("n1")).expect("written");
                 drop(record);
-                let (_, story) = Record::open(&folder).expect("a record that goes on");
-                assert!(story.expect("a story").changed.contains("n1"), "{cut}");
+                let (_, history) = Record::open(&folder).expect("the record");
+                assert!(history.expect("contents").changed.contains("n1"), "{cut}");
             }
         }
         fs::remove_dir_all(&folder).expect("removed");
     }
 
+    /// Guards against two processes on one record, and against acting on a corrupt one.
     #[test]
-    fn what_is_no_record_is_said_with_its_place_and_one_process_has_it() {
+    fn a_second_process_is_refused_and_a_corrupt_record_is_an_error_with_its_line() {
         let folder = folder("odd");
         let (mut record, _) = Record::open(&folder).expect("a record");
         assert!(Record::open(&folder).err().expect("held").contains(&std::process::id().to_string()));
-        record.begun("first", "first.1", 7, Vec::new()).expect("written");
+        record.write_begun("first", "first.1", 7, Vec::new()).expect("written");
         drop(record);
         let path = folder.join(LOG);
         let good = fs::read_to_string(&path).expect("a log");
