--- a/crates/scheduler/src/accord/commands.rs
+++ b/crates/scheduler/src/accord/commands.rs
@@ -1,6 +1,6 @@
-//! `tindock policy`: what staff ask a scheduler of a group for, and how they learn what became of it.
+//! `tindock policy`: operators' commands to a scheduler of a group, and how their outcome is reported.
 
-use crate::accord::text::Text;
+use crate::accord::text::ProposalText;
 use crate::operators::calls;
 use crate::rollout::{CommandError, StatusFormat};
 use clap::{Args, Subcommand};
@@ -12,83 +12,83 @@
 use std::time::{Duration, Instant};
 use tindock_berth::digest;
 
-const ANSWER: Duration = Duration::from_secs(5);
-const LOOK: Duration = Duration::from_millis(50);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Args)]
-pub struct Asked {
-    /// The operators' address of any scheduler of the group; without it $GW_MGMT, or what the configuration says
+pub struct Target {
+    /// The operators' address of any scheduler of the group; by default $GW_MGMT, or the configured one
     #[arg(long, value_name = "ADDRESS:PORT")]
     at: Option<SocketAddr>,
-    /// A configuration that says the address
+    /// A configuration that contains the address
     #[arg(long, conflicts_with = "at")]
     config: Option<PathBuf>,
 }
 
 #[derive(Debug, Args)]
-pub struct Within {
-    /// How long to wait for the outcome, in seconds; without one by then the exit code is 3
+pub struct WaitLimit {
+    /// How long to wait for the outcome, in seconds; after that the exit code is 3
     #[arg(long, value_name = "SECONDS", default_value = "30")]
     within: u64,
 }
 
 #[derive(Debug, Subcommand)]
-pub enum Policies {
+pub enum PolicyCommand {
     /// Propose the workloads, customers and workers of FILE to all members; the first one founds the group
     Propose {
         file: PathBuf,
         #[command(flatten)]
-        asked: Asked,
+        target: Target,
         #[command(flatten)]
-        within: Within,
+        wait: WaitLimit,
     },
-    /// Tell the number in force there, who the members are, and what became of proposals made there
+    /// Report the number in force there, the members, and the outcome of proposals made there
     Status {
         #[command(flatten)]
-        asked: Asked,
+        target: Target,
         #[arg(long, default_value = "text")]
         format: StatusFormat,
     },
-    /// Tell what was in force, number by number
+    /// List the policies that were in force, by number
     History {
         #[command(flatten)]
-        asked: Asked,
+        target: Target,
     },
-    /// Write the policy under a number, or the one in force
+    /// Print the policy under a number, or the one in force
     Show {
         number: Option<u64>,
         #[command(flatten)]
-        asked: Asked,
+        target: Target,
     },
-    /// Tell how the policy under one number differs from that under another
+    /// Show the differences between the policies under two numbers
     Diff {
         old: u64,
         new: u64,
         #[command(flatten)]
-        asked: Asked,
+        target: Target,
     },
-    /// Tell who is a member, who decides, and when each was last heard
+    /// List the members, the voters, and when each member was last heard from
     Members {
         #[command(flatten)]
-        asked: Asked,
+        target: Target,
     },
-    /// Let a new scheduler in, or one that has lost its folder
+    /// Admit a new scheduler, or one that has lost its folder
     Admit {
         name: String,
         /// Its address in the group, as the other members are to know it
         address: SocketAddr,
         #[command(flatten)]
-        asked: Asked,
+        target: Target,
         #[command(flatten)]
-        within: Within,
+        wait: WaitLimit,
     },
-    /// Leave a member out that is gone for good
+    /// Remove a member that is permanently gone
     Forget {
         name: String,
         #[command(flatten)]
-        asked: Asked,
+        target: Target,
         #[command(flatten)]
-        within: Within,
+        wait: WaitLimit,
     },
 }
 
@@ -126,60 +126,60 @@
 }
 
 #[derive(Deserialize)]
-struct Past {
+struct HistoryEntry {
     number: u64,
     by: String,
     at_ms: u64,
     what: String,
 }
 
-fn wrong(code: i32, line: impl Into<String>) -> CommandError {
+fn failure(code: i32, line: impl Into<String>) -> CommandError {
     CommandError { code, lines: vec![line.into()] }
 }
 
-impl Asked {
+impl Target {
     fn address(&self) -> Result<SocketAddr, CommandError> {
         crate::cli::management(self.at, self.config.as_deref())
             .map_err(|lines| CommandError { code: 2, lines })
     }
 
-    /// The answer to a call, without its last line.
-    fn ask(&self, call: &str, bytes: &[u8]) -> Result<String, CommandError> {
+    /// Sends a call and returns its answer without the last line.
+    fn call(&self, call: &str, bytes: &[u8]) -> Result<String, CommandError> {
         let at = self.address()?;
-        let told = |why: String| wrong(1, format!("{at}: {why}"));
-        let answer = calls::ask_with(at, call, bytes, ANSWER).map_err(|e| told(e.to_string()))?;
-        calls::yes(&answer).map(String::from).map_err(told)
+        let error = |why: String| failure(1, format!("{at}: {why}"));
+        let answer = calls::ask_with(at, call, bytes, ANSWER_TIMEOUT).map_err(|e| error(e.to_string()))?;
+        calls::yes(&answer).map(String::from).map_err(error)
     }
 
     fn status(&self) -> Result<Status, CommandError> {
-        let status: Status = read(&self.ask("policy", &[])?)?;
+        let status: Status = parse(&self.call("policy", &[])?)?;
         match status.version {
             1 => Ok(status),
-            other => Err(wrong(1, format!("it tells its policy in form {other}, which is not known here"))),
+            other => Err(failure(1, format!("its answer has version {other}, which is not supported here"))),
         }
     }
 
-    fn text(&self, number: u64) -> Result<Text, CommandError> {
-        let text = self.ask(&format!("policy-text {number}"), &[])?;
-        Text::read(text.as_bytes()).map_err(|why| wrong(1, format!("number {number} {why}")))
+    fn text(&self, number: u64) -> Result<ProposalText, CommandError> {
+        let text = self.call(&format!("policy-text {number}"), &[])?;
+        ProposalText::parse(text.as_bytes()).map_err(|why| failure(1, format!("number {number} {why}")))
     }
 }
 
-fn read<'t, T: Deserialize<'t>>(text: &'t str) -> Result<T, CommandError> {
-    serde_json::from_str(text).map_err(|e| wrong(1, format!("its answer: {e}")))
+fn parse<'t, T: Deserialize<'t>>(text: &'t str) -> Result<T, CommandError> {
+    serde_json::from_str(text).map_err(|e| failure(1, format!("its answer: {e}")))
 }
 
-/// Makes a proposal and waits for what becomes of it.
-fn propose(asked: &Asked, within: &Within, call: &str, bytes: &[u8]) -> Result<String, CommandError> {
-    let ends = Instant::now() + Duration::from_secs(within.within);
-    let began = asked.ask(call, bytes)?;
-    let mut words = began.split(' ').skip(1);
-    let (Some(number), Some(digest)) = (words.next(), words.next()) else {
-        return Err(wrong(1, format!("its answer {began:?} names no number and proposal")));
+/// Makes a proposal and waits for its outcome.
+fn propose(target: &Target, wait: &WaitLimit, call: &str, bytes: &[u8]) -> Result<String, CommandError> {
+    let deadline = Instant::now() + Duration::from_secs(wait.within);
+    let answer = target.call(call, bytes)?;
+    let mut fields = answer.split(' ').skip(1);
+    let (Some(number), Some(digest)) = (fields.next(), fields.next()) else {
+        return Err(failure(1, format!("its answer {answer:?} names no number and proposal")));
     };
     let mut decided = None;
     loop {
-        let status = asked.status();
+        let status = target.status();
         let found = status.as_ref().ok().and_then(|status| {
             let found = status.proposals.iter().find(|proposal| proposal.digest == digest);
             found.map(|found| (status.lease_ms, found))
@@ -187,39 +187,44 @@
         match found.map(|(lease, found)| (found.outcome.as_str(), lease, found)) {
             Some(("nowhere", _, found)) => {
                 let why = found.why.clone().unwrap_or_default();
-                return Err(wrong(1, format!("in force nowhere: {why}")));
+                return Err(failure(1, format!("in force nowhere: {why}")));
             }
             Some(("decided", _, found)) if found.missing.is_empty() => {
                 return Ok(format!("policy number {number} is in force everywhere\n"));
             }
             Some(("decided", lease, found)) => {
-                // By then whoever has not said so serves under no older one, and takes this one up before it serves.
+                // After this time no missing member serves under an older policy: its lease has expired, and
+                // it applies this one before it serves again.
                 let bound = Duration::from_millis(lease + lease / 10);
                 if decided.get_or_insert_with(Instant::now).elapsed() >= bound {
                     let missing = found.missing.join(", ");
                     return Ok(format!(
-                        "policy number {number} is in force; out of reach, and serving under no older one: {missing}\n"
+                        "policy number {number} is in force; unreachable, and serving under \
+                         no older one: {missing}\n"
                     ));
                 }
             }
             _ => {}
         }
-        if Instant::now() >= ends {
+        if Instant::now() >= deadline {
             let why = match status {
                 Err(e) => e.lines.join("; "),
-                Ok(_) => "nobody can say yet whether it will be in force".into(),
+                Ok(_) => "the outcome is not known yet".into(),
             };
-            return Err(wrong(3, format!("number {number} is undecided: {why}; go on asking with status")));
+            return Err(failure(
+                3,
+                format!("number {number} is undecided: {why}; check again with `status`"),
+            ));
         }
-        sleep(LOOK);
+        sleep(POLL_INTERVAL);
     }
 }
 
-fn status(asked: &Asked, format: StatusFormat) -> Result<String, CommandError> {
+fn status(target: &Target, format: StatusFormat) -> Result<String, CommandError> {
     if let StatusFormat::Json = format {
-        return asked.ask("policy", &[]).map(|line| line + "\n");
+        return target.call("policy", &[]).map(|line| line + "\n");
     }
-    let status = asked.status()?;
+    let status = target.status()?;
     let Status { name, number, .. } = &status;
     let mut lines = vec![match (&status.what, &status.by) {
         (Some(what), Some(by)) => format!("{name}: number {number}, {what}, by {by}"),
@@ -228,78 +233,81 @@
     match &status.why_not {
         Some(why) => lines.push(format!("takes no tasks: {why}")),
         None if status.void => {
-            lines.push("serves on what it last knew, which may not be in force elsewhere".into())
+            lines.push("serves under its last known policy, which may not be in force elsewhere".into())
         }
         None if status.serves => lines.push("serves under it".into()),
         None => {}
     }
     lines.extend(status.staged.as_ref().map(|digest| format!("staged for the next number: {digest}")));
-    let told = |p: &Proposal| {
+    let line = |p: &Proposal| {
         let why = p.why.as_ref().map(|why| format!(", {why}")).unwrap_or_default();
         let missing = match p.missing.is_empty() {
             true => String::new(),
-            false => format!(", not told yet by {}", p.missing.join(", ")),
+            false => format!(", not confirmed yet by {}", p.missing.join(", ")),
         };
         format!("proposed here: {} {}{why}{missing}", &p.digest[..p.digest.len().min(12)], p.outcome)
     };
-    lines.extend(status.proposals.iter().map(told));
+    lines.extend(status.proposals.iter().map(line));
     Ok(lines.join("\n") + "\n")
 }
 
-fn members(asked: &Asked) -> Result<String, CommandError> {
+fn members(target: &Target) -> Result<String, CommandError> {
     let line = |m: &Member| {
         let number = m.number.map_or("-".into(), |number| number.to_string());
         let heard = m.heard_ms.map_or("never heard here".into(), |ms| format!("heard {ms} ms ago"));
         let voter = if m.voter { "decides" } else { "learns" };
         format!("{} {} {voter} number {number} {heard}\n", m.name, m.address)
     };
-    Ok(asked.status()?.members.iter().map(line).collect())
+    Ok(target.status()?.members.iter().map(line).collect())
 }
 
-fn history(asked: &Asked) -> Result<String, CommandError> {
-    let all: Vec<Past> = read(&asked.ask("policy-history", &[])?)?;
-    let line = |past: &Past| format!("{} {} by {} at {}\n", past.number, past.what, past.by, past.at_ms);
+fn history(target: &Target) -> Result<String, CommandError> {
+    let all: Vec<HistoryEntry> = parse(&target.call("policy-history", &[])?)?;
+    let line = |entry: &HistoryEntry| {
+        format!("{} {} by {} at {}\n", entry.number, entry.what, entry.by, entry.at_ms)
+    };
     Ok(all.iter().map(line).collect())
 }
 
-/// Carries out one of the commands; what it has to say, or what is wrong with its exit code.
-pub fn command(command: &Policies) -> Result<String, CommandError> {
+/// Runs one of the commands. Returns its output, or why it failed with the exit code.
+pub fn command(command: &PolicyCommand) -> Result<String, CommandError> {
     match command {
-        Policies::Propose { file, asked, within } => {
-            let told = |why: String| wrong(2, format!("{}: {why}", file.display()));
-            let text = std::fs::read_to_string(file).map_err(|e| told(e.to_string()))?;
+        PolicyCommand::Propose { file, target, wait } => {
+            let error = |why: String| failure(2, format!("{}: {why}", file.display()));
+            let text = std::fs::read_to_string(file).map_err(|e| error(e.to_string()))?;
             let ending = match file.extension().and_then(|ending| ending.to_str()) {
                 Some(ending @ ("toml" | "json")) => ending,
-                _ => return Err(told("a file of settings, .toml or .json, was expected".into())),
+                _ => return Err(error("a file of settings, .toml or .json, was expected".into())),
             };
             let call = format!("propose {ending} {} {}", digest(&text), text.len());
-            propose(asked, within, &call, text.as_bytes())
+            propose(target, wait, &call, text.as_bytes())
         }
-        Policies::Admit { name, address, asked, within } => {
-            propose(asked, within, &format!("admit {name} {address}"), &[])
+        PolicyCommand::Admit { name, address, target, wait } => {
+            propose(target, wait, &format!("admit {name} {address}"), &[])
         }
-        Policies::Forget { name, asked, within } => propose(asked, within, &format!("forget {name}"), &[]),
-        Policies::Status { asked, format } => status(asked, *format),
-        Policies::History { asked } => history(asked),
-        Policies::Members { asked } => members(asked),
-        Policies::Show { number, asked } => {
-            let number = number.map_or_else(|| asked.status().map(|status| status.number), Ok)?;
-            asked.text(number).map(|text| text.policy)
+        PolicyCommand::Forget { name, target, wait } => propose(target, wait, &format!("forget {name}"), &[]),
+        PolicyCommand::Status { target, format } => status(target, *format),
+        PolicyCommand::History { target } => history(target),
+        PolicyCommand::Members { target } => members(target),
+        PolicyCommand::Show { number, target } => {
+            let number = number.map_or_else(|| target.status().map(|status| status.number), Ok)?;
+            target.text(number).map(|text| text.policy)
         }
-        Policies::Diff { old, new, asked } => {
-            let (old_text, new_text) = (asked.text(*old)?, asked.text(*new)?);
+        PolicyCommand::Diff { old, new, target } => {
+            let (old_text, new_text) = (target.text(*old)?, target.text(*new)?);
             let diff = TextDiff::from_lines(&old_text.policy, &new_text.policy);
             let name = |number: u64| format!("number {number}");
-            let mut said = diff.unified_diff().header(&name(*old), &name(*new)).to_string();
-            let names =
-                |text: &Text| -> Vec<String> { text.members.iter().map(|m| m.name.clone()).collect() };
+            let mut output = diff.unified_diff().header(&name(*old), &name(*new)).to_string();
+            let names = |text: &ProposalText| -> Vec<String> {
+                text.members.iter().map(|m| m.name.clone()).collect()
+            };
             let (before, after) = (names(&old_text), names(&new_text));
             let gone =
                 before.iter().filter(|name| !after.contains(name)).map(|name| format!("-member {name}\n"));
             let new =
                 after.iter().filter(|name| !before.contains(name)).map(|name| format!("+member {name}\n"));
-            said.extend(gone.chain(new));
-            Ok(said)
+            output.extend(gone.chain(new));
+            Ok(output)
         }
     }
 }
--- a/crates/scheduler/src/accord/staff.rs
+++ b/crates/scheduler/src/accord/operations.rs
@@ -1,26 +1,27 @@
-//! What staff ask of a member at its operators' address: proposals, and where it stands.
+//! Operators' calls to a member: proposals, and its status.
 
-use super::text::{Person, Text};
-use super::{draw, Accord, Here, State, ASK_AGAIN};
+use super::text::{MemberEntry, ProposalText};
+use super::{random_id, GroupMember, Identity, State, REQUEST_RETRY};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tindock_accord::{Digest, Frame, Id, Outcome, Payload, Reason, MAX_TEXT_BYTES};
 
-/// What staff ask for.
+/// A change that an operator proposes.
 pub enum Change {
     Policy { policy: String, ending: String },
-    LetIn { name: String, address: SocketAddr },
-    LeaveOut { name: String },
+    Admit { name: String, address: SocketAddr },
+    Remove { name: String },
 }
 
 #[derive(Serialize)]
-struct Seen {
+struct MemberStatus {
     name: String,
     address: SocketAddr,
     voter: bool,
-    /// The number in force there, as it said last, and how long ago; only voters hear all.
+    /// The number in force there as last reported, and the age of that report; only voters receive all
+    /// reports.
     number: Option<u64>,
     heard_ms: Option<u64>,
 }
@@ -45,42 +46,42 @@
     what: Option<&'a str>,
     serves: bool,
     why_not: Option<String>,
-    /// The promise of one policy everywhere does not hold for this scheduler.
+    /// It serves under its last known policy, which may not be in force elsewhere.
     void: bool,
     lease_ms: u64,
     lease_left_ms: u64,
     staged: Option<String>,
     dropped: u64,
-    members: Vec<Seen>,
+    members: Vec<MemberStatus>,
     proposals: Vec<Proposal>,
 }
 
-impl Accord {
-    /// Proposes a change to all; its number and digest. That it began is not that it will be.
+impl GroupMember {
+    /// Proposes a change to all members; returns its number and digest. The proposal may still fail.
     pub async fn propose(&self, change: Change) -> Result<(u64, Digest), String> {
-        let founds = self.state.borrow().as_ref().is_some_and(|state| state.written.decided.number == 0);
+        let founds = self.state.borrow().as_ref().is_some_and(|state| state.stored.decided.number == 0);
         let found = match &change {
-            Change::Policy { .. } if founds => self.ask(&self.told.members).await?,
-            Change::LetIn { name, address } => self.ask(&[(name.clone(), *address)]).await?,
+            Change::Policy { .. } if founds => self.identify(&self.settings.members).await?,
+            Change::Admit { name, address } => self.identify(&[(name.clone(), *address)]).await?,
             _ => BTreeMap::new(),
         };
-        let drawn = draw()?;
+        let group = random_id()?;
         let outcome = {
             let mut state = self.state.borrow_mut();
             let state = state.as_mut().ok_or("another process of this name has its place")?;
-            let text = self.draft(state, change, &found, drawn)?;
-            let bytes = text.write();
+            let text = self.draft(state, change, &found, group)?;
+            let bytes = text.to_bytes();
             if bytes.len() > MAX_TEXT_BYTES {
                 return Err(format!("{} bytes; {MAX_TEXT_BYTES} at the most", bytes.len()));
             }
             let digest = state.store.add(&bytes)?;
             let number = text.number;
-            self.take_text(state, digest, Rc::new(text));
+            self.add_text(state, digest, Rc::new(text));
             state.member.propose(self.clock.now(), digest).map(|()| (number, digest))
         };
-        self.after();
-        // Its next tick is another now.
-        self.moved.notify_one();
+        self.process_outputs();
+        // The time of the next tick has changed.
+        self.changed.notify_one();
         outcome
     }
 
@@ -88,48 +89,52 @@
         &self,
         state: &State,
         change: Change,
-        found: &BTreeMap<String, Here>,
-        drawn: u64,
-    ) -> Result<Text, String> {
+        found: &BTreeMap<String, Identity>,
+        group: u64,
+    ) -> Result<ProposalText, String> {
         let in_force = state.in_force();
         let mut text = match in_force {
-            Some(text) => Text::clone(text),
+            Some(text) => ProposalText::clone(text),
             None => {
-                if self.told.members.is_empty() {
-                    return Err("accord.members names nobody: there is no group to found".into());
+                if self.settings.members.is_empty() {
+                    return Err("accord.members is empty: there is no group to found".into());
                 }
-                if let Some((name, _)) = found.iter().find(|(_, here)| here.number > 0 || here.group > 0) {
+                if let Some((name, _)) =
+                    found.iter().find(|(_, identity)| identity.number > 0 || identity.group > 0)
+                {
                     return Err(format!("{name} belongs to a group already"));
                 }
-                let person = |(place, (name, address)): (usize, &(String, SocketAddr))| {
-                    let here = found.get(name).ok_or_else(|| format!("{name} gave no answer"))?;
-                    let voter = place < self.told.voters;
-                    Ok(Person { name: name.clone(), address: *address, id: here.id, voter })
+                let member = |(place, (name, address)): (usize, &(String, SocketAddr))| {
+                    let identity = found.get(name).ok_or_else(|| format!("{name} gave no answer"))?;
+                    let voter = place < self.settings.voters;
+                    Ok(MemberEntry { name: name.clone(), address: *address, id: identity.id, voter })
                 };
-                let members: Result<_, String> = self.told.members.iter().enumerate().map(person).collect();
-                Text::founding(drawn, self.told.lease, members?)
+                let members: Result<_, String> =
+                    self.settings.members.iter().enumerate().map(member).collect();
+                ProposalText::founding(group, self.settings.lease, members?)
             }
         };
-        text.number = state.written.decided.number + 1;
+        text.number = state.stored.decided.number + 1;
         (text.by, text.at_ms) = (self.name.clone(), self.clock.to_unix_ms(self.clock.now()));
         match change {
             Change::Policy { policy, ending } => {
                 (text.policy, text.ending, text.what) = (policy, ending, "a policy".into());
             }
             _ if in_force.is_none() => return Err("no policy has been decided in this group yet".into()),
-            Change::LetIn { name, address } => {
-                let here = found.get(&name).ok_or_else(|| format!("{name} gave no answer"))?;
-                if here.number > 0 && here.group != text.group {
+            Change::Admit { name, address } => {
+                let identity = found.get(&name).ok_or_else(|| format!("{name} gave no answer"))?;
+                if identity.number > 0 && identity.group != text.group {
                     return Err(format!("{name} belongs to another group"));
                 }
-                if text.members.iter().any(|p| p.id == here.id && p.name == name && p.address == address) {
+                if text.members.iter().any(|p| p.id == identity.id && p.name == name && p.address == address)
+                {
                     return Err(format!("{name} is a member already"));
                 }
-                text.let_in(&name, address, here.id, self.told.voters);
+                text.admit(&name, address, identity.id, self.settings.voters);
                 text.what = format!("{name} let in");
             }
-            Change::LeaveOut { name } => {
-                if !text.leave_out(&name, self.told.voters) {
+            Change::Remove { name } => {
+                if !text.remove(&name, self.settings.voters) {
                     return Err(format!("{name:?} is no member"));
                 }
                 if text.members.is_empty() {
@@ -141,75 +146,78 @@
         Ok(text)
     }
 
-    /// Asks schedulers by name who they are.
-    async fn ask(&self, who: &[(String, SocketAddr)]) -> Result<BTreeMap<String, Here>, String> {
-        let nonce = draw()?;
-        self.here.replace((nonce, BTreeMap::new()));
+    /// Requests the identities of schedulers by name.
+    async fn identify(&self, who: &[(String, SocketAddr)]) -> Result<BTreeMap<String, Identity>, String> {
+        let nonce = random_id()?;
+        self.identities.replace((nonce, BTreeMap::new()));
         let began = self.clock.now();
         loop {
-            let found = self.here.borrow().1.clone();
+            let found = self.identities.borrow().1.clone();
             let missing: Vec<_> = who.iter().filter(|(name, _)| !found.contains_key(name)).collect();
             if missing.is_empty() {
                 return Ok(found);
             }
-            if self.clock.now() - began > self.told.patience {
+            if self.clock.now() - began > self.settings.patience {
                 let names: Vec<&str> = missing.iter().map(|(name, _)| name.as_str()).collect();
                 return Err(format!("no answer from {}", names.join(", ")));
             }
-            let (id, group) =
-                self.state.borrow().as_ref().map(|s| (s.written.id, s.group())).unwrap_or_default();
+            let (id, local_group) =
+                self.state.borrow().as_ref().map(|s| (s.stored.id, s.group())).unwrap_or_default();
             for (name, at) in missing {
-                let word = Payload::IdentityRequest { nonce, name: name.clone() };
+                let payload = Payload::IdentityRequest { nonce, name: name.clone() };
                 if *name == self.name {
-                    let number = self.state.borrow().as_ref().map_or(0, |s| s.written.decided.number);
-                    self.here.borrow_mut().1.insert(name.clone(), Here { id, group, number });
-                    self.heard.notify_one();
+                    let number = self.state.borrow().as_ref().map_or(0, |s| s.stored.decided.number);
+                    self.identities
+                        .borrow_mut()
+                        .1
+                        .insert(name.clone(), Identity { id, group: local_group, number });
+                    self.identity_received.notify_one();
                 } else {
-                    self.send(*at, &Frame { group, from: id, to: 0, payload: word });
+                    self.send(*at, &Frame { group: local_group, from: id, to: 0, payload });
                 }
             }
-            let _ = tokio::time::timeout(ASK_AGAIN, self.heard.notified()).await;
+            let _ = tokio::time::timeout(REQUEST_RETRY, self.identity_received.notified()).await;
         }
     }
 
-    /// Where it stands, as one line of JSON.
+    /// The status, as one line of JSON.
     pub fn status(&self) -> Result<String, String> {
         let serves = self.serves();
         let state = self.state.borrow();
         let state = state.as_ref().ok_or("another process of this name has its place")?;
-        let (now, chosen) = (self.clock.now(), state.written.decided);
+        let (now, chosen) = (self.clock.now(), state.stored.decided);
         let text = state.in_force();
-        let known = |id: Id| {
+        let name_of = |id: Id| {
             let names = state.texts.values().find_map(|text| text.name_of(id));
             names.map_or_else(|| format!("{id:016x}"), String::from)
         };
         let names = |ids: &BTreeSet<Id>| {
-            let mut names: Vec<String> = ids.iter().map(|id| known(*id)).collect();
+            let mut names: Vec<String> = ids.iter().map(|id| name_of(*id)).collect();
             names.sort();
             names
         };
-        let seen = |person: &Person| {
-            let own = (person.id == state.written.id).then_some((now, chosen.number));
-            let seen = state.member.last_seen(person.id).or(own);
+        let member_status = |member: &MemberEntry| {
+            let local = (member.id == state.stored.id).then_some((now, chosen.number));
+            let seen = state.member.last_seen(member.id).or(local);
             let heard_ms = seen.map(|(at, _)| now.saturating_sub(at).as_millis() as u64);
-            let (name, number) = (person.name.clone(), seen.map(|(_, number)| number));
-            Seen { name, address: person.address, voter: person.voter, number, heard_ms }
+            let (name, number) = (member.name.clone(), seen.map(|(_, number)| number));
+            MemberStatus { name, address: member.address, voter: member.voter, number, heard_ms }
         };
         let proposals = state.member.outcomes().map(|(number, digest, outcome)| {
-            let (word, why, missing) = match outcome {
+            let (outcome, why, missing) = match outcome {
                 Outcome::InProgress => ("under way", None, Vec::new()),
                 Outcome::Unknown => ("unknown", None, Vec::new()),
                 Outcome::Decided { missing } => ("decided", None, names(missing)),
                 Outcome::NotDecided(reason) => {
                     let why = match reason {
-                        Reason::Refused { by, why } => format!("{}: {why}", known(*by)),
+                        Reason::Refused { by, why } => format!("{}: {why}", name_of(*by)),
                         Reason::Superseded => format!("number {number} goes to another proposal"),
                         Reason::NoAnswer(ids) => format!("no answer from {}", names(ids).join(", ")),
                     };
                     ("nowhere", Some(why), Vec::new())
                 }
             };
-            Proposal { number, digest: digest.to_string(), outcome: word, why, missing }
+            Proposal { number, digest: digest.to_string(), outcome, why, missing }
         });
         let status = Status {
             version: 1,
@@ -221,22 +229,22 @@
             what: text.map(|text| text.what.as_str()),
             serves: serves.is_ok(),
             why_not: serves.err(),
-            void: self.void.get(),
-            lease_ms: text.map_or(self.told.lease, |text| text.lease()).as_millis() as u64,
+            void: self.serves_last_known.get(),
+            lease_ms: text.map_or(self.settings.lease, |text| text.lease()).as_millis() as u64,
             lease_left_ms: state.member.lease_left(now).as_millis() as u64,
-            staged: state.written.staged.map(|(_, digest)| digest.to_string()),
+            staged: state.stored.staged.map(|(_, digest)| digest.to_string()),
             dropped: self.dropped.get() + state.member.dropped(),
-            members: text.iter().flat_map(|text| &text.members).map(seen).collect(),
+            members: text.iter().flat_map(|text| &text.members).map(member_status).collect(),
             proposals: proposals.collect(),
         };
         serde_json::to_string(&status).map_err(|e| e.to_string())
     }
 
-    /// What was in force under a number, as its text stands; and all numbers that are remembered.
+    /// The text that was in force under a number; an error lists the numbers that are stored.
     pub fn text_of(&self, number: u64) -> Result<String, String> {
         let state = self.state.borrow();
         let state = state.as_ref().ok_or("another process of this name has its place")?;
-        let numbers = &state.written.history;
+        let numbers = &state.stored.history;
         let chosen = numbers.iter().find(|chosen| chosen.number == number);
         let text = chosen.and_then(|chosen| state.store.text(chosen.digest));
         let text = text.ok_or_else(|| {
@@ -246,7 +254,7 @@
         String::from_utf8(text).map_err(|e| e.to_string())
     }
 
-    /// Each number that is remembered, a line of JSON, without its policy.
+    /// All stored numbers without their policies, as one line of JSON.
     pub fn history(&self) -> Result<String, String> {
         #[derive(Serialize)]
         struct Entry {
@@ -259,11 +267,11 @@
         let state = self.state.borrow();
         let state = state.as_ref().ok_or("another process of this name has its place")?;
         let entry = |chosen: &tindock_accord::Chosen| {
-            let text = Text::read(&state.store.text(chosen.digest)?).ok()?;
+            let text = ProposalText::parse(&state.store.text(chosen.digest)?).ok()?;
             let (by, at_ms, what) = (text.by, text.at_ms, text.what);
             Some(Entry { number: chosen.number, digest: chosen.digest.to_string(), by, at_ms, what })
         };
-        let all: Vec<Entry> = state.written.history.iter().filter_map(entry).collect();
+        let all: Vec<Entry> = state.stored.history.iter().filter_map(entry).collect();
         serde_json::to_string(&all).map_err(|e| e.to_string())
     }
 }
--- a/crates/scheduler/src/accord/policy.rs
+++ b/crates/scheduler/src/accord/policy.rs
@@ -1,21 +1,21 @@
-//! A policy in the place of what a scheduler's own file says: workloads, customers and what workers are held to come
-//! from the group, all else stays the file's.
+//! Applies the group's policy to a scheduler's local configuration: workloads, tenants and the rules for
+//! workers come from the group, everything else from the local file.
 
-use crate::accord::text::Text;
+use crate::accord::text::ProposalText;
 use std::path::{Path, PathBuf};
 use tindock_berth::grafting::graft;
 use tindock_berth::{parse, Berth, Layers};
 
-/// The configuration at `path` with the policy of a text in it.
-pub fn over(path: &Path, layers: &Layers, text: &Text) -> Result<Berth, String> {
-    let own = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
+/// The configuration at `path` with the policy of a proposal text.
+pub fn with_policy(path: &Path, layers: &Layers, text: &ProposalText) -> Result<Berth, String> {
+    let local = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let policy = PathBuf::from("policy").with_extension(&text.ending);
-    let whole = graft(path, &own, &policy, &text.policy)?;
-    parse(path, &whole, layers).map(|(berth, _)| berth).map_err(|lines| lines.join("; "))
+    let merged = graft(path, &local, &policy, &text.policy)?;
+    parse(path, &merged, layers).map(|(berth, _)| berth).map_err(|lines| lines.join("; "))
 }
 
-/// What a configuration says of the things that a group decides, for a comparison.
-pub fn says(berth: &Berth) -> String {
+/// The settings that a group decides, as text, to compare two configurations.
+pub fn fingerprint(berth: &Berth) -> String {
     let words = &berth.words;
     format!("{:?} {:?} {:?} {:?}", berth.sheet, words.workloads, words.customers, words.reports)
 }
--- a/crates/scheduler/src/accord/store.rs
+++ b/crates/scheduler/src/accord/store.rs
@@ -1,5 +1,6 @@
-//! What a member of a group keeps on disk, in a folder of its own: its state, replaced whole and synced before anything
-//! is said that it permits, and the texts of proposals by their digests. A lock keeps a second process out.
+//! Durable storage of a group member, in a folder of its own: its state, replaced atomically and synced
+//! before any message that depends on it is sent, and the texts of proposals by their digests. A lock
+//! excludes a second process.
 
 use crate::disk::{locked, replace};
 use serde::{Deserialize, Serialize};
@@ -12,9 +13,9 @@
 
 const STATE: &str = "state";
 const LOCK: &str = "lock";
-const ENDING: &str = "text";
-/// The first words of the state. Another version is told apart from a file that was cut.
-const MARK: &str = "tindock-accord 1";
+const TEXT_EXTENSION: &str = "text";
+/// Start of the state file; tells a file of another version from a truncated one.
+const HEADER: &str = "tindock-accord 1";
 
 #[derive(Serialize, Deserialize)]
 struct State {
@@ -22,7 +23,7 @@
     kept: DurableState,
 }
 
-/// A folder that this process alone has.
+/// An opened folder, locked for this process.
 pub struct Store {
     folder: PathBuf,
     name: String,
@@ -35,51 +36,53 @@
 }
 
 impl Store {
-    /// Opens or makes the folder; what is kept there, none where it was just made. One line says what is wrong: a state
-    /// that is not whole or another's is never taken for an empty one. Another process's folder is waited for that long.
+    /// Opens or creates the folder; returns the stored state, or none if the folder is new. A state that is
+    /// damaged or of another member is an error, never an empty state. Waits up to `wait` for the lock of
+    /// another process.
     pub fn open(folder: &Path, name: &str, wait: Duration) -> Result<(Store, Option<DurableState>), String> {
-        let out = |path: &Path| {
+        let error = |path: &Path| {
             let path = path.display().to_string();
             move |e: std::io::Error| format!("accord: {path}: {e}")
         };
-        fs::create_dir_all(folder).map_err(out(folder))?;
+        fs::create_dir_all(folder).map_err(error(folder))?;
         let path = folder.join(LOCK);
-        let lock = locked(&path, wait).map_err(out(&path))?;
-        let lock = lock.ok_or_else(|| format!("accord: {} is another process's", folder.display()))?;
+        let lock = locked(&path, wait).map_err(error(&path))?;
+        let lock =
+            lock.ok_or_else(|| format!("accord: {} is in use by another process", folder.display()))?;
         let store = Store { folder: folder.into(), name: name.into(), _lock: lock };
         let path = folder.join(STATE);
         let text = match fs::read_to_string(&path) {
             Err(e) if e.kind() == ErrorKind::NotFound => {
-                // Guards against a state that was lost alone: with texts beside it this was no new member.
+                // Texts without a state mean that the state was lost: this is not a new member.
                 return match store.texts().next() {
                     None => Ok((store, None)),
                     Some(_) => Err(format!(
-                        "accord: {}: there are texts of proposals, and no state; remove the folder to begin as a new \
-                         member",
+                        "accord: {}: there are texts of proposals, but no state; remove the folder to start as \
+                         a new member",
                         folder.display()
                     )),
                 };
             }
-            text => text.map_err(out(&path))?,
+            text => text.map_err(error(&path))?,
         };
-        let kept = read(&text, name).map_err(|why| format!("accord: {}: {why}", path.display()))?;
+        let kept = parse(&text, name).map_err(|why| format!("accord: {}: {why}", path.display()))?;
         Ok((store, Some(kept)))
     }
 
-    /// On the disk when this returns.
-    pub fn keep(&self, kept: &DurableState) -> Result<(), String> {
+    /// Writes the state; it is on disk when this returns.
+    pub fn save(&self, kept: &DurableState) -> Result<(), String> {
         let state = State { name: self.name.clone(), kept: kept.clone() };
         let line = serde_json::to_string(&state).map_err(|e| e.to_string())?;
-        let text = format!("{MARK} {}\n{line}\n", digest(line.as_bytes()));
+        let text = format!("{HEADER} {}\n{line}\n", digest(line.as_bytes()));
         let path = self.folder.join(STATE);
         replace(&path, text.as_bytes()).map_err(|e| format!("{}: {e}", path.display()))
     }
 
     fn path(&self, digest: Digest) -> PathBuf {
-        self.folder.join(format!("{digest}.{ENDING}"))
+        self.folder.join(format!("{digest}.{TEXT_EXTENSION}"))
     }
 
-    /// The text of that digest, if it is here and whole.
+    /// The text of this digest, if it is stored here undamaged.
     pub fn text(&self, of: Digest) -> Option<Vec<u8>> {
         fs::read(self.path(of)).ok().filter(|text| digest(text) == of)
     }
@@ -95,28 +98,28 @@
 
     fn texts(&self) -> impl Iterator<Item = PathBuf> {
         let all = fs::read_dir(&self.folder).into_iter().flatten().flatten().map(|entry| entry.path());
-        all.filter(|path| path.extension().is_some_and(|ending| ending == ENDING))
+        all.filter(|path| path.extension().is_some_and(|ending| ending == TEXT_EXTENSION))
     }
 
-    /// Removes the texts that nobody needs any more.
-    pub fn tidy(&self, needed: &BTreeSet<Digest>) {
+    /// Removes the texts that are no longer needed.
+    pub fn remove_unneeded(&self, needed: &BTreeSet<Digest>) {
         let needed: BTreeSet<PathBuf> = needed.iter().map(|digest| self.path(*digest)).collect();
-        // One that stays is looked at again the next time.
+        // A text that cannot be removed is tried again at the next call.
         self.texts().filter(|path| !needed.contains(path)).for_each(|path| drop(fs::remove_file(path)));
     }
 }
 
-fn read(text: &str, name: &str) -> Result<DurableState, String> {
+fn parse(text: &str, name: &str) -> Result<DurableState, String> {
     let (first, rest) = text.split_once('\n').unwrap_or((text, ""));
-    let Some(sum) = first.strip_prefix(MARK).map(str::trim) else {
+    let Some(sum) = first.strip_prefix(HEADER).map(str::trim) else {
         return Err(match first.starts_with("tindock-accord ") {
             true => "is of another version of the program".into(),
-            false => "is no state of a member".into(),
+            false => "is not the state of a member".into(),
         });
     };
     let line = rest.strip_suffix('\n').unwrap_or(rest);
     if digest(line.as_bytes()).to_string() != sum {
-        return Err("was cut or changed; remove its folder to begin as a new member".into());
+        return Err("was truncated or changed; remove its folder to start as a new member".into());
     }
     let state: State = serde_json::from_str(line).map_err(|e| e.to_string())?;
     if state.name != name {
@@ -137,21 +140,22 @@
 
     const NOW: Duration = Duration::ZERO;
 
-    fn wrong(folder: &Path, name: &str) -> String {
+    fn open_error(folder: &Path, name: &str) -> String {
         Store::open(folder, name, NOW).map(|_| ()).expect_err("an error")
     }
 
-    /// Guards against a member that takes a torn, old or strange file for an empty memory, and votes once more.
+    /// Guards against a member that takes a damaged, outdated or foreign state file for an empty one, and
+    /// votes twice.
     #[test]
-    fn a_state_is_whole_or_an_error() {
+    fn a_damaged_or_foreign_state_is_an_error() {
         let folder = folder("whole");
         let kept = DurableState { id: u64::MAX, ..DurableState::default() };
         let (store, before) = Store::open(&folder, "n0", NOW).expect("a store");
         assert_eq!(before, None);
         let text = store.add(b"a policy").expect("added");
-        store.keep(&kept).expect("kept");
+        store.save(&kept).expect("kept");
         drop(store);
-        assert!(wrong(&folder, "n1").ends_with("is the state of n0, not of n1"));
+        assert!(open_error(&folder, "n1").ends_with("is the state of n0, not of n1"));
         let (store, again) = Store::open(&folder, "n0", NOW).expect("a store");
         assert_eq!((again.as_ref(), store.text(text)), (Some(&kept), Some(b"a policy".to_vec())));
         drop(store);
@@ -159,27 +163,27 @@
         let whole = fs::read_to_string(&path).expect("text");
         for cut in 0..whole.len() - 1 {
             fs::write(&path, &whole[..cut]).expect("written");
-            wrong(&folder, "n0");
+            open_error(&folder, "n0");
         }
         fs::write(&path, whole.replace("accord 1", "accord 2")).expect("written");
-        assert!(wrong(&folder, "n0").contains("another version"));
+        assert!(open_error(&folder, "n0").contains("another version"));
         fs::remove_file(&path).expect("removed");
-        assert!(wrong(&folder, "n0").contains("no state"));
+        assert!(open_error(&folder, "n0").contains("no state"));
         fs::write(folder.join(format!("{text}.text")), "another").expect("written");
         fs::write(&path, &whole).expect("written");
         let (store, _) = Store::open(&folder, "n0", NOW).expect("a store");
         assert_eq!(store.text(text), None);
-        store.tidy(&BTreeSet::new());
+        store.remove_unneeded(&BTreeSet::new());
         assert_eq!(store.texts().count(), 0);
         fs::remove_dir_all(&folder).expect("removed");
     }
 
-    /// Guards against two processes with one vote.
+    /// Guards against two processes that vote as the same member.
     #[test]
-    fn a_second_process_is_kept_out() {
+    fn a_second_process_is_refused() {
         let folder = folder("lock");
         let first = Store::open(&folder, "n0", NOW).expect("a store");
-        assert!(wrong(&folder, "n0").ends_with("is another process's"));
+        assert!(open_error(&folder, "n0").ends_with("is in use by another process"));
         drop(first);
         Store::open(&folder, "n0", NOW).expect("a store");
         fs::remove_dir_all(&folder).expect("removed");
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line: what it takes, and the commands that end by themselves.
 
-use crate::accord::commands::Policies;
+use crate::accord::commands::PolicyCommand;
 use crate::berth::{self, open, Layers, Problem, Shown, Stock};
 use crate::list::shelves;
 use crate::list::stocking::accept_file;
@@ -54,7 +54,7 @@
     Rollout(RolloutCommand),
     /// Change a policy that takes hold at all schedulers of a group or at none
     #[command(subcommand)]
-    Policy(Policies),
+    Policy(PolicyCommand),
     /// Stand over the schedulers of this machine: start them, start them again, bring a new program beside the old one
     Keep {
         file: PathBuf,
--- a/crates/scheduler/src/clients/door.rs
+++ b/crates/scheduler/src/clients/door.rs
@@ -1,6 +1,6 @@
 //! The server side: accepts connections of clients and workers, and answers what they ask.
 
-use crate::accord::Accord;
+use crate::accord::GroupMember;
 use crate::clients::answering::{self, Reply};
 use crate::clients::guest::{Guest, Standing, Watched};
 use crate::clients::heads::Ends;
@@ -54,7 +54,7 @@
     gone: Notify,
     rooms: Rooms,
     /// The group whose word it takes to serve, where there is one.
-    group: OnceCell<Rc<Accord>>,
+    group: OnceCell<Rc<GroupMember>>,
     telemetry: Rc<Telemetry>,
     /// How long tasks of each workload are in hand until they are finished.
     in_hand: RefCell<RunTimes<Rc<str>>>,
@@ -108,7 +108,7 @@
     }
 
     /// From now on tasks are taken on this group's word only.
-    pub fn under(&self, group: Rc<Accord>) {
+    pub fn under(&self, group: Rc<GroupMember>) {
         let _ = self.group.set(group);
     }
 
--- a/crates/scheduler/src/operators/management.rs
+++ b/crates/scheduler/src/operators/management.rs
@@ -1,7 +1,7 @@
 //! The operators' address: one line a connection, answered by a line that begins with `done` or `error`, or by the
 //! figures and a line `end`.
 
-use crate::accord::{Accord, Change};
+use crate::accord::{Change, GroupMember};
 use crate::clients::door::SHORT_OF_DESCRIPTORS;
 use crate::exchange::Exchange;
 use crate::operators::bans::Bans;
@@ -39,7 +39,7 @@
     /// To the process beside this one, during an upgrade.
     pub line: Rc<Link>,
     /// Where a group decides the policy.
-    pub group: Option<Rc<Accord>>,
+    pub group: Option<Rc<GroupMember>>,
     /// Clients are let in, and nothing that is handed over is still to come.
     pub open: Rc<Cell<bool>>,
     pub log: Logger,
@@ -111,9 +111,9 @@
             }
             ["admit", name, address] => {
                 let at = address.parse().map_err(|_| format!("{address:?}; address:port was expected"))?;
-                self.change(Change::LetIn { name: name.into(), address: at }).await
+                self.change(Change::Admit { name: name.into(), address: at }).await
             }
-            ["forget", name] => self.change(Change::LeaveOut { name: name.into() }).await,
+            ["forget", name] => self.change(Change::Remove { name: name.into() }).await,
             [call @ ("readyz" | "telemetry" | "version" | "policy" | "policy-history"), ..] => takes(call, 0),
             [call @ ("exclude" | "include" | "policy-text" | "forget"), ..] => takes(call, 1),
             [call @ ("lease" | "release" | "admit"), ..] => takes(call, 2),
@@ -126,7 +126,7 @@
         }
     }
 
-    fn group(&self) -> Result<&Accord, String> {
+    fn group(&self) -> Result<&GroupMember, String> {
         self.group.as_deref().ok_or_else(|| "no group decides the policy here: there is no [accord]".into())
     }
 
--- a/crates/scheduler/src/operators/reloading.rs
+++ b/crates/scheduler/src/operators/reloading.rs
@@ -2,8 +2,8 @@
 //! limits of assignments, what workers are held to) and a new discovery address; what else has changed in it counts
 //! from the next start on.
 
-use crate::accord::text::Text;
-use crate::accord::{policy, Policies};
+use crate::accord::text::ProposalText;
+use crate::accord::{policy, PolicyHandler};
 use crate::berth::{self, Berth, Layers};
 use crate::clients::door::Door;
 use crate::exchange::Exchange;
@@ -33,7 +33,7 @@
 /// place.
 pub struct Group {
     pub says: String,
-    pub policy: RefCell<Option<Rc<Text>>>,
+    pub policy: RefCell<Option<Rc<ProposalText>>>,
 }
 
 pub struct Reloading {
@@ -100,7 +100,7 @@
         let own = berth::from_file(&self.path, &self.layers)?;
         let policy = self.group.as_ref().and_then(|group| Some((group, group.policy.borrow().clone()?)));
         let Some((group, text)) = policy else { return Ok(own) };
-        if policy::says(&own) != group.says {
+        if policy::fingerprint(&own) != group.says {
             // Guards against a scheduler that decides by a file of its own beside others.
             return Err(format!(
                 "workloads, customers and workers are decided by the group (number {}): undo what was changed by hand, \
@@ -108,7 +108,7 @@
                 text.number
             ));
         }
-        policy::over(&self.path, &self.layers, &text)
+        policy::with_policy(&self.path, &self.layers, &text)
     }
 
     /// Guards against a file that was cut and still can be read, and against words that nobody could hold: nothing is
@@ -145,14 +145,15 @@
     }
 }
 
-impl Policies for Reloading {
-    fn check(&self, text: &Text) -> Result<(), String> {
-        policy::over(&self.path, &self.layers, text).and_then(|berth| self.whole(berth)).map(|_| ())
+impl PolicyHandler for Reloading {
+    fn check(&self, text: &ProposalText) -> Result<(), String> {
+        policy::with_policy(&self.path, &self.layers, text).and_then(|berth| self.whole(berth)).map(|_| ())
     }
 
     /// Goes through the same step as a file that is read again.
-    fn take_up(&self, text: &Rc<Text>) -> Result<(), String> {
-        let berth = policy::over(&self.path, &self.layers, text).and_then(|berth| self.whole(berth))?;
+    fn apply(&self, text: &Rc<ProposalText>) -> Result<(), String> {
+        let berth =
+            policy::with_policy(&self.path, &self.layers, text).and_then(|berth| self.whole(berth))?;
         if let Some(group) = &self.group {
             group.policy.replace(Some(text.clone()));
         }
--- a/crates/scheduler/src/start.rs
+++ b/crates/scheduler/src/start.rs
@@ -1,6 +1,6 @@
 //! Puts the parts together and runs them on one thread until the scheduler was told to stop.
 
-use crate::accord::{policy, Accord, Opened};
+use crate::accord::{policy, GroupMember, OpenedFolder};
 use crate::berth::{self, Berth, Layers};
 use crate::clients::door::Door;
 use crate::clients::reading::Rooms;
@@ -84,11 +84,12 @@
         }
     };
     // After the process that runs has let go of its place in the group.
-    let opened = berth.accord.as_ref().map(|told| Opened::folder(told, &berth.name)).transpose()?;
-    let mut group = berth.accord.as_ref().map(|_| Group { says: policy::says(&berth), policy: None.into() });
-    if let Some((text, group)) = opened.as_ref().and_then(Opened::in_force).zip(group.as_mut()) {
+    let opened = berth.accord.as_ref().map(|told| OpenedFolder::open(told, &berth.name)).transpose()?;
+    let mut group =
+        berth.accord.as_ref().map(|_| Group { says: policy::fingerprint(&berth), policy: None.into() });
+    if let Some((text, group)) = opened.as_ref().and_then(OpenedFolder::in_force).zip(group.as_mut()) {
         group.policy = RefCell::new(Some(text.clone()));
-        match policy::over(&path, &layers, text) {
+        match policy::with_policy(&path, &layers, text) {
             Ok(under) => berth = berth::Berth { accord: berth.accord, known: berth.known, ..under },
             // It is no member that can serve, and says so for as long as it lives.
             Err(why) => warn!(log, "the policy in force cannot be read here: {why}"),
@@ -206,10 +207,10 @@
     let mut accord = None;
     if let Some((told, opened)) = berth.accord.zip(opened) {
         let policies = reloading.clone();
-        let group = Accord::new(told, berth.name.clone(), opened, clock, policies, part("accord"))?;
+        let group = GroupMember::new(told, berth.name.clone(), opened, clock, policies, part("accord"))?;
         door.under(group.clone());
-        spawn_local(group.clone().keep());
-        group.first_word().await;
+        spawn_local(group.clone().run());
+        group.wait_for_first_lease().await;
         accord = Some(group);
     }
     let (rereads, asked) = mpsc::channel(reloading::ASKED);
--- a/crates/scheduler/src/succession/handover.rs
+++ b/crates/scheduler/src/succession/handover.rs
@@ -2,7 +2,7 @@
 //! one. While both run, each forwards worker events meant for the other. The new process requests the
 //! handover over a Unix socket in the runtime folder.
 
-use crate::accord::Accord;
+use crate::accord::GroupMember;
 use crate::clients::door::{Door, SHORT_OF_DESCRIPTORS};
 use crate::exchange::Exchange;
 use crate::list::muster::Muster;
@@ -86,7 +86,7 @@
     pub pool: Rc<Pool>,
     pub shutdown: Rc<Shutdown>,
     /// Where a group of schedulers agrees on the policy: this scheduler's membership is handed over too.
-    pub group: Option<Rc<Accord>>,
+    pub group: Option<Rc<GroupMember>>,
     /// Whether this process accepts clients.
     pub accepting: Rc<Cell<bool>>,
     /// Wakes `accept` to bind the Unix socket again: a failed successor may have replaced the file.
@@ -148,7 +148,7 @@
         // serves.
         self.accepting.set(false);
         self.clients.pause(true);
-        self.group.iter().for_each(|group| group.rest());
+        self.group.iter().for_each(|group| group.suspend());
         let state = self.exchange.bequeath(&self.workers.words());
         let sent = async {
             stream.writable().await?;
--- a/crates/scheduler/tests/accords.rs
+++ b/crates/scheduler/tests/accords.rs
@@ -1,4 +1,5 @@
-//! One policy for a group of real schedulers, with faults between them: in force everywhere or nowhere, as clients see it.
+//! One policy for a group of real schedulers, with network faults injected: as clients see it, a policy is in
+//! force at all members or at none.
 
 use std::fs;
 use std::time::{Duration, Instant};
@@ -8,22 +9,23 @@
 use tindock_trial::judge::service;
 use tindock_trial::standins::End;
 
-fn group(name: &str, schedulers: usize) -> Group {
+fn founded(name: &str, schedulers: usize) -> Group {
     Group::founded(name, schedulers, |_| String::new())
 }
 
-/// Whether a scheduler finished a task under that policy that was handed in after a moment.
+/// Whether a scheduler finished a task under this policy that a client sent after `from`.
 fn served_after(group: &Group, number: usize, at: usize, from: Instant) -> bool {
     group.told(number).iter().any(|told| told.to == at && told.end == End::Finished && told.sent > from)
 }
 
-/// Guards against a change that is half in force: with all up it costs clients nothing, and goes round at once.
+/// Guards against a change that is in force at some members only, or that costs tasks although all members
+/// are up.
 #[test]
-fn a_policy_goes_round_with_all_up_and_costs_nothing() {
-    let mut group = group("round", 5);
+fn a_policy_reaches_all_members_without_lost_tasks() {
+    let mut group = founded("round", 5);
     let before = Instant::now();
-    let (code, words) = group.propose(3, 2);
-    assert_eq!((code, words.as_str()), (Some(0), "policy number 2 is in force everywhere\n"));
+    let (code, output) = group.propose(3, 2);
+    assert_eq!((code, output.as_str()), (Some(0), "policy number 2 is in force everywhere\n"));
     group.until_in_force(2, &group.all());
     group.all().iter().for_each(|at| group.until_finished(2, *at));
     let after = Instant::now();
@@ -38,17 +40,17 @@
     assert_eq!(group.judge(), [""; 0]);
 }
 
-/// Guards against one that was down and comes back with what it had.
+/// Guards against a member that was down and serves under its old policy after a restart.
 #[test]
-fn one_that_was_down_serves_under_the_new_policy_only() {
-    // Three decide; who is down is one that learns.
+fn a_restarted_member_serves_under_the_new_policy_only() {
+    // Three members are voters; the one that is down is not.
     let mut group = Group::founded("down", 5, |_| "voters = 3\n".into());
     group.fleet.nodes[4].kill();
     let began = Instant::now();
-    let (code, words) = group.propose(0, 2);
-    assert_eq!(code, Some(0), "{words}");
-    assert!(words.ends_with("serving under no older one: n4\n"), "{words}");
-    // It may have served until its lease was out.
+    let (code, output) = group.propose(0, 2);
+    assert_eq!(code, Some(0), "{output}");
+    assert!(output.ends_with("serving under no older one: n4\n"), "{output}");
+    // It may have served until its lease expired.
     assert!(began.elapsed() >= Duration::from_millis(900), "{:?}", began.elapsed());
     let back = Instant::now();
     group.fleet.nodes[4].start();
@@ -58,9 +60,9 @@
     assert_eq!(group.judge(), [""; 0]);
 }
 
-/// Guards against one that was away for so long that it finds no number that it knows.
+/// Guards against a member that cannot catch up because the others no longer store any number that it knows.
 #[test]
-fn one_that_was_down_for_ten_changes_has_the_last_one() {
+fn a_member_that_missed_ten_changes_applies_the_last_one() {
     let mut group = Group::founded("ten", 4, |_| "voters = 3\n".into());
     group.fleet.nodes[3].kill();
     let mut begun = Vec::new();
@@ -70,12 +72,12 @@
         group.until_in_force(number, &[0, 1, 2]);
     }
     for child in begun {
-        let (code, words) = said(child.wait_with_output().expect("its end"));
-        assert_eq!(code, Some(0), "{words}");
+        let (code, output) = said(child.wait_with_output().expect("its end"));
+        assert_eq!(code, Some(0), "{output}");
     }
     group.fleet.nodes[3].start();
     group.until_in_force(11, &group.all());
-    // What was in force meanwhile it was never told, or only by words that came late.
+    // It never received the policies between, or only by delayed messages.
     let (_, history) = group.command(3, &["history"]);
     let numbers: Vec<&str> = history.lines().filter_map(|line| line.split(' ').next()).collect();
     assert!(
@@ -85,31 +87,35 @@
     assert_eq!(group.judge(), [""; 0]);
 }
 
-/// Guards against a new program that takes the place and never serves: the old one has its place again.
+/// Guards against a member that stays out of the group after a new process took over its folder and never
+/// served.
 #[test]
-fn a_new_process_that_ends_gives_the_place_back() {
-    let group = group("back", 3);
+fn the_old_process_rejoins_the_group_when_the_new_one_exits() {
+    let group = founded("back", 3);
     let address = group.fleet.nodes[1].address;
     for _ in 0..2 {
         let mut second = group.fleet.nodes[1].beside();
-        until("the place is passed on", || group.fleet.nodes[1].says("policy").contains("has its place"));
+        until("the new process has the folder", || {
+            group.fleet.nodes[1].says("policy").contains("has its place")
+        });
         second.kill().and_then(|()| second.wait()).expect("killed");
-        until("it is back", || group.serves(1));
+        until("the old process has it again", || group.serves(1));
         group.until_finished(1, 1);
     }
-    let (code, words) = group.propose(1, 2);
-    assert_eq!(code, Some(0), "{words}");
+    let (code, output) = group.propose(1, 2);
+    assert_eq!(code, Some(0), "{output}");
     group.until_in_force(2, &group.all());
     assert_eq!(group.fleet.nodes[1].address, address);
-    let told = group.fleet.told();
-    // Who had connected to the process that was killed may have lost it; nothing else.
-    let lost = told.iter().filter(|t| !matches!(t.end, End::Finished | End::None)).count();
+    let records = group.fleet.told();
+    // Only clients connected to the killed process may have lost their tasks.
+    let lost = records.iter().filter(|t| !matches!(t.end, End::Finished | End::None)).count();
     assert_eq!(lost, 0);
 }
 
-/// Guards against a policy that one member cannot serve under: it is in force nowhere, and staff learn why.
+/// Guards against a policy that is decided although one member cannot serve under it; the operator gets the
+/// reason.
 #[test]
-fn one_refusal_is_a_refusal_for_all() {
+fn a_policy_refused_by_one_member_is_in_force_nowhere() {
     let [high, low, ..] = (std::process::id() as u16).to_be_bytes();
     let at = |port: u16| format!("\"127.{}.{low}.255:{port}\"", high.max(1));
     let peers = |n: usize| match n {
@@ -119,12 +125,12 @@
     let mut group = Group::start("refused", 5, peers);
     for (number, schedulers, expected) in [(1, 5, Some(0)), (2, 1, Some(1))] {
         let file = group.file(number, &format!("schedulers = {schedulers}"));
-        let (code, words) = group.command(0, &["propose", &file.display().to_string()]);
-        assert_eq!(code, expected, "{words}");
+        let (code, output) = group.command(0, &["propose", &file.display().to_string()]);
+        assert_eq!(code, expected, "{output}");
         if code == Some(1) {
             assert!(
-                words.contains("in force nowhere: n3: ") && words.contains("peers.all names 2"),
-                "{words}"
+                output.contains("in force nowhere: n3: ") && output.contains("peers.all names 2"),
+                "{output}"
             );
         }
     }
@@ -135,18 +141,19 @@
     assert_eq!(group.judge(), [""; 0]);
 }
 
-/// Guards against a member that stands still, wakes after the decision, and takes what waits for it under the old one.
+/// Guards against a member that was suspended during a decision and then serves its queued tasks under the
+/// old policy.
 #[test]
-fn one_that_stood_still_wakes_under_no_old_policy() {
-    let mut group = group("still", 5);
+fn a_suspended_member_does_not_resume_under_the_old_policy() {
+    let mut group = founded("still", 5);
     let stopped = Instant::now();
     group.fleet.nodes[4].signal("-STOP");
-    let (code, words) = group.propose(0, 2);
-    assert_eq!(code, Some(0), "{words}");
+    let (code, output) = group.propose(0, 2);
+    assert_eq!(code, Some(0), "{output}");
     group.fleet.nodes[4].signal("-CONT");
     group.until_in_force(2, &[4]);
     group.until_finished(2, 4);
-    // Its clients had tasks in its queue when it stopped; one may have been taken in that very moment.
+    // Its clients had tasks in its queue when it was suspended; one may have been accepted just before.
     let late = |t: &tindock_trial::standins::Told| {
         t.to == 4 && t.end == End::Finished && t.sent > stopped + Duration::from_millis(100)
     };
@@ -154,20 +161,21 @@
     assert_eq!(group.judge(), [""; 0]);
 }
 
-/// Guards against two halves with two policies, and against a half that goes on with what may be out of date.
+/// Guards against a split brain: two partitions with different policies, or a minority that keeps serving
+/// under a policy that may be outdated.
 #[test]
-fn of_two_halves_the_larger_decides_and_the_smaller_stands_aside() {
-    let mut group = group("halves", 5);
+fn in_a_partition_the_majority_decides_and_the_minority_stops_serving() {
+    let mut group = founded("halves", 5);
     group.part(&[0, 1], &[2, 3, 4], Way::Cut);
     let small = group.begin(0, &["propose", &group.file(3, "").display().to_string(), "--within", "3"]);
     let cut = Instant::now();
-    let (code, words) = group.propose(2, 2);
-    assert_eq!(code, Some(0), "{words}");
-    let (code, words) = said(small.wait_with_output().expect("its end"));
-    assert_eq!(code, Some(1), "{words}");
-    assert!(words.contains("in force nowhere: no answer from n2, n3, n4"), "{words}");
+    let (code, output) = group.propose(2, 2);
+    assert_eq!(code, Some(0), "{output}");
+    let (code, output) = said(small.wait_with_output().expect("its end"));
+    assert_eq!(code, Some(1), "{output}");
+    assert!(output.contains("in force nowhere: no answer from n2, n3, n4"), "{output}");
     for at in [0, 1] {
-        until("the smaller half stands aside", || !group.serves(at));
+        until("the minority stops serving", || !group.serves(at));
         assert!(!group.fleet.nodes[at].is_ready());
         assert!(!served_after(&group, 1, at, cut + BOUND));
     }
@@ -177,40 +185,41 @@
     assert_eq!(group.judge(), [""; 0]);
 }
 
-/// Guards against a ring in which each reaches some and nobody all: either all or none, and all after it is mended.
+/// Guards against a policy in force at some members only when each reaches only some others. Once the network
+/// is healed it is in force at all or none.
 #[test]
-fn in_a_ring_of_one_way_links_it_is_all_or_none() {
-    let mut group = group("ring", 5);
+fn with_one_way_link_failures_a_policy_is_in_force_at_all_or_none() {
+    let mut group = founded("ring", 5);
     for at in 0..5 {
-        // Nobody hears the one before it any more.
+        // Each member no longer receives from its predecessor in the ring.
         group.relays[at].set(group.hears[(at + 4) % 5], Way::Cut);
     }
-    let (code, words) = group.propose(1, 2);
-    assert!(matches!(code, Some(0 | 1 | 3)), "{words}");
+    let (code, output) = group.propose(1, 2);
+    assert!(matches!(code, Some(0 | 1 | 3)), "{output}");
     group.heal();
     let number = if code == Some(1) { 1 } else { 2 };
     group.until_in_force(number, &group.all());
     assert_eq!(group.judge(), [""; 0]);
 }
 
-/// Guards against a proposer that dies with half of the members staged, and again as it comes back: a later proposal
-/// finds one number at all.
+/// Guards against a proposer that dies while half of the members have staged its proposal, and dies again
+/// after a restart: a later proposal finds the same number at all members.
 #[test]
-fn a_proposer_that_dies_in_the_midst_leaves_all_or_none() {
-    let mut group = group("dies", 5);
-    for (number, patience) in [(2, 0), (3, 60)] {
+fn a_proposal_whose_proposer_dies_is_in_force_at_all_or_none() {
+    let mut group = founded("dies", 5);
+    for (number, delay_ms) in [(2, 0), (3, 60)] {
         let from = group.number(1);
         let child =
             group.begin(0, &["propose", &group.file(number, "").display().to_string(), "--within", "1"]);
-        until("somebody has staged it", || {
+        until("a member has staged it", || {
             group.word(1, "\"staged\":").is_some_and(|s| s != "null") || group.number(1) > from
         });
-        std::thread::sleep(Duration::from_millis(patience));
+        std::thread::sleep(Duration::from_millis(delay_ms));
         group.fleet.nodes[0].kill();
         drop(child.wait_with_output());
         group.fleet.nodes[0].launch();
     }
-    // Whoever proposes next learns what became of it.
+    // The next proposer finds out the outcome.
     until("a number is decided by another", || {
         let file = group.file(3, "");
         group.command(2, &["propose", &file.display().to_string(), "--within", "10"]).0 == Some(0)
@@ -220,10 +229,10 @@
     assert_eq!(group.judge(), [""; 0]);
 }
 
-/// Guards against two proposals from two places that are each in force somewhere.
+/// Guards against two concurrent proposals that are each in force at some members.
 #[test]
-fn of_two_proposals_at_once_one_is_in_force_at_all_or_none() {
-    let mut group = group("two", 5);
+fn at_most_one_of_two_concurrent_proposals_is_in_force() {
+    let mut group = founded("two", 5);
     let files = [group.file(2, ""), group.file(3, "")];
     let begun = [0, 4].map(|at| group.begin(at, &["propose", &files[at / 4].display().to_string()]));
     let ended = begun.map(|child| said(child.wait_with_output().expect("its end")));
@@ -233,61 +242,66 @@
     assert_eq!(group.judge(), [""; 0]);
 }
 
-/// Guards against words that are lost, late or doubled, or come from before a restart.
+/// Guards against wrong decisions caused by lost, delayed or duplicated messages, or by messages from before
+/// a restart.
 #[test]
-fn words_that_are_late_doubled_and_lost_change_nothing() {
-    let mut group = group("late", 5);
+fn delayed_duplicated_and_lost_messages_do_not_prevent_a_decision() {
+    let mut group = founded("late", 5);
     group.relays.iter().take(3).for_each(|relay| relay.set_all(Way::LateAndTwice(Duration::from_millis(60))));
     group.relays.iter().skip(3).for_each(|relay| relay.set_all(Way::Loses(3)));
-    let (code, words) = group.propose(1, 2);
-    assert_eq!(code, Some(0), "{words}");
+    let (code, output) = group.propose(1, 2);
+    assert_eq!(code, Some(0), "{output}");
     group.fleet.nodes[2].kill();
     group.fleet.nodes[2].launch();
     group.until_in_force(2, &group.all());
     assert_eq!(group.judge(), [""; 0]);
 }
 
-/// Guards against a member that lost its folder and votes with an empty memory, and against one that is gone for good.
+/// Guards against a member that has lost its folder and votes without its state, and against a permanently
+/// lost member that cannot be removed.
 #[test]
-fn a_member_without_its_folder_is_a_new_one_until_it_is_let_in() {
-    let mut group = group("folder", 4);
+fn a_member_that_lost_its_folder_must_be_admitted_again() {
+    let mut group = founded("folder", 4);
     group.fleet.nodes[3].kill();
     fs::remove_dir_all(group.fleet.folder.join("n3.accord")).expect("removed");
     group.fleet.nodes[3].launch();
     until("it answers", || group.number(3) == Some(0));
     assert!(!group.fleet.nodes[3].is_ready());
-    let (code, words) = group.command(3, &["forget", "n0"]);
-    assert_eq!(code, Some(1), "{words}");
+    let (code, output) = group.command(3, &["forget", "n0"]);
+    assert_eq!(code, Some(1), "{output}");
     let address = group.relays[3].address.to_string();
-    let (code, words) = group.command(0, &["admit", "n3", &address]);
-    assert_eq!(code, Some(0), "{words}");
+    let (code, output) = group.command(0, &["admit", "n3", &address]);
+    assert_eq!(code, Some(0), "{output}");
     group.until_in_force(2, &group.all());
-    let (code, words) = group.command(0, &["admit", "n3", &address]);
-    assert!(code == Some(1) && words.contains("is a member already"), "{words}");
+    let (code, output) = group.command(0, &["admit", "n3", &address]);
+    assert!(code == Some(1) && output.contains("is a member already"), "{output}");
     group.fleet.nodes[2].kill();
-    let (code, words) = group.command(3, &["forget", "n2"]);
-    assert_eq!(code, Some(0), "{words}");
-    // It comes back and is none of them: it takes no tasks, and says why.
+    let (code, output) = group.command(3, &["forget", "n2"]);
+    assert_eq!(code, Some(0), "{output}");
+    // The removed member restarts: it accepts no tasks, and reports why.
     group.fleet.nodes[2].launch();
-    until("it says why", || group.fleet.nodes[2].says("policy").contains("is not a member of the group"));
+    until("it reports why", || group.fleet.nodes[2].says("policy").contains("is not a member of the group"));
     assert!(!group.fleet.nodes[2].is_ready());
     assert_eq!(group.judge(), [""; 0]);
 }
 
-/// Guards against a file changed by hand that decides beside the group, and against an upgrade that loses its place.
+/// Guards against a local configuration that overrides the group's policy, and against an upgrade that loses
+/// the membership.
 #[test]
-fn a_file_by_hand_is_refused_and_an_upgrade_keeps_its_place() {
-    let mut group = group("hand", 3);
+fn a_local_policy_change_is_refused_and_an_upgrade_keeps_the_membership() {
+    let mut group = founded("hand", 3);
     let path = group.fleet.nodes[1].configuration.clone();
     let text = fs::read_to_string(&path).expect("text");
     fs::write(&path, text.replace("under-0", "mine")).expect("written");
     let before = group.fleet.nodes[1].says("telemetry");
     group.fleet.nodes[1].signal("-HUP");
-    until("it is turned down", || group.fleet.nodes[1].says("telemetry").contains("\"reloads_failed\":1"));
+    until("the reload is refused", || {
+        group.fleet.nodes[1].says("telemetry").contains("\"reloads_failed\":1")
+    });
     assert!(before.contains("\"reloads_failed\":0"));
     fs::write(&path, &text).expect("written");
     group.fleet.nodes[1].signal("-HUP");
-    until("it is taken", || {
+    until("the reload succeeds", || {
         let said = group.fleet.nodes[1].says("telemetry");
         said.split("\"reloads_ok\":").nth(1).is_some_and(|rest| !rest.starts_with('0'))
     });
@@ -295,29 +309,32 @@
     group.fleet.nodes[1].upgrade();
     group.until_in_force(1, &[1]);
     group.until_finished(1, 1);
-    let told = group.fleet.told();
-    let lost: Vec<_> = told.iter().filter(|t| t.sent > from && t.end != End::Finished).collect();
+    let records = group.fleet.told();
+    let lost: Vec<_> = records.iter().filter(|t| t.sent > from && t.end != End::Finished).collect();
     assert!(lost.is_empty(), "{lost:?}");
-    let (code, words) = group.propose(1, 2);
-    assert_eq!(code, Some(0), "{words}");
+    let (code, output) = group.propose(1, 2);
+    assert_eq!(code, Some(0), "{output}");
     group.until_in_force(2, &group.all());
     assert_eq!(group.judge(), [""; 0]);
 }
 
-/// Guards against a word that is given and not kept: who cannot write takes no part, and no tasks, until it can.
+/// Guards against a member that votes without storing its vote: while it cannot write, it neither votes nor
+/// accepts tasks.
 #[test]
-fn a_member_that_cannot_write_takes_no_part() {
-    let mut group = group("disk", 3);
+fn a_member_that_cannot_write_its_state_does_not_vote_or_serve() {
+    let mut group = founded("disk", 3);
     let state = group.fleet.folder.join("n2.accord/state");
     let kept = fs::read(&state).expect("a state");
     fs::remove_file(&state).expect("removed");
-    // A folder that is not empty stands where the file is to go.
+    // A folder that is not empty is in the place of the file.
     fs::create_dir_all(state.join("full")).expect("a folder");
-    // At rest nothing is written, and service hangs on none of it.
+    // Without proposals nothing is written, and service is not affected.
     group.until_finished(1, 2);
-    let (code, words) = group.propose(0, 2);
-    assert_eq!(code, Some(0), "{words}");
-    until("it takes no part", || group.fleet.nodes[2].says("policy").contains("cannot be written"));
+    let (code, output) = group.propose(0, 2);
+    assert_eq!(code, Some(0), "{output}");
+    until("it reports the failed write", || {
+        group.fleet.nodes[2].says("policy").contains("cannot be written")
+    });
     assert!(!group.fleet.nodes[2].is_ready());
     fs::remove_dir_all(&state).expect("removed");
     fs::write(&state, kept).expect("written");
@@ -326,17 +343,18 @@
     assert_eq!(group.judge(), [""; 0]);
 }
 
-/// Guards against an installation that would rather serve than wait, and does not, or does so without saying it.
+/// Guards against a member set to `last-known` that stops serving when it is cut off, or that serves without
+/// reporting it.
 #[test]
-fn cut_off_with_last_known_it_goes_on_and_says_so() {
+fn a_cut_off_member_set_to_last_known_serves_and_reports_it() {
     let mut group = Group::founded("known", 3, |n| match n {
         2 => "cut-off = \"last-known\"\n".into(),
         _ => String::new(),
     });
     group.part(&[2], &[0, 1], Way::Cut);
-    until("the promise is void", || group.word(2, "\"void\":").as_deref() == Some("true"));
+    until("the member reports that it is cut off", || group.word(2, "\"void\":").as_deref() == Some("true"));
     group.until_finished(1, 2);
     group.heal();
-    until("it holds again", || group.word(2, "\"void\":").as_deref() == Some("false"));
+    until("it reports that it has a lease again", || group.word(2, "\"void\":").as_deref() == Some("false"));
     assert_eq!(group.judge(), [""; 0]);
 }
--- a/crates/scheduler/tests/changeover.rs
+++ b/crates/scheduler/tests/changeover.rs
@@ -1,5 +1,6 @@
-//! A changeover: schedulers of the old shape (the platform's form, alone) and of the new one (words between schedulers,
-//! reports with answers, weights that move) before the same workers, as processes between stand-ins on 127.0.0.1.
+//! A migration: old schedulers (the platform's configuration format, without peers) and new ones (messages
+//! between schedulers, worker reports with answers, moving weights) share the same workers, as processes
+//! between simulated clients and workers on 127.0.0.1.
 
 use std::collections::{BTreeMap, HashSet};
 use std::io::BufReader;
@@ -12,21 +13,23 @@
 use tindock_trial::standins::{line, Agent, Worker};
 
 const SLOTS: usize = 2;
-const RUN: Duration = Duration::from_millis(20);
-/// Nothing new to a worker later than this after it was told to drain.
-const GRACE: Duration = Duration::from_millis(500);
-/// Of a start's capacity, until when it is warm, and what multiple of it pushes it over within a second.
-const COLD: f64 = 0.2;
-const WARM: f64 = 4.0;
-const OVER: f64 = 3.0;
-/// Each kind's least part of all that is finished; each has half of the clients.
-const LEAST: f64 = 0.35;
+const TASK_DURATION: Duration = Duration::from_millis(20);
+/// A draining worker gets no new task later than this after the drain started.
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
+/// Share of its capacity that a worker has at its start.
+const COLD_SHARE: f64 = 0.2;
+/// Time until a worker has its whole capacity.
+const WARM_UP_S: f64 = 4.0;
+/// Multiple of its capacity that overloads a worker within a second.
+const OVERLOAD_FACTOR: f64 = 3.0;
+/// Minimum share of each kind of scheduler in all finished tasks; each has half of the clients.
+const MIN_SHARE: f64 = 0.35;
 
-fn begins(mut command: Command) -> Scheduler {
+fn start(mut command: Command) -> Scheduler {
     Scheduler::over(command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("a scheduler"))
 }
 
-fn old_shape(number: usize, agent: SocketAddr) -> Scheduler {
+fn old_scheduler(number: usize, agent: SocketAddr) -> Scheduler {
     let settings = r#"{"instances": 4, "zone": 0, "discovery": "automatic", "areas": ["here"], "skus": ["one"],
  "caps": {"cancel": true, "most_assignments": 3, "dial_timeout_s": 1, "keepalive_s": 30},
  "rules": {"cold_share": 0.2, "overload_factor": 3.0, "warm_within_s": 4.0}, "domain": {"tells_start": true},
@@ -36,11 +39,11 @@
     );
     let mut command = Command::new(program());
     command.env("GW_CONFIG", write_config(&format!("changeover-old{number}"), &text));
-    begins(command)
+    start(command)
 }
 
-fn new_shape(number: usize, agent: SocketAddr, all: &[SocketAddr]) -> Scheduler {
-    let (own, all) = (all[number], all.iter().map(|at| format!("\"{at}\"")).collect::<Vec<_>>().join(", "));
+fn new_scheduler(number: usize, agent: SocketAddr, all: &[SocketAddr]) -> Scheduler {
+    let (local, all) = (all[number], all.iter().map(|at| format!("\"{at}\"")).collect::<Vec<_>>().join(", "));
     let text = format!(
         r#"
 name = "new{number}"
@@ -61,7 +64,7 @@
 reports = ["free-slots"]
 weights = "moving"
 [peers]
-listen = "{own}"
+listen = "{local}"
 all = [{all}]
 "#
     );
@@ -69,10 +72,10 @@
     std::fs::write(&path, text).expect("a configuration");
     let mut command = Command::new(program());
     command.arg("run").arg(path);
-    begins(command)
+    start(command)
 }
 
-/// Clients of a scheduler, each with one task after the other; the first lines of the answers, counted.
+/// Clients of a scheduler, each sending one task after the other; counts the status lines of the answers.
 fn clients(
     kind: &'static str,
     to: SocketAddr,
@@ -96,40 +99,42 @@
     (0..4).map(client).collect()
 }
 
-/// What each kind finished; an error where one got less than its least part.
-fn fair(answers: &BTreeMap<(&'static str, String), usize>) -> Result<(), String> {
+/// Checks that each kind of scheduler finished at least its minimum share of the tasks.
+fn check_shares(answers: &BTreeMap<(&'static str, String), usize>) -> Result<(), String> {
     let of = |kind| answers.get(&(kind, "HTTP/1.1 200 OK".to_string())).copied().unwrap_or(0) as f64;
     let (old, new) = (of("old"), of("new"));
-    let least = LEAST * (old + new);
+    let least = MIN_SHARE * (old + new);
     if old < least || new < least {
         return Err(format!("of all tasks finished {old} by the old kind and {new} by the new one"));
     }
     Ok(())
 }
 
+/// Guards against a migration in which tasks are lost or run twice, draining or cold workers get too many
+/// tasks, or one kind of scheduler starves the other.
 #[test]
-fn both_kinds_keep_the_rules_and_neither_starves_the_other() {
-    let workers: Vec<_> = (0..5).map(|n| Worker::start(&format!("w{n}"), SLOTS, RUN)).collect();
+fn old_and_new_schedulers_share_workers_fairly_and_within_the_limits() {
+    let workers: Vec<_> = (0..5).map(|n| Worker::start(&format!("w{n}"), SLOTS, TASK_DURATION)).collect();
     let lines = |status: &str| -> Vec<String> {
         let status = |n| if n == 0 { status } else { "active" };
         (0..4).map(|n| line(&workers[n], status(n), 0)).collect()
     };
     let agent = Agent::start(lines("active"));
-    // Ports that were free a moment ago: each must know the other's before it starts.
-    let free: Vec<_> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
-    let all: Vec<_> = free.iter().map(|socket| socket.local_addr().expect("an address")).collect();
-    drop(free);
-    let old: Vec<_> = (0..2).map(|n| old_shape(n, agent.address)).collect();
-    let new: Vec<_> = (0..2).map(|n| new_shape(n, agent.address, &all)).collect();
-    // Rubbish and a stranger's words change nothing.
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    // Each scheduler must know the other's port before it starts, so free ports are reserved and released.
+    let ports: Vec<_> = (0..2).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
+    let all: Vec<_> = ports.iter().map(|socket| socket.local_addr().expect("an address")).collect();
+    drop(ports);
+    let old: Vec<_> = (0..2).map(|n| old_scheduler(n, agent.address)).collect();
+    let new: Vec<_> = (0..2).map(|n| new_scheduler(n, agent.address, &all)).collect();
+    // Malformed messages and messages of unknown senders change nothing.
+    let sender = UdpSocket::bind("127.0.0.1:0").expect("a port");
     for bytes in [&[2u8, 1, 0, 9, 9, 255][..], &[1, 127, 0, 0, 1, 0, 1, 255], &[], &[7; 400]] {
-        stranger.send_to(bytes, all[0]).expect("sent");
+        sender.send_to(bytes, all[0]).expect("sent");
     }
     let (stop, answers) = (Arc::new(AtomicBool::new(false)), Arc::default());
-    let mut hands = Vec::new();
+    let mut threads = Vec::new();
     for (kind, schedulers) in [("old", &old), ("new", &new)] {
-        schedulers.iter().for_each(|s| hands.extend(clients(kind, s.address, &stop, &answers)));
+        schedulers.iter().for_each(|s| threads.extend(clients(kind, s.address, &stop, &answers)));
     }
     std::thread::sleep(Duration::from_millis(1200));
     let (mut list, drains) = (lines("leaving"), Instant::now());
@@ -138,57 +143,60 @@
     agent.list(list);
     std::thread::sleep(Duration::from_millis(2500));
     stop.store(true, Ordering::SeqCst);
-    let sent: usize = hands.into_iter().map(|hand| hand.join().expect("a client")).sum();
+    let sent: usize = threads.into_iter().map(|thread| thread.join().expect("a client")).sum();
     let answers = answers.lock().expect("counts").clone();
 
     // 1: each task has one answer; all were finished or shed, since no worker failed.
     assert_eq!(answers.values().sum::<usize>(), sent);
     let odd = |first: &str| first != "HTTP/1.1 200 OK" && first != "HTTP/1.1 503 Service Unavailable";
     assert!(!answers.keys().any(|(_, first)| odd(first)), "{answers:?}");
-    // 2: nothing unrepeatable came to workers twice.
+    // 2: no unrepeatable task reached workers twice.
     let mut seen = HashSet::new();
     for worker in &workers {
         for (id, _) in worker.came.lock().expect("notes").iter() {
             assert!(seen.insert(id.clone()), "{id} came twice, the second time to {}", worker.name);
         }
     }
-    // 3: nothing new past the grace.
-    let late = |at: &Instant| *at > drains + GRACE;
+    // 3: no new task after the drain grace period.
+    let late = |at: &Instant| *at > drains + DRAIN_GRACE;
     let after = workers[0].came.lock().expect("notes").iter().filter(|(_, at)| late(at)).count();
     assert_eq!(after, 0, "tasks to a worker that drains");
-    // 4: in no second the new worker was sent what pushes it over; yet it is used.
+    // 4: in no second did the new worker get more tasks than its overload limit; yet it is used.
     let came: Vec<_> = workers[4].came.lock().expect("notes").iter().map(|(_, at)| *at - drains).collect();
-    let full = SLOTS as f64 / RUN.as_secs_f64();
+    let full = SLOTS as f64 / TASK_DURATION.as_secs_f64();
     for (number, from) in came.iter().enumerate() {
         let within = came[number..].iter().filter(|at| **at < *from + Duration::from_secs(1)).count();
-        let warmth = (COLD + (1.0 - COLD) * from.as_secs_f64() / WARM).min(1.0);
-        assert!(within as f64 <= OVER * warmth * full, "{within} tasks in the second from {from:?}");
+        let warmth = (COLD_SHARE + (1.0 - COLD_SHARE) * from.as_secs_f64() / WARM_UP_S).min(1.0);
+        assert!(
+            within as f64 <= OVERLOAD_FACTOR * warmth * full,
+            "{within} tasks in the second from {from:?}"
+        );
     }
     assert!(came.len() > 5, "the new worker is used: {}", came.len());
-    fair(&answers).expect("a fair part for each kind");
+    check_shares(&answers).expect("the minimum share for each kind");
 }
 
-/// The same measure, with one kind that takes whatever it can: it must not pass.
+/// Checks the measure of the test above: a greedy kind of scheduler must not pass it.
 #[test]
-fn a_greedy_kind_is_found_out() {
-    let worker = Worker::start("w0", SLOTS, RUN);
+fn a_greedy_kind_of_scheduler_fails_the_share_check() {
+    let worker = Worker::start("w0", SLOTS, TASK_DURATION);
     let agent = Agent::start(vec![line(&worker, "active", 0)]);
-    let old = old_shape(9, agent.address);
-    let (news, to) = listener();
+    let old = old_scheduler(9, agent.address);
+    let (events, to) = listener();
     let (stop, answers) = (Arc::new(AtomicBool::new(false)), Arc::default());
-    // It keeps sixty tasks in line at the worker, without a look at its slots or at others.
-    serve_each(news, |stream| {
+    // It keeps sixty tasks queued at the worker, regardless of the worker's slots and of other schedulers.
+    serve_each(events, |stream| {
         let mut peer = Peer(BufReader::new(stream));
         while peer.try_read().is_some() {
             peer.answer("");
         }
     });
-    let (greedy, ends, finished) = (worker.clone(), stop.clone(), Arc::new(Mutex::new(0)));
+    let (greedy, stopped, finished) = (worker.clone(), stop.clone(), Arc::new(Mutex::new(0)));
     let counts = finished.clone();
-    let floods = std::thread::spawn(move || {
+    let flood = std::thread::spawn(move || {
         let mut peer = Peer::connect(greedy.address);
         let mut sent = 0;
-        while !ends.load(Ordering::SeqCst) {
+        while !stopped.load(Ordering::SeqCst) {
             let waits = greedy.line.lock().expect("a line").iter().filter(|(_, at)| *at == to).count();
             if waits < 60 {
                 peer.post("/release/p", &format!("greedy-{sent}"), &to.to_string());
@@ -198,13 +206,13 @@
             *counts.lock().expect("a count") = sent - waits.min(sent);
         }
     });
-    let hands = clients("old", old.address, &stop, &answers);
+    let threads = clients("old", old.address, &stop, &answers);
     std::thread::sleep(Duration::from_millis(2000));
     stop.store(true, Ordering::SeqCst);
-    let sent: usize = hands.into_iter().map(|hand| hand.join().expect("a client")).sum();
+    let sent: usize = threads.into_iter().map(|thread| thread.join().expect("a client")).sum();
     assert!(sent > 0);
-    floods.join().expect("a flood");
+    flood.join().expect("a flood");
     let mut answers = answers.lock().expect("counts").clone();
     answers.insert(("new", "HTTP/1.1 200 OK".into()), *finished.lock().expect("a count"));
-    assert!(fair(&answers).is_err(), "{answers:?}");
+    assert!(check_shares(&answers).is_err(), "{answers:?}");
 }
