--- a/crates/inventory/benches/reading.rs
+++ b/crates/inventory/benches/reading.rs
@@ -1,7 +1,7 @@
 //! How long an inventory takes to read: `cargo bench -p tindock-inventory`. Medians of seven, in one run.
 
 use std::time::{Duration, Instant};
-use tindock_inventory::{diff, merge, read, write, Columns, Form, Inventory, Written};
+use tindock_inventory::{diff, merge, read, write, Columns, InputFormat, Inventory, OutputFormat};
 
 fn text(workers: usize, changed: usize) -> String {
     let row = |n: usize| {
@@ -16,7 +16,7 @@
     format!("name,address,zone,kind,slots\n{}", (0..workers).map(row).collect::<String>())
 }
 
-fn inventory(text: &str, form: Form) -> Inventory {
+fn inventory(text: &str, form: InputFormat) -> Inventory {
     let entries = read("f", text.as_bytes(), form, &Columns::default()).expect("entries");
     merge(vec![entries]).expect("an inventory")
 }
@@ -37,14 +37,14 @@
     println!("{:>8} {:>22} {:>32}", "workers", "what", "median (least to most)");
     for workers in [10, 1000, 50_000] {
         let csv = text(workers, 0);
-        let whole = inventory(&csv, Form::Csv);
-        let yaml = write(&whole, Written::Yaml);
-        let other = inventory(&text(workers, workers / 100), Form::Csv);
+        let whole = inventory(&csv, InputFormat::Csv);
+        let yaml = write(&whole, OutputFormat::Yaml);
+        let other = inventory(&text(workers, workers / 100), InputFormat::Csv);
         let line = |what: &str, (median, least, most): (Duration, Duration, Duration)| {
             println!("{workers:>8} {what:>22} {:>32}", format!("{median:.2?} ({least:.2?} to {most:.2?})"));
         };
-        line("read CSV", median(|| drop(std::hint::black_box(inventory(&csv, Form::Csv)))));
-        line("read YAML list", median(|| drop(std::hint::black_box(inventory(&yaml, Form::Yaml)))));
+        line("read CSV", median(|| drop(std::hint::black_box(inventory(&csv, InputFormat::Csv)))));
+        line("read YAML list", median(|| drop(std::hint::black_box(inventory(&yaml, InputFormat::Yaml)))));
         line("compare, 1% changed", median(|| drop(std::hint::black_box(diff(&whole, &other)))));
     }
 }
--- a/crates/inventory/examples/fuzz.rs
+++ b/crates/inventory/examples/fuzz.rs
@@ -5,7 +5,7 @@
 use oorandom::Rand64;
 use std::path::Path;
 use std::time::{Duration, Instant};
-use tindock_inventory::{diff, merge, read, write, Columns, Form, Written};
+use tindock_inventory::{diff, merge, read, write, Columns, InputFormat, OutputFormat};
 
 /// Pieces that mean something to one of the readers.
 const PIECES: [&str; 24] = [
@@ -35,7 +35,7 @@
     "\u{feff}",
 ];
 
-fn mutate(bytes: &mut Vec<u8>, others: &[(Form, Vec<u8>)], chance: &mut Rand64) {
+fn mutate(bytes: &mut Vec<u8>, others: &[(InputFormat, Vec<u8>)], chance: &mut Rand64) {
     for _ in 0..=chance.rand_range(0..6) {
         let at = chance.rand_range(0..bytes.len() as u64 + 1) as usize;
         let to = (at + chance.rand_range(0..12) as usize).min(bytes.len());
@@ -71,9 +71,9 @@
     let mut names: Vec<_> =
         std::fs::read_dir(folder).expect("the corpus").map(|e| e.expect("a file").path()).collect();
     names.sort();
-    let corpus: Vec<(Form, Vec<u8>)> = names
+    let corpus: Vec<(InputFormat, Vec<u8>)> = names
         .iter()
-        .filter_map(|path| Some((Form::of(path.to_str()?)?, std::fs::read(path).expect("a file"))))
+        .filter_map(|path| Some((InputFormat::of(path.to_str()?)?, std::fs::read(path).expect("a file"))))
         .collect();
     let (mut chance, began) = (Rand64::new(u128::from(seed)), Instant::now());
     // As the example's configuration has it, so that its files are accepted.
@@ -91,7 +91,9 @@
         files += 1;
         let Ok(inventory) = whole else { continue };
         accepted += 1;
-        for (form, written) in [(Form::Csv, Written::Csv), (Form::Yaml, Written::Yaml)] {
+        for (form, written) in
+            [(InputFormat::Csv, OutputFormat::Csv), (InputFormat::Yaml, OutputFormat::Yaml)]
+        {
             let text = write(&inventory, written);
             let back = read("f", text.as_bytes(), form, &columns).and_then(|entries| merge(vec![entries]));
             let same = back.as_ref().is_ok_and(|back| diff(&inventory, back).is_empty());
--- a/crates/inventory/src/comma.rs
+++ b/crates/inventory/src/csv_reader.rs
@@ -1,8 +1,8 @@
 //! CSV: a header row, then one worker a row.
 
 use crate::columns::{Columns, Value};
-use crate::entry::{unless, Entry, Place, Problem};
-use crate::MOST_ENTRIES;
+use crate::entry::{ok_if_none, Entry, Place, Problem};
+use crate::MAX_ENTRIES;
 use csv::{ReaderBuilder, StringRecord};
 use std::collections::BTreeMap;
 
@@ -55,8 +55,8 @@
             problems.push(at(&record, field).problem("a field over several lines; is a quote left open?"));
             continue;
         }
-        if entries.len() >= MOST_ENTRIES {
-            problems.push(line.problem(format!("one worker too many: {MOST_ENTRIES} at the most")));
+        if entries.len() >= MAX_ENTRIES {
+            problems.push(line.problem(format!("one worker too many: {MAX_ENTRIES} at the most")));
             break;
         }
         let said: BTreeMap<&'static str, Value> = fields
@@ -68,7 +68,7 @@
             .collect();
         entries.extend(columns.entry(&said, &line, &mut problems));
     }
-    unless(problems, entries)
+    ok_if_none(problems, entries)
 }
 
 fn header(
--- a/crates/inventory/src/entry.rs
+++ b/crates/inventory/src/entry.rs
@@ -50,7 +50,7 @@
 }
 
 /// What was found, unless there were problems.
-pub fn unless<T>(problems: Vec<Problem>, found: T) -> Result<T, Vec<Problem>> {
+pub fn ok_if_none<T>(problems: Vec<Problem>, found: T) -> Result<T, Vec<Problem>> {
     if problems.is_empty() {
         Ok(found)
     } else {
@@ -131,7 +131,7 @@
 }
 
 impl State {
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             State::Active => "active",
             State::Leaving => "leaving",
@@ -157,7 +157,7 @@
 
 impl Entry {
     /// Whether it says the same of the worker, wherever it stands.
-    pub fn says_the_same(&self, other: &Entry) -> bool {
+    pub fn same_settings(&self, other: &Entry) -> bool {
         let place = self.place.clone();
         *self == Entry { place, ..other.clone() }
     }
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -5,55 +5,60 @@
 //! inventory. What a file can't say is refused, not guessed.
 //!
 //! ```
-//! use tindock_inventory::{merge, read, Columns, Form};
+//! use tindock_inventory::{merge, read, Columns, InputFormat};
 //! let file = b"name,address,zone,kind,slots\nyard-1,10.0.0.1:5000,north,std,4\n";
-//! let entries = read("yard.csv", file, Form::Csv, &Columns::default()).unwrap();
+//! let entries = read("yard.csv", file, InputFormat::Csv, &Columns::default()).unwrap();
 //! assert_eq!(merge(vec![entries]).unwrap().entries[0].name, "yard-1");
 //! ```
 
 mod columns;
-mod comma;
+mod csv_reader;
 mod entry;
-mod groups;
 mod merging;
+mod output;
 mod ranges;
-mod tree;
-mod writing;
+mod yaml_reader;
+mod yaml_tree;
 
 pub use columns::{Columns, FIELDS};
-pub use entry::{unless, Address, Entry, Host, Place, Problem, State};
-pub use merging::{diff, merge, twice_by_address, Change, Inventory};
-pub use writing::{write, Written};
+pub use entry::{ok_if_none, Address, Entry, Host, Place, Problem, State};
+pub use merging::{diff, duplicate_addresses, merge, Change, Inventory};
+pub use output::{write, OutputFormat};
 
 /// The largest file that is read: an inventory of 100,000 workers has some 8 MB.
-pub const MOST_BYTES: usize = 32 * 1024 * 1024;
+pub const MAX_BYTES: usize = 32 * 1024 * 1024;
 /// The most workers of one inventory, ranges expanded. Guards against a range that names millions.
-pub const MOST_ENTRIES: usize = 100_000;
+pub const MAX_ENTRIES: usize = 100_000;
 
 /// How a file is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum InputFormat {
     Csv,
     Yaml,
 }
 
-impl Form {
+impl InputFormat {
     /// By the ending of a file's name: `.csv`, `.yaml` or `.yml`.
-    pub fn of(name: &str) -> Option<Form> {
+    pub fn of(name: &str) -> Option<InputFormat> {
         match name.rsplit_once('.')?.1.to_ascii_lowercase().as_str() {
-            "csv" => Some(Form::Csv),
-            "yaml" | "yml" => Some(Form::Yaml),
+            "csv" => Some(InputFormat::Csv),
+            "yaml" | "yml" => Some(InputFormat::Yaml),
             _ => None,
         }
     }
 }
 
 /// Reads one file. `name` is how it is called in places.
-pub fn read(name: &str, bytes: &[u8], form: Form, columns: &Columns) -> Result<Vec<Entry>, Vec<Problem>> {
+pub fn read(
+    name: &str,
+    bytes: &[u8],
+    form: InputFormat,
+    columns: &Columns,
+) -> Result<Vec<Entry>, Vec<Problem>> {
     let text = text(name, bytes).map_err(|problem| vec![problem])?;
     let entries = match form {
-        Form::Csv => comma::read(name, text, columns),
-        Form::Yaml => groups::read(name, text, columns),
+        InputFormat::Csv => csv_reader::read(name, text, columns),
+        InputFormat::Yaml => yaml_reader::read(name, text, columns),
     }?;
     if entries.is_empty() {
         return Err(vec![
@@ -66,8 +71,8 @@
 /// The file as text, whole: a file without a last line end was cut, or is still being written.
 fn text<'a>(name: &str, bytes: &'a [u8]) -> Result<&'a str, Problem> {
     let start = Place::start(name);
-    if bytes.len() > MOST_BYTES {
-        return Err(start.problem(format!("has {} bytes; {MOST_BYTES} at the most are read", bytes.len())));
+    if bytes.len() > MAX_BYTES {
+        return Err(start.problem(format!("has {} bytes; {MAX_BYTES} at the most are read", bytes.len())));
     }
     if bytes.starts_with(&[0xff, 0xfe]) || bytes.starts_with(&[0xfe, 0xff]) {
         return Err(start.problem("is written in UTF-16; UTF-8 was expected"));
--- a/crates/inventory/src/merging.rs
+++ b/crates/inventory/src/merging.rs
@@ -1,7 +1,7 @@
 //! Several files as one inventory, and what changes from one to another.
 
 use crate::entry::{Address, Entry, Problem, State};
-use crate::MOST_ENTRIES;
+use crate::MAX_ENTRIES;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
@@ -25,7 +25,7 @@
             let words = [&e.name, &e.address.to_string(), &e.zone, &e.kind, &e.slots.to_string()];
             words.into_iter().for_each(|word| add(word));
             add(&e.group.to_string());
-            add(e.state.word());
+            add(e.state.as_str());
         }
         hash
     }
@@ -51,9 +51,8 @@
             addresses.insert(&entry.address, entry);
         }
     }
-    if entries.len() > MOST_ENTRIES {
-        problems
-            .push(entries[MOST_ENTRIES].place.problem(format!("more than {MOST_ENTRIES} workers in all")));
+    if entries.len() > MAX_ENTRIES {
+        problems.push(entries[MAX_ENTRIES].place.problem(format!("more than {MAX_ENTRIES} workers in all")));
     }
     if !problems.is_empty() {
         return Err(problems);
@@ -63,7 +62,7 @@
 }
 
 /// Workers that turn out to be one once their hosts were looked up: `found` gives each entry's address, in order.
-pub fn twice_by_address(entries: &[Entry], found: &[SocketAddr]) -> Vec<Problem> {
+pub fn duplicate_addresses(entries: &[Entry], found: &[SocketAddr]) -> Vec<Problem> {
     let mut first: HashMap<SocketAddr, &Entry> = HashMap::new();
     let mut problems = Vec::new();
     for (entry, at) in entries.iter().zip(found) {
@@ -105,8 +104,8 @@
     for (name, to) in after {
         match before.remove(&name) {
             None => changes.push(Change::Added(to)),
-            Some(from) if from.says_the_same(&to) => {}
-            Some(from) if (Entry { state: to.state, ..from.clone() }).says_the_same(&to) => {
+            Some(from) if from.same_settings(&to) => {}
+            Some(from) if (Entry { state: to.state, ..from.clone() }).same_settings(&to) => {
                 changes.push(Change::State { name, to: to.state });
             }
             Some(from) => changes.push(Change::Changed { from, to }),
--- a/crates/inventory/src/writing.rs
+++ b/crates/inventory/src/output.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum OutputFormat {
     Csv,
     Yaml,
     Json,
@@ -31,26 +31,26 @@
 }
 
 /// The whole inventory; `read` gives the same entries from the CSV and the YAML.
-pub fn write(inventory: &Inventory, form: Written) -> String {
+pub fn write(inventory: &Inventory, form: OutputFormat) -> String {
     let mut out = String::new();
-    if form == Written::Csv {
+    if form == OutputFormat::Csv {
         out.push_str("name,address,zone,kind,slots,group,state\n");
     }
-    if form == Written::Json {
+    if form == OutputFormat::Json {
         out.push_str("[\n");
     }
     let last = inventory.entries.len().saturating_sub(1);
     for (k, e) in inventory.entries.iter().enumerate() {
-        let (address, state) = (e.address.to_string(), e.state.word());
+        let (address, state) = (e.address.to_string(), e.state.as_str());
         let written = match form {
-            Written::Csv => {
+            OutputFormat::Csv => {
                 let words = [&e.name, &address, &e.zone, &e.kind].map(|w| field(w)).join(",");
                 writeln!(out, "{words},{},{},{state}", e.slots, e.group)
             }
-            Written::Yaml | Written::Json => {
+            OutputFormat::Yaml | OutputFormat::Json => {
                 let [name, address, zone, kind] = [&e.name, &address, &e.zone, &e.kind].map(|w| quoted(w));
                 let (slots, group) = (e.slots, e.group);
-                if form == Written::Yaml {
+                if form == OutputFormat::Yaml {
                     writeln!(out, "- name: {name}\n  address: {address}\n  zone: {zone}\n  kind: {kind}\n  slots: {slots}\n  group: {group}\n  state: {state}")
                 } else {
                     let comma = if k < last { "," } else { "" };
@@ -60,7 +60,7 @@
         };
         written.expect("a string has room");
     }
-    if form == Written::Json {
+    if form == OutputFormat::Json {
         out.push_str("]\n");
     }
     out
--- a/crates/inventory/src/ranges.rs
+++ b/crates/inventory/src/ranges.rs
@@ -1,6 +1,6 @@
 //! Ranges of hosts, as configuration tools write them: `yard-[01:12].example.org`, `rack-[a:f]`, `w[2:20:2]`.
 
-use crate::MOST_ENTRIES;
+use crate::MAX_ENTRIES;
 
 /// The names that a pattern stands for, in order; a name without brackets stands for itself.
 pub(crate) fn expand(pattern: &str) -> Result<Vec<String>, String> {
@@ -10,8 +10,8 @@
         let close =
             rest[open..].find(']').ok_or_else(|| format!("{pattern:?} has a [ without its ]"))? + open;
         let steps = range(&rest[open + 1..close]).map_err(|why| format!("{pattern:?}: {why}"))?;
-        if names.len().saturating_mul(steps.len()) > MOST_ENTRIES {
-            return Err(format!("{pattern:?} names more than {MOST_ENTRIES} workers"));
+        if names.len().saturating_mul(steps.len()) > MAX_ENTRIES {
+            return Err(format!("{pattern:?} names more than {MAX_ENTRIES} workers"));
         }
         let before = &rest[..open];
         names = names.iter().flat_map(|n| steps.iter().map(move |s| format!("{n}{before}{s}"))).collect();
@@ -57,8 +57,8 @@
     if a > b {
         return Err(format!("[{text}] runs backwards"));
     }
-    if ((b - a) / step) as usize >= MOST_ENTRIES {
-        return Err(format!("[{text}] names more than {MOST_ENTRIES} workers"));
+    if ((b - a) / step) as usize >= MAX_ENTRIES {
+        return Err(format!("[{text}] names more than {MAX_ENTRIES} workers"));
     }
     let width = if padded { first.len() } else { 0 };
     Ok((a..=b).step_by(step as usize).map(|n| format!("{n:0width$}")).collect())
--- a/crates/inventory/src/groups.rs
+++ b/crates/inventory/src/yaml_reader.rs
@@ -1,10 +1,10 @@
 //! YAML as configuration tools keep it: groups with `hosts`, `children` and `vars`; or a plain list of workers.
 
 use crate::columns::{Columns, Value};
-use crate::entry::{unless, Entry, Place, Problem};
+use crate::entry::{ok_if_none, Entry, Place, Problem};
 use crate::ranges;
-use crate::tree::{self, Is, Node, Word};
-use crate::MOST_ENTRIES;
+use crate::yaml_tree::{self, Is, Node, Word};
+use crate::MAX_ENTRIES;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 
 pub(crate) fn read(name: &str, text: &str, columns: &Columns) -> Result<Vec<Entry>, Vec<Problem>> {
     let start = Place::start(name);
-    let root = tree::parse(name, text).map_err(|problem| vec![problem])?;
+    let root = yaml_tree::parse(name, text).map_err(|problem| vec![problem])?;
     match &root.is {
         Is::List(workers) => plain(workers, columns),
         Is::Map(rows) => {
@@ -30,7 +30,7 @@
 /// A list of workers, each with all that is said of it.
 fn plain(workers: &[Rc<Node>], columns: &Columns) -> Result<Vec<Entry>, Vec<Problem>> {
     let (mut entries, mut problems) = (Vec::new(), Vec::new());
-    for worker in workers.iter().take(MOST_ENTRIES + 1) {
+    for worker in workers.iter().take(MAX_ENTRIES + 1) {
         let mut said = Vars::new();
         match worker.map("a worker's fields") {
             Err(problem) => problems.push(problem),
@@ -40,11 +40,11 @@
             }
         }
     }
-    if workers.len() > MOST_ENTRIES {
-        let place = &workers[MOST_ENTRIES].place;
-        problems.push(place.problem(format!("one worker too many: {MOST_ENTRIES} at the most")));
+    if workers.len() > MAX_ENTRIES {
+        let place = &workers[MAX_ENTRIES].place;
+        problems.push(place.problem(format!("one worker too many: {MAX_ENTRIES} at the most")));
     }
-    unless(problems, entries)
+    ok_if_none(problems, entries)
 }
 
 /// The variables among these that say something of a worker; what else tools keep there is passed over.
@@ -159,8 +159,8 @@
         for (pattern, part) in node.map("hosts")? {
             let names = ranges::expand(&pattern.text).map_err(|why| pattern.place.problem(why))?;
             self.hosts += names.len();
-            if self.hosts > MOST_ENTRIES {
-                return Err(pattern.place.problem(format!("more than {MOST_ENTRIES} hosts")));
+            if self.hosts > MAX_ENTRIES {
+                return Err(pattern.place.problem(format!("more than {MAX_ENTRIES} hosts")));
             }
             let mut said = Vars::new();
             vars(part.map("a host's variables")?, self.columns, &mut said, &mut self.problems);
@@ -247,7 +247,7 @@
             entries.extend(self.columns.entry(&said, place, &mut problems));
         }
         entries.sort_by(|a, b| a.place.cmp(&b.place));
-        unless(problems, entries)
+        ok_if_none(problems, entries)
     }
 
     /// What the groups of a host, and all that hold them, say: the deepest first; two of one depth must agree.
--- a/crates/inventory/tests/cases/mod.rs
+++ b/crates/inventory/tests/cases/mod.rs
@@ -1,16 +1,16 @@
 //! Files that are refused, each with where and why: the form, the bytes, the place and some words of the problem.
 
-use tindock_inventory::Form::{self, Csv, Yaml};
+use tindock_inventory::InputFormat::{self, Csv, Yaml};
 
 pub struct Case {
-    pub form: Form,
+    pub form: InputFormat,
     pub bytes: Vec<u8>,
     /// `line:column: ` of a problem, and words in it.
     pub at: &'static str,
     pub says: &'static str,
 }
 
-fn case(form: Form, bytes: impl Into<Vec<u8>>, at: &'static str, says: &'static str) -> Case {
+fn case(form: InputFormat, bytes: impl Into<Vec<u8>>, at: &'static str, says: &'static str) -> Case {
     Case { form, bytes: bytes.into(), at, says }
 }
 
--- a/crates/inventory/tests/reading.rs
+++ b/crates/inventory/tests/reading.rs
@@ -2,17 +2,19 @@
 
 use proptest::prelude::*;
 use std::net::{Ipv4Addr, Ipv6Addr};
-use tindock_inventory::{diff, merge, read, write, Address, Change, Columns, Entry, Form, Host, Inventory};
-use tindock_inventory::{Place, State, Written};
+use tindock_inventory::{
+    diff, merge, read, write, Address, Change, Columns, Entry, Host, InputFormat, Inventory,
+};
+use tindock_inventory::{OutputFormat, Place, State};
 
-fn whole(form: Form, text: &str, columns: &Columns) -> Inventory {
+fn whole(form: InputFormat, text: &str, columns: &Columns) -> Inventory {
     let entries = read("f", text.as_bytes(), form, columns);
     let entries = entries.unwrap_or_else(|problems| panic!("{problems:#?}"));
     merge(vec![entries]).unwrap_or_else(|problems| panic!("{problems:#?}"))
 }
 
 fn lines(inventory: &Inventory) -> String {
-    write(inventory, Written::Csv)
+    write(inventory, OutputFormat::Csv)
 }
 
 /// Groups in groups, the deepest word first and a host's own before it, ranges, and what tools keep beside.
@@ -48,7 +50,7 @@
 yard-1.wor-1.example.org,yard-1.wor-1.example.org:5000,here,std,2,0,active
 yard-9,10.0.0.9:5000,far,std,2,3,leaving
 ";
-    assert_eq!(lines(&whole(Form::Yaml, text, &columns)), expected);
+    assert_eq!(lines(&whole(InputFormat::Yaml, text, &columns)), expected);
 }
 
 /// Line ends, a byte order mark, quotes, blank lines, other columns, in any order.
@@ -57,7 +59,7 @@
     let text =
         "\u{feff}slots,name,owner,address,kind,zone\r\n\r\n4,\"y\",\"Cold, Inc\",10.0.0.1:5000,std,north\r\n";
     let expected = "name,address,zone,kind,slots,group,state\ny,10.0.0.1:5000,north,std,4,0,active\n";
-    assert_eq!(lines(&whole(Form::Csv, text, &Columns::default())), expected);
+    assert_eq!(lines(&whole(InputFormat::Csv, text, &Columns::default())), expected);
 }
 
 /// Aliases say the same again, which is no key twice.
@@ -65,7 +67,7 @@
 fn aliases_are_followed() {
     let text =
         "a: {vars: &v {zone: n, kind: k, slots: 1, port: 1}, hosts: {x: }}\nb: {vars: *v, hosts: {y: }}\n";
-    assert_eq!(whole(Form::Yaml, text, &Columns::default()).entries.len(), 2);
+    assert_eq!(whole(InputFormat::Yaml, text, &Columns::default()).entries.len(), 2);
 }
 
 fn entries() -> impl Strategy<Value = Vec<Entry>> {
@@ -90,7 +92,7 @@
     #[test]
     fn what_is_written_is_read_back(entries in entries()) {
         if let Ok(inventory) = merge(vec![entries]) {
-            for (form, written) in [(Form::Csv, Written::Csv), (Form::Yaml, Written::Yaml)] {
+            for (form, written) in [(InputFormat::Csv, OutputFormat::Csv), (InputFormat::Yaml, OutputFormat::Yaml)] {
                 let text = write(&inventory, written);
                 let back = whole(form, &text, &Columns::default());
                 prop_assert_eq!(diff(&inventory, &back), vec![], "{}", text);
@@ -102,7 +104,7 @@
     /// Whatever the bytes, there is an answer.
     #[test]
     fn no_bytes_are_too_odd(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        for form in [Form::Csv, Form::Yaml] {
+        for form in [InputFormat::Csv, InputFormat::Yaml] {
             let _ = read("f", &bytes, form, &Columns::default());
         }
     }
@@ -110,13 +112,13 @@
     /// The same from text that is nearly right.
     #[test]
     fn no_text_is_too_odd(text in "[a-z0-9:,\\[\\]{}&*#!|>'\"\n \t-]{0,300}") {
-        for form in [Form::Csv, Form::Yaml] {
+        for form in [InputFormat::Csv, InputFormat::Yaml] {
             let _ = read("f", format!("{text}\n").as_bytes(), form, &Columns::default());
         }
     }
 }
 
-fn large(form: Written) -> (Inventory, String) {
+fn large(form: OutputFormat) -> (Inventory, String) {
     let entry = |n: usize| Entry {
         name: format!("yard-{n:03}"),
         address: Address { host: Host::Ip(Ipv4Addr::new(10, 0, 0, n as u8).into()), port: 5000 + n as u16 },
@@ -136,7 +138,7 @@
 /// and says of each what the whole file says; the guard judges how many may go.
 #[test]
 fn a_file_cut_at_any_byte_is_refused_or_a_part() {
-    for (form, written) in [(Form::Csv, Written::Csv), (Form::Yaml, Written::Yaml)] {
+    for (form, written) in [(InputFormat::Csv, OutputFormat::Csv), (InputFormat::Yaml, OutputFormat::Yaml)] {
         let (inventory, text) = large(written);
         let mut parts = 0;
         for at in 0..text.len() {
@@ -147,7 +149,9 @@
             let odd = changes.iter().find(|c| !matches!(c, Change::Removed(_)));
             // A YAML worker whose last lines are missing may say less: its cell and state are optional.
             let less = |c: &Change| match c {
-                Change::Changed { from, to } => form == Form::Yaml && to.group == 0 && from.name == to.name,
+                Change::Changed { from, to } => {
+                    form == InputFormat::Yaml && to.group == 0 && from.name == to.name
+                }
                 _ => false,
             };
             assert!(odd.is_none_or(less), "cut at {at}: {odd:?}");
--- a/crates/inventory/tests/refused.rs
+++ b/crates/inventory/tests/refused.rs
@@ -2,9 +2,9 @@
 
 mod cases;
 
-use tindock_inventory::{merge, read, Columns, Form, Problem};
+use tindock_inventory::{merge, read, Columns, InputFormat, Problem};
 
-fn problems(form: Form, bytes: &[u8]) -> Vec<Problem> {
+fn problems(form: InputFormat, bytes: &[u8]) -> Vec<Problem> {
     let read = read("f", bytes, form, &Columns::default());
     read.and_then(|entries| merge(vec![entries])).err().unwrap_or_default()
 }
@@ -30,7 +30,8 @@
 #[test]
 fn all_problems_are_told() {
     let text = "name,address,zone,kind,slots\na,1,z,k,1\nb,10.0.0.1:1,z,k,0\nc,10.0.0.2:1,,k,1\n";
-    let lines: Vec<usize> = problems(Form::Csv, text.as_bytes()).iter().map(|p| p.place.line).collect();
+    let lines: Vec<usize> =
+        problems(InputFormat::Csv, text.as_bytes()).iter().map(|p| p.place.line).collect();
     assert_eq!(lines, [2, 3, 4]);
 }
 
@@ -38,6 +39,6 @@
 #[test]
 fn a_file_of_200_mb_is_refused_unread() {
     let bytes = vec![b'a'; 200_000_000];
-    let told = problems(Form::Csv, &bytes);
+    let told = problems(InputFormat::Csv, &bytes);
     assert!(told[0].what.contains("has 200000000 bytes"), "{told:?}");
 }
--- a/crates/scheduler/benches/applying.rs
+++ b/crates/scheduler/benches/applying.rs
@@ -8,7 +8,7 @@
 use tindock::policy::Policy;
 use tindock::types::{Effect, PolicySettings, Workload};
 use tindock_berth::Words;
-use tindock_inventory::{read, Columns, Entry, Form, Host};
+use tindock_inventory::{read, Columns, Entry, Host, InputFormat};
 use tindock_scheduler::clock::Clock;
 use tindock_scheduler::exchange::Exchange;
 use tindock_scheduler::list::muster::Muster;
@@ -22,7 +22,7 @@
         format!("yard-{n},10.{}.{}.{}:5000,zone-{},std,{slots}\n", n >> 16, (n >> 8) & 255, n & 255, n % 5)
     };
     let text = format!("name,address,zone,kind,slots\n{}", workers.map(row).collect::<String>());
-    let entries = read("f", text.as_bytes(), Form::Csv, &Columns::default()).expect("entries");
+    let entries = read("f", text.as_bytes(), InputFormat::Csv, &Columns::default()).expect("entries");
     let at = |e: &Entry| match &e.address.host {
         Host::Ip(ip) => SocketAddr::new(*ip, e.address.port),
         Host::Name(_) => unreachable!("all are addresses"),
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use tindock_inventory::{diff, write, Change, Columns, Inventory, Written};
+use tindock_inventory::{diff, write, Change, Columns, Inventory, OutputFormat};
 
 /// A dispatcher beside each submitter: takes tasks from clients and pushes them to workers.
 #[derive(Debug, Parser)]
@@ -243,9 +243,9 @@
         }
         Inventories::Show { files, config, format } => {
             let form = match format {
-                Format::Csv => Written::Csv,
-                Format::Yaml => Written::Yaml,
-                Format::Json => Written::Json,
+                Format::Csv => OutputFormat::Csv,
+                Format::Yaml => OutputFormat::Yaml,
+                Format::Json => OutputFormat::Json,
             };
             Ok(write(&inventory(files, config.as_deref())?, form))
         }
@@ -269,7 +269,7 @@
             format!("+ {} at {} ({}, {}, {} slots)\n", e.name, e.address, e.zone, e.kind, e.slots)
         }
         Change::Removed(e) => format!("- {} at {}\n", e.name, e.address),
-        Change::State { name, to } => format!("~ {name} is {}\n", to.word()),
+        Change::State { name, to } => format!("~ {name} is {}\n", to.as_str()),
         Change::Changed { from, to } => {
             let says = |e: &tindock_inventory::Entry| {
                 format!("{} ({}, {}, {} slots, group {})", e.address, e.zone, e.kind, e.slots, e.group)
--- a/crates/scheduler/src/list/shelves.rs
+++ b/crates/scheduler/src/list/shelves.rs
@@ -6,7 +6,8 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use tindock_inventory::{
-    merge, read, twice_by_address, unless, Columns, Entry, Form, Host, Inventory, Place, Problem, MOST_BYTES,
+    duplicate_addresses, merge, ok_if_none, read, Columns, Entry, Host, InputFormat, Inventory, Place,
+    Problem, MAX_BYTES,
 };
 
 /// Files of one folder; a folder of millions is no inventory.
@@ -59,7 +60,7 @@
             },
         }
     }
-    unless(problems, marks)
+    ok_if_none(problems, marks)
 }
 
 fn folder(path: &Path) -> Result<Marks, Problem> {
@@ -67,7 +68,7 @@
     let mut marks = Marks::new();
     for entry in fs::read_dir(path).map_err(wrong)? {
         let name = entry.map_err(wrong)?.file_name();
-        let Some(name) = name.to_str().filter(|n| !n.starts_with('.') && Form::of(n).is_some()) else {
+        let Some(name) = name.to_str().filter(|n| !n.starts_with('.') && InputFormat::of(n).is_some()) else {
             continue;
         };
         let file = path.join(name);
@@ -90,12 +91,12 @@
     let (mut files, mut problems) = (vec![fixed.to_vec()], Vec::new());
     for (path, mark) in marks {
         let name = path.display().to_string();
-        let Some(form) = Form::of(&name) else {
+        let Some(form) = InputFormat::of(&name) else {
             problems.push(at(path).problem("its ending is none of .csv, .yaml, .yml"));
             continue;
         };
-        if mark.size > MOST_BYTES as u64 {
-            let what = format!("has {} bytes; {MOST_BYTES} at the most are read", mark.size);
+        if mark.size > MAX_BYTES as u64 {
+            let what = format!("has {} bytes; {MAX_BYTES} at the most are read", mark.size);
             problems.push(at(path).problem(what));
             continue;
         }
@@ -131,9 +132,9 @@
         }
     }
     if problems.is_empty() {
-        problems = twice_by_address(&inventory.entries, &found);
+        problems = duplicate_addresses(&inventory.entries, &found);
     }
-    unless(problems, found)
+    ok_if_none(problems, found)
 }
 
 fn look_up(name: &str, port: u16) -> Result<SocketAddr, String> {
--- a/crates/scheduler/src/list/stocking.rs
+++ b/crates/scheduler/src/list/stocking.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use tindock_berth::{Problem, Stock};
-use tindock_inventory::{diff, write, Change, Columns, Entry, Inventory, State, Written};
+use tindock_inventory::{diff, write, Change, Columns, Entry, Inventory, OutputFormat, State};
 use tindock_roster::guard::{Guard, Snapshot, Verdict};
 use tokio::sync::mpsc::Sender;
 
@@ -198,7 +198,7 @@
         let mut filed = Vec::new();
         for (entry, at) in inventory.entries.iter().zip(found) {
             let same = before.remove(entry.name.as_str());
-            if !same.is_some_and(|(old, was)| old.says_the_same(entry) && was == at) {
+            if !same.is_some_and(|(old, was)| old.same_settings(entry) && was == at) {
                 filed.push((entry.name.clone(), Some((entry.clone(), *at))));
             }
         }
@@ -235,7 +235,7 @@
     }
 }
 
-/// Written beside and renamed, so that a reader finds the old file or the new one.
+/// OutputFormat beside and renamed, so that a reader finds the old file or the new one.
 pub fn replace(path: &Path, text: impl AsRef<[u8]>) -> std::io::Result<()> {
     let beside = path.with_extension("new");
     std::fs::write(&beside, text)?;
@@ -244,7 +244,7 @@
 
 /// Keeps the list in force for the next start: whole, or not at all.
 fn keep(path: &Path, inventory: &Inventory) -> Result<(), String> {
-    let kept = replace(path, write(inventory, Written::Csv));
+    let kept = replace(path, write(inventory, OutputFormat::Csv));
     kept.map_err(|e| format!("in force, but cannot be kept in {} for the next start: {e}", path.display()))
 }
 
--- a/crates/scheduler/tests/stocking.rs
+++ b/crates/scheduler/tests/stocking.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 use tindock_berth::Stock;
-use tindock_inventory::{Columns, Form};
+use tindock_inventory::{Columns, InputFormat};
 use tindock_scheduler::list::stocking::{accept_file, Told, Watching};
 
 struct Shelf {
@@ -88,7 +88,7 @@
 fn odd_files_leave_the_last_good_list_in_force() {
     let mut shelf = Shelf::stocked("odd", 8);
     for (number, case) in cases::all().into_iter().enumerate() {
-        let name = if case.form == Form::Csv { "a.csv" } else { "a.yaml" };
+        let name = if case.form == InputFormat::Csv { "a.csv" } else { "a.yaml" };
         shelf.write(name, &case.bytes);
         let told = shelf.settle();
         let line = case.at.split(':').next().unwrap_or_default();
