--- a/crates/inventory/src/columns.rs
+++ b/crates/inventory/src/columns.rs
@@ -1,20 +1,20 @@
-//! Which column or variable carries what, and what holds where a file says nothing.
+//! Maps columns or variables to fields, with defaults for fields that a file leaves out.
 
 use crate::entry::{Address, Entry, Place, Problem, State};
 use std::collections::BTreeMap;
 
-/// What can be said of a worker. `host` and `port` stand for an `address` that the tool keeps in two parts; a worker
-/// without either `address` or `host` is reached by its name.
+/// The fields of a worker. `host` and `port` replace an `address` that the tool keeps in two parts; a worker
+/// with neither `address` nor `host` is reached by its name.
 pub const FIELDS: [&str; 9] = ["name", "address", "host", "port", "zone", "kind", "slots", "group", "state"];
 
-/// Longest name, zone or kind.
-const LONGEST: usize = 253;
-const MOST_SLOTS: f64 = 1024.0;
+/// Maximum length of a name, zone or kind.
+const MAX_BYTES: usize = 253;
+const MAX_SLOTS: f64 = 1024.0;
 
-/// The tools' own names for the fields, and defaults for what a file leaves out.
+/// The tool's names for the fields, and defaults for fields that a file leaves out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Columns {
-    /// Field to the name that the tool gives it; the field's own name where there is none.
+    /// From a field to the tool's name for it; fields that are missing here keep their name.
     pub names: BTreeMap<String, String>,
     pub defaults: BTreeMap<String, String>,
 }
@@ -27,30 +27,30 @@
 }
 
 impl Columns {
-    /// What the tool calls a field.
+    /// The tool's name for a field.
     pub fn column<'a>(&'a self, field: &'a str) -> &'a str {
         self.names.get(field).map_or(field, String::as_str)
     }
 
-    /// The field that a tool's column carries, if it carries one.
+    /// The field that a column of the tool contains, if any.
     pub fn field(&self, column: &str) -> Option<&'static str> {
         FIELDS.into_iter().find(|field| self.column(field) == column)
     }
 
-    /// An entry from what a file says of a worker; `at` is where it is named.
+    /// Makes an entry from a worker's values in a file; `at` is the place of its name.
     pub(crate) fn entry(
         &self,
-        said: &BTreeMap<&'static str, Value>,
+        values: &BTreeMap<&'static str, Value>,
         at: &Place,
         problems: &mut Vec<Problem>,
     ) -> Option<Entry> {
         let before = problems.len();
         let get = |field: &'static str| -> Option<(String, Place)> {
-            let value = said.get(field).map(|v| (v.text.trim().to_string(), v.place.clone()));
+            let value = values.get(field).map(|v| (v.text.trim().to_string(), v.place.clone()));
             let value = value.filter(|(text, _)| !text.is_empty());
             value.or_else(|| Some((self.defaults.get(field)?.clone(), at.clone())))
         };
-        let mut wanted = |field: &'static str| {
+        let mut required = |field: &'static str| {
             let found = get(field);
             if found.is_none() {
                 let column = self.column(field);
@@ -58,16 +58,17 @@
             }
             found
         };
-        let (name, zone, kind, slots) = (wanted("name"), wanted("zone"), wanted("kind"), wanted("slots"));
+        let (name, zone, kind, slots) =
+            (required("name"), required("zone"), required("kind"), required("slots"));
         for (text, place) in [&name, &zone, &kind].into_iter().flatten() {
-            if text.len() > LONGEST || text.chars().any(|c| c.is_control() || c.is_whitespace()) {
+            if text.len() > MAX_BYTES || text.chars().any(|c| c.is_control() || c.is_whitespace()) {
                 problems.push(place.problem(format!(
-                    "{text:?} will not do as a word; up to {LONGEST} bytes without spaces were expected"
+                    "{text:?} is not valid; up to {MAX_BYTES} bytes without spaces were expected"
                 )));
             }
         }
         let slots = slots.and_then(|(text, place)| {
-            let slots = text.parse().ok().filter(|n| (1.0..=MOST_SLOTS).contains(n));
+            let slots = text.parse().ok().filter(|n| (1.0..=MAX_SLOTS).contains(n));
             if slots.is_none() {
                 problems.push(place.problem(format!("{text:?} slots; a number from 1 to 1024 was expected")));
             }
--- a/crates/inventory/src/csv_reader.rs
+++ b/crates/inventory/src/csv_reader.rs
@@ -1,4 +1,4 @@
-//! CSV: a header row, then one worker a row.
+//! Reads CSV: a header row, then one worker per row.
 
 use crate::columns::{Columns, Value};
 use crate::entry::{ok_if_none, Entry, Place, Problem};
@@ -6,16 +6,17 @@
 use csv::{ReaderBuilder, StringRecord};
 use std::collections::BTreeMap;
 
-/// Problems told of one file: who mends these reads it again.
-const MOST_PROBLEMS: usize = 100;
+/// Maximum number of problems reported of one file: after these are fixed, it is read again.
+const MAX_PROBLEMS: usize = 100;
 
 pub(crate) fn read(name: &str, text: &str, columns: &Columns) -> Result<Vec<Entry>, Vec<Problem>> {
     let start = Place::start(name);
-    // Quotes that are opened and never closed take in the rest of the file as one field.
+    // An unclosed quote makes the rest of the file one field; this is reported below.
     let mut reader = ReaderBuilder::new().flexible(true).has_headers(false).from_reader(text.as_bytes());
     let at = |record: &StringRecord, field: usize| {
         let line = record.position().map_or(1, |p| p.line() as usize);
-        // The reader keeps no column: the fields before it, and their commas, tell it unless they were quoted.
+        // The reader reports no column: it is computed from the fields before it and their commas, and is
+        // approximate if those are quoted.
         let before: usize = record.iter().take(field).map(|f| f.chars().count() + 1).sum();
         Place { line, column: 1 + before, ..start.clone() }
     };
@@ -32,7 +33,7 @@
                 break;
             }
         }
-        if problems.len() >= MOST_PROBLEMS {
+        if problems.len() >= MAX_PROBLEMS {
             break;
         }
         let Some((width, fields)) = &header else {
@@ -52,21 +53,21 @@
             continue;
         }
         if let Some(field) = record.iter().position(|f| f.contains(['\n', '\r'])) {
-            problems.push(at(&record, field).problem("a field over several lines; is a quote left open?"));
+            problems.push(at(&record, field).problem("a field over several lines; is a quote not closed?"));
             continue;
         }
         if entries.len() >= MAX_ENTRIES {
-            problems.push(line.problem(format!("one worker too many: {MAX_ENTRIES} at the most")));
+            problems.push(line.problem(format!("too many workers; the maximum is {MAX_ENTRIES}")));
             break;
         }
-        let said: BTreeMap<&'static str, Value> = fields
+        let values: BTreeMap<&'static str, Value> = fields
             .iter()
             .enumerate()
             .filter_map(|(k, field)| {
                 Some(((*field)?, Value { text: record[k].into(), place: at(&record, k) }))
             })
             .collect();
-        entries.extend(columns.entry(&said, &line, &mut problems));
+        entries.extend(columns.entry(&values, &line, &mut problems));
     }
     ok_if_none(problems, entries)
 }
@@ -82,14 +83,14 @@
         if let Some(first) = named[..k].iter().position(|c| c == column) {
             let first = first + 1;
             problems.push(
-                at(record, k).problem(format!("column {column:?} again; it is column {first} already")),
+                at(record, k).problem(format!("duplicate column {column:?}; it is column {first} already")),
             );
         }
     }
     let fields: Vec<_> = named.iter().map(|column| columns.field(column)).collect();
-    for wanted in ["name", "zone", "kind", "slots"] {
-        if !fields.contains(&Some(wanted)) && !columns.defaults.contains_key(wanted) {
-            let column = columns.column(wanted);
+    for field in ["name", "zone", "kind", "slots"] {
+        if !fields.contains(&Some(field)) && !columns.defaults.contains_key(field) {
+            let column = columns.column(field);
             problems.push(
                 at(record, 0)
                     .problem(format!("the header has no column {column:?}, and there is no default")),
--- a/crates/inventory/src/entry.rs
+++ b/crates/inventory/src/entry.rs
@@ -1,4 +1,4 @@
-//! One worker as an inventory names it, and where.
+//! One worker of an inventory, with its place in the file.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -36,7 +36,7 @@
     }
 }
 
-/// What is wrong, and where.
+/// An error in a file, with its place.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Problem {
     pub place: Place,
@@ -49,10 +49,10 @@
     }
 }
 
-/// What was found, unless there were problems.
-pub fn ok_if_none<T>(problems: Vec<Problem>, found: T) -> Result<T, Vec<Problem>> {
+/// `value` if there are no problems.
+pub fn ok_if_none<T>(problems: Vec<Problem>, value: T) -> Result<T, Vec<Problem>> {
     if problems.is_empty() {
-        Ok(found)
+        Ok(value)
     } else {
         Err(problems)
     }
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Host {
     Ip(IpAddr),
-    /// To be looked up by whoever uses it.
+    /// A host name, to be resolved by the caller.
     Name(String),
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl Address {
-    /// From `host:port`; a v6 host stands in brackets.
+    /// Parses `host:port`; a v6 host has to be in brackets.
     pub fn parse(text: &str) -> Result<Self, String> {
         let expected = || format!("{text:?} is no address; host:port was expected");
         let (host, port) = text.rsplit_once(':').ok_or_else(expected)?;
@@ -88,7 +88,7 @@
             (Some(bare), _) => {
                 Host::Ip(IpAddr::V6(bare.parse().map_err(|_| "no v6 address in the brackets")?))
             }
-            (None, Ok(IpAddr::V6(_))) => return Err("a v6 address is to stand in brackets".into()),
+            (None, Ok(IpAddr::V6(_))) => return Err("a v6 address has to be in brackets".into()),
             (None, Ok(ip)) => Host::Ip(ip),
             (None, Err(_)) => Host::Name(host_name(host)?),
         };
@@ -96,7 +96,8 @@
     }
 }
 
-/// A host's name in lower case: labels of letters, digits, `-` and `_`, and no name that could be an address.
+/// A host name in lower case: labels of letters, digits, `-` and `_`. Names that could be an address are
+/// refused.
 fn host_name(text: &str) -> Result<String, String> {
     let label = |l: &str| {
         let plain = l.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_');
@@ -106,7 +107,7 @@
     let last = name.rsplit('.').next().unwrap_or_default();
     let numeric = last.bytes().all(|b| b.is_ascii_digit());
     if name.len() > 253 || !name.split('.').all(label) || numeric {
-        return Err(format!("{text:?} is neither an address nor a host's name"));
+        return Err(format!("{text:?} is neither an address nor a host name"));
     }
     Ok(name.to_ascii_lowercase())
 }
@@ -121,12 +122,12 @@
     }
 }
 
-/// Whether a worker is to be given tasks.
+/// Whether a worker may get tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
     #[default]
     Active,
-    /// Finishes what it has, wants nothing new.
+    /// Finishes its tasks and gets no new ones.
     Leaving,
 }
 
@@ -141,22 +142,22 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// How the worker names itself in its news.
+    /// The name that the worker uses in its events.
     pub name: String,
     pub address: Address,
     pub zone: String,
     /// The machine's kind.
     pub kind: String,
-    /// Tasks that it runs at once, 1 to 1024.
+    /// Number of concurrent tasks, 1 to 1024.
     pub slots: f64,
-    /// The cell that deduplicates together, 0 if the file names none.
+    /// The cell whose workers deduplicate tasks together, 0 if the file names none.
     pub group: u32,
     pub state: State,
     pub place: Place,
 }
 
 impl Entry {
-    /// Whether it says the same of the worker, wherever it stands.
+    /// Whether both describe the worker equally, regardless of their places in files.
     pub fn same_settings(&self, other: &Entry) -> bool {
         let place = self.place.clone();
         *self == Entry { place, ..other.clone() }
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -1,8 +1,9 @@
-//! Inventories of workers, as configuration tools keep them: files to entries, each with the place that it stands at.
+//! Parses inventories of workers in the formats of configuration tools into entries with their places in the
+//! file.
 //!
-//! `read` takes the bytes of one file, `merge` puts several together. Nothing here opens a file or looks up a name. What
-//! is wrong is told as problems, all of them, each with its file, line and column; an inventory with a problem is no
-//! inventory. What a file can't say is refused, not guessed.
+//! `read` parses the bytes of one file, `merge` combines several. Nothing here opens a file or resolves a host
+//! name. All errors are reported as problems, each with its file, line and column; an inventory with a problem
+//! is rejected as a whole. Ambiguous input is refused, not guessed.
 //!
 //! ```
 //! use tindock_inventory::{merge, read, Columns, InputFormat};
@@ -25,12 +26,13 @@
 pub use merging::{diff, duplicate_addresses, merge, Change, Inventory};
 pub use output::{write, OutputFormat};
 
-/// The largest file that is read: an inventory of 100,000 workers has some 8 MB.
+/// Maximum size of a file: an inventory of 100,000 workers has some 8 MB.
 pub const MAX_BYTES: usize = 32 * 1024 * 1024;
-/// The most workers of one inventory, ranges expanded. Guards against a range that names millions.
+/// Maximum number of workers in an inventory, after expansion of ranges. Guards against a range of millions
+/// of names.
 pub const MAX_ENTRIES: usize = 100_000;
 
-/// How a file is written.
+/// The format of an inventory file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InputFormat {
     Csv,
@@ -38,7 +40,7 @@
 }
 
 impl InputFormat {
-    /// By the ending of a file's name: `.csv`, `.yaml` or `.yml`.
+    /// The format by the extension of a file name: `.csv`, `.yaml` or `.yml`.
     pub fn of(name: &str) -> Option<InputFormat> {
         match name.rsplit_once('.')?.1.to_ascii_lowercase().as_str() {
             "csv" => Some(InputFormat::Csv),
@@ -48,7 +50,7 @@
     }
 }
 
-/// Reads one file. `name` is how it is called in places.
+/// Parses one file. `name` is the file name in places.
 pub fn read(
     name: &str,
     bytes: &[u8],
@@ -62,38 +64,38 @@
     }?;
     if entries.is_empty() {
         return Err(vec![
-            Place::start(name).problem("names no worker; a file that is to name none is to be removed")
+            Place::start(name).problem("names no worker; remove the file if it is to name none")
         ]);
     }
     Ok(entries)
 }
 
-/// The file as text, whole: a file without a last line end was cut, or is still being written.
+/// The file as text. A file without a final line end is refused: it was truncated, or is still being written.
 fn text<'a>(name: &str, bytes: &'a [u8]) -> Result<&'a str, Problem> {
     let start = Place::start(name);
     if bytes.len() > MAX_BYTES {
-        return Err(start.problem(format!("has {} bytes; {MAX_BYTES} at the most are read", bytes.len())));
+        return Err(start.problem(format!("has {} bytes; the maximum is {MAX_BYTES}", bytes.len())));
     }
     if bytes.starts_with(&[0xff, 0xfe]) || bytes.starts_with(&[0xfe, 0xff]) {
         return Err(start.problem("is written in UTF-16; UTF-8 was expected"));
     }
-    // Spreadsheets begin a file with a byte order mark, which says nothing in UTF-8.
+    // Spreadsheets start a file with a byte order mark, which has no meaning in UTF-8.
     let bytes = bytes.strip_prefix(&[0xef, 0xbb, 0xbf]).unwrap_or(bytes);
     let text = std::str::from_utf8(bytes).map_err(|e| {
         let good = &bytes[..e.valid_up_to()];
         let byte = bytes[e.valid_up_to()];
-        start.after(good).problem(format!("byte 0x{byte:02x} is no UTF-8; is the file in Latin-1?"))
+        start.after(good).problem(format!("byte 0x{byte:02x} is not valid UTF-8; is the file in Latin-1?"))
     })?;
     if let Some(at) = text.find('\0') {
         return Err(start.after(&text.as_bytes()[..at]).problem("a zero byte; a text file was expected"));
     }
     if text.trim().is_empty() {
-        return Err(start.problem("is empty; a file that is to name no worker is to be removed"));
+        return Err(start.problem("is empty; remove the file if it is to name no worker"));
     }
     if !text.ends_with('\n') {
         return Err(start
             .after(text.as_bytes())
-            .problem("the file ends in the midst of a line; was it cut?"));
+            .problem("the last line has no line end; is the file truncated?"));
     }
     Ok(text)
 }
--- a/crates/inventory/src/merging.rs
+++ b/crates/inventory/src/merging.rs
@@ -1,20 +1,20 @@
-//! Several files as one inventory, and what changes from one to another.
+//! Merges several files into one inventory, and compares two inventories.
 
 use crate::entry::{Address, Entry, Problem, State};
 use crate::MAX_ENTRIES;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// The workers of all files, by name; no name and no address stands twice.
+/// The workers of all files, by name; names and addresses are unique.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Inventory {
     pub entries: Vec<Entry>,
 }
 
 impl Inventory {
-    /// A number that changes with what the inventory says, not with where it stands.
+    /// A hash of the workers' settings, regardless of their places in files.
     pub fn digest(&self) -> u64 {
-        // FNV-1a: the same in every build, unlike the standard library's.
+        // FNV-1a: stable across builds, unlike the hash of the standard library.
         let mut hash = 0xcbf2_9ce4_8422_2325_u64;
         let mut add = |text: &str| {
             for byte in text.bytes().chain([0]) {
@@ -22,8 +22,8 @@
             }
         };
         for e in &self.entries {
-            let words = [&e.name, &e.address.to_string(), &e.zone, &e.kind, &e.slots.to_string()];
-            words.into_iter().for_each(|word| add(word));
+            let texts = [&e.name, &e.address.to_string(), &e.zone, &e.kind, &e.slots.to_string()];
+            texts.into_iter().for_each(|text| add(text));
             add(&e.group.to_string());
             add(e.state.as_str());
         }
@@ -31,7 +31,7 @@
     }
 }
 
-/// Puts the entries of several files together. A name or an address that stands twice is a problem that names both.
+/// Merges the entries of several files. A duplicate name or address is a problem that names both places.
 pub fn merge(files: Vec<Vec<Entry>>) -> Result<Inventory, Vec<Problem>> {
     let mut entries: Vec<Entry> = files.into_iter().flatten().collect();
     let mut problems = Vec::new();
@@ -39,8 +39,12 @@
     let mut addresses: HashMap<&Address, &Entry> = HashMap::new();
     for entry in &entries {
         if let Some(first) = names.get(entry.name.as_str()) {
-            let how = if first.address == entry.address { "again" } else { "again at another address" };
-            let what = format!("worker {:?} {how}; it stands at {} already", entry.name, first.place);
+            let how = if first.address == entry.address {
+                "defined again"
+            } else {
+                "defined again at another address"
+            };
+            let what = format!("worker {:?} is {how}; first defined at {}", entry.name, first.place);
             problems.push(entry.place.problem(what));
         } else if let Some(first) = addresses.get(&entry.address) {
             let (name, at, other) = (&entry.name, &entry.address, &first.name);
@@ -61,7 +65,8 @@
     Ok(Inventory { entries })
 }
 
-/// Workers that turn out to be one once their hosts were looked up: `found` gives each entry's address, in order.
+/// Workers with the same address after their hosts were resolved: `found` has the address of each entry, in
+/// order.
 pub fn duplicate_addresses(entries: &[Entry], found: &[SocketAddr]) -> Vec<Problem> {
     let mut first: HashMap<SocketAddr, &Entry> = HashMap::new();
     let mut problems = Vec::new();
@@ -78,24 +83,24 @@
     problems
 }
 
-/// What becomes of a worker from one inventory to another.
+/// The change of one worker between two inventories.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     Added(Entry),
     Removed(Entry),
-    /// From active to leaving or back, and nothing else.
+    /// Only its state has changed.
     State {
         name: String,
         to: State,
     },
-    /// Its address, zone, kind, slots or group.
+    /// Its address, zone, kind, slots or group has changed.
     Changed {
         from: Entry,
         to: Entry,
     },
 }
 
-/// The changes by name.
+/// The changes between two inventories: added and changed workers by name, then removed ones.
 pub fn diff(old: &Inventory, new: &Inventory) -> Vec<Change> {
     let by_name =
         |of: &Inventory| of.entries.iter().map(|e| (e.name.clone(), e.clone())).collect::<BTreeMap<_, _>>();
--- a/crates/inventory/src/ranges.rs
+++ b/crates/inventory/src/ranges.rs
@@ -1,8 +1,9 @@
-//! Ranges of hosts, as configuration tools write them: `yard-[01:12].example.org`, `rack-[a:f]`, `w[2:20:2]`.
+//! Ranges of hosts in the notation of configuration tools: `yard-[01:12].example.org`, `rack-[a:f]`,
+//! `w[2:20:2]`.
 
 use crate::MAX_ENTRIES;
 
-/// The names that a pattern stands for, in order; a name without brackets stands for itself.
+/// Expands a pattern to its names, in order; a name without brackets expands to itself.
 pub(crate) fn expand(pattern: &str) -> Result<Vec<String>, String> {
     let mut names = vec![String::new()];
     let mut rest = pattern;
@@ -30,9 +31,9 @@
         [first, last] => (first, last, 1),
         [first, last, step] => {
             let step = step.parse().ok().filter(|&s: &u32| s > 0);
-            (first, last, step.ok_or_else(|| format!("the step of [{text}] is no number from 1"))?)
+            (first, last, step.ok_or_else(|| format!("the step of [{text}] is not a number from 1"))?)
         }
-        _ => return Err(format!("[{text}] is no range; [first:last] was expected")),
+        _ => return Err(format!("[{text}] is not a range; [first:last] was expected")),
     };
     let letter = |t: &str| t.len() == 1 && t.as_bytes()[0].is_ascii_alphabetic();
     if letter(first) && letter(last) {
@@ -47,9 +48,9 @@
         plain.then(|| t.parse::<u32>().ok()).flatten()
     };
     let (Some(a), Some(b)) = (number(first), number(last)) else {
-        return Err(format!("[{text}] is no range of numbers or letters"));
+        return Err(format!("[{text}] is not a range of numbers or letters"));
     };
-    // `[01:12]` keeps its zeros: then both ends have one width.
+    // `[01:12]` keeps its leading zeros, which requires both ends to have the same width.
     let padded = first.len() > 1 && first.starts_with('0');
     if padded && first.len() != last.len() {
         return Err(format!("the ends of [{text}] have different widths"));
@@ -69,7 +70,7 @@
     use super::expand;
 
     #[test]
-    fn ranges_expand_as_tools_write_them() {
+    fn ranges_expand_as_in_configuration_tools() {
         let all = |pattern: &str| expand(pattern).map(|names| names.join(" "));
         assert_eq!(all("yard-7").as_deref(), Ok("yard-7"));
         assert_eq!(all("y[08:11].o").as_deref(), Ok("y08.o y09.o y10.o y11.o"));
@@ -79,9 +80,11 @@
     }
 
     #[test]
-    fn odd_ranges_are_refused() {
-        let odd = ["[", "a]", "[1]", "[3:1]", "[a:C]", "[1:2:0]", "[01:100]", "[-1:2]", "[1:2:3:4]", "[:]"];
-        for pattern in odd.into_iter().chain(["[1:999999999]", "[1:999][1:999]", "[1:99999999999999]"]) {
+    fn malformed_and_huge_ranges_are_refused() {
+        let malformed =
+            ["[", "a]", "[1]", "[3:1]", "[a:C]", "[1:2:0]", "[01:100]", "[-1:2]", "[1:2:3:4]", "[:]"];
+        for pattern in malformed.into_iter().chain(["[1:999999999]", "[1:999][1:999]", "[1:99999999999999]"])
+        {
             assert!(expand(pattern).is_err(), "{pattern}");
         }
     }
--- a/crates/inventory/src/yaml_tree.rs
+++ b/crates/inventory/src/yaml_tree.rs
@@ -1,64 +1,66 @@
-//! A YAML document as a tree whose nodes know their places. Bounded on the way: depth, nodes, and what aliases expand to.
+//! Parses a YAML document into a tree of nodes with their places. Depth, number of nodes, and the expansion
+//! of aliases are bounded.
 
 use crate::entry::{Place, Problem};
 use saphyr_parser::{Event, Parser, ScalarStyle, Span};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Deeper than groups in groups are kept by hand; guards the stack.
-const MOST_DEPTH: usize = 64;
-/// Nodes of a document, aliases expanded. Guards against aliases of aliases that explode.
-const MOST_NODES: usize = 4_000_000;
+/// Maximum nesting, more than in inventories written by hand. Guards against a stack overflow.
+const MAX_DEPTH: usize = 64;
+/// Maximum number of nodes after expansion of aliases. Guards against aliases of aliases that grow
+/// exponentially.
+const MAX_NODES: usize = 4_000_000;
 
 #[derive(Clone, Debug)]
 pub(crate) struct Node {
     pub place: Place,
-    pub is: Is,
-    /// Nodes in it, itself included, aliases expanded.
+    pub content: Content,
+    /// Number of nodes in it, including itself, after expansion of aliases.
     size: usize,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Is {
+pub(crate) enum Content {
     /// A key without a value, `~` or `null`.
-    Nothing,
-    Word(String),
+    Null,
+    Scalar(String),
     List(Vec<Rc<Node>>),
-    /// In the order of the file; no key stands twice.
-    Map(Vec<(Word, Rc<Node>)>),
+    /// In the order of the file; keys are unique.
+    Map(Vec<(Scalar, Rc<Node>)>),
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Word {
+pub(crate) struct Scalar {
     pub text: String,
     pub place: Place,
 }
 
 impl Node {
     pub fn what(&self) -> &'static str {
-        match self.is {
-            Is::Nothing => "nothing",
-            Is::Word(_) => "a word",
-            Is::List(_) => "a list",
-            Is::Map(_) => "a mapping",
+        match self.content {
+            Content::Null => "nothing",
+            Content::Scalar(_) => "a scalar",
+            Content::List(_) => "a list",
+            Content::Map(_) => "a mapping",
         }
     }
 
-    /// Its keys and values; none of a node that is empty.
-    pub fn map(&self, expected: &str) -> Result<&[(Word, Rc<Node>)], Problem> {
-        match &self.is {
-            Is::Map(rows) => Ok(rows),
-            Is::Nothing => Ok(&[]),
+    /// The keys and values of a mapping; none for an empty node.
+    pub fn map(&self, expected: &str) -> Result<&[(Scalar, Rc<Node>)], Problem> {
+        match &self.content {
+            Content::Map(rows) => Ok(rows),
+            Content::Null => Ok(&[]),
             _ => Err(self.place.problem(format!("{}; {expected} expected", self.what()))),
         }
     }
 }
 
-/// A mapping's rows so far, and the key whose value is to come.
-type Rows = (Vec<(Word, Rc<Node>)>, Option<Word>);
+/// The rows of an open mapping, and the key whose value comes next.
+type Rows = (Vec<(Scalar, Rc<Node>)>, Option<Scalar>);
 
-/// A list or mapping that is not closed yet.
-struct Open {
+/// A list or mapping whose end has not been parsed yet.
+struct OpenNode {
     place: Place,
     anchor: usize,
     size: usize,
@@ -67,9 +69,9 @@
     lines: HashMap<String, usize>,
 }
 
-struct Building {
+struct Builder {
     start: Place,
-    open: Vec<Open>,
+    open: Vec<OpenNode>,
     anchors: HashMap<usize, Rc<Node>>,
     root: Option<Rc<Node>>,
     nodes: usize,
@@ -77,34 +79,34 @@
 
 pub(crate) fn parse(name: &str, text: &str) -> Result<Rc<Node>, Problem> {
     let start = Place::start(name);
-    let mut building =
-        Building { start: start.clone(), open: Vec::new(), anchors: HashMap::new(), root: None, nodes: 0 };
+    let mut builder =
+        Builder { start: start.clone(), open: Vec::new(), anchors: HashMap::new(), root: None, nodes: 0 };
     let mut parser = Parser::new_from_str(text);
     loop {
         match parser.next_event() {
             None => break,
             Some(Ok((Event::StreamEnd, _))) => break,
-            Some(Ok((event, span))) => building.take(event, span)?,
+            Some(Ok((event, span))) => builder.handle(event, span)?,
             Some(Err(e)) => {
                 let mark = e.marker();
                 let place = Place { line: mark.line().max(1), column: mark.col() + 1, ..start };
-                return Err(place.problem(format!("no YAML that can be read: {}", e.info())));
+                return Err(place.problem(format!("invalid YAML: {}", e.info())));
             }
         }
     }
-    building.root.ok_or_else(|| start.problem("holds no document"))
+    builder.root.ok_or_else(|| start.problem("contains no document"))
 }
 
-impl Building {
+impl Builder {
     fn place(&self, span: Span) -> Place {
         Place { line: span.start.line().max(1), column: span.start.col() + 1, ..self.start.clone() }
     }
 
-    fn take(&mut self, event: Event, span: Span) -> Result<(), Problem> {
+    fn handle(&mut self, event: Event, span: Span) -> Result<(), Problem> {
         let place = self.place(span);
         match event {
             Event::DocumentStart(_) if self.root.is_some() => {
-                Err(place.problem("another document; one a file was expected"))
+                Err(place.problem("a second document; one per file was expected"))
             }
             Event::Scalar(text, style, anchor, tag) => {
                 if tag.is_some() {
@@ -112,8 +114,8 @@
                 }
                 let plain = style == ScalarStyle::Plain;
                 let empty = plain && matches!(&*text, "" | "~" | "null" | "Null" | "NULL");
-                let is = if empty { Is::Nothing } else { Is::Word(text.into_owned()) };
-                self.add(anchor, Node { place, is, size: 1 })
+                let content = if empty { Content::Null } else { Content::Scalar(text.into_owned()) };
+                self.add(anchor, Node { place, content, size: 1 })
             }
             Event::SequenceStart(anchor, tag) | Event::MappingStart(anchor, tag) if tag.is_some() => {
                 let _ = anchor;
@@ -122,18 +124,18 @@
             Event::SequenceStart(anchor, _) => self.begin(place, anchor, false),
             Event::MappingStart(anchor, _) => self.begin(place, anchor, true),
             Event::SequenceEnd | Event::MappingEnd => match self.open.pop() {
-                None => Err(place.problem("an end without a beginning")),
+                None => Err(place.problem("an end without a start")),
                 Some(done) => {
-                    let is = match done.map {
-                        Some((rows, _)) => Is::Map(rows),
-                        None => Is::List(done.list),
+                    let content = match done.map {
+                        Some((rows, _)) => Content::Map(rows),
+                        None => Content::List(done.list),
                     };
-                    self.add(done.anchor, Node { place: done.place, is, size: done.size })
+                    self.add(done.anchor, Node { place: done.place, content, size: done.size })
                 }
             },
             Event::Alias(anchor) => {
                 let Some(node) = self.anchors.get(&anchor).cloned() else {
-                    return Err(place.problem("an alias of what is not whole yet"));
+                    return Err(place.problem("an alias of an unfinished node"));
                 };
                 self.put(node, &place)
             }
@@ -142,14 +144,14 @@
     }
 
     fn begin(&mut self, place: Place, anchor: usize, map: bool) -> Result<(), Problem> {
-        if self.open.len() >= MOST_DEPTH {
-            return Err(place.problem(format!("nested deeper than {MOST_DEPTH}")));
+        if self.open.len() >= MAX_DEPTH {
+            return Err(place.problem(format!("nested deeper than {MAX_DEPTH}")));
         }
-        if let Some(Open { map: Some((_, None)), .. }) = self.open.last() {
-            return Err(place.problem("a list or a mapping as a key; a word was expected"));
+        if let Some(OpenNode { map: Some((_, None)), .. }) = self.open.last() {
+            return Err(place.problem("a list or a mapping as a key; a scalar was expected"));
         }
         let map = map.then(|| (Vec::new(), None));
-        self.open.push(Open { place, anchor, size: 1, list: Vec::new(), map, lines: HashMap::new() });
+        self.open.push(OpenNode { place, anchor, size: 1, list: Vec::new(), map, lines: HashMap::new() });
         Ok(())
     }
 
@@ -168,29 +170,33 @@
             return Ok(());
         };
         open.size += node.size;
-        if open.size > MOST_NODES || self.nodes > MOST_NODES {
-            return Err(place.problem(format!("more than {MOST_NODES} values, aliases expanded")));
+        if open.size > MAX_NODES || self.nodes > MAX_NODES {
+            return Err(place.problem(format!("more than {MAX_NODES} values, aliases expanded")));
         }
         let Some((rows, key)) = &mut open.map else {
             open.list.push(node);
             return Ok(());
         };
         match key.take() {
-            Some(word) => rows.push((word, node)),
+            Some(key) => rows.push((key, node)),
             None => {
-                let text = match &node.is {
-                    Is::Word(text) if text == "<<" => {
-                        return Err(place.problem("a merge key; write the values out"));
+                let text = match &node.content {
+                    Content::Scalar(text) if text == "<<" => {
+                        return Err(
+                            place.problem("a merge key; these are not supported, write the values out")
+                        );
+                    }
+                    Content::Scalar(text) => text.clone(),
+                    _ => {
+                        return Err(place.problem(format!("{} as a key; a scalar was expected", node.what())))
                     }
-                    Is::Word(text) => text.clone(),
-                    _ => return Err(place.problem(format!("{} as a key; a word was expected", node.what()))),
                 };
                 if let Some(first) = open.lines.insert(text.clone(), place.line) {
                     return Err(
-                        place.problem(format!("key {text:?} again; it stands in line {first} already"))
+                        place.problem(format!("duplicate key {text:?}; first defined in line {first}"))
                     );
                 }
-                *key = Some(Word { text, place: place.clone() });
+                *key = Some(Scalar { text, place: place.clone() });
             }
         }
         Ok(())
