--- a/crates/house/src/agent.rs
+++ b/crates/house/src/agent.rs
@@ -407,7 +407,11 @@
     /// of agents that started from two controllers would never learn of each other.
     fn follow_message(&mut self) -> PeerMessage {
         self.follow_count = self.follow_count.wrapping_add(1);
-        let proxy = Proxy { ip: self.me.ip(), zone_index: self.zone_index, incarnation: self.peer_sampler.incarnation() };
+        let proxy = Proxy {
+            ip: self.me.ip(),
+            zone_index: self.zone_index,
+            incarnation: self.peer_sampler.incarnation(),
+        };
         PeerMessage::Follow {
             mark: self.instances.mark(),
             with_peers: self.follow_count % FOLLOWS_PER_PEER_REQUEST == 1,
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -1,16 +1,16 @@
 //! The command line and the commands that do not serve.
 
-use crate::accord::commands::Policies;
+use crate::accord::commands::PolicyCommand;
 use crate::berth::{self, open, InventorySettings, Layers, Problem, ShownValue};
 use crate::list::inventory_files;
 use crate::list::inventory_watch::accept_file;
 use crate::operators::calls;
-use crate::rollout::Rollouts;
+use crate::rollout::RolloutCommand;
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use tindock_inventory::{diff, write, Change, Columns, Inventory, Written};
+use tindock_inventory::{diff, write, Change, Columns, Inventory, OutputFormat};
 
 /// A dispatcher beside each submitter: takes tasks from clients and pushes them to workers.
 #[derive(Debug, Parser)]
@@ -51,10 +51,10 @@
     Inventory(Inventories),
     /// Change the settings of many schedulers in stages, stopped and undone when a stage does worse
     #[command(subcommand)]
-    Rollout(Rollouts),
+    Rollout(RolloutCommand),
     /// Change a policy that is applied by all schedulers of a group or by none
     #[command(subcommand)]
-    Policy(Policies),
+    Policy(PolicyCommand),
     /// Supervise the schedulers of this machine: start and restart them, and run a new program beside the old
     /// one
     Keep {
@@ -245,9 +245,9 @@
         }
         Inventories::Show { files, config, format } => {
             let form = match format {
-                Format::Csv => Written::Csv,
-                Format::Yaml => Written::Yaml,
-                Format::Json => Written::Json,
+                Format::Csv => OutputFormat::Csv,
+                Format::Yaml => OutputFormat::Yaml,
+                Format::Json => OutputFormat::Json,
             };
             Ok(write(&inventory(files, config.as_deref())?, form))
         }
@@ -272,7 +272,7 @@
             format!("+ {} at {} ({}, {}, {} slots)\n", e.name, e.address, e.zone, e.kind, e.slots)
         }
         Change::Removed(e) => format!("- {} at {}\n", e.name, e.address),
-        Change::State { name, to } => format!("~ {name} is {}\n", to.word()),
+        Change::State { name, to } => format!("~ {name} is {}\n", to.as_str()),
         Change::Changed { from, to } => {
             let text = |e: &tindock_inventory::Entry| {
                 format!("{} ({}, {}, {} slots, group {})", e.address, e.zone, e.kind, e.slots, e.group)
--- a/crates/scheduler/src/clients/listener.rs
+++ b/crates/scheduler/src/clients/listener.rs
@@ -1,14 +1,14 @@
 //! The server side: accepts connections of clients and workers, and responds to their requests.
 
-use crate::accord::Accord;
+use crate::accord::GroupMember;
 use crate::clients::connection::{ClientConnection, ClientSocket, Role};
 use crate::clients::head_scanner::Framing;
 use crate::clients::requests::{self, BodyBudget, Message, Rejection};
 use crate::clients::responses::{self, Reply};
 use crate::exchange::{Answer, Exchange};
 use crate::operators::telemetry::{Outcome, Telemetry};
-use crate::succession::line::Line;
-use crate::succession::stopping::Stopping;
+use crate::succession::link::Link;
+use crate::succession::shutdown::Shutdown;
 use crate::workload_table::TaskNames;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -46,16 +46,16 @@
 pub struct ClientListener {
     exchange: Rc<Exchange>,
     names: RefCell<TaskNames>,
-    stopping: Rc<Stopping>,
+    stopping: Rc<Shutdown>,
     max_clients: Cell<usize>,
     paused: watch::Sender<bool>,
-    line: Rc<Line>,
+    line: Rc<Link>,
     clients: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     next: Cell<u64>,
     disconnected: Notify,
     body_budget: BodyBudget,
     /// The policy group whose permission is needed to serve, if there is one.
-    group: OnceCell<Rc<Accord>>,
+    group: OnceCell<Rc<GroupMember>>,
     telemetry: Rc<Telemetry>,
     /// Time from arrival to completion of the tasks of each workload.
     completion_times: RefCell<RunTimes<Rc<str>>>,
@@ -80,9 +80,9 @@
 impl ClientListener {
     pub fn new(
         exchange: Rc<Exchange>,
-        stopping: Rc<Stopping>,
+        stopping: Rc<Shutdown>,
         max_clients: usize,
-        line: Rc<Line>,
+        line: Rc<Link>,
         body_budget: BodyBudget,
         telemetry: Rc<Telemetry>,
         log: Logger,
@@ -109,7 +109,7 @@
     }
 
     /// From now on tasks are accepted only while this group permits it.
-    pub fn set_group(&self, group: Rc<Accord>) {
+    pub fn set_group(&self, group: Rc<GroupMember>) {
         let _ = self.group.set(group);
     }
 
@@ -303,7 +303,7 @@
                 client.role.set(Role::Worker);
                 // Guards against updates lost between two processes at one address.
                 if self.exchange.is_unknown_task(&update.id) {
-                    self.line.hand_on(&body).await;
+                    self.line.forward_event(&body).await;
                 }
                 self.exchange.apply_update(update);
                 responses::accepted()
@@ -327,7 +327,7 @@
                     return self.reject(Rejection(StatusCode::BAD_REQUEST, "with an id that is in flight"));
                 };
                 if client.role.replace(Role::Client) != Role::Client {
-                    self.stopping.newcomer();
+                    self.stopping.record_task();
                 }
                 let waiting =
                     Waiting { exchange: &self.exchange, index: handle.index, generation: handle.generation };
--- a/crates/scheduler/src/exchange.rs
+++ b/crates/scheduler/src/exchange.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::operators::telemetry::Snapshot;
 use crate::peers::outbox::{self, Message, Outbox};
-use crate::succession::heritage::{self, Heritage};
+use crate::succession::handover_state::{self, HandoverState};
 use crate::workers::endings::Close;
 use crate::workers::load_reports;
 use crate::workers::updates::{State as UpdateState, Update};
@@ -493,11 +493,18 @@
 
     /// Exports all that this process knows of workers and workloads; from now on another process accepts the
     /// tasks.
-    pub fn export_state(&self, names: &Names) -> Heritage {
+    pub fn export_state(&self, names: &Names) -> HandoverState {
         self.set_yielded(true);
         let state = self.state.borrow();
         let entries = || state.workers.iter().map(|listed| &listed.entry);
-        heritage::leave(&state.policy, &state.workloads, entries, state.bans.clone(), names, &self.clock)
+        handover_state::capture(
+            &state.policy,
+            &state.workloads,
+            entries,
+            state.bans.clone(),
+            names,
+            &self.clock,
+        )
     }
 
     /// Sets whether another process accepts the tasks.
@@ -506,11 +513,11 @@
     }
 
     /// Imports the state exported by the previous process, after its list was applied.
-    pub fn import_state(&self, heritage: &Heritage, names: &Names) {
+    pub fn import_state(&self, heritage: &HandoverState, names: &Names) {
         self.feed(|state| {
             let (worker_indices, workloads, policy) =
                 (&state.worker_indices, &state.workloads, &mut state.policy);
-            heritage.take(policy, workloads, |name| worker_indices.get(name).copied(), names, &self.clock);
+            heritage.restore(policy, workloads, |name| worker_indices.get(name).copied(), names, &self.clock);
         });
     }
 
--- a/crates/scheduler/src/list/inventory_files.rs
+++ b/crates/scheduler/src/list/inventory_files.rs
@@ -6,7 +6,8 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use tindock_inventory::{
-    merge, read, twice_by_address, unless, Columns, Entry, Form, Host, Inventory, Place, Problem, MOST_BYTES,
+    duplicate_addresses, merge, ok_if_none, read, Columns, Entry, Host, InputFormat, Inventory, Place,
+    Problem, MAX_BYTES,
 };
 
 /// Limit for the files of one folder.
@@ -59,7 +60,7 @@
             },
         }
     }
-    unless(problems, versions)
+    ok_if_none(problems, versions)
 }
 
 fn scan_folder(path: &Path) -> Result<FileVersions, Problem> {
@@ -67,7 +68,7 @@
     let mut versions = FileVersions::new();
     for entry in fs::read_dir(path).map_err(wrong)? {
         let name = entry.map_err(wrong)?.file_name();
-        let Some(name) = name.to_str().filter(|n| !n.starts_with('.') && Form::of(n).is_some()) else {
+        let Some(name) = name.to_str().filter(|n| !n.starts_with('.') && InputFormat::of(n).is_some()) else {
             continue;
         };
         let file = path.join(name);
@@ -94,12 +95,12 @@
     let (mut files, mut problems) = (vec![fixed.to_vec()], Vec::new());
     for (path, version) in versions {
         let name = path.display().to_string();
-        let Some(form) = Form::of(&name) else {
+        let Some(form) = InputFormat::of(&name) else {
             problems.push(at(path).problem("its ending is none of .csv, .yaml, .yml"));
             continue;
         };
-        if version.size > MOST_BYTES as u64 {
-            let what = format!("has {} bytes; {MOST_BYTES} at the most are read", version.size);
+        if version.size > MAX_BYTES as u64 {
+            let what = format!("has {} bytes; {MAX_BYTES} at the most are read", version.size);
             problems.push(at(path).problem(what));
             continue;
         }
@@ -136,9 +137,9 @@
         }
     }
     if problems.is_empty() {
-        problems = twice_by_address(&inventory.entries, &found);
+        problems = duplicate_addresses(&inventory.entries, &found);
     }
-    unless(problems, found)
+    ok_if_none(problems, found)
 }
 
 fn resolve_name(name: &str, port: u16) -> Result<SocketAddr, String> {
--- a/crates/scheduler/src/list/inventory_watch.rs
+++ b/crates/scheduler/src/list/inventory_watch.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use tindock_berth::{InventorySettings, Problem};
-use tindock_inventory::{diff, write, Change, Columns, Entry, Inventory, State, Written};
+use tindock_inventory::{diff, write, Change, Columns, Entry, Inventory, OutputFormat, State};
 use tindock_roster::guard::{Guard, Snapshot, Verdict};
 use tokio::sync::mpsc::Sender;
 
@@ -206,7 +206,7 @@
         let mut entries = Vec::new();
         for (entry, at) in inventory.entries.iter().zip(addresses) {
             let same = before.remove(entry.name.as_str());
-            if !same.is_some_and(|(old, was)| old.says_the_same(entry) && was == at) {
+            if !same.is_some_and(|(old, was)| old.same_settings(entry) && was == at) {
                 entries.push((entry.name.clone(), Some((entry.clone(), *at))));
             }
         }
@@ -254,7 +254,7 @@
 
 /// Stores the list in force for the next start, atomically.
 fn write_last_good(path: &Path, inventory: &Inventory) -> Result<(), String> {
-    let written = replace(path, write(inventory, Written::Csv));
+    let written = replace(path, write(inventory, OutputFormat::Csv));
     written.map_err(|e| format!("in force, but cannot be kept in {} for the next start: {e}", path.display()))
 }
 
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -12,7 +12,7 @@
 use tindock_scheduler::berth::{self, Layers, Level, LogSettings};
 use tindock_scheduler::cli::{self, Cli, Command, LogFormat, LogLevel};
 use tindock_scheduler::keep;
-use tindock_scheduler::rollout::{self, Wrong};
+use tindock_scheduler::rollout::{self, CommandError};
 use tindock_scheduler::start;
 use tindock_soak::command::Verdict;
 
@@ -68,7 +68,7 @@
     ended
 }
 
-fn dispatch() -> Result<String, Wrong> {
+fn dispatch() -> Result<String, CommandError> {
     let one_line = |why: String| vec![format!("tindock: {}", why.replace('\n', " "))];
     let named = || std::env::var_os("GW_CONFIG").map(PathBuf::from).ok_or("GW_CONFIG names no configuration");
     let command_line = Cli::command()
@@ -88,11 +88,11 @@
     }
     if let Some(("soak", given)) = matches.subcommand() {
         let run = tindock_soak::command::run(given);
-        let run = run.map_err(|why| Wrong { code: 2, lines: one_line(why.to_string()) })?;
+        let run = run.map_err(|why| CommandError { code: 2, lines: one_line(why.to_string()) })?;
         let _ = std::io::stdout().write_all(run.text.as_bytes());
         return match run.verdict {
             Verdict::Kept => Ok(String::new()),
-            Verdict::Broken => Err(Wrong { code: 1, lines: one_line("a rule is broken".into()) }),
+            Verdict::Broken => Err(CommandError { code: 1, lines: one_line("a rule is broken".into()) }),
         };
     }
     if let Some(("play", given)) = matches.subcommand() {
@@ -101,7 +101,7 @@
             return Ok(run.text);
         }
         let _ = std::io::stdout().write_all(run.text.as_bytes());
-        return Err(Wrong { code: 3, lines: one_line("a rule or an expectation is broken".into()) });
+        return Err(CommandError { code: 3, lines: one_line("a rule or an expectation is broken".into()) });
     }
     match Cli::from_arg_matches(&matches).map_err(|e| e.exit()).map(|cli| cli.command).unwrap_or(None) {
         None => {
@@ -146,7 +146,7 @@
             let _ = std::io::stdout().write_all(output.as_bytes());
             0
         }
-        Err(Wrong { code, lines }) => {
+        Err(CommandError { code, lines }) => {
             lines.iter().for_each(|line| eprintln!("{line}"));
             code
         }
--- a/crates/scheduler/src/operators/management.rs
+++ b/crates/scheduler/src/operators/management.rs
@@ -1,14 +1,14 @@
 //! The operators' address: one line for each connection, answered by a line that begins with `done` or
 //! `error`, or by figures and a line `end`.
 
-use crate::accord::{Accord, Change};
+use crate::accord::{Change, GroupMember};
 use crate::clients::listener::SHORT_OF_DESCRIPTORS;
 use crate::exchange::Exchange;
 use crate::operators::bans::Bans;
 use crate::operators::reload::Reread;
 use crate::operators::telemetry::Telemetry;
 use crate::operators::version::Version;
-use crate::succession::line::Line;
+use crate::succession::link::Link;
 use slog::{info, warn, Logger};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -37,9 +37,9 @@
     /// To the task that rereads the configuration.
     pub rereads: mpsc::Sender<Reread>,
     /// The connection to the other process during an upgrade.
-    pub handover: Rc<Line>,
+    pub handover: Rc<Link>,
     /// The group that decides the policy, if there is one.
-    pub group: Option<Rc<Accord>>,
+    pub group: Option<Rc<GroupMember>>,
     /// Clients are accepted, and nothing is left to be handed over.
     pub open: Rc<Cell<bool>>,
     pub log: Logger,
@@ -111,9 +111,9 @@
             }
             ["admit", name, address] => {
                 let at = address.parse().map_err(|_| format!("{address:?}; address:port was expected"))?;
-                self.change(Change::LetIn { name: name.into(), address: at }).await
+                self.change(Change::Admit { name: name.into(), address: at }).await
             }
-            ["forget", name] => self.change(Change::LeaveOut { name: name.into() }).await,
+            ["forget", name] => self.change(Change::Remove { name: name.into() }).await,
             [call @ ("readyz" | "telemetry" | "version" | "policy" | "policy-history"), ..] => takes(call, 0),
             [call @ ("exclude" | "include" | "policy-text" | "forget"), ..] => takes(call, 1),
             [call @ ("lease" | "release" | "admit"), ..] => takes(call, 2),
@@ -126,7 +126,7 @@
         }
     }
 
-    fn group(&self) -> Result<&Accord, String> {
+    fn group(&self) -> Result<&GroupMember, String> {
         self.group.as_deref().ok_or_else(|| "no group decides the policy here: there is no [accord]".into())
     }
 
@@ -189,7 +189,7 @@
             return Err(format!("worker {name:?} was never listed"));
         };
         if changed {
-            self.handover.tell_ban(name, banned);
+            self.handover.send_ban(name, banned);
             let what = if banned { "excluded" } else { "included" };
             info!(self.log, "worker {name} {what} by an operator");
             if let Err(e) = self.bans.write(self.exchange.bans()) {
--- a/crates/scheduler/src/operators/reload.rs
+++ b/crates/scheduler/src/operators/reload.rs
@@ -2,15 +2,15 @@
 //! Applied at once are the settings (workloads, tenants, limits on assignments, requirements on workers) and
 //! a new discovery address; other changes take effect at the next start.
 
-use crate::accord::text::Text;
-use crate::accord::{policy, Policies};
+use crate::accord::text::ProposalText;
+use crate::accord::{policy, PolicyHandler};
 use crate::berth::{self, Layers, SchedulerConfig};
 use crate::clients::listener::ClientListener;
 use crate::exchange::Exchange;
 use crate::list::worker_list::WorkerList;
 use crate::operators::telemetry::Telemetry;
 use crate::operators::version::Version;
-use crate::succession::stopping::Stopping;
+use crate::succession::shutdown::Shutdown;
 use slog::{info, warn, Logger};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -33,7 +33,7 @@
 /// The settings decided by a group: those in the local file at the start, and the policy that replaces them.
 pub struct Group {
     pub initial: String,
-    pub policy: RefCell<Option<Rc<Text>>>,
+    pub policy: RefCell<Option<Rc<ProposalText>>>,
 }
 
 pub struct ConfigReloader {
@@ -47,7 +47,7 @@
     pub exchange: Rc<Exchange>,
     pub worker_list: Rc<WorkerList>,
     pub clients: Rc<ClientListener>,
-    pub stopping: Rc<Stopping>,
+    pub stopping: Rc<Shutdown>,
     pub telemetry: Rc<Telemetry>,
     pub version: Rc<Version>,
     pub log: Logger,
@@ -105,7 +105,7 @@
         let local = berth::from_file(&self.path, &self.layers)?;
         let policy = self.group.as_ref().and_then(|group| Some((group, group.policy.borrow().clone()?)));
         let Some((group, text)) = policy else { return Ok(local) };
-        if policy::says(&local) != group.initial {
+        if policy::fingerprint(&local) != group.initial {
             // Guards against a scheduler that decides by its own file next to others that follow the policy.
             return Err(format!(
                 "workloads, customers and workers are decided by the group (number {}): undo what was \
@@ -113,7 +113,7 @@
                 text.number
             ));
         }
-        policy::over(&self.path, &self.layers, &text)
+        policy::with_policy(&self.path, &self.layers, &text)
     }
 
     /// Guards against a truncated file that still parses, and against names beyond the limits of the tables:
@@ -135,7 +135,7 @@
     fn apply(&self, config: SchedulerConfig) {
         self.keys.replace(config.keys);
         self.version.set_settings(config.digest);
-        self.stopping.reaches(self.exchange.reconfigure(config.settings, &config.names));
+        self.stopping.set_hard_limit(self.exchange.reconfigure(config.settings, &config.names));
         self.clients.reload_names();
         let names = config.names.workloads.join(", ");
         let at = self.discovery.as_ref().map(|discovery| {
@@ -150,14 +150,17 @@
     }
 }
 
-impl Policies for ConfigReloader {
-    fn check(&self, text: &Text) -> Result<(), String> {
-        policy::over(&self.path, &self.layers, text).and_then(|config| self.validate(config)).map(|_| ())
+impl PolicyHandler for ConfigReloader {
+    fn check(&self, text: &ProposalText) -> Result<(), String> {
+        policy::with_policy(&self.path, &self.layers, text)
+            .and_then(|config| self.validate(config))
+            .map(|_| ())
     }
 
     /// The same steps as for a file that is reread.
-    fn take_up(&self, text: &Rc<Text>) -> Result<(), String> {
-        let config = policy::over(&self.path, &self.layers, text).and_then(|config| self.validate(config))?;
+    fn apply(&self, text: &Rc<ProposalText>) -> Result<(), String> {
+        let config =
+            policy::with_policy(&self.path, &self.layers, text).and_then(|config| self.validate(config))?;
         if let Some(group) = &self.group {
             group.policy.replace(Some(text.clone()));
         }
--- a/crates/scheduler/src/start.rs
+++ b/crates/scheduler/src/start.rs
@@ -1,6 +1,6 @@
 //! Builds the parts and runs them on one thread until the scheduler is stopped.
 
-use crate::accord::{policy, Accord, Opened};
+use crate::accord::{policy, GroupMember, OpenedFolder};
 use crate::berth::{self, Layers, SchedulerConfig};
 use crate::clients::listener::ClientListener;
 use crate::clients::requests::BodyBudget;
@@ -17,10 +17,10 @@
 use crate::operators::telemetry::Telemetry;
 use crate::operators::version::Version;
 use crate::peers::socket::{self, PeerSocket};
+use crate::succession::draining;
 use crate::succession::handover::{self, Handover};
-use crate::succession::leaving;
-use crate::succession::line::Line;
-use crate::succession::stopping::Stopping;
+use crate::succession::link::Link;
+use crate::succession::shutdown::Shutdown;
 use crate::workers::pool::Pool;
 use crate::workers::sending::Sending;
 use crate::workload_table::WorkloadTable;
@@ -74,9 +74,9 @@
         Some(at) => Some(listen(at, false).map_err(|e| format!("management, {at}: {e}"))?),
     };
     let telemetry = Rc::new(Telemetry::default());
-    let socket_path = config.runtime.as_deref().map(|runtime| handover::place(runtime, &config.name));
+    let socket_path = config.runtime.as_deref().map(|runtime| handover::socket_path(runtime, &config.name));
     let takeover =
-        socket_path.as_deref().map_or(Ok(None), |socket_path| handover::ask(socket_path, config.listen));
+        socket_path.as_deref().map_or(Ok(None), |socket_path| handover::request(socket_path, config.listen));
     let takeover = takeover.unwrap_or_else(|e| {
         warn!(log, "cannot take over from the running process: {e}");
         None
@@ -88,18 +88,20 @@
         }
         Some(takeover) => {
             before = Some(UnixStream::from_std(takeover.stream).map_err(|e| e.to_string())?);
-            inherited = Some(takeover.heritage);
+            inherited = Some(takeover.state);
             TcpListener::from_std(takeover.listener).map_err(|e| e.to_string())?
         }
     };
     // Opened only after the running process has released its membership of the group.
     let opened =
-        config.agreement.as_ref().map(|settings| Opened::folder(settings, &config.name)).transpose()?;
-    let mut group =
-        config.agreement.as_ref().map(|_| Group { initial: policy::says(&config), policy: None.into() });
-    if let Some((text, group)) = opened.as_ref().and_then(Opened::in_force).zip(group.as_mut()) {
+        config.agreement.as_ref().map(|settings| OpenedFolder::open(settings, &config.name)).transpose()?;
+    let mut group = config
+        .agreement
+        .as_ref()
+        .map(|_| Group { initial: policy::fingerprint(&config), policy: None.into() });
+    if let Some((text, group)) = opened.as_ref().and_then(OpenedFolder::in_force).zip(group.as_mut()) {
         group.policy = RefCell::new(Some(text.clone()));
-        match policy::over(&path, &layers, text) {
+        match policy::with_policy(&path, &layers, text) {
             Ok(applied) => {
                 config =
                     berth::SchedulerConfig { agreement: config.agreement, known: config.known, ..applied }
@@ -120,8 +122,9 @@
     let part = |name: &'static str| log.new(o!("part" => name));
     let clock = Clock::start();
     let version = Rc::new(Version::new(std::mem::take(&mut config.digest), clock));
-    let stopping = Rc::new(Stopping::new(part("stopping")));
-    stopping.reaches(config.settings.workloads.iter().map(|row| row.hard_limit).max().unwrap_or_default());
+    let stopping = Rc::new(Shutdown::new(part("stopping")));
+    stopping
+        .set_hard_limit(config.settings.workloads.iter().map(|row| row.hard_limit).max().unwrap_or_default());
     let workloads = WorkloadTable::new(&config.settings, &config.names);
     let began = clock.now();
     let decision_module = Policy::new(config.settings, config.seed, began);
@@ -198,7 +201,7 @@
         spawn_local(peers.receive());
     }
     exchange.configure(config.names.reports.clone(), peer_messages);
-    let line = Rc::new(Line::default());
+    let line = Rc::new(Link::default());
     let clients = ClientListener::new(
         exchange.clone(),
         stopping.clone(),
@@ -226,10 +229,10 @@
     let mut accord = None;
     if let Some((settings, opened)) = config.agreement.zip(opened) {
         let policies = reloader.clone();
-        let group = Accord::new(settings, config.name.clone(), opened, clock, policies, part("accord"))?;
+        let group = GroupMember::new(settings, config.name.clone(), opened, clock, policies, part("accord"))?;
         clients.set_group(group.clone());
-        spawn_local(group.clone().keep());
-        group.first_word().await;
+        spawn_local(group.clone().run());
+        group.wait_for_first_lease().await;
         accord = Some(group);
     }
     let (rereads, reread_queue) = mpsc::channel(reload::QUEUED_REREADS);
@@ -246,22 +249,22 @@
     spawn_local(async move { counts.log_counts().await });
     spawn_local(clients.clone().accept(listener.clone()));
     let handover = Rc::new(Handover {
-        place: socket_path,
-        line: line.clone(),
+        socket_path,
+        link: line.clone(),
         listener,
         exchange: exchange.clone(),
-        muster: worker_list,
-        door: clients.clone(),
+        workers: worker_list,
+        clients: clients.clone(),
         pool,
-        stopping: stopping.clone(),
+        shutdown: stopping.clone(),
         group: accord.clone(),
-        open: open.clone(),
-        again: Notify::new(),
+        accepting: open.clone(),
+        rebind: Notify::new(),
         log: part("handover"),
     });
     let upgrade_listener = handover.listen();
-    before.into_iter().for_each(|stream| drop(spawn_local(handover.clone().after(stream))));
-    spawn_local(handover.keep(upgrade_listener));
+    before.into_iter().for_each(|stream| drop(spawn_local(handover.clone().finish_takeover(stream))));
+    spawn_local(handover.accept(upgrade_listener));
     open.set(true);
     if let Some(listener) = management_listener {
         info!(log, "operators' address is {}", listener.local_addr().map_err(|e| e.to_string())?);
@@ -280,7 +283,7 @@
         };
         spawn_local(Rc::new(management).accept(listener));
     }
-    leaving::over(&stopping, terminate, &clients, &exchange, &open).await;
+    draining::run(&stopping, terminate, &clients, &exchange, &open).await;
     info!(log, "{} ends", config.name);
     Ok(())
 }
--- a/crates/scheduler/tests/inventory_watch.rs
+++ b/crates/scheduler/tests/inventory_watch.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 use tindock_berth::InventorySettings;
-use tindock_inventory::{Columns, Form};
+use tindock_inventory::{Columns, InputFormat};
 use tindock_scheduler::list::inventory_watch::{accept_file, InventoryEvent, InventoryWatch};
 
 struct Fixture {
@@ -89,15 +89,15 @@
 fn invalid_files_leave_the_last_good_list_in_force() {
     let mut fixture = Fixture::with_workers("odd", 8);
     for (number, case) in cases::all().into_iter().enumerate() {
-        let name = if case.form == Form::Csv { "a.csv" } else { "a.yaml" };
+        let name = if case.form == InputFormat::Csv { "a.csv" } else { "a.yaml" };
         fixture.write(name, &case.bytes);
         let events = fixture.settle();
         let line = case.at.split(':').next().unwrap_or_default();
         let place = format!("{}:{line}", fixture.file(name).display());
         assert!(
-            events.contains(&place) && events.contains(case.says.split(" f:").next().unwrap_or_default()),
+            events.contains(&place) && events.contains(case.message.split(" f:").next().unwrap_or_default()),
             "case {number}: {events:?} lacks {place:?} and {:?}",
-            case.says
+            case.message
         );
         assert_eq!(fixture.names().len(), 8, "case {number}");
         fs::remove_file(fixture.file(name)).expect("the file");
