--- a/crates/control-process-tests/src/cluster.rs
+++ b/crates/control-process-tests/src/cluster.rs
@@ -11,11 +11,11 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use tindock_standins::clients::{ready, Clients, Door, Entry};
+use tindock_standins::clients::{ready, Clients, ProxyAddress, ProxySelector};
 use tindock_standins::demo;
-use tindock_standins::fleet::{self, Fleet, Plan, Role};
+use tindock_standins::fleet::{self, Fleet, FleetConfig, Role};
 use tindock_standins::ledger::Ledger;
-use tindock_standins::places::Net;
+use tindock_standins::loopback::Net;
 use tindock_standins::platform::{self, Host, Platform};
 use tindock_standins::wire::{call, request};
 use tokio::net::TcpStream;
@@ -111,7 +111,7 @@
     _connections: Vec<TcpStream>,
 }
 
-const EDGE_ROLES: [Role; 2] = [Role::Page, Role::Desk];
+const EDGE_ROLES: [Role; 2] = [Role::Agent, Role::Proxy];
 /// A proxy answers a probe within this.
 const PROBE: Duration = Duration::from_secs(2);
 
@@ -119,7 +119,7 @@
 #[derive(Debug, Clone)]
 pub struct Edge {
     pub machine: String,
-    door: Door,
+    door: ProxyAddress,
 }
 
 impl Edge {
@@ -173,7 +173,7 @@
         };
         let hosts = (0..HOSTS).map(host).collect();
         let options = platform::Options::new(net.provider(), demo::functions(), hosts);
-        let plan = Plan {
+        let plan = FleetConfig {
             program: program.into(),
             folder: demo::folder_under(std::env::temp_dir())
                 .map_err(|(path, why)| Fault::Folder(path, why))?,
@@ -185,13 +185,13 @@
             rate_per_s: options.rate_per_s,
             duty_rate_s: options.duty_rate_s,
             max_lag: options.max_lag,
-            again: None,
+            restart_after: None,
         };
         let ledger = Ledger::default();
         let provider = net.provider();
         let platform = Platform::start(options, ledger.clone()).await?;
         let fleet = Fleet::start(plan, net, provider)?;
-        let names = fleet.machines(Role::Archive);
+        let names = fleet.machines(Role::Controller);
         let cluster = Cluster { fleet, platform, ledger, names };
         cluster.confirm(&[0], &text(1, 0)).await?;
         Ok(cluster)
@@ -209,32 +209,32 @@
 
     /// SIGKILL; returns when it has ended.
     pub async fn kill(&self, controller: usize) -> Result<(), Fault> {
-        self.fleet.kill(&self.names[controller], Role::Archive);
+        self.fleet.kill(&self.names[controller], Role::Controller);
         self.ended(controller).await
     }
 
     /// SIGTERM; returns when it has ended by itself.
     pub async fn terminate(&self, controller: usize) -> Result<(), Fault> {
-        self.fleet.term(&self.names[controller], Role::Archive);
+        self.fleet.terminate(&self.names[controller], Role::Controller);
         self.ended(controller).await
     }
 
     async fn ended(&self, controller: usize) -> Result<(), Fault> {
         let name = &self.names[controller];
         until(&format!("{name} ends"), WITHIN, || async {
-            (!self.fleet.runs(name, Role::Archive)).then_some(())
+            (!self.fleet.is_running(name, Role::Controller)).then_some(())
         })
         .await
     }
 
     /// SIGSTOP: silent, its connections open.
     pub fn freeze(&self, controller: usize) {
-        assert!(self.fleet.freeze(&self.names[controller], Role::Archive), "{controller} runs");
+        assert!(self.fleet.freeze(&self.names[controller], Role::Controller), "{controller} runs");
     }
 
     /// SIGCONT.
     pub fn resume(&self, controller: usize) {
-        assert!(self.fleet.resume(&self.names[controller], Role::Archive), "{controller} runs");
+        assert!(self.fleet.resume(&self.names[controller], Role::Controller), "{controller} runs");
     }
 
     /// Fills the queue of new connections of a frozen controller: as long as it is frozen nobody else can connect to it,
@@ -270,7 +270,7 @@
 
     /// Starts a controller that has ended, with its disk as it is.
     pub fn restart(&self, controller: usize) -> Result<(), Fault> {
-        assert!(self.fleet.start_again(&self.names[controller], Role::Archive)?, "{controller} has ended");
+        assert!(self.fleet.restart(&self.names[controller], Role::Controller)?, "{controller} has ended");
         Ok(())
     }
 
@@ -325,11 +325,11 @@
     pub fn story(&self) -> String {
         let now = Instant::now();
         let mut lines = Vec::new();
-        for (at, what) in self.fleet.happened() {
+        for (at, what) in self.fleet.events() {
             lines.push(format!("{:.3} s ago: {what}", now.saturating_duration_since(at).as_secs_f64()));
         }
         for name in &self.names {
-            let log = self.fleet.log(name, Role::Archive);
+            let log = self.fleet.log(name, Role::Controller);
             let from = log.lines().count().saturating_sub(LOG_LINES);
             lines.extend(log.lines().skip(from).map(|line| format!("{name}: {line}")));
         }
@@ -346,9 +346,9 @@
 
     /// Machines that have an agent and a proxy.
     pub fn edges(&self) -> Vec<Edge> {
-        let machines = self.fleet.machines(Role::Desk);
-        let edge = |(machine, door): (String, Door)| Edge { machine, door };
-        machines.into_iter().zip(self.fleet.doors()).map(edge).collect()
+        let machines = self.fleet.machines(Role::Proxy);
+        let edge = |(machine, door): (String, ProxyAddress)| Edge { machine, door };
+        machines.into_iter().zip(self.fleet.proxies()).map(edge).collect()
     }
 
     /// SIGKILL to the agent and the proxy of a machine; returns when both have ended.
@@ -356,7 +356,7 @@
         for role in EDGE_ROLES {
             self.fleet.kill(&edge.machine, role);
             until(&format!("{} ends", edge.machine), WITHIN, || async {
-                (!self.fleet.runs(&edge.machine, role)).then_some(())
+                (!self.fleet.is_running(&edge.machine, role)).then_some(())
             })
             .await?;
         }
@@ -366,7 +366,7 @@
     /// Starts both again.
     pub fn restart_edge(&self, edge: &Edge) -> Result<(), Fault> {
         for role in EDGE_ROLES {
-            assert!(self.fleet.start_again(&edge.machine, role)?, "{} has ended", edge.machine);
+            assert!(self.fleet.restart(&edge.machine, role)?, "{} has ended", edge.machine);
         }
         Ok(())
     }
@@ -388,6 +388,6 @@
     /// Clients that come in at the proxies.
     pub fn clients(&self, users: usize, seed: u64) -> Arc<Clients> {
         let zones: Vec<String> = ZONES.iter().map(|zone| zone.to_string()).collect();
-        Clients::new(Entry::new(self.fleet.doors()), self.ledger.clone(), &zones, users, seed)
+        Clients::new(ProxySelector::new(self.fleet.proxies()), self.ledger.clone(), &zones, users, seed)
     }
 }
--- a/crates/control-process-tests/src/operator.rs
+++ b/crates/control-process-tests/src/operator.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tindock_standins::operator::follow;
-use tindock_standins::wire::{read_answer, request, Answer};
+use tindock_standins::wire::{read_response, request, Response};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -60,8 +60,8 @@
     }
 }
 
-impl From<Option<Answer>> for Replaced {
-    fn from(answer: Option<Answer>) -> Replaced {
+impl From<Option<Response>> for Replaced {
+    fn from(answer: Option<Response>) -> Replaced {
         let Some(answer) = answer else { return Replaced::Unanswered };
         let body = String::from_utf8_lossy(&answer.body).into_owned();
         let in_force: InForce = DeJson::deserialize_json(&body).unwrap_or_default();
@@ -76,8 +76,8 @@
     }
 }
 
-impl From<Option<Answer>> for Shown {
-    fn from(answer: Option<Answer>) -> Shown {
+impl From<Option<Response>> for Shown {
+    fn from(answer: Option<Response>) -> Shown {
         let Some(answer) = answer else { return Shown::Unanswered };
         let body = String::from_utf8_lossy(&answer.body).into_owned();
         match answer.status {
@@ -152,13 +152,16 @@
     }
 
     /// The next answer, to a call of this method; none if no whole one comes in time.
-    pub async fn answer(&mut self, method: &str) -> Option<Answer> {
-        timeout(PATIENCE, read_answer(&mut self.stream, &mut self.buffer, method)).await.ok()?.ok()
+    pub async fn answer(&mut self, method: &str) -> Option<Response> {
+        timeout(PATIENCE, read_response(&mut self.stream, &mut self.buffer, method)).await.ok()?.ok()
     }
 
     /// Whether the other side has ended the connection without a word.
     pub async fn ends_silently(&mut self) -> bool {
-        matches!(timeout(PATIENCE, read_answer(&mut self.stream, &mut self.buffer, "POST")).await, Ok(Err(_)))
+        matches!(
+            timeout(PATIENCE, read_response(&mut self.stream, &mut self.buffer, "POST")).await,
+            Ok(Err(_))
+        )
     }
 
     /// Ends the sending side; the controller reads an end of the stream.
--- a/crates/scale-run/src/cold.rs
+++ b/crates/scale-run/src/cold.rs
@@ -10,10 +10,10 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tindock_standins::clients::{Class, Clients, Door, Entry, Outcome};
+use tindock_standins::clients::{Class, Clients, Outcome, ProxyAddress, ProxySelector};
 use tindock_standins::ledger::Ledger;
+use tindock_standins::loopback::Net;
 use tindock_standins::operator::Operator;
-use tindock_standins::places::Net;
 use tindock_standins::platform::{Function, Host, Options, Platform};
 use tokio::time::sleep;
 
@@ -68,7 +68,7 @@
         service: function.name.clone(),
         repeatable: true,
         share: 1.0,
-        aim: DEADLINE,
+        target_latency: DEADLINE,
         deadline: DEADLINE,
         work: Duration::ZERO,
         answer_bytes: 600,
@@ -113,7 +113,7 @@
             for role in [Role::Agent, Role::Proxy] {
                 processes.start(role, &name, ip, zone).map_err(|why| why.to_string())?;
             }
-            doors.push(Door {
+            doors.push(ProxyAddress {
                 zone: zone.to_string(),
                 data_plane: (ip, ports.data_plane).into(),
                 readiness: (ip, ports.readiness).into(),
@@ -126,7 +126,7 @@
         let text = configuration::text_of(1, &functions);
         operator.replace(&text, COMING_UP).await.map_err(|why| format!("the configuration: {why}"))?;
         let zones: Vec<String> = ZONES.iter().map(|(zone, _)| zone.to_string()).collect();
-        let clients = Clients::new(Entry::new(doors), ledger, &zones, zones.len(), 1);
+        let clients = Clients::new(ProxySelector::new(doors), ledger, &zones, zones.len(), 1);
         Ok(Stage { functions, clients, platform, _processes: processes })
     }
 
@@ -135,7 +135,7 @@
         let (class, began) = (class(0, &self.functions[0]), Instant::now());
         for number in 0.. {
             let (outcome, ..) = self.clients.request(&class, number, 0, false).await;
-            if matches!(outcome, Outcome::InAim | Outcome::Late) {
+            if matches!(outcome, Outcome::OnTime | Outcome::Late) {
                 return Ok(());
             }
             if began.elapsed() > COMING_UP {
@@ -158,7 +158,7 @@
             tokio::select! {
                 biased;
                 (outcome, answered, tries) = &mut request => {
-                    let served = matches!(outcome, Outcome::InAim | Outcome::Late) && tries == 1;
+                    let served = matches!(outcome, Outcome::OnTime | Outcome::Late) && tries == 1;
                     return served.then_some(Call { asked: asked?, ready: ready?, answered });
                 }
                 () = sleep(LOOK) => {
--- a/crates/scale-run/src/live.rs
+++ b/crates/scale-run/src/live.rs
@@ -16,8 +16,8 @@
 use std::time::{Duration, Instant};
 use tindock_house::settings::Settings;
 use tindock_standins::ledger::Ledger;
+use tindock_standins::loopback::Net;
 use tindock_standins::operator::Operator;
-use tindock_standins::places::Net;
 use tindock_standins::platform::{Host, Options, Platform};
 use tokio::time::sleep;
 
--- a/crates/scheduler/tests/control_contact.rs
+++ b/crates/scheduler/tests/control_contact.rs
@@ -11,7 +11,7 @@
 use tindock_standins::clients::Class;
 use tindock_standins::demo::classes;
 use tindock_standins::fleet::Role;
-use tindock_standins::platform::Trouble;
+use tindock_standins::platform::InjectedFault;
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
@@ -287,14 +287,14 @@
     let load = |host: &String| instances.iter().filter(|i| !i.ended && i.host == *host).count();
     let hosts = instances.iter().map(|i| i.host.clone());
     let busiest = hosts.max_by_key(load).expect("somebody started the workers");
-    cluster.platform.trouble(Trouble::CrashHost(busiest, Duration::from_secs(2)));
+    cluster.platform.inject(InjectedFault::CrashHost(busiest, Duration::from_secs(2)));
 }
 
 async fn holder_frozen() -> Result<(), Fault> {
     let cluster = Cluster::start(PROGRAM, Size { controllers: 3, edges: 1 }).await?;
     let mut loads = JoinSet::new();
     loads.spawn(load(cluster.clients(6, 7)));
-    let machine = until("a holder acts", WITHIN, || async { cluster.platform.holder() }).await?;
+    let machine = until("a holder acts", WITHIN, || async { cluster.platform.lease_holder() }).await?;
     let holder = cluster.on(&machine).expect("a controller");
     let others: Vec<usize> = (0..3).filter(|other| *other != holder).collect();
     // It is frozen with starts in hand.
@@ -303,7 +303,7 @@
     let frozen = Instant::now();
     crash_busiest_host(&cluster);
     until("another holder acts", WITHIN, || async {
-        cluster.platform.holder().filter(|now| *now != machine)
+        cluster.platform.lease_holder().filter(|now| *now != machine)
     })
     .await?;
     let mut revision = 1;
@@ -323,8 +323,8 @@
     }
     loads.abort_all();
     assert_eq!(cluster.ledger.findings(), []);
-    for proxy in cluster.fleet.machines(Role::Desk) {
-        assert!(cluster.fleet.runs(&proxy, Role::Desk), "{proxy} has ended");
+    for proxy in cluster.fleet.machines(Role::Proxy) {
+        assert!(cluster.fleet.is_running(&proxy, Role::Proxy), "{proxy} has ended");
     }
     Ok(())
 }
--- a/crates/scheduler/tests/control_leaving.rs
+++ b/crates/scheduler/tests/control_leaving.rs
@@ -17,24 +17,24 @@
 #[tokio::test]
 async fn a_leaving_controller_answers_the_calls_in_hand_and_refuses_new_ones_at_once() {
     let cluster = Cluster::start(PROGRAM, SIZE).await.unwrap_or_else(|fault| panic!("{fault}"));
-    let machines = cluster.fleet.machines(Role::Archive);
+    let machines = cluster.fleet.machines(Role::Controller);
     let leaving = cluster.at(0);
     // Nothing that it is asked can be decided any more.
     for machine in &machines[1..] {
-        assert!(cluster.fleet.freeze(machine, Role::Archive));
+        assert!(cluster.fleet.freeze(machine, Role::Controller));
     }
     let order = tokio::spawn(async move { replace(leaving, &text(2, 0)).await });
     sleep(READ).await;
-    assert!(cluster.fleet.term(&machines[0], Role::Archive));
+    assert!(cluster.fleet.terminate(&machines[0], Role::Controller));
     sleep(READ).await;
     let asked = Instant::now();
     let late_text = text(3, 0);
     let (late_order, late_look) = tokio::join!(replace(leaving, &late_text), show(leaving));
     let late_took = asked.elapsed();
     let in_hand = order.await.expect("it does not panic");
-    let log = cluster.fleet.log(&machines[0], Role::Archive);
+    let log = cluster.fleet.log(&machines[0], Role::Controller);
     for machine in &machines[1..] {
-        cluster.fleet.resume(machine, Role::Archive);
+        cluster.fleet.resume(machine, Role::Controller);
     }
 
     assert!(matches!(in_hand, Replaced::Unclear { .. }), "{in_hand:?}\n{log}");
--- a/crates/scheduler/tests/leaving.rs
+++ b/crates/scheduler/tests/leaving.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 use tindock_soak::connection::{Behaviour, Connection, Ending, Outgoing};
 use tindock_standins::clients::Class;
-use tindock_standins::demo::{classes, Shape, Stage};
+use tindock_standins::demo::{classes, Testbed, TestbedConfig};
 use tindock_standins::fleet::Role;
 use tindock_standins::ledger::Ledger;
-use tindock_standins::wire::{hash, read_answer, request};
+use tindock_standins::wire::{hash, read_response, request};
 use tindock_trial::peers::{entry, listener, Peer, Scheduler};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -125,20 +125,20 @@
 #[tokio::test]
 async fn a_leaving_proxy_answers_all_that_it_takes_on_until_its_end() {
     let program = env!("CARGO_BIN_EXE_tindock").into();
-    let shape = Shape { grace: GRACE, again: None, ..Shape::demo(53) };
-    let stage = Stage::open_as(program, shape).await.unwrap_or_else(|fault| panic!("{fault}"));
-    let machine = stage.fleet.machines(Role::Desk)[0].clone();
-    let to = stage.fleet.doors()[0].data_plane;
+    let shape = TestbedConfig { grace: GRACE, restart_after: None, ..TestbedConfig::demo(53) };
+    let stage = Testbed::open_with(program, shape).await.unwrap_or_else(|fault| panic!("{fault}"));
+    let machine = stage.fleet.machines(Role::Proxy)[0].clone();
+    let to = stage.fleet.proxies()[0].data_plane;
     let classes = long_and_short();
     warms_up(&stage.ledger, to, &classes[0]).await;
     let kept = keeps(&stage.ledger, to, &classes).await;
 
-    assert!(stage.fleet.term(&machine, Role::Desk) && stage.fleet.term(&machine, Role::Page));
-    let runs = || stage.fleet.runs(&machine, Role::Desk);
+    assert!(stage.fleet.terminate(&machine, Role::Proxy) && stage.fleet.terminate(&machine, Role::Agent));
+    let runs = || stage.fleet.is_running(&machine, Role::Proxy);
     let UntilTheEnd { endings, refused_connections } =
         requests_until_the_end(&stage.ledger, to, &classes, kept, runs).await;
-    let ended = !stage.fleet.runs(&machine, Role::Desk);
-    let log = stage.fleet.log(&machine, Role::Desk);
+    let ended = !stage.fleet.is_running(&machine, Role::Proxy);
+    let log = stage.fleet.log(&machine, Role::Proxy);
     let findings = stage.ledger.findings();
     timeout(Duration::from_secs(20), stage.close(Ok(()))).await.expect("in time").expect("it ends");
 
@@ -174,22 +174,22 @@
 #[tokio::test]
 async fn a_leaving_proxy_waits_for_the_rest_of_a_request_and_answers_it() {
     let program = env!("CARGO_BIN_EXE_tindock").into();
-    let shape = Shape { grace: GRACE, again: None, ..Shape::demo(54) };
-    let stage = Stage::open_as(program, shape).await.unwrap_or_else(|fault| panic!("{fault}"));
-    let machine = stage.fleet.machines(Role::Desk)[0].clone();
-    let mut stream = TcpStream::connect(stage.fleet.doors()[0].data_plane).await.expect("it listens");
+    let shape = TestbedConfig { grace: GRACE, restart_after: None, ..TestbedConfig::demo(54) };
+    let stage = Testbed::open_with(program, shape).await.unwrap_or_else(|fault| panic!("{fault}"));
+    let machine = stage.fleet.machines(Role::Proxy)[0].clone();
+    let mut stream = TcpStream::connect(stage.fleet.proxies()[0].data_plane).await.expect("it listens");
     let class = &classes()[0];
     let headers = [("Host", class.hostname.as_str()), ("Attempt-Id", "in-halves"), ("Deadline-Ms", "4000")];
     let bytes = request("GET", &class.path, &headers, b"");
     let (first, rest) = bytes.split_at(bytes.len() / 2);
 
-    assert!(stage.fleet.term(&machine, Role::Desk) && stage.fleet.term(&machine, Role::Page));
+    assert!(stage.fleet.terminate(&machine, Role::Proxy) && stage.fleet.terminate(&machine, Role::Agent));
     sleep(BEGINS_AFTER).await;
     stream.write_all(first).await.expect("it reads");
     sleep(REST_AFTER).await;
     stream.write_all(rest).await.expect("it reads");
-    let answer = timeout(GRACE, read_answer(&mut stream, &mut Vec::new(), "GET")).await.expect("in time");
-    let log = stage.fleet.log(&machine, Role::Desk);
+    let answer = timeout(GRACE, read_response(&mut stream, &mut Vec::new(), "GET")).await.expect("in time");
+    let log = stage.fleet.log(&machine, Role::Proxy);
     timeout(Duration::from_secs(20), stage.close(Ok(()))).await.expect("in time").expect("it ends");
 
     let answer = answer.unwrap_or_else(|broken| panic!("{broken:?}: {log}"));
--- a/crates/scheduler/tests/owners.rs
+++ b/crates/scheduler/tests/owners.rs
@@ -33,7 +33,7 @@
         let clients = clients.clone();
         open.spawn(async move {
             let (outcome, ..) = clients.request(&class, number, number as usize, true).await;
-            matches!(outcome, Outcome::InAim | Outcome::Late)
+            matches!(outcome, Outcome::OnTime | Outcome::Late)
         });
         number += 1;
         sleep(REQUEST_INTERVAL).await;
@@ -54,11 +54,11 @@
 
 /// SIGTERM to the agent and the proxy, and a new start of both once they have ended.
 async fn restart(cluster: &Cluster, edge: &Edge) -> Result<(), Fault> {
-    for role in [Role::Page, Role::Desk] {
-        assert!(cluster.fleet.term(&edge.machine, role), "{} runs", edge.machine);
+    for role in [Role::Agent, Role::Proxy] {
+        assert!(cluster.fleet.terminate(&edge.machine, role), "{} runs", edge.machine);
     }
-    for role in [Role::Page, Role::Desk] {
-        let ended = || async { (!cluster.fleet.runs(&edge.machine, role)).then_some(()) };
+    for role in [Role::Agent, Role::Proxy] {
+        let ended = || async { (!cluster.fleet.is_running(&edge.machine, role)).then_some(()) };
         until(&format!("{} ends", edge.machine), WITHIN, ended).await?;
     }
     cluster.restart_edge(edge)
--- a/crates/scheduler/tests/system.rs
+++ b/crates/scheduler/tests/system.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 use tindock_standins::clients::{Class, Outcome};
-use tindock_standins::demo::{classes, Stage};
+use tindock_standins::demo::{classes, Testbed};
 use tindock_standins::fleet::Role;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -15,31 +15,31 @@
 #[tokio::test]
 async fn no_unrepeatable_request_runs_twice_through_the_kill_of_a_desk_and_of_the_holder_of_the_duty() {
     let program = env!("CARGO_BIN_EXE_tindock").into();
-    let stage = Stage::open(program, 1).await.unwrap_or_else(|fault| panic!("{fault}"));
+    let stage = Testbed::open(program, 1).await.unwrap_or_else(|fault| panic!("{fault}"));
     let clients = stage.clients(6, 7);
     let classes = classes();
     let mut open = JoinSet::new();
     for n in 0..REQUESTS {
         if n == REQUESTS / 4 {
-            let desk = stage.fleet.machines(Role::Desk)[0].clone();
-            assert!(stage.fleet.kill(&desk, Role::Desk));
+            let desk = stage.fleet.machines(Role::Proxy)[0].clone();
+            assert!(stage.fleet.kill(&desk, Role::Proxy));
         }
         if n == REQUESTS / 2 {
-            let holder = stage.platform.holder().expect("somebody started the workers");
-            assert!(stage.fleet.kill(&holder, Role::Archive));
+            let holder = stage.platform.lease_holder().expect("somebody started the workers");
+            assert!(stage.fleet.kill(&holder, Role::Controller));
         }
         let class = Class { deadline: DEADLINE, ..classes[n as usize % classes.len()].clone() };
         let clients = clients.clone();
         open.spawn(async move {
             let (outcome, took, tries) = clients.request(&class, n, n as usize, true).await;
-            let served = matches!(outcome, Outcome::InAim | Outcome::Late);
+            let served = matches!(outcome, Outcome::OnTime | Outcome::Late);
             (served, format!("{n} {}: {outcome:?} after {took:?}, {tries} tries", class.name))
         });
         sleep(GAP).await;
     }
     let all = open.join_all().await;
     let findings = stage.ledger.findings();
-    let happened: Vec<String> = stage.fleet.happened().into_iter().map(|(_, what)| what).collect();
+    let happened: Vec<String> = stage.fleet.events().into_iter().map(|(_, what)| what).collect();
     stage.close(Ok(())).await.expect("it ends");
 
     assert_eq!(findings, [], "{happened:?}");
--- a/crates/soak/src/connection.rs
+++ b/crates/soak/src/connection.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tindock_standins::clients::Class;
-use tindock_standins::ledger::{Asked, Ledger};
-use tindock_standins::wire::{read_answer, request, Answer, Broken};
-use tindock_standins::workers::print;
+use tindock_standins::ledger::{Ledger, SentAttempt};
+use tindock_standins::wire::{read_response, request, ReadError, Response};
+use tindock_standins::workers::request_digest;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
@@ -20,7 +20,7 @@
 /// How a request ended, as its client saw it.
 #[derive(Debug)]
 pub enum Ending {
-    Answered(Answer),
+    Answered(Response),
     /// The connection was closed in order before any byte of an answer: who closes so has read all that was sent.
     ClosedUnanswered,
     /// It ended in the midst of an answer.
@@ -91,16 +91,16 @@
     /// Sends one request, waits for its end, and notes both in the ledger.
     pub async fn send(&mut self, ledger: &Ledger, outgoing: Outgoing<'_>) -> Ending {
         let class = outgoing.class;
-        let asked = Asked {
+        let asked = SentAttempt {
             request: outgoing.request,
             repeatable: class.repeatable,
             service: class.service.clone(),
-            print: print(&class.method, outgoing.target, outgoing.body),
+            digest: request_digest(&class.method, outgoing.target, outgoing.body),
         };
-        ledger.asked(outgoing.attempt_id, asked);
+        ledger.record_sent(outgoing.attempt_id, asked);
         let ending = self.send_unnoted(outgoing).await;
         if let Ending::Answered(answer) = &ending {
-            ledger.answered(outgoing.attempt_id, answer.status);
+            ledger.record_status(outgoing.attempt_id, answer.status);
         }
         ending
     }
@@ -128,24 +128,29 @@
             Err(_) if leaves_at < until => Ending::ClientLeft,
             Err(_) => Ending::DeadlinePassed,
             Ok(Ok(answer)) => Ending::Answered(answer),
-            Ok(Err(Broken::Reset)) => Ending::Reset,
-            Ok(Err(Broken::Ended)) => Ending::ClosedUnanswered,
-            Ok(Err(Broken::Cut)) => Ending::CutShort,
-            Ok(Err(Broken::Garbled)) => Ending::Garbled,
+            Ok(Err(ReadError::Reset)) => Ending::Reset,
+            Ok(Err(ReadError::Closed)) => Ending::ClosedUnanswered,
+            Ok(Err(ReadError::Truncated)) => Ending::CutShort,
+            Ok(Err(ReadError::Malformed)) => Ending::Garbled,
         }
     }
 
-    async fn exchange(&mut self, bytes: &[u8], method: &str, behaviour: Behaviour) -> Result<Answer, Broken> {
+    async fn exchange(
+        &mut self,
+        bytes: &[u8],
+        method: &str,
+        behaviour: Behaviour,
+    ) -> Result<Response, ReadError> {
         let first = if behaviour == Behaviour::SlowBody { bytes.len() / 2 } else { bytes.len() };
         // Who closes while the request goes out has not read it.
-        self.stream.write_all(&bytes[..first]).await.map_err(|_| Broken::Reset)?;
+        self.stream.write_all(&bytes[..first]).await.map_err(|_| ReadError::Reset)?;
         if first < bytes.len() {
             sleep(SECOND_HALF_AFTER).await;
-            self.stream.write_all(&bytes[first..]).await.map_err(|_| Broken::Reset)?;
+            self.stream.write_all(&bytes[first..]).await.map_err(|_| ReadError::Reset)?;
         }
         if behaviour == Behaviour::ReadsLate {
             sleep(READS_AFTER).await;
         }
-        read_answer(&mut self.stream, &mut self.early, method).await
+        read_response(&mut self.stream, &mut self.early, method).await
     }
 }
--- a/crates/soak/src/gauges.rs
+++ b/crates/soak/src/gauges.rs
@@ -65,7 +65,7 @@
 
 fn leaving<'a>(record: &Record, tried: &'a Try) -> Option<Leaving<'a>> {
     let proxy = record.proxy_at(tried.to)?;
-    let terminated = record.terminated(&proxy.name, Role::Desk, tried.ended)?;
+    let terminated = record.terminated(&proxy.name, Role::Proxy, tried.ended)?;
     Some(Leaving { tried, terminated })
 }
 
@@ -80,7 +80,7 @@
 /// The longest time from SIGTERM to the end of a proxy.
 fn slowest_end(record: &Record) -> f64 {
     let terminated = |end: &crate::record::ProcessEnd| {
-        (end.role == Role::Desk).then(|| record.terminated(&end.machine, end.role, end.at)).flatten()
+        (end.role == Role::Proxy).then(|| record.terminated(&end.machine, end.role, end.at)).flatten()
     };
     let times = record.ends.iter().filter_map(|end| Some(end.at.saturating_sub(terminated(end)?)));
     times.max().unwrap_or_default().as_secs_f64()
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -92,7 +92,7 @@
 
 fn about(record: &Record, tried: &Try) -> String {
     let place = record.proxy_at(tried.to).map_or_else(|| tried.to.to_string(), |proxy| proxy.name.clone());
-    let terminated = record.terminated(&place, Role::Desk, tried.ended);
+    let terminated = record.terminated(&place, Role::Proxy, tried.ended);
     let since = |at: Duration| match terminated {
         Some(terminated) => {
             format!("{:+.2} s after its SIGTERM", at.as_secs_f64() - terminated.as_secs_f64())
@@ -132,7 +132,7 @@
 /// The SIGTERM of the proxy's life that a try met, if it came before the try ended.
 fn met_termination(record: &Record, tried: &Try) -> Option<Duration> {
     let proxy = record.proxy_at(tried.to)?;
-    record.terminated(&proxy.name, Role::Desk, tried.ended)
+    record.terminated(&proxy.name, Role::Proxy, tried.ended)
 }
 
 fn given_up(record: &Record, tried: &Try) -> Option<Broken> {
@@ -169,7 +169,7 @@
     }
     // A machine's own program, not the agent beside it, which may end sooner.
     let of_proxy = record.proxies.iter().any(|proxy| proxy.name == done.machine);
-    let role = if of_proxy { Role::Desk } else { Role::Archive };
+    let role = if of_proxy { Role::Proxy } else { Role::Controller };
     if record.terminated(&done.machine, role, done.at) != Some(done.at) {
         return None;
     }
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -7,7 +7,7 @@
 use oorandom::Rand64;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use tindock_standins::clients::{Class, Entry};
+use tindock_standins::clients::{Class, ProxySelector};
 use tindock_standins::ledger::Ledger;
 use tindock_standins::wire::hash;
 use tokio::task::JoinSet;
@@ -29,7 +29,7 @@
 
 /// What all users have in common.
 pub struct Load {
-    pub entry: Entry,
+    pub entry: ProxySelector,
     pub ledger: Ledger,
     pub classes: Vec<Class>,
     pub zones: Vec<String>,
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -6,11 +6,11 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
-use tindock_standins::clients::{Class, Entry};
-use tindock_standins::demo::{self, routes, Fault, Shape, Stage};
+use tindock_standins::clients::{Class, ProxySelector};
+use tindock_standins::demo::{self, routes, Fault, Testbed, TestbedConfig};
 use tindock_standins::fleet::Role;
 use tindock_standins::operator::{configuration, Operator};
-use tindock_standins::platform::{Platform, Trouble};
+use tindock_standins::platform::{InjectedFault, Platform};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, Instant};
 
@@ -25,14 +25,14 @@
 /// After the load, and the last grace period, what happened is seen within this.
 const LAST_LOOK: Duration = Duration::from_millis(500);
 /// The processes of a machine that an action strikes.
-const EDGE_ROLES: [Role; 2] = [Role::Desk, Role::Page];
-const CORE_ROLES: [Role; 1] = [Role::Archive];
+const EDGE_ROLES: [Role; 2] = [Role::Proxy, Role::Agent];
+const CORE_ROLES: [Role; 1] = [Role::Controller];
 /// Every so many changes have a route more.
 const ROUTE_EACH: u64 = 3;
 
 /// What carries out actions.
 struct Hands {
-    stage: Stage,
+    testbed: Testbed,
     start: Instant,
     done: Mutex<Vec<Done>>,
     changes: Mutex<Vec<Change>>,
@@ -49,12 +49,12 @@
 /// Short and long work, on functions with many slots and with one, repeatable and not, with short deadlines.
 pub fn classes() -> Vec<Class> {
     let demo = demo::classes();
-    let of = |from: usize, name: &str, share, work, aim, deadline| Class {
+    let of = |from: usize, name: &str, share, work, target_latency, deadline| Class {
         name: name.into(),
         path: format!("/soak/{name}/"),
         share,
         work: Duration::from_millis(work),
-        aim: Duration::from_millis(aim),
+        target_latency: Duration::from_millis(target_latency),
         deadline: Duration::from_millis(deadline),
         ..demo[from].clone()
     };
@@ -70,26 +70,26 @@
 
 /// Plays a scenario with this program. All that it starts has ended when it returns, also where the caller drops it.
 pub async fn play(program: PathBuf, scenario: &Scenario) -> Result<Record, Fault> {
-    let shape = Shape {
+    let config = TestbedConfig {
         edges: scenario.proxies_per_zone(),
         cores: scenario.controllers,
         hosts: scenario.hosts,
         host_memory_mb: HOST_MEMORY_MB,
         grace: scenario.grace(),
-        again: Some(AGAIN),
+        restart_after: Some(AGAIN),
         classes: classes(),
-        ..Shape::demo(scenario.seed)
+        ..TestbedConfig::demo(scenario.seed)
     };
-    let stage = Stage::open_as(program, shape).await?;
+    let testbed = Testbed::open_with(program, config).await?;
     let load = Arc::new(Load {
-        entry: Entry::new(stage.fleet.doors()),
-        ledger: stage.ledger.clone(),
+        entry: ProxySelector::new(testbed.fleet.proxies()),
+        ledger: testbed.ledger.clone(),
         classes: classes(),
-        zones: stage.zones.clone(),
+        zones: testbed.zones.clone(),
         start: Instant::now(),
     });
     let start = load.start;
-    let hands = Hands { stage, start, done: Mutex::default(), changes: Mutex::default() };
+    let hands = Hands { testbed, start, done: Mutex::default(), changes: Mutex::default() };
     let hands = Arc::new(hands);
     let counted = Arc::new(Mutex::new(Vec::new()));
     let looking = tokio::spawn(count_full(hands.clone(), counted.clone()));
@@ -106,7 +106,7 @@
 
 async fn count_full(hands: Arc<Hands>, counted: Arc<Mutex<Vec<FullCount>>>) {
     loop {
-        let turned_away = hands.stage.platform.counts().full;
+        let turned_away = hands.testbed.platform.counts().full;
         push(&counted, FullCount { at: hands.start.elapsed(), turned_away });
         sleep(FULL_LOOK).await;
     }
@@ -132,28 +132,28 @@
         match target {
             Target::Operator => self.change(revision).await,
             Target::Host => self.strike_host(action, number),
-            Target::Proxy => self.strike_machine(action, number, Role::Desk, &EDGE_ROLES).await,
-            Target::Controller => self.strike_machine(action, number, Role::Archive, &CORE_ROLES).await,
+            Target::Proxy => self.strike_machine(action, number, Role::Proxy, &EDGE_ROLES).await,
+            Target::Controller => self.strike_machine(action, number, Role::Controller, &CORE_ROLES).await,
         }
     }
 
     fn strike_host(&self, action: Action, number: usize) {
         let host = format!("w-{}", number + 1);
         let trouble = match action.kind {
-            ActionKind::DrainHost => Trouble::DrainHost(host.clone(), action.lasts()),
-            _ => Trouble::CrashHost(host.clone(), action.lasts()),
+            ActionKind::DrainHost => InjectedFault::DrainHost(host.clone(), action.lasts()),
+            _ => InjectedFault::CrashHost(host.clone(), action.lasts()),
         };
-        self.stage.platform.trouble(trouble);
+        self.testbed.platform.inject(trouble);
         push(&self.done, Done { at: self.start.elapsed(), action, machine: host });
     }
 
     async fn strike_machine(&self, action: Action, number: usize, named_by: Role, roles: &[Role]) {
-        let Some(machine) = self.stage.fleet.machines(named_by).get(number).cloned() else { return };
-        let fleet = &self.stage.fleet;
+        let Some(machine) = self.testbed.fleet.machines(named_by).get(number).cloned() else { return };
+        let fleet = &self.testbed.fleet;
         let at = self.start.elapsed();
         let each = |strike: &dyn Fn(Role) -> bool| roles.iter().filter(|role| strike(**role)).count();
         let struck = match action.kind {
-            ActionKind::Terminate => each(&|role| fleet.term(&machine, role)),
+            ActionKind::Terminate => each(&|role| fleet.terminate(&machine, role)),
             ActionKind::Hangup => each(&|role| fleet.hang_up(&machine, role)),
             ActionKind::Kill => each(&|role| fleet.kill(&machine, role)),
             ActionKind::Freeze => each(&|role| fleet.freeze(&machine, role)),
@@ -172,7 +172,7 @@
 
     /// Another configuration: other time-outs, and at times a route more.
     async fn change(&self, revision: u64) {
-        let mut routes = routes(&self.stage.classes);
+        let mut routes = routes(&self.testbed.classes);
         for route in &mut routes {
             route.timeout_ms += (revision % 7) as u32;
         }
@@ -182,8 +182,8 @@
             more.path_prefix = format!("/soak-{revision}/");
             routes.push(more);
         }
-        let text = configuration(revision, &routes, &self.stage.functions);
-        let controllers = self.stage.fleet.controllers();
+        let text = configuration(revision, &routes, &self.testbed.functions);
+        let controllers = self.testbed.fleet.controllers();
         let first = revision as usize % controllers.len().max(1);
         let sent = self.start.elapsed();
         let taken = Operator { controllers, first }.replace(&text, CHANGE_WITHIN).await.is_ok();
@@ -198,34 +198,34 @@
         // Tasks that were waited for hold none any more.
         return Ok(record);
     };
-    let (stage, start) = (hands.stage, hands.start);
-    let operator = Operator { controllers: stage.fleet.controllers(), first: 0 };
+    let (testbed, start) = (hands.testbed, hands.start);
+    let operator = Operator { controllers: testbed.fleet.controllers(), first: 0 };
     record.shown = operator.show(SHOW_WITHIN).await.ok().and_then(|text| revision_of(&text));
-    record.findings = stage.ledger.findings();
-    record.ends = ends(&stage, start);
-    record.proxies = proxies(&stage);
-    let Stage { fleet, platform, .. } = stage;
-    record.outlived = fleet.end().await;
+    record.findings = testbed.ledger.findings();
+    record.ends = ends(&testbed, start);
+    record.proxies = proxies(&testbed);
+    let Testbed { fleet, platform, .. } = testbed;
+    record.outlived = fleet.shutdown().await;
     let _: Platform = platform;
     Ok(record)
 }
 
-fn ends(stage: &Stage, start: Instant) -> Vec<ProcessEnd> {
-    let of = |end: tindock_standins::fleet::ProcessEnd| ProcessEnd {
+fn ends(testbed: &Testbed, start: Instant) -> Vec<ProcessEnd> {
+    let of = |end: tindock_standins::fleet::ProcessExit| ProcessEnd {
         machine: end.machine,
         role: end.role,
         at: end.at.saturating_duration_since(start),
         succeeded: end.status.success(),
         status: end.status.to_string(),
     };
-    stage.fleet.ends().into_iter().map(of).collect()
+    testbed.fleet.exits().into_iter().map(of).collect()
 }
 
-fn proxies(stage: &Stage) -> Vec<ProxyMachine> {
-    let doors = stage.fleet.doors();
-    let names = stage.fleet.machines(Role::Desk);
+fn proxies(testbed: &Testbed) -> Vec<ProxyMachine> {
+    let doors = testbed.fleet.proxies();
+    let names = testbed.fleet.machines(Role::Proxy);
     let machine = |(name, address): (String, _)| {
-        let log = stage.fleet.log(&name, Role::Desk);
+        let log = testbed.fleet.log(&name, Role::Proxy);
         ProxyMachine { name, address, log }
     };
     names.into_iter().zip(doors.iter().map(|door| door.data_plane)).map(machine).collect()
--- a/crates/soak/tests/judging.rs
+++ b/crates/soak/tests/judging.rs
@@ -41,7 +41,7 @@
 }
 
 fn process_end(at: u64, succeeded: bool) -> ProcessEnd {
-    ProcessEnd { machine: PROXY.into(), role: Role::Desk, at: ms(at), succeeded, status: "status".into() }
+    ProcessEnd { machine: PROXY.into(), role: Role::Proxy, at: ms(at), succeeded, status: "status".into() }
 }
 
 /// SIGTERM at 10 s, the end at 14 s, and one try.
@@ -118,7 +118,7 @@
 #[test]
 fn an_agent_that_ends_in_time_does_not_excuse_its_proxy() {
     let mut record = record(11_000, 12_000, SERVED);
-    let agent = ProcessEnd { role: Role::Page, ..process_end(14_000, true) };
+    let agent = ProcessEnd { role: Role::Agent, ..process_end(14_000, true) };
     record.ends = vec![agent, process_end(17_500, true)];
     assert_eq!(rules(&record), [Rule::Grace]);
 }
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -1,12 +1,12 @@
-//! Clients: they come through the platform's choice of desks ([`Entry`]), keep connections or open new ones, give every
+//! Clients: they come through the platform's choice of desks ([`ProxySelector`]), keep connections or open new ones, give every
 //! try an id of its own and repeat only what the protocol lets them.
 //!
 //! One thing can't be seen from a real socket: whether a desk has read a request. A reset before the first byte of an
 //! answer counts as not read (a process that had read all of it leaves an end instead), an end as read.
 
-use crate::ledger::{Asked, Ledger};
-use crate::wire::{call, read_answer, request, request_in_chunks, Broken};
-use crate::workers::{print, seal};
+use crate::ledger::{Ledger, SentAttempt};
+use crate::wire::{call, read_response, request, request_in_chunks, ReadError};
+use crate::workers::{request_digest, seal};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -30,25 +30,25 @@
 
 /// A desk as the platform knows it.
 #[derive(Debug, Clone)]
-pub struct Door {
+pub struct ProxyAddress {
     pub zone: String,
     pub data_plane: SocketAddr,
     pub readiness: SocketAddr,
 }
 
 struct Watched {
-    door: Door,
+    door: ProxyAddress,
     misses: AtomicU32,
 }
 
 /// The platform's choice of a desk for each new connection, by readiness each second.
-pub struct Entry {
+pub struct ProxySelector {
     doors: Arc<Vec<Watched>>,
     watch: AbortHandle,
 }
 
-impl Entry {
-    pub fn new(doors: Vec<Door>) -> Entry {
+impl ProxySelector {
+    pub fn new(doors: Vec<ProxyAddress>) -> ProxySelector {
         let doors: Vec<Watched> =
             doors.into_iter().map(|door| Watched { door, misses: AtomicU32::new(0) }).collect();
         let doors = Arc::new(doors);
@@ -70,7 +70,7 @@
                 sleep_until(next).await;
             }
         });
-        Entry { doors, watch: watch.abort_handle() }
+        ProxySelector { doors, watch: watch.abort_handle() }
     }
 
     /// The desk for a client's try, counted from 0; further tries reach others.
@@ -104,7 +104,7 @@
     }
 }
 
-impl Drop for Entry {
+impl Drop for ProxySelector {
     fn drop(&mut self) {
         self.watch.abort();
     }
@@ -128,7 +128,7 @@
     pub repeatable: bool,
     /// Its part of all requests, beside those of the others.
     pub share: f64,
-    pub aim: Duration,
+    pub target_latency: Duration,
     pub deadline: Duration,
     pub work: Duration,
     pub answer_bytes: usize,
@@ -138,7 +138,7 @@
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    InAim,
+    OnTime,
     Late,
     /// The last word was a promise that it has not run.
     Refused,
@@ -204,7 +204,7 @@
 
 /// Clients of one deployment.
 pub struct Clients {
-    entry: Entry,
+    entry: ProxySelector,
     ledger: Ledger,
     users: Vec<Arc<User>>,
     seed: u64,
@@ -222,7 +222,13 @@
 }
 
 impl Clients {
-    pub fn new(entry: Entry, ledger: Ledger, zones: &[String], users: usize, seed: u64) -> Arc<Clients> {
+    pub fn new(
+        entry: ProxySelector,
+        ledger: Ledger,
+        zones: &[String],
+        users: usize,
+        seed: u64,
+    ) -> Arc<Clients> {
         let mut chance = oorandom::Rand64::new(seed.into());
         let user = |n: usize| User {
             zone: zones.get(n % zones.len().max(1)).cloned().unwrap_or_default(),
@@ -288,14 +294,14 @@
         for turn in 0..TRIES {
             let id = format!("{:08x}{number:08x}{turn:02x}", self.seed as u32);
             let (repeatable, service) = (class.repeatable, class.service.clone());
-            let print = print(&class.method, &target, &body);
+            let digest = request_digest(&class.method, &target, &body);
             let request = self.seed << 32 | number;
-            self.ledger.asked(&id, Asked { request, repeatable, service, print });
+            self.ledger.record_sent(&id, SentAttempt { request, repeatable, service, digest });
             let kept = if turn == 0 && keeps { user.take() } else { None };
             let end_try = self.attempt(class, &id, &target, &body, user, turn, kept, end).await;
             let took = start.elapsed();
             let pause = match end_try {
-                Try::Success if took <= class.aim => return (Outcome::InAim, took, turn + 1),
+                Try::Success if took <= class.target_latency => return (Outcome::OnTime, took, turn + 1),
                 Try::Success => return (Outcome::Late, took, turn + 1),
                 Try::Final => return (Outcome::Failed, took, turn + 1),
                 Try::Promise(after) => {
@@ -366,25 +372,25 @@
                     why.kind(),
                     std::io::ErrorKind::ConnectionReset | std::io::ErrorKind::BrokenPipe
                 );
-                return Err(if reset { Broken::Reset } else { Broken::Cut });
+                return Err(if reset { ReadError::Reset } else { ReadError::Truncated });
             }
-            read_answer(&mut stream, &mut buf, &class.method).await
+            read_response(&mut stream, &mut buf, &class.method).await
         };
         let answer = match timeout_at(end, exchange).await {
             Err(_) => return Try::MayHaveRun,
-            Ok(Err(Broken::Reset)) => return Try::Unread,
-            Ok(Err(Broken::Ended | Broken::Cut)) => return Try::MayHaveRun,
-            Ok(Err(Broken::Garbled)) => {
-                self.ledger.mixed(&format!("{id}: bytes that are no answer"));
+            Ok(Err(ReadError::Reset)) => return Try::Unread,
+            Ok(Err(ReadError::Closed | ReadError::Truncated)) => return Try::MayHaveRun,
+            Ok(Err(ReadError::Malformed)) => {
+                self.ledger.record_mixed(&format!("{id}: bytes that are no answer"));
                 return Try::MayHaveRun;
             }
             Ok(Ok(answer)) => answer,
         };
-        self.ledger.answered(id, answer.status);
+        self.ledger.record_status(id, answer.status);
         let theirs = answer.headers.get("attempt-id").is_some_and(|theirs| theirs != id);
         if theirs || !buf.is_empty() {
             let what = if theirs { "an answer to another" } else { "more after a whole answer" };
-            self.ledger.mixed(&format!("{id}: {what}"));
+            self.ledger.record_mixed(&format!("{id}: {what}"));
         }
         let stated = answer.headers.keep_alive();
         if !answer.headers.closes() && buf.is_empty() {
@@ -394,7 +400,8 @@
             200..=299 => {
                 let whole = answer.headers.get("server-seal") == Some(&seal(id, &answer.body));
                 if !whole || answer.headers.get("content-encoding").is_some() {
-                    self.ledger.mixed(&format!("{id}: a success without the worker's seal on its body"));
+                    self.ledger
+                        .record_mixed(&format!("{id}: a success without the worker's seal on its body"));
                 }
                 Try::Success
             }
@@ -444,8 +451,8 @@
                 });
             }
         });
-        let door = Door { zone: "a".into(), data_plane: at, readiness: at };
-        let clients = Clients::new(Entry::new(vec![door]), Ledger::default(), &["a".into()], 1, 1);
+        let door = ProxyAddress { zone: "a".into(), data_plane: at, readiness: at };
+        let clients = Clients::new(ProxySelector::new(vec![door]), Ledger::default(), &["a".into()], 1, 1);
         (clients, seen)
     }
 
@@ -458,7 +465,7 @@
             service: "f".into(),
             repeatable,
             share: 1.0,
-            aim: Duration::from_secs(1),
+            target_latency: Duration::from_secs(1),
             deadline: Duration::from_secs(2),
             work: Duration::ZERO,
             answer_bytes: 1,
@@ -467,13 +474,13 @@
     }
 
     #[rstest]
-    #[case::served(false, &[Says::Status(200)], Outcome::InAim, 1)]
-    #[case::promised(false, &[Says::Status(503), Says::Status(200)], Outcome::InAim, 2)]
+    #[case::served(false, &[Says::Status(200)], Outcome::OnTime, 1)]
+    #[case::promised(false, &[Says::Status(503), Says::Status(200)], Outcome::OnTime, 2)]
     #[case::refused_to_the_end(false, &[Says::Status(503)], Outcome::Refused, 4)]
     #[case::nothing_promised(false, &[Says::Status(502), Says::Status(200)], Outcome::Failed, 1)]
-    #[case::nothing_promised_repeatable(true, &[Says::Status(502), Says::Status(200)], Outcome::InAim, 2)]
+    #[case::nothing_promised_repeatable(true, &[Says::Status(502), Says::Status(200)], Outcome::OnTime, 2)]
     #[case::closed(false, &[Says::Close, Says::Status(200)], Outcome::Failed, 1)]
-    #[case::closed_repeatable(true, &[Says::Close, Says::Status(200)], Outcome::InAim, 2)]
+    #[case::closed_repeatable(true, &[Says::Close, Says::Status(200)], Outcome::OnTime, 2)]
     #[case::no_route(true, &[Says::Status(404)], Outcome::Failed, 1)]
     #[tokio::test]
     async fn repeats_by_the_rules(
@@ -492,9 +499,9 @@
     async fn tries_reach_other_desks() {
         let door = |zone: &str, n: u8| {
             let at = SocketAddr::from(([127, 0, 0, n], 1));
-            Door { zone: zone.into(), data_plane: at, readiness: at }
+            ProxyAddress { zone: zone.into(), data_plane: at, readiness: at }
         };
-        let entry = Entry::new(vec![door("a", 1), door("a", 2), door("b", 3)]);
+        let entry = ProxySelector::new(vec![door("a", 1), door("a", 2), door("b", 3)]);
         let mut picked: Vec<_> = (0..3).filter_map(|turn| entry.pick("a", 5, turn)).collect();
         assert_eq!(picked[2], SocketAddr::from(([127, 0, 0, 3], 1)));
         picked.sort();
--- a/crates/standins/src/demo.rs
+++ b/crates/standins/src/demo.rs
@@ -1,11 +1,11 @@
 //! `tindock demo`: the whole system on this machine with one command, to look at or to play a load on.
 
-use crate::clients::{Class, Clients, Entry, Load, Outcome};
-use crate::fleet::{self, Fleet, Plan, Role};
+use crate::clients::{Class, Clients, Load, Outcome, ProxySelector};
+use crate::fleet::{self, Fleet, FleetConfig, Role};
 use crate::ledger::Ledger;
+use crate::loopback::Net;
 use crate::operator::{configuration, Given, Operator, Route};
-use crate::places::Net;
-use crate::platform::{self, Function, Host, Platform, Trouble};
+use crate::platform::{self, Function, Host, InjectedFault, Platform};
 use crate::report;
 use clap::{value_parser, Arg, ArgAction, ArgMatches, Command};
 use std::fmt;
@@ -173,20 +173,23 @@
 }
 
 pub fn classes() -> Vec<Class> {
-    let class = |name: &str, method: &str, path: &str, service: &str, share, aim, work, body_bytes| Class {
-        name: name.into(),
-        method: method.into(),
-        hostname: HOSTNAME.into(),
-        path: path.into(),
-        service: service.into(),
-        repeatable: method == "GET",
-        share,
-        aim: Duration::from_millis(aim),
-        deadline: Duration::from_secs(4),
-        work: Duration::from_millis(work),
-        answer_bytes: 600,
-        body_bytes,
-    };
+    let class =
+        |name: &str, method: &str, path: &str, service: &str, share, target_latency, work, body_bytes| {
+            Class {
+                name: name.into(),
+                method: method.into(),
+                hostname: HOSTNAME.into(),
+                path: path.into(),
+                service: service.into(),
+                repeatable: method == "GET",
+                share,
+                target_latency: Duration::from_millis(target_latency),
+                deadline: Duration::from_secs(4),
+                work: Duration::from_millis(work),
+                answer_bytes: 600,
+                body_bytes,
+            }
+        };
     vec![
         class("ride-offer", "GET", "/rides/offer/", "dispatch", 0.6, 300, 40, 0),
         class("ride-accept", "POST", "/rides/accept/", "dispatch", 0.2, 400, 60, 400),
@@ -203,7 +206,7 @@
         path_prefix: class.path.clone(),
         route_type: if class.repeatable { "idempotent" } else { "non_idempotent" }.into(),
         timeout_ms: class.deadline.as_millis() as u32,
-        target_latency_ms: class.aim.as_millis() as u32,
+        target_latency_ms: class.target_latency.as_millis() as u32,
         priority: u32::from(class.repeatable) + 1,
         service: class.service.clone(),
         max_retries: if class.repeatable { 2 } else { 1 },
@@ -211,9 +214,9 @@
     classes.iter().map(route).collect()
 }
 
-/// How large a stage is, and what runs on it.
+/// How large a testbed is, and what runs on it.
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct TestbedConfig {
     /// Of the stand-ins.
     pub seed: u64,
     pub zones: Vec<String>,
@@ -227,15 +230,15 @@
     /// From SIGTERM to SIGKILL.
     pub grace: Duration,
     /// After so long a process that has ended is started again; None: it is not.
-    pub again: Option<Duration>,
+    pub restart_after: Option<Duration>,
     pub functions: Vec<Function>,
     pub classes: Vec<Class>,
 }
 
-impl Shape {
+impl TestbedConfig {
     /// The demo's.
-    pub fn demo(seed: u64) -> Shape {
-        Shape {
+    pub fn demo(seed: u64) -> TestbedConfig {
+        TestbedConfig {
             seed,
             zones: ZONES.iter().map(|zone| zone.to_string()).collect(),
             edges: 1,
@@ -243,7 +246,7 @@
             hosts: 6,
             host_memory_mb: 4096,
             grace: Duration::from_secs(2),
-            again: Some(Duration::from_millis(500)),
+            restart_after: Some(Duration::from_millis(500)),
             functions: functions(),
             classes: classes(),
         }
@@ -251,12 +254,12 @@
 }
 
 /// Everything that is up: the system's programs and those who stand in around it.
-pub struct Stage {
+pub struct Testbed {
     pub fleet: Fleet,
     pub platform: Platform,
     pub ledger: Ledger,
     pub zones: Vec<String>,
-    /// Kinds of requests; each is tried in each zone before the stage counts as up.
+    /// Kinds of requests; each is tried in each zone before the testbed counts as up.
     pub classes: Vec<Class>,
     pub functions: Vec<Function>,
     /// How long it took until the configuration was taken, and with it until a request was served.
@@ -264,62 +267,62 @@
     pub served: Duration,
 }
 
-impl Stage {
-    /// Starts the demo's stage and waits until a request is served.
-    pub async fn open(program: PathBuf, seed: u64) -> Result<Stage, Fault> {
-        Stage::open_as(program, Shape::demo(seed)).await
+impl Testbed {
+    /// Starts the demo's testbed and waits until a request is served.
+    pub async fn open(program: PathBuf, seed: u64) -> Result<Testbed, Fault> {
+        Testbed::open_with(program, TestbedConfig::demo(seed)).await
     }
 
     /// Starts all and waits until a request is served.
-    pub async fn open_as(program: PathBuf, shape: Shape) -> Result<Stage, Fault> {
+    pub async fn open_with(program: PathBuf, config: TestbedConfig) -> Result<Testbed, Fault> {
         let began = Instant::now();
         let net = Net::free(std::process::id()).map_err(Fault::NoAddress)?;
-        let zones = shape.zones;
+        let zones = config.zones;
         let ledger = Ledger::default();
         let host = |n: usize| Host {
             name: format!("w-{}", n + 1),
             zone: zones[n % zones.len()].clone(),
             ip: net.host(n),
-            memory_mb: shape.host_memory_mb,
+            memory_mb: config.host_memory_mb,
         };
-        let hosts = (0..shape.hosts).map(host).collect();
-        let mut offered = platform::Options::new(net.provider(), shape.functions.clone(), hosts);
-        offered.seed = shape.seed;
+        let hosts = (0..config.hosts).map(host).collect();
+        let mut offered = platform::Options::new(net.provider(), config.functions.clone(), hosts);
+        offered.seed = config.seed;
         let (provider, terms) = (net.provider(), offered.clone());
         let platform = Platform::start(offered, ledger.clone()).await.map_err(Fault::Platform)?;
-        let plan = Plan {
+        let fleet_config = FleetConfig {
             program,
             folder: folder().map_err(|(path, why)| Fault::Fleet(fleet::Fault::File(path, why)))?,
             zones: zones.clone(),
-            edges: shape.edges,
-            cores: shape.cores,
-            grace: shape.grace,
+            edges: config.edges,
+            cores: config.cores,
+            grace: config.grace,
             drain: terms.drain,
             rate_per_s: terms.rate_per_s,
             duty_rate_s: terms.duty_rate_s,
             max_lag: terms.max_lag,
-            again: shape.again,
+            restart_after: config.restart_after,
         };
-        let fleet = Fleet::start(plan, net, provider).map_err(Fault::Fleet)?;
-        let mut stage = Stage {
+        let fleet = Fleet::start(fleet_config, net, provider).map_err(Fault::Fleet)?;
+        let mut testbed = Testbed {
             fleet,
             platform,
             ledger,
             zones,
-            classes: shape.classes,
-            functions: shape.functions,
+            classes: config.classes,
+            functions: config.functions,
             taken: Duration::ZERO,
             served: Duration::ZERO,
         };
-        stage.taken = match stage.configure().await {
+        testbed.taken = match testbed.configure().await {
             Ok(()) => began.elapsed(),
-            Err(fault) => return stage.close(Err(fault)).await,
+            Err(fault) => return testbed.close(Err(fault)).await,
         };
-        stage.served = match stage.first().await {
+        testbed.served = match testbed.first().await {
             Ok(()) => began.elapsed(),
-            Err(fault) => return stage.close(Err(fault)).await,
+            Err(fault) => return testbed.close(Err(fault)).await,
         };
-        Ok(stage)
+        Ok(testbed)
     }
 
     async fn configure(&self) -> Result<(), Fault> {
@@ -341,7 +344,7 @@
                 open.spawn(async move {
                     for turn in 0.. {
                         let (outcome, ..) = clients.request(&class, number + turn, user, false).await;
-                        if matches!(outcome, Outcome::InAim | Outcome::Late) {
+                        if matches!(outcome, Outcome::OnTime | Outcome::Late) {
                             return true;
                         }
                         if Instant::now() > until {
@@ -363,12 +366,12 @@
 
     /// Clients that come in here.
     pub fn clients(&self, users: usize, seed: u64) -> std::sync::Arc<Clients> {
-        Clients::new(Entry::new(self.fleet.doors()), self.ledger.clone(), &self.zones, users, seed)
+        Clients::new(ProxySelector::new(self.fleet.proxies()), self.ledger.clone(), &self.zones, users, seed)
     }
 
     /// Ends everything that was started, and hands the outcome on.
     pub async fn close<T>(self, outcome: Result<T, Fault>) -> Result<T, Fault> {
-        self.fleet.end().await;
+        self.fleet.shutdown().await;
         outcome
     }
 }
@@ -423,38 +426,38 @@
         std::fs::write(path, "").map_err(|why| Fault::Report(path.clone(), why))?;
     }
     say("starting 3 archives, 3 pages and 3 desks, with stand-ins for the platform and the operator\n");
-    let stage = tokio::select! {
-        stage = Stage::open(options.program.clone(), options.seed) => stage?,
+    let testbed = tokio::select! {
+        testbed = Testbed::open(options.program.clone(), options.seed) => testbed?,
         () = ends.come() => return Ok("ended before it was up\n".into()),
     };
-    say(&how_to(&stage));
+    say(&how_to(&testbed));
     let played = match options.load {
         Some((length, rate)) => tokio::select! {
-            done = play(&stage, &options, length, rate) => done,
+            done = play(&testbed, &options, length, rate) => done,
             () = ends.come() => Ok("ended early, without a report\n".into()),
         },
         None => {
             say("\nIt stays until Ctrl-C.\n");
             ends.come().await;
-            Ok(format!("\nended; {}", counts(&stage)))
+            Ok(format!("\nended; {}", counts(&testbed)))
         }
     };
     let mut kept = String::new();
     if options.keep {
-        stage.fleet.keep_folder();
-        kept = format!("settings, logs and disks: {}\n", stage.fleet.folder().display());
+        testbed.fleet.keep_folder();
+        kept = format!("settings, logs and disks: {}\n", testbed.fleet.folder().display());
     }
     // A second Ctrl-C does not wait for anybody's grace.
     let closed = tokio::select! {
-        closed = stage.close(played) => closed,
+        closed = testbed.close(played) => closed,
         () = ends.come() => Ok("ended at once\n".into()),
     };
     closed.map(|text| text + &kept)
 }
 
-fn counts(stage: &Stage) -> String {
-    let counts = stage.platform.counts();
-    let working = stage.platform.instances().iter().filter(|i| !i.ended).count();
+fn counts(testbed: &Testbed) -> String {
+    let counts = testbed.platform.counts();
+    let working = testbed.platform.instances().iter().filter(|i| !i.ended).count();
     format!(
         "instances: {} started, {} stopped, {working} at work; turned away by a full instance: {}; platform: {} calls of \
          the lists, {} without room, {} over its rate\n",
@@ -462,20 +465,20 @@
     )
 }
 
-fn how_to(stage: &Stage) -> String {
+fn how_to(testbed: &Testbed) -> String {
     let mut text = format!(
         "configuration taken after {:.1} s; every route served in every zone after {:.1} s\n\n",
-        stage.taken.as_secs_f64(),
-        stage.served.as_secs_f64()
+        testbed.taken.as_secs_f64(),
+        testbed.served.as_secs_f64()
     );
-    let doors = stage.fleet.doors();
+    let doors = testbed.fleet.proxies();
     for door in &doors {
         text += &format!("  desk in {:<6} http://{}\n", door.zone, door.data_plane);
     }
-    for at in stage.fleet.controllers() {
+    for at in testbed.fleet.controllers() {
         text += &format!("  archive        http://{at}/v1/Configuration.Show\n");
     }
-    let platform = stage.platform.address();
+    let platform = testbed.platform.address();
     text += &format!("  platform       http://{platform}/instances (stand-in)\n\nrequests (an Attempt-Id of its own each, Deadline-Ms as you like):\n");
     if let Some(door) = doors.first() {
         for class in classes() {
@@ -495,27 +498,27 @@
 }
 
 /// Plays the load and tells what came of it.
-async fn play(stage: &Stage, options: &Options, length: Duration, rate: f64) -> Result<String, Fault> {
+async fn play(testbed: &Testbed, options: &Options, length: Duration, rate: f64) -> Result<String, Fault> {
     let classes = classes();
     let load = Load {
         classes: classes.clone(),
-        zones: stage.zones.clone(),
+        zones: testbed.zones.clone(),
         rate,
         length,
         users: 48,
         keeps: 0.8,
         seed: options.seed,
     };
-    let clients = stage.clients(load.users, options.seed);
+    let clients = testbed.clients(load.users, options.seed);
     say(&format!("\nplaying {rate} requests a second for {:.1} s\n", length.as_secs_f64()));
     let began = Instant::now();
     let (done, marks) =
-        tokio::join!(clients.play(&load), trouble(stage, &options.troubles, length / 3, began));
-    let mut text = format!("\n{}\n{}", report::table(&report::rows(&classes, &done)), counts(stage));
-    for (at, what) in stage.fleet.happened() {
+        tokio::join!(clients.play(&load), trouble(testbed, &options.troubles, length / 3, began));
+    let mut text = format!("\n{}\n{}", report::table(&report::rows(&classes, &done)), counts(testbed));
+    for (at, what) in testbed.fleet.events() {
         text += &format!("{:>6.2} s  {what}\n", at.saturating_duration_since(began).as_secs_f64());
     }
-    let findings = stage.ledger.findings();
+    let findings = testbed.ledger.findings();
     match findings.len() {
         0 => text += "rules seen from outside (TWICE, REFUSED, UNASKED, ROUTE, MIXED): kept\n",
         n => {
@@ -533,7 +536,12 @@
 }
 
 /// Makes things go wrong at their time; what happened, for the plot.
-async fn trouble(stage: &Stage, names: &[String], at: Duration, began: Instant) -> Vec<(Duration, String)> {
+async fn trouble(
+    testbed: &Testbed,
+    names: &[String],
+    at: Duration,
+    began: Instant,
+) -> Vec<(Duration, String)> {
     if names.is_empty() {
         return Vec::new();
     }
@@ -541,21 +549,22 @@
     let mut marks = Vec::new();
     for name in names {
         // Where there is a choice, what is in use: the host with most instances, the holder of the duty.
-        let (instances, few) = (stage.platform.instances(), Duration::from_secs(5));
+        let (instances, few) = (testbed.platform.instances(), Duration::from_secs(5));
         let load = |host: &String| instances.iter().filter(|i| !i.ended && i.host == *host).count();
         let hosts: Vec<String> = instances.iter().map(|i| i.host.clone()).collect();
         let busiest = hosts.iter().max_by_key(|host| load(host)).cloned().unwrap_or_default();
-        let desk = stage.fleet.machines(Role::Desk).first().cloned().unwrap_or_default();
+        let desk = testbed.fleet.machines(Role::Proxy).first().cloned().unwrap_or_default();
         let done = match name.as_str() {
-            "kill-desk" => stage.fleet.kill(&desk, Role::Desk),
-            "kill-archive" => {
-                stage.platform.holder().is_some_and(|holder| stage.fleet.kill(&holder, Role::Archive))
-            }
-            "crash-host" => stage.platform.trouble(Trouble::CrashHost(busiest, few)),
-            "drain-host" => stage.platform.trouble(Trouble::DrainHost(busiest, few * 2)),
-            "late-list" => stage.platform.trouble(Trouble::LateList(few, few)),
-            "lose-answers" => stage.platform.trouble(Trouble::LoseAnswers(0.1)),
-            "garble" => stage.platform.trouble(Trouble::Garble(0.1)),
+            "kill-desk" => testbed.fleet.kill(&desk, Role::Proxy),
+            "kill-archive" => testbed
+                .platform
+                .lease_holder()
+                .is_some_and(|holder| testbed.fleet.kill(&holder, Role::Controller)),
+            "crash-host" => testbed.platform.inject(InjectedFault::CrashHost(busiest, few)),
+            "drain-host" => testbed.platform.inject(InjectedFault::DrainHost(busiest, few * 2)),
+            "late-list" => testbed.platform.inject(InjectedFault::LateList(few, few)),
+            "lose-answers" => testbed.platform.inject(InjectedFault::LoseAnswers(0.1)),
+            "garble" => testbed.platform.inject(InjectedFault::Garble(0.1)),
             _ => false,
         };
         if done {
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -1,11 +1,11 @@
 //! The system's own programs as child processes, each with a settings file of its own, as `DEPLOY.md` has them: an
 //! archive on each core machine, a desk and a page on each edge machine.
 //!
-//! A process that ends is started again after a short delay. All are ended by their ids: in order by [`Fleet::end`], at
+//! A process that ends is started again after a short delay. All are ended by their ids: in order by [`Fleet::shutdown`], at
 //! once when the fleet is dropped, and by a guard (the same program, with [`GUARD`]) when this process dies itself.
 
-use crate::clients::Door;
-use crate::places::Net;
+use crate::clients::ProxyAddress;
+use crate::loopback::Net;
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeSet;
 use std::fmt;
@@ -29,24 +29,24 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    Archive,
-    Page,
-    Desk,
+    Controller,
+    Agent,
+    Proxy,
 }
 
 impl Role {
     pub fn name(self) -> &'static str {
         match self {
-            Role::Archive => "archive",
-            Role::Page => "page",
-            Role::Desk => "desk",
+            Role::Controller => "archive",
+            Role::Agent => "page",
+            Role::Proxy => "desk",
         }
     }
 }
 
 /// Bounds that the settings tell; the others are a usual deployment's.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct FleetConfig {
     /// `tindock` itself.
     pub program: PathBuf,
     /// Where settings, logs and disks go. It is removed at the end.
@@ -62,7 +62,7 @@
     pub duty_rate_s: f64,
     pub max_lag: Duration,
     /// After so long a process that has ended is started again; None: it is not.
-    pub again: Option<Duration>,
+    pub restart_after: Option<Duration>,
 }
 
 #[derive(Debug)]
@@ -99,7 +99,7 @@
 
 /// A process that ended, however that came.
 #[derive(Debug, Clone)]
-pub struct ProcessEnd {
+pub struct ProcessExit {
     pub machine: String,
     pub role: Role,
     pub at: Instant,
@@ -107,14 +107,14 @@
 }
 
 struct Inner {
-    plan: Plan,
+    config: FleetConfig,
     net: Net,
     provider: SocketAddr,
     machines: Vec<Machine>,
     processes: Vec<Process>,
     guard: Option<(Child, ChildStdin)>,
-    happened: Vec<(Instant, String)>,
-    ends: Vec<ProcessEnd>,
+    events: Vec<(Instant, String)>,
+    exits: Vec<ProcessExit>,
     ending: bool,
     /// The folder stays.
     kept: bool,
@@ -128,35 +128,35 @@
 
 impl Fleet {
     /// Writes the settings and starts all programs, archives first.
-    pub fn start(plan: Plan, net: Net, provider: SocketAddr) -> Result<Fleet, Fault> {
-        let zones = plan.zones.len().max(1);
-        let zone = |n: usize| plan.zones.get(n % zones).cloned().unwrap_or_default();
+    pub fn start(config: FleetConfig, net: Net, provider: SocketAddr) -> Result<Fleet, Fault> {
+        let zones = config.zones.len().max(1);
+        let zone = |n: usize| config.zones.get(n % zones).cloned().unwrap_or_default();
         let mut machines = Vec::new();
         let mut processes = Vec::new();
         let process = |machine, role| Process { machine, role, child: None, starts: 0, ended: None };
-        for n in 0..plan.cores {
-            processes.push(process(machines.len(), Role::Archive));
+        for n in 0..config.cores {
+            processes.push(process(machines.len(), Role::Controller));
             let name = format!("core-{}-{}", zone(n), n / zones + 1);
             machines.push(Machine { name, zone: zone(n), ip: net.core(n), founder: true, removed: false });
         }
-        for n in 0..plan.edges * zones {
-            processes.push(process(machines.len(), Role::Page));
-            processes.push(process(machines.len(), Role::Desk));
+        for n in 0..config.edges * zones {
+            processes.push(process(machines.len(), Role::Agent));
+            processes.push(process(machines.len(), Role::Proxy));
             let name = format!("edge-{}-{}", zone(n), n / zones + 1);
             machines.push(Machine { name, zone: zone(n), ip: net.edge(n), founder: true, removed: false });
         }
-        fs::create_dir_all(&plan.folder).map_err(|why| Fault::File(plan.folder.clone(), why))?;
-        let guard = guard_of(&plan);
-        let happened = Vec::new();
+        fs::create_dir_all(&config.folder).map_err(|why| Fault::File(config.folder.clone(), why))?;
+        let guard = guard_of(&config);
+        let events = Vec::new();
         let inner = Inner {
-            plan,
+            config,
             net,
             provider,
             machines,
             processes,
             guard,
-            happened,
-            ends: Vec::new(),
+            events,
+            exits: Vec::new(),
             ending: false,
             kept: false,
         };
@@ -182,14 +182,14 @@
     }
 
     pub fn folder(&self) -> PathBuf {
-        self.inner().plan.folder.clone()
+        self.inner().config.folder.clone()
     }
 
     /// Where clients come in.
-    pub fn doors(&self) -> Vec<Door> {
+    pub fn proxies(&self) -> Vec<ProxyAddress> {
         let inner = self.inner();
-        let edge = |m: usize| inner.processes.iter().any(|p| p.machine == m && p.role == Role::Desk);
-        let door = |m: &Machine| Door {
+        let edge = |m: usize| inner.processes.iter().any(|p| p.machine == m && p.role == Role::Proxy);
+        let door = |m: &Machine| ProxyAddress {
             zone: m.zone.clone(),
             data_plane: (m.ip, inner.net.ports.data_plane).into(),
             readiness: (m.ip, inner.net.ports.readiness).into(),
@@ -218,7 +218,7 @@
     }
 
     /// SIGTERM.
-    pub fn term(&self, machine: &str, role: Role) -> bool {
+    pub fn terminate(&self, machine: &str, role: Role) -> bool {
         let mut inner = self.inner();
         let Some(index) = inner.find(machine, role) else { return false };
         inner.say(format!("{machine} {} asked to leave", role.name()));
@@ -249,7 +249,7 @@
     }
 
     /// Starts a process that has ended, with its disk as it is. False where there is none, or it still runs.
-    pub fn start_again(&self, machine: &str, role: Role) -> Result<bool, Fault> {
+    pub fn restart(&self, machine: &str, role: Role) -> Result<bool, Fault> {
         let mut inner = self.inner();
         let Some(index) = inner.find(machine, role).filter(|&index| inner.processes[index].child.is_none())
         else {
@@ -280,13 +280,13 @@
     /// Adds a core machine at an address of its own, with an empty disk, and starts its archive: the machine's name.
     pub fn add_core(&self) -> Result<String, Fault> {
         let mut inner = self.inner();
-        let cores = inner.processes.iter().filter(|p| p.role == Role::Archive).count();
-        let zone = inner.plan.zones[cores % inner.plan.zones.len().max(1)].clone();
+        let cores = inner.processes.iter().filter(|p| p.role == Role::Controller).count();
+        let zone = inner.config.zones[cores % inner.config.zones.len().max(1)].clone();
         let name = format!("core-{zone}-added-{cores}");
         let ip = inner.net.core(cores);
         let machine = inner.machines.len();
         inner.machines.push(Machine { name: name.clone(), zone, ip, founder: false, removed: false });
-        let process = Process { machine, role: Role::Archive, child: None, starts: 0, ended: None };
+        let process = Process { machine, role: Role::Controller, child: None, starts: 0, ended: None };
         inner.processes.push(process);
         inner.say(format!("{name} added"));
         let index = inner.processes.len() - 1;
@@ -308,25 +308,25 @@
     }
 
     /// Whether it runs now.
-    pub fn runs(&self, machine: &str, role: Role) -> bool {
+    pub fn is_running(&self, machine: &str, role: Role) -> bool {
         let inner = self.inner();
         inner.find(machine, role).is_some_and(|index| inner.processes[index].child.is_some())
     }
 
     /// What it has written since its first start.
     pub fn log(&self, machine: &str, role: Role) -> String {
-        let path = self.inner().plan.folder.join(format!("{machine}.{}.log", role.name()));
+        let path = self.inner().config.folder.join(format!("{machine}.{}.log", role.name()));
         fs::read(path).map(|bytes| String::from_utf8_lossy(&bytes).into_owned()).unwrap_or_default()
     }
 
     /// What became of processes, with the times.
-    pub fn happened(&self) -> Vec<(Instant, String)> {
-        self.inner().happened.clone()
+    pub fn events(&self) -> Vec<(Instant, String)> {
+        self.inner().events.clone()
     }
 
     /// The processes that ended so far, seen within some 50 ms.
-    pub fn ends(&self) -> Vec<ProcessEnd> {
-        self.inner().ends.clone()
+    pub fn exits(&self) -> Vec<ProcessExit> {
+        self.inner().exits.clone()
     }
 
     /// The last lines of those that have ended.
@@ -354,14 +354,14 @@
 
     /// SIGTERM to all, SIGKILL to those that are still there after their grace; then the folder goes. Names of those that
     /// had to be killed.
-    pub async fn end(self) -> Vec<String> {
+    pub async fn shutdown(self) -> Vec<String> {
         let grace = {
             let mut inner = self.inner();
             inner.ending = true;
             for process in &inner.processes {
                 process.child.as_ref().map(term);
             }
-            inner.plan.grace
+            inner.config.grace
         };
         let until = Instant::now() + grace + Duration::from_millis(300);
         while Instant::now() < until && self.inner().processes.iter().any(|p| p.child.is_some()) {
@@ -391,14 +391,14 @@
 
 impl Inner {
     fn controllers(&self) -> Vec<SocketAddr> {
-        let cores = self.processes.iter().filter(|p| p.role == Role::Archive);
+        let cores = self.processes.iter().filter(|p| p.role == Role::Controller);
         let cores = cores.filter(|p| !self.machines[p.machine].removed);
         cores.map(|p| (self.machines[p.machine].ip, self.net.ports.control_plane).into()).collect()
     }
 
     /// The disk folder of a machine.
     fn disk(&self, machine: &str) -> PathBuf {
-        self.plan.folder.join(format!("{machine}.disk"))
+        self.config.folder.join(format!("{machine}.disk"))
     }
 
     fn find(&self, machine: &str, role: Role) -> Option<usize> {
@@ -406,7 +406,7 @@
     }
 
     fn say(&mut self, what: String) {
-        self.happened.push((Instant::now(), what));
+        self.events.push((Instant::now(), what));
     }
 
     fn tell_guard(&mut self, line: String) {
@@ -423,16 +423,16 @@
         let (machine, role) = (&self.machines[process.machine], process.role);
         let first = machine.founder && process.starts == 0;
         let stem = format!("{}.{}", machine.name, role.name());
-        let file = self.plan.folder.join(format!("{stem}.toml"));
+        let file = self.config.folder.join(format!("{stem}.toml"));
         let unwritten = |path: &Path| {
             let path = path.to_path_buf();
             move |why| Fault::File(path, why)
         };
         fs::write(&file, self.settings(machine, role, first)).map_err(unwritten(&file))?;
-        let log = self.plan.folder.join(format!("{stem}.log"));
+        let log = self.config.folder.join(format!("{stem}.log"));
         let out = OpenOptions::new().create(true).append(true).open(&log).map_err(unwritten(&log))?;
         let err: File = out.try_clone().map_err(unwritten(&log))?;
-        let child = Command::new(&self.plan.program)
+        let child = Command::new(&self.config.program)
             .arg(role.name())
             .env("TINDOCK_BOOT", &file)
             .stdin(Stdio::null())
@@ -441,7 +441,7 @@
             // A group of its own: Ctrl-C reaches the demo alone, which ends the others in order.
             .process_group(0)
             .spawn()
-            .map_err(|why| Fault::Start(self.plan.program.clone(), why))?;
+            .map_err(|why| Fault::Start(self.config.program.clone(), why))?;
         let id = child.id();
         let process = &mut self.processes[index];
         process.child = Some(child);
@@ -463,13 +463,14 @@
                 (process.child, process.ended) = (None, Some(now));
                 self.tell_guard(format!("-{id}"));
                 let name = self.machines[machine].name.clone();
-                self.ends.push(ProcessEnd { machine: name, role, at: now, status });
+                self.exits.push(ProcessExit { machine: name, role, at: now, status });
                 if !self.ending {
                     self.say(format!("{} {} ended: {status}", self.machines[machine].name, role.name()));
                 }
                 continue;
             }
-            let due = self.plan.again.zip(process.ended).is_some_and(|(again, at)| now >= at + again);
+            let due =
+                self.config.restart_after.zip(process.ended).is_some_and(|(again, at)| now >= at + again);
             if due && !self.ending && process.starts < STARTS {
                 let again = match self.begin(index) {
                     Ok(()) => "started again".to_string(),
@@ -499,23 +500,23 @@
             let _ = child.wait();
         }
         if !self.kept {
-            let _ = fs::remove_dir_all(&self.plan.folder);
+            let _ = fs::remove_dir_all(&self.config.folder);
         }
     }
 
     /// The settings file of a process.
     fn settings(&self, machine: &Machine, role: Role, first: bool) -> String {
-        let (plan, ports, ip) = (&self.plan, self.net.ports, machine.ip);
+        let (config, ports, ip) = (&self.config, self.net.ports, machine.ip);
         let quoted = |text: &str| format!("\"{}\"", text.replace('\\', "\\\\").replace('"', "\\\""));
         let seeds: Vec<String> =
             self.controllers().iter().take(3).map(|at| quoted(&at.to_string())).collect();
         let zones: Vec<String> =
-            plan.zones.iter().map(|zone| format!("{} = \"here\"", quoted(zone))).collect();
-        let core = role == Role::Archive;
+            config.zones.iter().map(|zone| format!("{} = \"here\"", quoted(zone))).collect();
+        let core = role == Role::Controller;
         let (class, serves) = match role {
-            Role::Archive => ("core", "\"controller\""),
-            Role::Desk => ("edge", "\"edge\""),
-            Role::Page => ("edge", ""),
+            Role::Controller => ("core", "\"controller\""),
+            Role::Proxy => ("edge", "\"edge\""),
+            Role::Agent => ("edge", ""),
         };
         let disk = if core {
             let path = self.disk(&machine.name);
@@ -524,12 +525,12 @@
             String::new()
         };
         let bindings = match role {
-            Role::Archive => format!("control_plane = \"{ip}:{}\"", ports.control_plane),
-            Role::Desk => format!(
+            Role::Controller => format!("control_plane = \"{ip}:{}\"", ports.control_plane),
+            Role::Proxy => format!(
                 "data_plane = \"{ip}:{}\"\nreadiness = \"{ip}:{}\"",
                 ports.data_plane, ports.readiness
             ),
-            Role::Page => String::new(),
+            Role::Agent => String::new(),
         };
         format!(
             "node_name = {name}\nrole = \"{role}\"\nmachine_class = \"{class}\"\nserves = [{serves}]\n\
@@ -557,22 +558,22 @@
             seeds = seeds.join(","),
             zones = zones.join("\n"),
             disk_mb = if core { 128 } else { 0 },
-            drain = plan.drain.as_millis(),
-            grace = plan.grace.as_secs_f64(),
+            drain = config.drain.as_millis(),
+            grace = config.grace.as_secs_f64(),
             provider = self.provider,
-            rate = plan.rate_per_s,
-            lag = plan.max_lag.as_millis(),
-            duty = plan.duty_rate_s,
+            rate = config.rate_per_s,
+            lag = config.max_lag.as_millis(),
+            duty = config.duty_rate_s,
         )
     }
 }
 
 /// A process that ends the others if this one dies: it reads their ids until the end of its input. A program that has
 /// no such command is no hindrance.
-fn guard_of(plan: &Plan) -> Option<(Child, ChildStdin)> {
-    let mut child = Command::new(&plan.program)
+fn guard_of(config: &FleetConfig) -> Option<(Child, ChildStdin)> {
+    let mut child = Command::new(&config.program)
         .args(["demo", "--guard"])
-        .arg(&plan.folder)
+        .arg(&config.folder)
         .stdin(Stdio::piped())
         .stdout(Stdio::null())
         .stderr(Stdio::null())
--- a/crates/standins/src/ledger.rs
+++ b/crates/standins/src/ledger.rs
@@ -37,18 +37,18 @@
 
 /// A try, as its client sent it.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct SentAttempt {
     /// The request that it is a try of.
     pub request: u64,
     pub repeatable: bool,
     pub service: String,
     /// Over method, path and body.
-    pub print: u64,
+    pub digest: u64,
 }
 
 #[derive(Default)]
 struct Book {
-    asked: HashMap<String, Asked>,
+    asked: HashMap<String, SentAttempt>,
     ran: BTreeMap<String, Vec<(String, u64)>>,
     answered: HashMap<String, u16>,
     mixed: Vec<String>,
@@ -63,20 +63,20 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn asked(&self, id: &str, asked: Asked) {
+    pub fn record_sent(&self, id: &str, asked: SentAttempt) {
         self.book().asked.insert(id.to_string(), asked);
     }
 
     /// A worker of the service begins to work on it.
-    pub fn ran(&self, id: &str, service: &str, print: u64) {
-        self.book().ran.entry(id.to_string()).or_default().push((service.to_string(), print));
+    pub fn record_run(&self, id: &str, service: &str, digest: u64) {
+        self.book().ran.entry(id.to_string()).or_default().push((service.to_string(), digest));
     }
 
-    pub fn answered(&self, id: &str, status: u16) {
+    pub fn record_status(&self, id: &str, status: u16) {
         self.book().answered.insert(id.to_string(), status);
     }
 
-    pub fn mixed(&self, id: &str) {
+    pub fn record_mixed(&self, id: &str) {
         self.book().mixed.push(id.to_string());
     }
 
@@ -100,8 +100,8 @@
                 found.push(Finding::Unasked(id.clone()));
                 continue;
             };
-            for (service, print) in runs {
-                if *print != asked.print {
+            for (service, digest) in runs {
+                if *digest != asked.digest {
                     found.push(Finding::Changed(id.clone()));
                 }
                 if *service != asked.service {
@@ -129,8 +129,8 @@
     use super::*;
     use rstest::rstest;
 
-    fn asked(repeatable: bool) -> Asked {
-        Asked { request: 1, repeatable, service: "f".into(), print: 7 }
+    fn asked(repeatable: bool) -> SentAttempt {
+        SentAttempt { request: 1, repeatable, service: "f".into(), digest: 7 }
     }
 
     #[rstest]
@@ -149,10 +149,10 @@
         #[case] wanted: &[&str],
     ) {
         let ledger = Ledger::default();
-        ledger.asked("a", asked(repeatable));
-        runs.iter().for_each(|(id, service, print)| ledger.ran(id, service, *print));
+        ledger.record_sent("a", asked(repeatable));
+        runs.iter().for_each(|(id, service, digest)| ledger.record_run(id, service, *digest));
         if let Some(status) = status {
-            ledger.answered("a", status);
+            ledger.record_status("a", status);
         }
         let found: Vec<String> = ledger.findings().iter().map(Finding::to_string).collect();
         assert_eq!(found, wanted);
@@ -162,8 +162,8 @@
     fn a_request_whose_two_tries_ran_has_run_twice() {
         let ledger = Ledger::default();
         for id in ["a", "b"] {
-            ledger.asked(id, asked(false));
-            ledger.ran(id, "f", 7);
+            ledger.record_sent(id, asked(false));
+            ledger.record_run(id, "f", 7);
         }
         assert_eq!(ledger.findings().len(), 1);
     }
--- a/crates/standins/src/operator.rs
+++ b/crates/standins/src/operator.rs
@@ -2,7 +2,7 @@
 //! scheduler after a failure, a 5xx, a 408 or 429, or silence, with a growing pause.
 
 use crate::platform::Function;
-use crate::wire::{call, request, Answer};
+use crate::wire::{call, request, Response};
 use nanoserde::SerJson;
 use std::fmt;
 use std::net::SocketAddr;
@@ -81,7 +81,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Given {
     /// An answer that ends the call, with what it says.
-    Answer(u16, String),
+    Response(u16, String),
     /// No clear answer in the time there was.
     Silence,
 }
@@ -89,7 +89,7 @@
 impl fmt::Display for Given {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Given::Answer(status, why) => write!(f, "{status}: {why}"),
+            Given::Response(status, why) => write!(f, "{status}: {why}"),
             Given::Silence => write!(f, "no clear answer in time"),
         }
     }
@@ -123,7 +123,7 @@
         headers: &[(&str, &str)],
         body: &str,
         within: Duration,
-    ) -> Result<(usize, Answer), Given> {
+    ) -> Result<(usize, Response), Given> {
         let until = Instant::now() + within;
         let (mut pause, mut calls, mut refused) = (FIRST_PAUSE, 0, 0);
         for turn in self.first.. {
@@ -132,7 +132,8 @@
             let (more, answer) = follow(at, patience, method, path, headers, body).await;
             calls += more;
             if let Some(answer) = answer {
-                let why = || Given::Answer(answer.status, String::from_utf8_lossy(&answer.body).into_owned());
+                let why =
+                    || Given::Response(answer.status, String::from_utf8_lossy(&answer.body).into_owned());
                 match answer.status {
                     200 => return Ok((calls, answer)),
                     400 | 409 | 412 | 413 | 422 => return Err(why()),
@@ -165,7 +166,7 @@
     path: &str,
     headers: &[(&str, &str)],
     body: &str,
-) -> (usize, Option<Answer>) {
+) -> (usize, Option<Response>) {
     let mut path = path.to_string();
     for calls in 1..=3 {
         let host = at.to_string();
@@ -228,7 +229,7 @@
         let operator = Operator { controllers: vec![controller(says, None).await], first: 0 };
         let got = operator.replace("{}", Duration::from_secs(3)).await;
         let got = got.map_err(|why| match why {
-            Given::Answer(status, _) => status,
+            Given::Response(status, _) => status,
             Given::Silence => 0,
         });
         assert_eq!(got, wanted);
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -2,7 +2,7 @@
 //! HTTP/1.1 on one address, workers listen on addresses of their own.
 //!
 //! What it shows is what was so `max_lag` ago; what it does, it does at once. Troubles come by a method or by a call
-//! (`POST /standin/crash-host?name=w-1`; the names are [`Trouble`]'s). It lives until it is dropped, and its workers with it.
+//! (`POST /standin/crash-host?name=w-1`; the names are [`InjectedFault`]'s). It lives until it is dropped, and its workers with it.
 
 use crate::ledger::Ledger;
 use crate::wire::{answer, read_request, Request};
@@ -93,7 +93,7 @@
 
 /// What can go wrong on request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Trouble {
+pub enum InjectedFault {
     /// A host ends at once with its workers, and is back, empty, after so long.
     CrashHost(String, Duration),
     /// A host is emptied: its workers leave in order; it is back after so long.
@@ -106,20 +106,20 @@
     Garble(f64),
 }
 
-impl Trouble {
+impl InjectedFault {
     /// From a call's path and query; times are in seconds.
-    pub fn read(name: &str, query: &str) -> Option<Trouble> {
+    pub fn read(name: &str, query: &str) -> Option<InjectedFault> {
         let field = |key: &str| {
             query.split('&').find_map(|p| p.strip_prefix(key)?.strip_prefix('=')).map(String::from)
         };
         let number = |key: &str, usual: f64| field(key).map_or(Some(usual), |text| text.parse::<f64>().ok());
         let seconds = |key: &str, usual| Duration::try_from_secs_f64(number(key, usual)?).ok();
         Some(match name {
-            "crash-host" => Trouble::CrashHost(field("name")?, seconds("back", 5.0)?),
-            "drain-host" => Trouble::DrainHost(field("name")?, seconds("back", 10.0)?),
-            "late-list" => Trouble::LateList(seconds("by", 3.0)?, seconds("for", 5.0)?),
-            "lose-answers" => Trouble::LoseAnswers(number("share", 0.1)?),
-            "garble" => Trouble::Garble(number("share", 0.1)?),
+            "crash-host" => InjectedFault::CrashHost(field("name")?, seconds("back", 5.0)?),
+            "drain-host" => InjectedFault::DrainHost(field("name")?, seconds("back", 10.0)?),
+            "late-list" => InjectedFault::LateList(seconds("by", 3.0)?, seconds("for", 5.0)?),
+            "lose-answers" => InjectedFault::LoseAnswers(number("share", 0.1)?),
+            "garble" => InjectedFault::Garble(number("share", 0.1)?),
             _ => return None,
         })
     }
@@ -141,7 +141,7 @@
 
 /// An instance, as it is now.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct InstanceView {
     pub instance_id: String,
     pub service: String,
     pub address: SocketAddr,
@@ -345,13 +345,13 @@
     }
 
     /// Who started or stopped a worker last, by its own word.
-    pub fn holder(&self) -> Option<String> {
+    pub fn lease_holder(&self) -> Option<String> {
         self.shared.state().fence.1.clone()
     }
 
-    pub fn instances(&self) -> Vec<Seen> {
+    pub fn instances(&self) -> Vec<InstanceView> {
         let state = self.shared.state();
-        let seen = |i: &Instance| Seen {
+        let seen = |i: &Instance| InstanceView {
             instance_id: i.id.clone(),
             service: state.options.functions[i.function].name.clone(),
             address: i.address,
@@ -363,7 +363,7 @@
     }
 
     /// False where it names no host that is up.
-    pub fn trouble(&self, trouble: Trouble) -> bool {
+    pub fn inject(&self, trouble: InjectedFault) -> bool {
         self.shared.trouble(trouble)
     }
 }
@@ -421,7 +421,7 @@
             ("POST", "/v1/stop") => self.stop(request),
             ("GET", "/standin") => (200, format!("{:?}\n", self.counts())),
             ("POST", path) if path.starts_with("/standin/") => {
-                match Trouble::read(path.trim_start_matches("/standin/"), query) {
+                match InjectedFault::read(path.trim_start_matches("/standin/"), query) {
                     Some(trouble) if self.trouble(trouble.clone()) => (200, format!("{trouble:?}\n")),
                     Some(_) => said(409, "no such host, or it is not up"),
                     None => said(400, "no such trouble, or a field is missing"),
@@ -522,13 +522,13 @@
         (200, "{}".into())
     }
 
-    fn trouble(self: &Arc<Self>, trouble: Trouble) -> bool {
+    fn trouble(self: &Arc<Self>, trouble: InjectedFault) -> bool {
         let now = Instant::now();
         match trouble {
-            Trouble::LoseAnswers(share) => self.habits.lose(share),
-            Trouble::Garble(share) => self.habits.garble(share),
-            Trouble::LateList(by, span) => self.state().late = Some((by, now + span)),
-            Trouble::CrashHost(name, back) => {
+            InjectedFault::LoseAnswers(share) => self.habits.lose(share),
+            InjectedFault::Garble(share) => self.habits.garble(share),
+            InjectedFault::LateList(by, span) => self.state().late = Some((by, now + span)),
+            InjectedFault::CrashHost(name, back) => {
                 let mut state = self.state();
                 let Some(index) = state.turn(&name, Standing::Down) else { return false };
                 for instance in state.instances.iter_mut().filter(|i| i.host == index && i.ended.is_none()) {
@@ -538,7 +538,7 @@
                 drop(state);
                 self.later(back, move |shared| shared.state().machines[index].turns.push(up()));
             }
-            Trouble::DrainHost(name, back) => {
+            InjectedFault::DrainHost(name, back) => {
                 let mut state = self.state();
                 let Some(index) = state.turn(&name, Standing::Draining) else { return false };
                 let stays = state.lag() + state.options.drain + A_LITTLE;
--- a/crates/standins/src/report.rs
+++ b/crates/standins/src/report.rs
@@ -26,13 +26,13 @@
 
 fn row(name: &str, done: &[&Done]) -> Row {
     let count = |outcome: Outcome| done.iter().filter(|d| d.outcome == outcome).count();
-    let served = |d: &&&Done| matches!(d.outcome, Outcome::InAim | Outcome::Late);
+    let served = |d: &&&Done| matches!(d.outcome, Outcome::OnTime | Outcome::Late);
     let mut took: Vec<Duration> = done.iter().filter(served).map(|d| d.took).collect();
     took.sort();
     Row {
         name: name.into(),
         asked: done.len(),
-        in_aim: count(Outcome::InAim),
+        in_aim: count(Outcome::OnTime),
         late: count(Outcome::Late),
         refused: count(Outcome::Refused),
         failed: count(Outcome::Failed),
@@ -142,7 +142,7 @@
         let (at, ms) = (x(d.at.as_secs_f64()), y(d.took.as_secs_f64() * 1000.0));
         let colour = COLOURS[d.class % COLOURS.len()];
         let _ = match d.outcome {
-            Outcome::InAim | Outcome::Late => writeln!(
+            Outcome::OnTime | Outcome::Late => writeln!(
                 out,
                 "<circle cx=\"{at:.1}\" cy=\"{ms:.1}\" r=\"2\" fill=\"{colour}\" fill-opacity=\"0.6\"/>"
             ),
@@ -158,7 +158,7 @@
     for n in 0..(last * 2.0) as u32 + 1 {
         let (from, to) = (Duration::from_millis(500) * n, Duration::from_millis(500) * (n + 1));
         let served =
-            |d: &&Done| (from..to).contains(&d.at) && matches!(d.outcome, Outcome::InAim | Outcome::Late);
+            |d: &&Done| (from..to).contains(&d.at) && matches!(d.outcome, Outcome::OnTime | Outcome::Late);
         let mut took: Vec<Duration> = done.iter().filter(served).map(|d| d.took).collect();
         took.sort();
         if !took.is_empty() {
@@ -213,7 +213,7 @@
             service: String::new(),
             repeatable: true,
             share: 1.0,
-            aim: Duration::ZERO,
+            target_latency: Duration::ZERO,
             deadline: Duration::ZERO,
             work: Duration::ZERO,
             answer_bytes: 0,
@@ -227,7 +227,7 @@
             tries: 1,
         };
         let classes = [class("a<b"), class("c")];
-        let all = [done(0, 10, Outcome::InAim), done(0, 30, Outcome::Late), done(1, 50, Outcome::Refused)];
+        let all = [done(0, 10, Outcome::OnTime), done(0, 30, Outcome::Late), done(1, 50, Outcome::Refused)];
         let rows = rows(&classes, &all);
         assert_eq!((rows[0].asked, rows[0].in_aim, rows[0].late, rows[1].refused), (2, 1, 1, 1));
         assert_eq!((rows[2].asked, rows[2].p99), (3, Duration::from_millis(30)));
--- a/crates/standins/src/wire.rs
+++ b/crates/standins/src/wire.rs
@@ -14,15 +14,15 @@
 
 /// Why there is no whole message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broken {
+pub enum ReadError {
     /// The stream ended before the first byte.
-    Ended,
+    Closed,
     /// It was reset before the first byte: what was written to it has not been read to its end.
     Reset,
     /// It ended or was reset after some bytes.
-    Cut,
+    Truncated,
     /// Bytes that are no message in the protocol.
-    Garbled,
+    Malformed,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -63,7 +63,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub headers: Headers,
     pub body: Vec<u8>,
@@ -71,15 +71,15 @@
 
 enum Start {
     Request(String, String),
-    Answer(u16),
+    Response(u16),
 }
 
-async fn more(stream: &mut TcpStream, buf: &mut Vec<u8>, begun: bool) -> Result<(), Broken> {
+async fn more(stream: &mut TcpStream, buf: &mut Vec<u8>, begun: bool) -> Result<(), ReadError> {
     match stream.read_buf(buf).await {
         Ok(1..) => Ok(()),
-        _ if begun || !buf.is_empty() => Err(Broken::Cut),
-        Ok(_) => Err(Broken::Ended),
-        Err(_) => Err(Broken::Reset),
+        _ if begun || !buf.is_empty() => Err(ReadError::Truncated),
+        Ok(_) => Err(ReadError::Closed),
+        Err(_) => Err(ReadError::Reset),
     }
 }
 
@@ -88,16 +88,16 @@
     Headers(parsed.iter().map(|h| (h.name.to_string(), text(h.value))).collect())
 }
 
-fn head(buf: &[u8], answer: bool) -> Result<Option<(Start, Headers, usize)>, Broken> {
+fn head(buf: &[u8], answer: bool) -> Result<Option<(Start, Headers, usize)>, ReadError> {
     let mut room = [httparse::EMPTY_HEADER; 128];
     if answer {
         let mut parsed = httparse::Response::new(&mut room);
         return match parsed.parse(buf) {
             Ok(httparse::Status::Complete(used)) => {
-                Ok(Some((Start::Answer(parsed.code.unwrap_or(0)), headers(parsed.headers), used)))
+                Ok(Some((Start::Response(parsed.code.unwrap_or(0)), headers(parsed.headers), used)))
             }
             Ok(httparse::Status::Partial) if buf.len() < HEAD => Ok(None),
-            _ => Err(Broken::Garbled),
+            _ => Err(ReadError::Malformed),
         };
     }
     let mut parsed = httparse::Request::new(&mut room);
@@ -110,13 +110,13 @@
             Ok(Some((start, headers(parsed.headers), used)))
         }
         Ok(httparse::Status::Partial) if buf.len() < HEAD => Ok(None),
-        _ => Err(Broken::Garbled),
+        _ => Err(ReadError::Malformed),
     }
 }
 
-async fn exactly(stream: &mut TcpStream, buf: &mut Vec<u8>, n: usize) -> Result<Vec<u8>, Broken> {
+async fn exactly(stream: &mut TcpStream, buf: &mut Vec<u8>, n: usize) -> Result<Vec<u8>, ReadError> {
     if n > BODY {
-        return Err(Broken::Garbled);
+        return Err(ReadError::Malformed);
     }
     while buf.len() < n {
         more(stream, buf, true).await?;
@@ -124,35 +124,35 @@
     Ok(buf.drain(..n).collect())
 }
 
-async fn line(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Result<String, Broken> {
+async fn line(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Result<String, ReadError> {
     loop {
         if let Some(at) = buf.windows(2).position(|two| two == b"\r\n") {
             let line: Vec<u8> = buf.drain(..at + 2).take(at).collect();
-            return String::from_utf8(line).map_err(|_| Broken::Garbled);
+            return String::from_utf8(line).map_err(|_| ReadError::Malformed);
         }
         if buf.len() > HEAD {
-            return Err(Broken::Garbled);
+            return Err(ReadError::Malformed);
         }
         more(stream, buf, true).await?;
     }
 }
 
-async fn chunks(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Result<Vec<u8>, Broken> {
+async fn chunks(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Result<Vec<u8>, ReadError> {
     let mut body = Vec::new();
     loop {
         let size = line(stream, buf).await?;
         let digits = size.split(';').next().unwrap_or_default().trim();
-        let size = usize::from_str_radix(digits, 16).map_err(|_| Broken::Garbled)?;
+        let size = usize::from_str_radix(digits, 16).map_err(|_| ReadError::Malformed)?;
         if size == 0 {
             while !line(stream, buf).await?.is_empty() {}
             return Ok(body);
         }
         if body.len() + size.min(BODY) > BODY {
-            return Err(Broken::Garbled);
+            return Err(ReadError::Malformed);
         }
         body.extend(exactly(stream, buf, size).await?);
         if !line(stream, buf).await?.is_empty() {
-            return Err(Broken::Garbled);
+            return Err(ReadError::Malformed);
         }
     }
 }
@@ -162,7 +162,7 @@
     buf: &mut Vec<u8>,
     headers: &Headers,
     to_the_end: bool,
-) -> Result<Vec<u8>, Broken> {
+) -> Result<Vec<u8>, ReadError> {
     let length = headers.get("content-length").map(|text| text.trim().parse::<usize>());
     match (headers.get("transfer-encoding"), length) {
         (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => chunks(stream, buf).await,
@@ -172,12 +172,12 @@
             Ok(std::mem::take(buf))
         }
         (None, None) => Ok(Vec::new()),
-        _ => Err(Broken::Garbled),
+        _ => Err(ReadError::Malformed),
     }
 }
 
 /// The next request; what came after it stays in `buf`.
-pub async fn read_request(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Result<Request, Broken> {
+pub async fn read_request(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Result<Request, ReadError> {
     loop {
         if let Some((Start::Request(method, target), headers, used)) = head(buf, false)? {
             buf.drain(..used);
@@ -189,18 +189,22 @@
 }
 
 /// The next answer, to a request of this method; what came after it stays in `buf`.
-pub async fn read_answer(stream: &mut TcpStream, buf: &mut Vec<u8>, to: &str) -> Result<Answer, Broken> {
+pub async fn read_response(
+    stream: &mut TcpStream,
+    buf: &mut Vec<u8>,
+    to: &str,
+) -> Result<Response, ReadError> {
     loop {
-        if let Some((Start::Answer(status), headers, used)) = head(buf, true)? {
+        if let Some((Start::Response(status), headers, used)) = head(buf, true)? {
             buf.drain(..used);
             match status {
-                101 => return Err(Broken::Garbled),
+                101 => return Err(ReadError::Malformed),
                 100..=199 => continue,
                 _ => {}
             }
             let none = to == "HEAD" || matches!(status, 204 | 304);
             let body = if none { Vec::new() } else { body(stream, buf, &headers, true).await? };
-            return Ok(Answer { status, headers, body });
+            return Ok(Response { status, headers, body });
         }
         more(stream, buf, false).await?;
     }
@@ -263,12 +267,12 @@
 }
 
 /// One call on a connection of its own. None without a whole answer in time.
-pub async fn call(at: SocketAddr, within: Duration, bytes: &[u8], method: &str) -> Option<Answer> {
+pub async fn call(at: SocketAddr, within: Duration, bytes: &[u8], method: &str) -> Option<Response> {
     let whole = async {
         let mut stream = TcpStream::connect(at).await.ok()?;
         let _ = stream.set_nodelay(true);
         stream.write_all(bytes).await.ok()?;
-        read_answer(&mut stream, &mut Vec::new(), method).await.ok()
+        read_response(&mut stream, &mut Vec::new(), method).await.ok()
     };
     timeout_at(Instant::now() + within, whole).await.ok().flatten()
 }
@@ -311,23 +315,26 @@
             assert_eq!((got.target.as_str(), got.headers.get("HOST")), ("/a", Some("h")));
             assert_eq!(got.body, b"hello world");
         }
-        assert!(matches!(read_request(&mut stream, &mut buf).await, Err(Broken::Ended)));
+        assert!(matches!(read_request(&mut stream, &mut buf).await, Err(ReadError::Closed)));
     }
 
     #[rstest]
     #[case::length("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", Ok("hi"))]
     #[case::until_the_end("HTTP/1.1 200 OK\r\n\r\nhi", Ok("hi"))]
     #[case::after_another("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No\r\n\r\n", Ok(""))]
-    #[case::short("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi", Err(Broken::Cut))]
-    #[case::bad_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n", Err(Broken::Garbled))]
-    #[case::other("\x16\x03 hello\r\n\r\n", Err(Broken::Garbled))]
+    #[case::short("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi", Err(ReadError::Truncated))]
+    #[case::bad_chunk(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n",
+        Err(ReadError::Malformed)
+    )]
+    #[case::other("\x16\x03 hello\r\n\r\n", Err(ReadError::Malformed))]
     #[tokio::test]
     async fn answers_are_whole_or_say_why_not(
         #[case] bytes: &'static str,
-        #[case] wanted: Result<&'static str, Broken>,
+        #[case] wanted: Result<&'static str, ReadError>,
     ) {
         let mut stream = over(bytes.into()).await;
-        let got = read_answer(&mut stream, &mut Vec::new(), "GET").await;
+        let got = read_response(&mut stream, &mut Vec::new(), "GET").await;
         assert_eq!(got.map(|answer| answer.body), wanted.map(|body| body.as_bytes().to_vec()));
     }
 }
--- a/crates/standins/src/workers.rs
+++ b/crates/standins/src/workers.rs
@@ -91,7 +91,7 @@
 }
 
 /// Over what must not be changed on the way to a worker.
-pub fn print(method: &str, target: &str, body: &[u8]) -> u64 {
+pub fn request_digest(method: &str, target: &str, body: &[u8]) -> u64 {
     hash(&[method.as_bytes(), target.as_bytes(), body])
 }
 
@@ -212,7 +212,7 @@
         }
         let held = Held(self);
         let Request { method, target, body, .. } = &request;
-        self.habits.0.ledger.ran(&id, &self.terms.function.name, print(method, target, body));
+        self.habits.0.ledger.record_run(&id, &self.terms.function.name, request_digest(method, target, body));
         let (work, late) = self.work(&request);
         tokio::select! {
             () = sleep(work) => {}
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -5,9 +5,9 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 use tindock_standins::ledger::Ledger;
-use tindock_standins::places::Net;
-use tindock_standins::platform::{Function, Host, Options, Platform, Trouble};
-use tindock_standins::wire::{call, request, Answer};
+use tindock_standins::loopback::Net;
+use tindock_standins::platform::{Function, Host, InjectedFault, Options, Platform};
+use tindock_standins::wire::{call, request, Response};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
@@ -98,7 +98,7 @@
     }
 }
 
-async fn ask(at: SocketAddr, headers: &[(&str, &str)]) -> Option<Answer> {
+async fn ask(at: SocketAddr, headers: &[(&str, &str)]) -> Option<Response> {
     let mut all = vec![("Host", "h.example")];
     all.extend_from_slice(headers);
     call(at, SOON, &request("GET", "/a/1", &all, b""), "GET").await
@@ -243,7 +243,7 @@
     let place = place(|_| ()).await;
     let (id, at) = place.worker("1").await;
     place.listed(&id, true).await;
-    assert!(place.platform.trouble(Trouble::CrashHost("w-0".into(), Duration::from_millis(150))));
+    assert!(place.platform.inject(InjectedFault::CrashHost("w-0".into(), Duration::from_millis(150))));
     assert_eq!(place.begin("f", "w-0", "2").await.0, 409);
     until(|| std::net::TcpStream::connect(at).is_err()).await;
     place.listed(&id, true).await;
@@ -271,7 +271,7 @@
 async fn a_late_list_shows_what_was_long_ago() {
     let place = place(|_| ()).await;
     let long = Duration::from_millis(300);
-    assert!(place.platform.trouble(Trouble::LateList(long * 10, long)));
+    assert!(place.platform.inject(InjectedFault::LateList(long * 10, long)));
     let (id, _) = place.worker("1").await;
     sleep(Duration::from_millis(60)).await;
     assert!(!place.list().await.contains(&id));
@@ -282,10 +282,10 @@
 async fn lost_and_garbled_answers_have_run() {
     let place = place(|_| ()).await;
     let (_, at) = place.worker("1").await;
-    place.platform.trouble(Trouble::LoseAnswers(1.0));
+    place.platform.inject(InjectedFault::LoseAnswers(1.0));
     assert!(ask(at, &[("Attempt-Id", "a")]).await.is_none());
-    place.platform.trouble(Trouble::LoseAnswers(0.0));
-    place.platform.trouble(Trouble::Garble(1.0));
+    place.platform.inject(InjectedFault::LoseAnswers(0.0));
+    place.platform.inject(InjectedFault::Garble(1.0));
     assert!(ask(at, &[("Attempt-Id", "b")]).await.is_none());
     assert_eq!(place.ledger.runs(), 2);
 }
