--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -1,8 +1,8 @@
-//! Clients: they come through the platform's choice of desks ([`ProxySelector`]), keep connections or open new ones, give every
-//! try an id of its own and repeat only what the protocol lets them.
+//! Clients: they reach the proxy that the platform selects ([`ProxySelector`]), reuse connections or open new
+//! ones, send each attempt under an id of its own and repeat only what the protocol permits.
 //!
-//! One thing can't be seen from a real socket: whether a desk has read a request. A reset before the first byte of an
-//! answer counts as not read (a process that had read all of it leaves an end instead), an end as read.
+//! A client cannot observe directly whether a proxy has read a request. A reset before the first byte of a
+//! response counts as not read (a process that had read all of it closes with EOF instead), an EOF as read.
 
 use crate::ledger::{Ledger, SentAttempt};
 use crate::wire::{call, read_response, request, request_in_chunks, ReadError};
@@ -16,19 +16,18 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
-/// A new connection is given so long to come up.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Between tries where no time was stated.
-const PAUSE: Duration = Duration::from_millis(40);
-/// An idle connection is used again for so long.
-const KEPT: Duration = Duration::from_secs(4);
-/// Tries of one request.
-const TRIES: usize = 4;
-/// Two misses in a row and a desk gets no new connections.
-const MISSES: u32 = 2;
-const CHECK: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Between attempts where the response has no `Retry-After`.
+const RETRY_DELAY: Duration = Duration::from_millis(40);
+/// An idle connection is reused for at most this long.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Attempts of one request.
+const MAX_ATTEMPTS: usize = 4;
+/// A proxy gets no new connections after this many failed readiness checks in a row.
+const MAX_MISSES: u32 = 2;
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A desk as the platform knows it.
+/// The addresses of a proxy, as the platform has them.
 #[derive(Debug, Clone)]
 pub struct ProxyAddress {
     pub zone: String,
@@ -36,61 +35,61 @@
     pub readiness: SocketAddr,
 }
 
-struct Watched {
-    door: ProxyAddress,
+struct CheckedProxy {
+    proxy: ProxyAddress,
     misses: AtomicU32,
 }
 
-/// The platform's choice of a desk for each new connection, by readiness each second.
+/// Selects a proxy for each new connection, as the platform does: by readiness, which is checked each second.
 pub struct ProxySelector {
-    doors: Arc<Vec<Watched>>,
-    watch: AbortHandle,
+    proxies: Arc<Vec<CheckedProxy>>,
+    checks: AbortHandle,
 }
 
 impl ProxySelector {
-    pub fn new(doors: Vec<ProxyAddress>) -> ProxySelector {
-        let doors: Vec<Watched> =
-            doors.into_iter().map(|door| Watched { door, misses: AtomicU32::new(0) }).collect();
-        let doors = Arc::new(doors);
-        let watched = doors.clone();
-        let watch = tokio::spawn(async move {
+    pub fn new(proxies: Vec<ProxyAddress>) -> ProxySelector {
+        let proxies: Vec<CheckedProxy> =
+            proxies.into_iter().map(|proxy| CheckedProxy { proxy, misses: AtomicU32::new(0) }).collect();
+        let proxies = Arc::new(proxies);
+        let checked = proxies.clone();
+        let checks = tokio::spawn(async move {
             loop {
-                let mut checks = JoinSet::new();
-                for (index, watched) in watched.iter().enumerate() {
-                    let at = watched.door.readiness;
-                    checks.spawn(async move { (index, ready(at).await) });
+                let mut open = JoinSet::new();
+                for (index, checked) in checked.iter().enumerate() {
+                    let at = checked.proxy.readiness;
+                    open.spawn(async move { (index, ready(at).await) });
                 }
-                let next = Instant::now() + CHECK;
-                while let Some(done) = checks.join_next().await {
+                let next = Instant::now() + CHECK_INTERVAL;
+                while let Some(done) = open.join_next().await {
                     let Ok((index, ready)) = done else { continue };
-                    let misses = &watched[index].misses;
+                    let misses = &checked[index].misses;
                     let more = misses.load(Relaxed).saturating_add(1);
                     misses.store(if ready { 0 } else { more }, Relaxed);
                 }
                 sleep_until(next).await;
             }
         });
-        ProxySelector { doors, watch: watch.abort_handle() }
+        ProxySelector { proxies, checks: checks.abort_handle() }
     }
 
-    /// The desk for a client's try, counted from 0; further tries reach others.
-    pub fn pick(&self, zone: &str, client: u64, turn: usize) -> Option<SocketAddr> {
-        let is_in = |w: &&Watched| w.misses.load(Relaxed) < MISSES;
-        let own: Vec<&Watched> = self.doors.iter().filter(|w| w.door.zone == zone).collect();
-        let others: Vec<&Watched> = self.doors.iter().filter(|w| w.door.zone != zone).collect();
-        let narrowed = |all: &[&'_ Watched]| -> Vec<SocketAddr> {
-            let kept: Vec<&&Watched> = all.iter().filter(|w| is_in(w)).collect();
-            // Under half: all of them; none: the zones beside it.
-            if kept.is_empty() {
+    /// The proxy for an attempt of a client; attempts count from 0, and each of a request gets another proxy.
+    pub fn pick(&self, zone: &str, client: u64, attempt: usize) -> Option<SocketAddr> {
+        let is_ready = |w: &&CheckedProxy| w.misses.load(Relaxed) < MAX_MISSES;
+        let local: Vec<&CheckedProxy> = self.proxies.iter().filter(|w| w.proxy.zone == zone).collect();
+        let remote: Vec<&CheckedProxy> = self.proxies.iter().filter(|w| w.proxy.zone != zone).collect();
+        let selected = |all: &[&'_ CheckedProxy]| -> Vec<SocketAddr> {
+            let ready: Vec<&&CheckedProxy> = all.iter().filter(|w| is_ready(w)).collect();
+            // Fewer than half are ready: all are selected; none is ready: other zones are.
+            if ready.is_empty() {
                 Vec::new()
-            } else if kept.len() * 2 < all.len() {
-                all.iter().map(|w| w.door.data_plane).collect()
+            } else if ready.len() * 2 < all.len() {
+                all.iter().map(|w| w.proxy.data_plane).collect()
             } else {
-                kept.iter().map(|w| w.door.data_plane).collect()
+                ready.iter().map(|w| w.proxy.data_plane).collect()
             }
         };
         let mut order = Vec::new();
-        for mut part in [narrowed(&own), narrowed(&others)] {
+        for mut part in [selected(&local), selected(&remote)] {
             if !part.is_empty() {
                 let first = (client % part.len() as u64) as usize;
                 part.rotate_left(first);
@@ -98,22 +97,22 @@
             order.extend(part);
         }
         if order.is_empty() {
-            order = self.doors.iter().map(|w| w.door.data_plane).collect();
+            order = self.proxies.iter().map(|w| w.proxy.data_plane).collect();
         }
-        order.get(turn % order.len().max(1)).copied()
+        order.get(attempt % order.len().max(1)).copied()
     }
 }
 
 impl Drop for ProxySelector {
     fn drop(&mut self) {
-        self.watch.abort();
+        self.checks.abort();
     }
 }
 
-/// Whether a desk says that it wants new connections.
+/// Whether a proxy reports that it accepts new connections.
 pub async fn ready(at: SocketAddr) -> bool {
     let bytes = request("GET", "/v1/readiness", &[("Host", "readiness"), ("Connection", "close")], b"");
-    call(at, CHECK.mul_f64(0.9), &bytes, "GET").await.is_some_and(|answer| answer.status == 200)
+    call(at, CHECK_INTERVAL.mul_f64(0.9), &bytes, "GET").await.is_some_and(|response| response.status == 200)
 }
 
 /// A kind of request.
@@ -122,11 +121,11 @@
     pub name: String,
     pub method: String,
     pub hostname: String,
-    /// The route's prefix; each request adds a part of its own.
+    /// The route's prefix; each request appends its number.
     pub path: String,
     pub service: String,
     pub repeatable: bool,
-    /// Its part of all requests, beside those of the others.
+    /// Its weight among the classes in the random choice of requests.
     pub share: f64,
     pub target_latency: Duration,
     pub deadline: Duration,
@@ -140,37 +139,37 @@
 pub enum Outcome {
     OnTime,
     Late,
-    /// The last word was a promise that it has not run.
+    /// The last attempt was answered with a status that states that it has not run.
     Refused,
     Failed,
 }
 
 #[derive(Debug, Clone)]
-pub struct Done {
+pub struct RequestRecord {
     pub class: usize,
-    /// When it was first sent, from the start of play.
+    /// When it was first sent, from the start of the load.
     pub at: Duration,
-    /// From then to its end, further tries included.
+    /// From the first attempt to the end of the last.
     pub took: Duration,
     pub outcome: Outcome,
-    pub tries: usize,
+    pub attempts: usize,
 }
 
 #[derive(Debug, Clone)]
 pub struct Load {
     pub classes: Vec<Class>,
     pub zones: Vec<String>,
-    /// Requests a second, all together.
+    /// Requests a second in total.
     pub rate: f64,
-    pub length: Duration,
-    /// Users, each with connections of its own.
+    pub duration: Duration,
+    /// Users; connections are not shared between them.
     pub users: usize,
-    /// How often a kept connection is used where there is one.
-    pub keeps: f64,
+    /// Probability that a request reuses an idle connection of its user if there is one.
+    pub reuse_probability: f64,
     pub seed: u64,
 }
 
-struct Kept {
+struct IdleConnection {
     stream: TcpStream,
     until: Instant,
 }
@@ -178,96 +177,99 @@
 struct User {
     zone: String,
     hash: u64,
-    kept: Mutex<Vec<Kept>>,
+    idle: Mutex<Vec<IdleConnection>>,
 }
 
 impl User {
-    /// A connection that is still open and quiet.
+    /// Takes an idle connection that is open and has no unread bytes.
     fn take(&self) -> Option<TcpStream> {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        while let Some(Kept { stream, until }) = kept.pop() {
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        while let Some(IdleConnection { stream, until }) = idle.pop() {
             let mut byte = [0; 1];
-            let quiet =
+            let is_quiet =
                 matches!(stream.try_read(&mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
-            if quiet && Instant::now() < until {
+            if is_quiet && Instant::now() < until {
                 return Some(stream);
             }
         }
         None
     }
 
-    fn keep(&self, stream: TcpStream, stated: Option<Duration>) {
-        let until = Instant::now() + stated.map_or(KEPT, |s| s.mul_f64(0.8).min(KEPT));
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner).push(Kept { stream, until });
+    /// Keeps a connection for reuse; `stated` is the server's keep-alive time.
+    fn put(&self, stream: TcpStream, stated: Option<Duration>) {
+        let until = Instant::now() + stated.map_or(IDLE_TIMEOUT, |s| s.mul_f64(0.8).min(IDLE_TIMEOUT));
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner).push(IdleConnection { stream, until });
     }
 }
 
 /// Clients of one deployment.
 pub struct Clients {
-    entry: ProxySelector,
+    selector: ProxySelector,
     ledger: Ledger,
     users: Vec<Arc<User>>,
     seed: u64,
 }
 
-enum Try {
+/// How an attempt ended, which decides whether its request may be repeated.
+enum AttemptEnd {
     Success,
-    /// None after this status.
+    /// A status after which a request is not repeated.
     Final,
-    /// It has not run; another try is welcome after so long.
-    Promise(Option<Duration>),
-    /// It was not read.
+    /// The status states that it has not run; it may be repeated after this time.
+    NotRun(Option<Duration>),
+    /// The proxy has not read it.
     Unread,
     MayHaveRun,
 }
 
 impl Clients {
     pub fn new(
-        entry: ProxySelector,
+        selector: ProxySelector,
         ledger: Ledger,
         zones: &[String],
         users: usize,
         seed: u64,
     ) -> Arc<Clients> {
-        let mut chance = oorandom::Rand64::new(seed.into());
+        let mut rng = oorandom::Rand64::new(seed.into());
         let user = |n: usize| User {
             zone: zones.get(n % zones.len().max(1)).cloned().unwrap_or_default(),
-            hash: chance.rand_u64(),
-            kept: Mutex::new(Vec::new()),
+            hash: rng.rand_u64(),
+            idle: Mutex::new(Vec::new()),
         };
         let users = (0..users.max(1)).map(user).map(Arc::new).collect();
-        Arc::new(Clients { entry, ledger, users, seed })
+        Arc::new(Clients { selector, ledger, users, seed })
     }
 
-    /// Plays a load: requests come by chance, whether earlier ones are answered or not. Ends when all have ended.
-    pub async fn play(self: &Arc<Self>, load: &Load) -> Vec<Done> {
-        let mut chance = oorandom::Rand64::new((load.seed ^ 0x5eed).into());
+    /// Plays a load: requests arrive at random (a Poisson process), whether earlier ones are answered or not.
+    /// Returns when all have ended.
+    pub async fn play(self: &Arc<Self>, load: &Load) -> Vec<RequestRecord> {
+        let mut rng = oorandom::Rand64::new((load.seed ^ 0x5eed).into());
         let start = Instant::now();
         let classes: Arc<[Class]> = load.classes.clone().into();
         let all: f64 = classes.iter().map(|c| c.share).sum();
         let mut open = JoinSet::new();
         let (mut at, mut done) = (Duration::ZERO, Vec::new());
         for number in 0u64.. {
-            at += Duration::from_secs_f64((-(1.0 - chance.rand_float()).ln() / load.rate).min(60.0));
-            if at >= load.length || all <= 0.0 {
+            at += Duration::from_secs_f64((-(1.0 - rng.rand_float()).ln() / load.rate).min(60.0));
+            if at >= load.duration || all <= 0.0 {
                 break;
             }
-            let mut left = chance.rand_float() * all;
+            let mut left = rng.rand_float() * all;
             let class = classes.iter().position(|c| {
                 left -= c.share;
                 left < 0.0
             });
-            let user = chance.rand_range(0..self.users.len() as u64) as usize;
-            let keeps = chance.rand_float() < load.keeps;
+            let user = rng.rand_range(0..self.users.len() as u64) as usize;
+            let reuse = rng.rand_float() < load.reuse_probability;
             let (class, clients, classes) = (class.unwrap_or(0), self.clone(), classes.clone());
-            // Ended ones are taken in meanwhile.
+            // Collects ended requests until the next one is due.
             while let Ok(Some(ended)) = timeout_at(start + at, open.join_next()).await {
                 done.extend(ended.ok());
             }
             sleep_until(start + at).await;
             open.spawn(async move {
-                let (outcome, took, tries) = clients.request(&classes[class], number, user, keeps).await;
-                Done { class, at, took, outcome, tries }
+                let (outcome, took, attempts) = clients.request(&classes[class], number, user, reuse).await;
+                RequestRecord { class, at, took, outcome, attempts }
             });
         }
         while let Some(ended) = open.join_next().await {
@@ -277,13 +279,14 @@
         done
     }
 
-    /// One request of a user, with its further tries. `number` is no other request's.
+    /// Sends one request of a user and repeats it as the protocol permits. Returns its outcome, its duration
+    /// and the number of attempts. `number` must be unique among the requests.
     pub async fn request(
         &self,
         class: &Class,
         number: u64,
         user: usize,
-        keeps: bool,
+        reuse: bool,
     ) -> (Outcome, Duration, usize) {
         let start = Instant::now();
         let end = start + class.deadline;
@@ -291,39 +294,41 @@
         let target = format!("{}{number:x}", class.path);
         let body: Vec<u8> = (0..class.body_bytes).map(|n| b'a' + (n as u64 + number) as u8 % 26).collect();
         let mut last = Outcome::Failed;
-        for turn in 0..TRIES {
-            let id = format!("{:08x}{number:08x}{turn:02x}", self.seed as u32);
+        for attempt in 0..MAX_ATTEMPTS {
+            let id = format!("{:08x}{number:08x}{attempt:02x}", self.seed as u32);
             let (repeatable, service) = (class.repeatable, class.service.clone());
             let digest = request_digest(&class.method, &target, &body);
             let request = self.seed << 32 | number;
             self.ledger.record_sent(&id, SentAttempt { request, repeatable, service, digest });
-            let kept = if turn == 0 && keeps { user.take() } else { None };
-            let end_try = self.attempt(class, &id, &target, &body, user, turn, kept, end).await;
+            let idle = if attempt == 0 && reuse { user.take() } else { None };
+            let end_try = self.attempt(class, &id, &target, &body, user, attempt, idle, end).await;
             let took = start.elapsed();
             let pause = match end_try {
-                Try::Success if took <= class.target_latency => return (Outcome::OnTime, took, turn + 1),
-                Try::Success => return (Outcome::Late, took, turn + 1),
-                Try::Final => return (Outcome::Failed, took, turn + 1),
-                Try::Promise(after) => {
+                AttemptEnd::Success if took <= class.target_latency => {
+                    return (Outcome::OnTime, took, attempt + 1)
+                }
+                AttemptEnd::Success => return (Outcome::Late, took, attempt + 1),
+                AttemptEnd::Final => return (Outcome::Failed, took, attempt + 1),
+                AttemptEnd::NotRun(after) => {
                     last = Outcome::Refused;
-                    after.unwrap_or(PAUSE).min(end.saturating_duration_since(Instant::now()) / 3)
+                    after.unwrap_or(RETRY_DELAY).min(end.saturating_duration_since(Instant::now()) / 3)
                 }
-                Try::Unread => {
+                AttemptEnd::Unread => {
                     last = Outcome::Failed;
-                    PAUSE
+                    RETRY_DELAY
                 }
-                Try::MayHaveRun if class.repeatable => {
+                AttemptEnd::MayHaveRun if class.repeatable => {
                     last = Outcome::Failed;
-                    PAUSE
+                    RETRY_DELAY
                 }
-                Try::MayHaveRun => return (Outcome::Failed, took, turn + 1),
+                AttemptEnd::MayHaveRun => return (Outcome::Failed, took, attempt + 1),
             };
-            if turn + 1 == TRIES || Instant::now() + pause + Duration::from_millis(10) >= end {
-                return (last, took, turn + 1);
+            if attempt + 1 == MAX_ATTEMPTS || Instant::now() + pause + Duration::from_millis(10) >= end {
+                return (last, took, attempt + 1);
             }
             sleep(pause).await;
         }
-        (last, start.elapsed(), TRIES)
+        (last, start.elapsed(), MAX_ATTEMPTS)
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -334,16 +339,18 @@
         target: &str,
         body: &[u8],
         user: &User,
-        turn: usize,
-        kept: Option<TcpStream>,
+        attempt: usize,
+        idle: Option<TcpStream>,
         end: Instant,
-    ) -> Try {
-        let mut stream = match kept {
+    ) -> AttemptEnd {
+        let mut stream = match idle {
             Some(stream) => stream,
             None => {
-                let Some(at) = self.entry.pick(&user.zone, user.hash, turn) else { return Try::Unread };
-                let Ok(Ok(stream)) = timeout(CONNECT, TcpStream::connect(at)).await else {
-                    return Try::Unread;
+                let Some(at) = self.selector.pick(&user.zone, user.hash, attempt) else {
+                    return AttemptEnd::Unread;
+                };
+                let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(at)).await else {
+                    return AttemptEnd::Unread;
                 };
                 let _ = stream.set_nodelay(true);
                 stream
@@ -359,7 +366,7 @@
             ("Standin-Work-Ms", &work),
             ("Standin-Answer-Bytes", &bytes),
         ];
-        // Bodies come with a length or in chunks.
+        // By user, bodies are sent with a length or in chunks.
         let out = if user.hash % 2 == 1 && !body.is_empty() {
             request_in_chunks(&class.method, target, &headers, body, 100)
         } else {
@@ -376,38 +383,39 @@
             }
             read_response(&mut stream, &mut buf, &class.method).await
         };
-        let answer = match timeout_at(end, exchange).await {
-            Err(_) => return Try::MayHaveRun,
-            Ok(Err(ReadError::Reset)) => return Try::Unread,
-            Ok(Err(ReadError::Closed | ReadError::Truncated)) => return Try::MayHaveRun,
+        let response = match timeout_at(end, exchange).await {
+            Err(_) => return AttemptEnd::MayHaveRun,
+            Ok(Err(ReadError::Reset)) => return AttemptEnd::Unread,
+            Ok(Err(ReadError::Closed | ReadError::Truncated)) => return AttemptEnd::MayHaveRun,
             Ok(Err(ReadError::Malformed)) => {
-                self.ledger.record_mixed(&format!("{id}: bytes that are no answer"));
-                return Try::MayHaveRun;
+                self.ledger.record_mixed(&format!("{id}: bytes that are not a response"));
+                return AttemptEnd::MayHaveRun;
             }
-            Ok(Ok(answer)) => answer,
+            Ok(Ok(response)) => response,
         };
-        self.ledger.record_status(id, answer.status);
-        let theirs = answer.headers.get("attempt-id").is_some_and(|theirs| theirs != id);
-        if theirs || !buf.is_empty() {
-            let what = if theirs { "an answer to another" } else { "more after a whole answer" };
+        self.ledger.record_status(id, response.status);
+        let is_other = response.headers.get("attempt-id").is_some_and(|other| other != id);
+        if is_other || !buf.is_empty() {
+            let what =
+                if is_other { "a response to another attempt" } else { "bytes after a complete response" };
             self.ledger.record_mixed(&format!("{id}: {what}"));
         }
-        let stated = answer.headers.keep_alive();
-        if !answer.headers.closes() && buf.is_empty() {
-            user.keep(stream, stated);
+        let stated = response.headers.keep_alive();
+        if !response.headers.closes() && buf.is_empty() {
+            user.put(stream, stated);
         }
-        match answer.status {
+        match response.status {
             200..=299 => {
-                let whole = answer.headers.get("server-seal") == Some(&seal(id, &answer.body));
-                if !whole || answer.headers.get("content-encoding").is_some() {
+                let is_complete = response.headers.get("server-seal") == Some(&seal(id, &response.body));
+                if !is_complete || response.headers.get("content-encoding").is_some() {
                     self.ledger
-                        .record_mixed(&format!("{id}: a success without the worker's seal on its body"));
+                        .record_mixed(&format!("{id}: a success without the worker's seal of its body"));
                 }
-                Try::Success
+                AttemptEnd::Success
             }
-            400 | 401 | 404 | 413 | 431 => Try::Final,
-            408 | 421 | 429 | 503 => Try::Promise(answer.headers.retry_after()),
-            _ => Try::MayHaveRun,
+            400 | 401 | 404 | 413 | 431 => AttemptEnd::Final,
+            408 | 421 | 429 | 503 => AttemptEnd::NotRun(response.headers.retry_after()),
+            _ => AttemptEnd::MayHaveRun,
         }
     }
 }
@@ -415,17 +423,17 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::wire::{answer, read_request};
+    use crate::wire::{read_request, response};
     use rstest::rstest;
     use tokio::net::TcpListener;
 
-    enum Says {
+    enum Reaction {
         Status(u16),
         Close,
     }
 
-    /// A front that says these in turn, one for each request, and counts them.
-    async fn front(says: &'static [Says]) -> (Arc<Clients>, Arc<AtomicU32>) {
+    /// A mock proxy that reacts to each request with the next of these, and counts the requests.
+    async fn mock_proxy(reactions: &'static [Reaction]) -> (Arc<Clients>, Arc<AtomicU32>) {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
         let at = listener.local_addr().expect("an address");
         let seen = Arc::new(AtomicU32::new(0));
@@ -438,21 +446,23 @@
                     let mut buf = Vec::new();
                     while let Ok(request) = read_request(&mut stream, &mut buf).await {
                         if request.target == "/v1/readiness" {
-                            let _ = stream.write_all(&answer(200, &[], b"")).await;
+                            let _ = stream.write_all(&response(200, &[], b"")).await;
                             return;
                         }
-                        let turn = counted.fetch_add(1, Relaxed) as usize;
-                        let Says::Status(status) = says[turn.min(says.len() - 1)] else { return };
+                        let attempt = counted.fetch_add(1, Relaxed) as usize;
+                        let Reaction::Status(status) = reactions[attempt.min(reactions.len() - 1)] else {
+                            return;
+                        };
                         let id = request.headers.get("attempt-id").unwrap_or_default();
                         let seal = seal(id, b"x");
                         let headers = [("Attempt-Id", id), ("Server-Seal", &seal), ("Retry-After", "0.01")];
-                        let _ = stream.write_all(&answer(status, &headers, b"x")).await;
+                        let _ = stream.write_all(&response(status, &headers, b"x")).await;
                     }
                 });
             }
         });
-        let door = ProxyAddress { zone: "a".into(), data_plane: at, readiness: at };
-        let clients = Clients::new(ProxySelector::new(vec![door]), Ledger::default(), &["a".into()], 1, 1);
+        let proxy = ProxyAddress { zone: "a".into(), data_plane: at, readiness: at };
+        let clients = Clients::new(ProxySelector::new(vec![proxy]), Ledger::default(), &["a".into()], 1, 1);
         (clients, seen)
     }
 
@@ -474,35 +484,35 @@
     }
 
     #[rstest]
-    #[case::served(false, &[Says::Status(200)], Outcome::OnTime, 1)]
-    #[case::promised(false, &[Says::Status(503), Says::Status(200)], Outcome::OnTime, 2)]
-    #[case::refused_to_the_end(false, &[Says::Status(503)], Outcome::Refused, 4)]
-    #[case::nothing_promised(false, &[Says::Status(502), Says::Status(200)], Outcome::Failed, 1)]
-    #[case::nothing_promised_repeatable(true, &[Says::Status(502), Says::Status(200)], Outcome::OnTime, 2)]
-    #[case::closed(false, &[Says::Close, Says::Status(200)], Outcome::Failed, 1)]
-    #[case::closed_repeatable(true, &[Says::Close, Says::Status(200)], Outcome::OnTime, 2)]
-    #[case::no_route(true, &[Says::Status(404)], Outcome::Failed, 1)]
+    #[case::served(false, &[Reaction::Status(200)], Outcome::OnTime, 1)]
+    #[case::not_run(false, &[Reaction::Status(503), Reaction::Status(200)], Outcome::OnTime, 2)]
+    #[case::not_run_every_time(false, &[Reaction::Status(503)], Outcome::Refused, 4)]
+    #[case::may_have_run(false, &[Reaction::Status(502), Reaction::Status(200)], Outcome::Failed, 1)]
+    #[case::may_have_run_repeat(true, &[Reaction::Status(502), Reaction::Status(200)], Outcome::OnTime, 2)]
+    #[case::closed(false, &[Reaction::Close, Reaction::Status(200)], Outcome::Failed, 1)]
+    #[case::closed_repeatable(true, &[Reaction::Close, Reaction::Status(200)], Outcome::OnTime, 2)]
+    #[case::no_route(true, &[Reaction::Status(404)], Outcome::Failed, 1)]
     #[tokio::test]
-    async fn repeats_by_the_rules(
+    async fn an_attempt_that_may_have_run_is_repeated_only_if_repeatable(
         #[case] repeatable: bool,
-        #[case] says: &'static [Says],
+        #[case] reactions: &'static [Reaction],
         #[case] wanted: Outcome,
-        #[case] tries: usize,
+        #[case] attempts: usize,
     ) {
-        let (clients, seen) = front(says).await;
-        let (outcome, _, tried) = clients.request(&class(repeatable), 1, 0, true).await;
-        assert_eq!((outcome, tried, seen.load(Relaxed) as usize), (wanted, tries, tries));
+        let (clients, seen) = mock_proxy(reactions).await;
+        let (outcome, _, attempted) = clients.request(&class(repeatable), 1, 0, true).await;
+        assert_eq!((outcome, attempted, seen.load(Relaxed) as usize), (wanted, attempts, attempts));
         assert_eq!(clients.ledger.findings(), []);
     }
 
     #[tokio::test]
-    async fn tries_reach_other_desks() {
-        let door = |zone: &str, n: u8| {
+    async fn further_attempts_reach_other_proxies_local_zone_first() {
+        let proxy = |zone: &str, n: u8| {
             let at = SocketAddr::from(([127, 0, 0, n], 1));
             ProxyAddress { zone: zone.into(), data_plane: at, readiness: at }
         };
-        let entry = ProxySelector::new(vec![door("a", 1), door("a", 2), door("b", 3)]);
-        let mut picked: Vec<_> = (0..3).filter_map(|turn| entry.pick("a", 5, turn)).collect();
+        let entry = ProxySelector::new(vec![proxy("a", 1), proxy("a", 2), proxy("b", 3)]);
+        let mut picked: Vec<_> = (0..3).filter_map(|attempt| entry.pick("a", 5, attempt)).collect();
         assert_eq!(picked[2], SocketAddr::from(([127, 0, 0, 3], 1)));
         picked.sort();
         picked.dedup();
--- a/crates/standins/src/ledger.rs
+++ b/crates/standins/src/ledger.rs
@@ -1,24 +1,24 @@
-//! What clients sent and what workers ran, side by side: the rules that can be seen from outside at once. In the words
-//! of `RULES.md`: TWICE, REFUSED, UNASKED, ROUTE and MIXED.
+//! Records what clients sent and what workers ran, and checks the rules that can be observed from outside at
+//! any time: TWICE, REFUSED, UNASKED, ROUTE and MIXED of `RULES.md`.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Finding {
-    /// A try that is not repeatable ran more than once, or its request in more than one of its tries.
+    /// A non-repeatable attempt ran more than once, or more than one attempt of its request ran.
     Twice(String),
-    /// A promise (this status) for a try that is not repeatable and ran.
+    /// A non-repeatable attempt ran, and was answered with this status, which states that it did not run.
     Refused(String, u16),
-    /// A worker ran what no client sent.
+    /// A worker ran an attempt that no client sent.
     Unasked(String),
-    /// Its method, path or body was another at the worker.
+    /// The worker received another method, path or body than the client sent.
     Changed(String),
-    /// It ran at this service, which its route does not lead to.
+    /// It ran at this service, which is not its route's.
     Route(String, String),
-    /// A success that is not the worker's whole answer to this try.
+    /// A successful response that is not the worker's complete response to this attempt.
     Mixed(String),
 }
 
@@ -35,86 +35,88 @@
     }
 }
 
-/// A try, as its client sent it.
+/// An attempt as its client sent it.
 #[derive(Debug, Clone)]
 pub struct SentAttempt {
-    /// The request that it is a try of.
+    /// The request that it is an attempt of.
     pub request: u64,
     pub repeatable: bool,
     pub service: String,
-    /// Over method, path and body.
+    /// Hash of method, path and body.
     pub digest: u64,
 }
 
 #[derive(Default)]
-struct Book {
-    asked: HashMap<String, SentAttempt>,
-    ran: BTreeMap<String, Vec<(String, u64)>>,
-    answered: HashMap<String, u16>,
+struct Records {
+    sent: HashMap<String, SentAttempt>,
+    /// Runs by attempt id: the service and the digest that its worker received.
+    runs: BTreeMap<String, Vec<(String, u64)>>,
+    statuses: HashMap<String, u16>,
     mixed: Vec<String>,
 }
 
 /// Shared by clients and workers.
 #[derive(Clone, Default)]
-pub struct Ledger(Arc<Mutex<Book>>);
+pub struct Ledger(Arc<Mutex<Records>>);
 
 impl Ledger {
-    fn book(&self) -> MutexGuard<'_, Book> {
+    fn records(&self) -> MutexGuard<'_, Records> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn record_sent(&self, id: &str, asked: SentAttempt) {
-        self.book().asked.insert(id.to_string(), asked);
+    pub fn record_sent(&self, id: &str, sent: SentAttempt) {
+        self.records().sent.insert(id.to_string(), sent);
     }
 
-    /// A worker of the service begins to work on it.
+    /// Records that a worker of this service begins to process the attempt.
     pub fn record_run(&self, id: &str, service: &str, digest: u64) {
-        self.book().ran.entry(id.to_string()).or_default().push((service.to_string(), digest));
+        self.records().runs.entry(id.to_string()).or_default().push((service.to_string(), digest));
     }
 
     pub fn record_status(&self, id: &str, status: u16) {
-        self.book().answered.insert(id.to_string(), status);
+        self.records().statuses.insert(id.to_string(), status);
     }
 
+    /// Records a response that breaks MIXED.
     pub fn record_mixed(&self, id: &str) {
-        self.book().mixed.push(id.to_string());
+        self.records().mixed.push(id.to_string());
     }
 
-    /// Whether a worker has begun to work on it.
+    /// Whether a worker has begun to process the attempt.
     pub fn has_run(&self, id: &str) -> bool {
-        self.book().ran.contains_key(id)
+        self.records().runs.contains_key(id)
     }
 
-    /// Runs at workers so far.
+    /// Number of runs at workers so far.
     pub fn runs(&self) -> usize {
-        self.book().ran.values().map(Vec::len).sum()
+        self.records().runs.values().map(Vec::len).sum()
     }
 
-    /// What is wrong so far, in an order that depends on nothing else.
+    /// All violations so far, sorted, so that their order does not depend on the hash maps.
     pub fn findings(&self) -> Vec<Finding> {
-        let book = self.book();
-        let mut found: Vec<Finding> = book.mixed.iter().cloned().map(Finding::Mixed).collect();
-        let mut requests: BTreeMap<u64, usize> = BTreeMap::new();
-        for (id, runs) in &book.ran {
-            let Some(asked) = book.asked.get(id) else {
+        let records = self.records();
+        let mut found: Vec<Finding> = records.mixed.iter().cloned().map(Finding::Mixed).collect();
+        let mut runs_by_request: BTreeMap<u64, usize> = BTreeMap::new();
+        for (id, runs) in &records.runs {
+            let Some(sent) = records.sent.get(id) else {
                 found.push(Finding::Unasked(id.clone()));
                 continue;
             };
             for (service, digest) in runs {
-                if *digest != asked.digest {
+                if *digest != sent.digest {
                     found.push(Finding::Changed(id.clone()));
                 }
-                if *service != asked.service {
+                if *service != sent.service {
                     found.push(Finding::Route(id.clone(), service.clone()));
                 }
             }
-            if !asked.repeatable {
-                let total = requests.entry(asked.request).or_default();
+            if !sent.repeatable {
+                let total = runs_by_request.entry(sent.request).or_default();
                 *total += runs.len();
                 if *total > 1 {
                     found.push(Finding::Twice(id.clone()));
                 }
-                if let Some(status @ (408 | 421 | 429 | 503)) = book.answered.get(id).copied() {
+                if let Some(status @ (408 | 421 | 429 | 503)) = records.statuses.get(id).copied() {
                     found.push(Finding::Refused(id.clone(), status));
                 }
             }
@@ -129,27 +131,27 @@
     use super::*;
     use rstest::rstest;
 
-    fn asked(repeatable: bool) -> SentAttempt {
+    fn sent(repeatable: bool) -> SentAttempt {
         SentAttempt { request: 1, repeatable, service: "f".into(), digest: 7 }
     }
 
     #[rstest]
-    #[case::once(false, &[("a", "f", 7)], None, &[])]
-    #[case::twice(false, &[("a", "f", 7), ("a", "f", 7)], None, &["TWICE: a"])]
-    #[case::repeatable(true, &[("a", "f", 7), ("a", "f", 7)], None, &[])]
-    #[case::promised(false, &[("a", "f", 7)], Some(503), &["REFUSED: a was answered 503 and ran"])]
-    #[case::nothing_promised(false, &[("a", "f", 7)], Some(502), &[])]
-    #[case::another(true, &[("b", "f", 7)], None, &["UNASKED: b ran, and no client sent it"])]
-    #[case::changed(true, &[("a", "f", 8)], None, &["UNASKED: a was changed on its way"])]
-    #[case::elsewhere(true, &[("a", "g", 7)], None, &["ROUTE: a ran at g"])]
-    fn finds(
+    #[case::ran_once(false, &[("a", "f", 7)], None, &[])]
+    #[case::ran_twice(false, &[("a", "f", 7), ("a", "f", 7)], None, &["TWICE: a"])]
+    #[case::repeatable_ran_twice(true, &[("a", "f", 7), ("a", "f", 7)], None, &[])]
+    #[case::ran_despite_503(false, &[("a", "f", 7)], Some(503), &["REFUSED: a was answered 503 and ran"])]
+    #[case::ran_and_502(false, &[("a", "f", 7)], Some(502), &[])]
+    #[case::never_sent(true, &[("b", "f", 7)], None, &["UNASKED: b ran, and no client sent it"])]
+    #[case::changed_on_the_way(true, &[("a", "f", 8)], None, &["UNASKED: a was changed on its way"])]
+    #[case::ran_at_another_service(true, &[("a", "g", 7)], None, &["ROUTE: a ran at g"])]
+    fn rule_violations_are_found(
         #[case] repeatable: bool,
         #[case] runs: &[(&str, &str, u64)],
         #[case] status: Option<u16>,
         #[case] wanted: &[&str],
     ) {
         let ledger = Ledger::default();
-        ledger.record_sent("a", asked(repeatable));
+        ledger.record_sent("a", sent(repeatable));
         runs.iter().for_each(|(id, service, digest)| ledger.record_run(id, service, *digest));
         if let Some(status) = status {
             ledger.record_status("a", status);
@@ -159,10 +161,10 @@
     }
 
     #[test]
-    fn a_request_whose_two_tries_ran_has_run_twice() {
+    fn two_attempts_of_one_request_that_both_ran_violate_twice() {
         let ledger = Ledger::default();
         for id in ["a", "b"] {
-            ledger.record_sent(id, asked(false));
+            ledger.record_sent(id, sent(false));
             ledger.record_run(id, "f", 7);
         }
         assert_eq!(ledger.findings().len(), 1);
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,12 +1,13 @@
-//! Stand-ins for all that the whole system meets, on one machine, over loopback: the platform with its workers
-//! ([`platform`]), the operator ([`operator`]) and clients ([`clients`]), as `PROTOCOL.md` describes them. [`demo`] is
-//! one command that puts the system's own programs among them; [`fleet`] starts and ends those.
+//! Mock services for everything that the system communicates with, on one machine, over loopback: the
+//! platform with its workers ([`platform`], [`workers`]), the operator ([`operator`]) and clients
+//! ([`clients`]), as `PROTOCOL.md` describes them. [`demo`] is a command that runs the system's own programs
+//! against them; [`fleet`] starts and ends those programs.
 //!
-//! Nothing here is used by the system in service, and nothing of the system's own reading and writing is used here
-//! ([`wire`] is separate), so that a mistake on one side shows on the other.
+//! The production code uses nothing from this crate, and this crate does not use the system's own parser and
+//! serializer ([`wire`] is separate), so that a mistake on one side is visible to the other.
 //!
-//! All addresses are 127.x.y.z, one for each machine that is played ([`loopback`]); nothing leaves the machine. Worker
-//! processes are tasks with sockets of their own; the system's programs are real processes.
+//! All addresses are 127.x.y.z, one for each simulated machine ([`loopback`]); no traffic leaves the machine.
+//! Workers are tasks with their own sockets; the system's programs are real processes.
 
 pub mod clients;
 pub mod demo;
--- a/crates/standins/src/operator.rs
+++ b/crates/standins/src/operator.rs
@@ -1,5 +1,6 @@
-//! The operator: sends a configuration until it is taken, and reads it back. It follows 307 twice and moves to another
-//! scheduler after a failure, a 5xx, a 408 or 429, or silence, with a growing pause.
+//! The operator: sends a configuration until it is accepted, and reads it back. It follows a 307 redirect up
+//! to twice, and moves to another controller after a failure, a 5xx, a 408 or 429, or a time-out, with a
+//! growing delay.
 
 use crate::platform::Function;
 use crate::wire::{call, request, Response};
@@ -9,10 +10,10 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Silence is given up after so long; longer for large bodies.
-const PATIENCE: Duration = Duration::from_secs(1);
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+/// Time-out of one call; 1 ms is added for each 100 bytes of the body.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+const FIRST_DELAY: Duration = Duration::from_millis(100);
+const MAX_DELAY: Duration = Duration::from_secs(1);
 
 /// A route of a configuration.
 #[derive(Debug, Clone, SerJson)]
@@ -49,14 +50,14 @@
 }
 
 #[derive(SerJson)]
-struct Whole {
+struct Configuration {
     revision: u64,
     routes: Vec<Route>,
     services: Vec<Service>,
     limits: Limits,
 }
 
-/// A whole configuration as the operator sends it.
+/// The complete configuration as the operator sends it, as JSON.
 pub fn configuration(revision: u64, routes: &[Route], functions: &[Function]) -> String {
     let service = |f: &Function| Service {
         name: f.name.clone(),
@@ -74,46 +75,46 @@
         idle_timeout_ms: 15_000,
     };
     let services = functions.iter().map(service).collect();
-    Whole { revision, routes: routes.to_vec(), services, limits }.serialize_json()
+    Configuration { revision, routes: routes.to_vec(), services, limits }.serialize_json()
 }
 
 /// Why a call was given up.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Given {
-    /// An answer that ends the call, with what it says.
+pub enum CallError {
+    /// A status after which the call is not repeated, and the response's body.
     Response(u16, String),
-    /// No clear answer in the time there was.
-    Silence,
+    /// No conclusive response before the deadline.
+    TimedOut,
 }
 
-impl fmt::Display for Given {
+impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Given::Response(status, why) => write!(f, "{status}: {why}"),
-            Given::Silence => write!(f, "no clear answer in time"),
+            CallError::Response(status, why) => write!(f, "{status}: {why}"),
+            CallError::TimedOut => write!(f, "no conclusive response in time"),
         }
     }
 }
 
 #[derive(Debug, Clone)]
 pub struct Operator {
-    /// The schedulers that serve `controller`.
+    /// The processes that serve `controller`.
     pub controllers: Vec<SocketAddr>,
-    /// Where it begins among them.
+    /// Index of the controller that is called first.
     pub first: usize,
 }
 
 impl Operator {
-    /// Sends a whole configuration until it is taken; the number of calls that took.
-    pub async fn replace(&self, text: &str, within: Duration) -> Result<usize, Given> {
+    /// Sends a complete configuration until it is accepted; returns the number of calls that were needed.
+    pub async fn replace(&self, text: &str, within: Duration) -> Result<usize, CallError> {
         let headers = [("Content-Type", "application/json")];
         self.repeat("POST", "/v1/Configuration.Replace", &headers, text, within).await.map(|(calls, _)| calls)
     }
 
-    /// The newest configuration.
-    pub async fn show(&self, within: Duration) -> Result<String, Given> {
-        let (_, answer) = self.repeat("GET", "/v1/Configuration.Show", &[], "", within).await?;
-        Ok(String::from_utf8_lossy(&answer.body).into_owned())
+    /// Reads the newest configuration.
+    pub async fn show(&self, within: Duration) -> Result<String, CallError> {
+        let (_, response) = self.repeat("GET", "/v1/Configuration.Show", &[], "", within).await?;
+        Ok(String::from_utf8_lossy(&response.body).into_owned())
     }
 
     async fn repeat(
@@ -123,19 +124,20 @@
         headers: &[(&str, &str)],
         body: &str,
         within: Duration,
-    ) -> Result<(usize, Response), Given> {
+    ) -> Result<(usize, Response), CallError> {
         let until = Instant::now() + within;
-        let (mut pause, mut calls, mut refused) = (FIRST_PAUSE, 0, 0);
+        let (mut delay, mut calls, mut refused) = (FIRST_DELAY, 0, 0);
         for turn in self.first.. {
             let Some(&at) = self.controllers.get(turn % self.controllers.len().max(1)) else { break };
-            let patience = PATIENCE + Duration::from_millis(body.len() as u64 / 100);
-            let (more, answer) = follow(at, patience, method, path, headers, body).await;
+            let call_timeout = CALL_TIMEOUT + Duration::from_millis(body.len() as u64 / 100);
+            let (more, response) = follow(at, call_timeout, method, path, headers, body).await;
             calls += more;
-            if let Some(answer) = answer {
-                let why =
-                    || Given::Response(answer.status, String::from_utf8_lossy(&answer.body).into_owned());
-                match answer.status {
-                    200 => return Ok((calls, answer)),
+            if let Some(response) = response {
+                let why = || {
+                    CallError::Response(response.status, String::from_utf8_lossy(&response.body).into_owned())
+                };
+                match response.status {
+                    200 => return Ok((calls, response)),
                     400 | 409 | 412 | 413 | 422 => return Err(why()),
                     408 | 429 => {}
                     401..=499 => {
@@ -147,21 +149,21 @@
                     _ => {}
                 }
             }
-            if Instant::now() + pause >= until {
+            if Instant::now() + delay >= until {
                 break;
             }
-            sleep(pause).await;
-            pause = (pause * 3 / 2).min(LONGEST_PAUSE);
+            sleep(delay).await;
+            delay = (delay * 3 / 2).min(MAX_DELAY);
         }
-        Err(Given::Silence)
+        Err(CallError::TimedOut)
     }
 }
 
-/// One call with at most two redirects, each given up after `patience`: how many calls went out, and the answer if
-/// there was a whole one.
+/// Makes one call with at most two redirects, each with the time-out `call_timeout`. Returns the number of
+/// requests sent, and the response if there was a complete one.
 pub async fn follow(
     mut at: SocketAddr,
-    patience: Duration,
+    call_timeout: Duration,
     method: &str,
     path: &str,
     headers: &[(&str, &str)],
@@ -173,11 +175,11 @@
         let mut all = vec![("Host", host.as_str())];
         all.extend_from_slice(headers);
         let bytes = request(method, &path, &all, body.as_bytes());
-        let answer = call(at, patience, &bytes, method).await;
-        match answer {
-            Some(answer) if answer.status == 307 && calls < 3 => {
-                let Some(next) = answer.headers.get("location").and_then(location) else {
-                    return (calls, Some(answer));
+        let response = call(at, call_timeout, &bytes, method).await;
+        match response {
+            Some(response) if response.status == 307 && calls < 3 => {
+                let Some(next) = response.headers.get("location").and_then(location) else {
+                    return (calls, Some(response));
                 };
                 (at, path) = next;
             }
@@ -197,23 +199,23 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::wire::{answer, read_request};
+    use crate::wire::{read_request, response};
     use rstest::rstest;
     use tokio::io::AsyncWriteExt;
     use tokio::net::TcpListener;
 
-    /// A controller that says these statuses in turn, then the last one for ever.
-    async fn controller(says: &'static [u16], elsewhere: Option<SocketAddr>) -> SocketAddr {
+    /// A mock controller that answers with these statuses in turn, then always with the last one.
+    async fn controller(statuses: &'static [u16], redirect_to: Option<SocketAddr>) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
         let at = listener.local_addr().expect("an address");
         tokio::spawn(async move {
             for turn in 0.. {
                 let Ok((mut stream, _)) = listener.accept().await else { return };
-                let status = says[turn.min(says.len() - 1)];
+                let status = statuses[turn.min(statuses.len() - 1)];
                 let _ = read_request(&mut stream, &mut Vec::new()).await;
                 let to =
-                    elsewhere.map(|at| format!("http://{at}/v1/Configuration.Replace")).unwrap_or_default();
-                let _ = stream.write_all(&answer(status, &[("Location", &to)], b"{}")).await;
+                    redirect_to.map(|at| format!("http://{at}/v1/Configuration.Replace")).unwrap_or_default();
+                let _ = stream.write_all(&response(status, &[("Location", &to)], b"{}")).await;
             }
         });
         at
@@ -223,27 +225,30 @@
     #[case::at_once(&[200], Ok(1))]
     #[case::after_failures(&[503, 429, 200], Ok(3))]
     #[case::invalid(&[400], Err(400))]
-    #[case::the_third_time(&[404], Err(404))]
+    #[case::refused_three_times(&[404], Err(404))]
     #[tokio::test]
-    async fn goes_on_until_it_is_told(#[case] says: &'static [u16], #[case] wanted: Result<usize, u16>) {
-        let operator = Operator { controllers: vec![controller(says, None).await], first: 0 };
+    async fn repeats_until_a_conclusive_status(
+        #[case] statuses: &'static [u16],
+        #[case] wanted: Result<usize, u16>,
+    ) {
+        let operator = Operator { controllers: vec![controller(statuses, None).await], first: 0 };
         let got = operator.replace("{}", Duration::from_secs(3)).await;
         let got = got.map_err(|why| match why {
-            Given::Response(status, _) => status,
-            Given::Silence => 0,
+            CallError::Response(status, _) => status,
+            CallError::TimedOut => 0,
         });
         assert_eq!(got, wanted);
     }
 
     #[tokio::test]
-    async fn follows_to_another_and_leaves_the_dead() {
-        let taker = controller(&[200], None).await;
-        let sender = controller(&[307], Some(taker)).await;
-        // Nobody listens there.
-        let dead: SocketAddr = "127.0.0.1:1".parse().expect("an address");
-        let operator = Operator { controllers: vec![dead, sender], first: 0 };
+    async fn follows_redirects_and_moves_on_from_an_unreachable_controller() {
+        let target = controller(&[200], None).await;
+        let redirecting = controller(&[307], Some(target)).await;
+        // No process listens there.
+        let unreachable: SocketAddr = "127.0.0.1:1".parse().expect("an address");
+        let operator = Operator { controllers: vec![unreachable, redirecting], first: 0 };
         assert_eq!(operator.replace("{}", Duration::from_secs(3)).await, Ok(3));
-        let alone = Operator { controllers: vec![dead], first: 0 };
-        assert_eq!(alone.replace("{}", Duration::from_millis(150)).await, Err(Given::Silence));
+        let alone = Operator { controllers: vec![unreachable], first: 0 };
+        assert_eq!(alone.replace("{}", Duration::from_millis(150)).await, Err(CallError::TimedOut));
     }
 }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,12 +1,13 @@
-//! The platform: the list of instances, the worker machines, starts and stops, and the workers themselves. Calls are
-//! HTTP/1.1 on one address, workers listen on addresses of their own.
+//! The mock platform: the list of instances, the worker hosts, starts and stops, and the workers themselves.
+//! Calls are HTTP/1.1 on one address; each worker listens on its own address.
 //!
-//! What it shows is what was so `max_lag` ago; what it does, it does at once. Troubles come by a method or by a call
-//! (`POST /standin/crash-host?name=w-1`; the names are [`InjectedFault`]'s). It lives until it is dropped, and its workers with it.
+//! Its lists show the state of `max_lag` ago; starts and stops take effect at once. Faults are injected by a
+//! method or by a call (`POST /standin/crash-host?name=w-1`; see [`InjectedFault::read`]). The platform and
+//! its workers run until it is dropped.
 
 use crate::ledger::Ledger;
-use crate::wire::{answer, read_request, Request};
-use crate::workers::{self, Habits, Life, Terms};
+use crate::wire::{read_request, response, Request};
+use crate::workers::{self, WorkerConfig, WorkerContext, WorkerState};
 use nanoserde::{DeJson, SerJson};
 use std::collections::HashMap;
 use std::fmt;
@@ -19,32 +20,30 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// The longest nonce.
-const NONCE: usize = 64;
-/// A crashed worker stays on the list for so long.
-const GHOST: Duration = Duration::from_secs(3);
-/// A draining worker serves on for `drain` and this.
-const A_LITTLE: Duration = Duration::from_millis(500);
-/// Workers' ports on each host.
-const PORTS: std::ops::Range<u16> = 24_000..30_000;
-const CONNECTIONS: usize = 256;
-
-/// What the platform knows of a function.
+const MAX_NONCE_BYTES: usize = 64;
+/// A crashed worker stays on the list for this long.
+const CRASHED_LISTED_FOR: Duration = Duration::from_secs(3);
+/// A draining worker continues to serve for the lag of the lists, `drain` and this.
+const DRAIN_MARGIN: Duration = Duration::from_millis(500);
+const WORKER_PORTS: std::ops::Range<u16> = 24_000..30_000;
+const MAX_CONNECTIONS: usize = 256;
+
+/// A function as the platform has it.
 #[derive(Debug, Clone)]
 pub struct Function {
     pub name: String,
     pub memory_mb: u32,
-    /// The mean of a start; each takes 0.7 to 1.3 of it.
+    /// The mean time of a start; each takes 0.7 to 1.3 of it.
     pub boot: Duration,
     pub max_inflight: usize,
     pub max_concurrency: usize,
-    /// The mean of the work on a request that does not say (`Standin-Work-Ms`).
+    /// The mean processing time of a request without the header `Standin-Work-Ms`.
     pub work: Duration,
-    /// After its start it works at two thirds of its speed for so long.
+    /// For this long after its start, a worker runs at two thirds of its speed.
     pub cold: Duration,
 }
 
-/// A machine for workers.
+/// A machine that runs workers.
 #[derive(Debug, Clone)]
 pub struct Host {
     pub name: String,
@@ -65,7 +64,7 @@
     pub duty_rate_s: f64,
     pub drain: Duration,
     pub address_reuse: Duration,
-    /// After so long workers close an idle connection.
+    /// Workers close a connection that has been idle for this long.
     pub keep_alive: Duration,
     /// Entries on a page of the list.
     pub page: usize,
@@ -73,7 +72,7 @@
 }
 
 impl Options {
-    /// The figures of a usual deployment.
+    /// The values of a typical deployment.
     pub fn new(address: SocketAddr, functions: Vec<Function>, hosts: Vec<Host>) -> Options {
         Options {
             address,
@@ -91,23 +90,23 @@
     }
 }
 
-/// What can go wrong on request.
+/// A fault that can be injected.
 #[derive(Debug, Clone, PartialEq)]
 pub enum InjectedFault {
-    /// A host ends at once with its workers, and is back, empty, after so long.
+    /// A host crashes with its workers, and is up again, without workers, after this time.
     CrashHost(String, Duration),
-    /// A host is emptied: its workers leave in order; it is back after so long.
+    /// A host drains: its workers shut down gracefully; it is up again after this time.
     DrainHost(String, Duration),
-    /// The lists lag by so much more, for so long.
+    /// The lists lag by the first duration in addition, for the second one.
     LateList(Duration, Duration),
-    /// This share of answers is lost: run, and the connection closed.
+    /// This share of responses is lost: the request runs, then the connection is closed.
     LoseAnswers(f64),
-    /// This share of answers are bytes that are no answer.
+    /// This share of responses is replaced by bytes that are not HTTP.
     Garble(f64),
 }
 
 impl InjectedFault {
-    /// From a call's path and query; times are in seconds.
+    /// Parses the path and the query of a call; times are in seconds.
     pub fn read(name: &str, query: &str) -> Option<InjectedFault> {
         let field = |key: &str| {
             query.split('&').find_map(|p| p.strip_prefix(key)?.strip_prefix('=')).map(String::from)
@@ -125,21 +124,22 @@
     }
 }
 
-/// What was asked of the platform so far.
+/// Counts of calls so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     pub lists: usize,
     pub started: usize,
     pub stopped: usize,
+    /// Starts refused for lack of free capacity on their host.
     pub no_room: usize,
     pub over_rate: usize,
     /// Starts and stops under a `Fence-Token` lower than one seen before.
     pub stale: usize,
-    /// Requests that workers turned away because they were full.
+    /// Requests that workers refused because they were full.
     pub full: usize,
 }
 
-/// An instance, as it is now.
+/// The current state of an instance.
 #[derive(Debug, Clone)]
 pub struct InstanceView {
     pub instance_id: String,
@@ -151,7 +151,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum HostState {
     Up,
     Draining,
     Down,
@@ -159,14 +159,18 @@
 
 struct Machine {
     host: Host,
-    turns: Vec<(Instant, Standing)>,
+    state_changes: Vec<(Instant, HostState)>,
     next_port: u16,
     free_ports: Vec<(Instant, u16)>,
 }
 
 impl Machine {
-    fn standing(&self, at: Instant) -> Standing {
-        self.turns.iter().rev().find(|(when, _)| *when <= at).map_or(Standing::Up, |(_, standing)| *standing)
+    fn state(&self, at: Instant) -> HostState {
+        self.state_changes
+            .iter()
+            .rev()
+            .find(|(when, _)| *when <= at)
+            .map_or(HostState::Up, |(_, state)| *state)
     }
 }
 
@@ -175,36 +179,36 @@
     function: usize,
     host: usize,
     address: SocketAddr,
-    begun: Instant,
+    started: Instant,
     ready: Option<Instant>,
     draining: Option<Instant>,
-    /// Its work and its memory end.
+    /// It has completed its requests, and its memory is free.
     ended: Option<Instant>,
-    /// The list shows it no longer.
-    gone: Option<Instant>,
-    life: watch::Sender<Life>,
+    /// It is removed from the list.
+    unlisted: Option<Instant>,
+    state: watch::Sender<WorkerState>,
     task: Option<AbortHandle>,
 }
 
-/// So many calls a second, with a second's worth in hand.
+/// A token bucket: `rate` calls a second, with a burst of one second's calls.
 struct Bucket {
     rate: f64,
-    left: f64,
-    at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl Bucket {
     fn new(rate: f64) -> Bucket {
-        Bucket { rate, left: rate.max(1.0), at: Instant::now() }
+        Bucket { rate, tokens: rate.max(1.0), refilled_at: Instant::now() }
     }
 
     fn take(&mut self) -> bool {
         let now = Instant::now();
-        let more = now.duration_since(self.at).as_secs_f64() * self.rate;
-        (self.left, self.at) = ((self.left + more).min(self.rate.max(1.0)), now);
-        let may = self.left >= 1.0;
-        self.left -= f64::from(u8::from(may));
-        may
+        let more = now.duration_since(self.refilled_at).as_secs_f64() * self.rate;
+        (self.tokens, self.refilled_at) = ((self.tokens + more).min(self.rate.max(1.0)), now);
+        let is_allowed = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(is_allowed));
+        is_allowed
     }
 }
 
@@ -212,25 +216,27 @@
     options: Options,
     machines: Vec<Machine>,
     instances: Vec<Instance>,
+    /// Instances by function and nonce.
     nonces: HashMap<(usize, String), usize>,
-    list: Bucket,
-    duty: Bucket,
-    late: Option<(Duration, Instant)>,
-    /// The highest `Fence-Token` seen, and who came with it.
+    list_calls: Bucket,
+    start_calls: Bucket,
+    /// Additional lag of the lists, and its end.
+    extra_lag: Option<(Duration, Instant)>,
+    /// The highest `Fence-Token` seen, and the `Duty-Holder` that sent it.
     fence: (u64, Option<String>),
     counts: Counts,
-    chance: oorandom::Rand64,
+    rng: oorandom::Rand64,
 }
 
 struct Shared {
     state: Mutex<State>,
-    habits: Habits,
+    context: WorkerContext,
 }
 
-/// The platform while it lives.
+/// The running platform.
 pub struct Platform {
     shared: Arc<Shared>,
-    door: AbortHandle,
+    server: AbortHandle,
     address: SocketAddr,
 }
 
@@ -298,8 +304,8 @@
     address: String,
 }
 
-/// A status, and a body if there is something to say.
-type Said = (u16, String);
+/// A status and a body.
+type Reply = (u16, String);
 
 impl Shared {
     fn state(&self) -> MutexGuard<'_, State> {
@@ -308,32 +314,32 @@
 }
 
 impl Platform {
-    /// Opens its address; what workers run goes into the ledger.
+    /// Starts to listen; workers record the requests that they run in the ledger.
     pub async fn start(options: Options, ledger: Ledger) -> Result<Platform, Fault> {
         let fault = |why| Fault::Address(options.address, why);
         let listener = TcpListener::bind(options.address).await.map_err(fault)?;
         let address = listener.local_addr().map_err(fault)?;
         let machines = options.hosts.iter().map(|host| Machine {
             host: host.clone(),
-            turns: Vec::new(),
-            next_port: PORTS.start,
+            state_changes: Vec::new(),
+            next_port: WORKER_PORTS.start,
             free_ports: Vec::new(),
         });
         let state = State {
             machines: machines.collect(),
             instances: Vec::new(),
             nonces: HashMap::new(),
-            list: Bucket::new(options.rate_per_s),
-            duty: Bucket::new(options.duty_rate_s),
-            late: None,
+            list_calls: Bucket::new(options.rate_per_s),
+            start_calls: Bucket::new(options.duty_rate_s),
+            extra_lag: None,
             fence: (0, None),
             counts: Counts::default(),
-            chance: oorandom::Rand64::new(options.seed.into()),
+            rng: oorandom::Rand64::new(options.seed.into()),
             options,
         };
-        let shared = Arc::new(Shared { state: Mutex::new(state), habits: Habits::new(ledger) });
-        let door = tokio::spawn(serve(listener, shared.clone())).abort_handle();
-        Ok(Platform { shared, door, address })
+        let shared = Arc::new(Shared { state: Mutex::new(state), context: WorkerContext::new(ledger) });
+        let server = tokio::spawn(serve(listener, shared.clone())).abort_handle();
+        Ok(Platform { shared, server, address })
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -344,7 +350,7 @@
         self.shared.counts()
     }
 
-    /// Who started or stopped a worker last, by its own word.
+    /// The node that last started or stopped a worker, as it names itself in `Duty-Holder`.
     pub fn lease_holder(&self) -> Option<String> {
         self.shared.state().fence.1.clone()
     }
@@ -362,17 +368,17 @@
         state.instances.iter().map(seen).collect()
     }
 
-    /// False where it names no host that is up.
-    pub fn inject(&self, trouble: InjectedFault) -> bool {
-        self.shared.trouble(trouble)
+    /// Injects a fault. False if it names a host that does not exist or is not up.
+    pub fn inject(&self, fault: InjectedFault) -> bool {
+        self.shared.inject(fault)
     }
 }
 
 impl Drop for Platform {
     fn drop(&mut self) {
-        self.door.abort();
+        self.server.abort();
         for instance in &mut self.shared.state().instances {
-            instance.life.send_replace(Life::Crashed);
+            instance.state.send_replace(WorkerState::Crashed);
             if let Some(task) = instance.task.take() {
                 task.abort();
             }
@@ -381,12 +387,12 @@
 }
 
 async fn serve(listener: TcpListener, shared: Arc<Shared>) {
-    // Dropped with this task, and its connections with it.
+    // Aborts all connections when this task is aborted.
     let mut open = JoinSet::new();
     loop {
         while open.try_join_next().is_some() {}
         match listener.accept().await {
-            Ok((stream, _)) if open.len() < CONNECTIONS => {
+            Ok((stream, _)) if open.len() < MAX_CONNECTIONS => {
                 let _ = stream.set_nodelay(true);
                 open.spawn(connection(stream, shared.clone()));
             }
@@ -400,19 +406,19 @@
     let mut buf = Vec::new();
     while let Ok(Ok(request)) = timeout(Duration::from_secs(30), read_request(&mut stream, &mut buf)).await {
         let (status, body) = shared.call(&request);
-        let bytes = answer(status, &[("Content-Type", "application/json")], body.as_bytes());
+        let bytes = response(status, &[("Content-Type", "application/json")], body.as_bytes());
         if stream.write_all(&bytes).await.is_err() || request.headers.closes() {
             return;
         }
     }
 }
 
-fn said(status: u16, why: &str) -> Said {
+fn error(status: u16, why: &str) -> Reply {
     (status, format!("{{\"error\":{}}}", why.to_string().serialize_json()))
 }
 
 impl Shared {
-    fn call(self: &Arc<Self>, request: &Request) -> Said {
+    fn call(self: &Arc<Self>, request: &Request) -> Reply {
         let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
         match (request.method.as_str(), path) {
             ("GET", "/instances") => self.state().shown_list(query),
@@ -422,214 +428,221 @@
             ("GET", "/standin") => (200, format!("{:?}\n", self.counts())),
             ("POST", path) if path.starts_with("/standin/") => {
                 match InjectedFault::read(path.trim_start_matches("/standin/"), query) {
-                    Some(trouble) if self.trouble(trouble.clone()) => (200, format!("{trouble:?}\n")),
-                    Some(_) => said(409, "no such host, or it is not up"),
-                    None => said(400, "no such trouble, or a field is missing"),
+                    Some(fault) if self.inject(fault.clone()) => (200, format!("{fault:?}\n")),
+                    Some(_) => error(409, "no such host, or it is not up"),
+                    None => error(400, "no such fault, or a field is missing"),
                 }
             }
-            _ => said(404, "no such call"),
+            _ => error(404, "no such call"),
         }
     }
 
     fn counts(&self) -> Counts {
-        Counts { full: self.habits.full(), ..self.state().counts }
+        Counts { full: self.context.full(), ..self.state().counts }
     }
 
-    fn begin(self: &Arc<Self>, request: &Request) -> Said {
+    fn begin(self: &Arc<Self>, request: &Request) -> Reply {
         let mut state = self.state();
-        if let Some(no) = state.duty_call(request) {
-            return no;
+        if let Some(refusal) = state.check_start_call(request) {
+            return refusal;
         }
         let text = String::from_utf8_lossy(&request.body);
         let Ok(Begin { service, worker_id: host, request_nonce: nonce }) = Begin::deserialize_json(&text)
         else {
-            return said(400, "service, worker_id and request_nonce are needed");
+            return error(400, "service, worker_id and request_nonce are needed");
         };
         let Some(function) = state.options.functions.iter().position(|f| f.name == service) else {
-            return said(400, "no such service");
+            return error(400, "no such service");
         };
-        if nonce.is_empty() || nonce.len() > NONCE {
-            return said(400, "request_nonce: of 1 to 64 bytes");
+        if nonce.is_empty() || nonce.len() > MAX_NONCE_BYTES {
+            return error(400, "request_nonce must have 1 to 64 bytes");
         }
-        if let Some(&known) = state.nonces.get(&(function, nonce.clone())) {
-            return state.begun(known);
+        if let Some(&number) = state.nonces.get(&(function, nonce.clone())) {
+            return state.begun_reply(number);
         }
-        let Some(index) = state.room(&host, function) else {
+        let Some(index) = state.host_with_memory(&host, function) else {
             state.counts.no_room += 1;
-            return said(409, "no such worker, it is not up, or it has no room");
+            return error(409, "no such worker, it is not up, or it lacks memory");
         };
-        let Some((socket, address)) = state.port(index) else {
+        let Some((socket, address)) = state.bind_port(index) else {
             state.counts.no_room += 1;
-            return said(409, "no address is free there");
+            return error(409, "no port is free on this worker");
         };
-        let known = state.instances.len();
-        let id = format!("i-{:08x}", state.chance.rand_u64() as u32);
-        let (life, lives) = watch::channel(Life::Working);
-        let function_of = state.options.functions[function].clone();
-        let spread = 0.7 + 0.6 * state.chance.rand_float();
-        let terms = Terms {
+        let number = state.instances.len();
+        let id = format!("i-{:08x}", state.rng.rand_u64() as u32);
+        let (state_sender, worker_state) = watch::channel(WorkerState::Working);
+        let function_config = state.options.functions[function].clone();
+        let spread = 0.7 + 0.6 * state.rng.rand_float();
+        let config = WorkerConfig {
             instance: id.clone(),
-            boot: function_of.boot.mul_f64(spread),
-            speed: 0.85 + 0.3 * state.chance.rand_float(),
-            seed: state.chance.rand_u64(),
+            boot: function_config.boot.mul_f64(spread),
+            speed: 0.85 + 0.3 * state.rng.rand_float(),
+            seed: state.rng.rand_u64(),
             keep_alive: state.options.keep_alive,
-            function: function_of,
+            function: function_config,
         };
         state.counts.started += 1;
-        state.nonces.insert((function, nonce), known);
+        state.nonces.insert((function, nonce), number);
         state.instances.push(Instance {
             id,
             function,
             host: index,
             address,
-            begun: Instant::now(),
+            started: Instant::now(),
             ready: None,
             draining: None,
             ended: None,
-            gone: None,
-            life,
+            unlisted: None,
+            state: state_sender,
             task: None,
         });
         let shared = Arc::downgrade(self);
-        let habits = self.habits.clone();
+        let context = self.context.clone();
         let task = tokio::spawn(async move {
-            let up = || with(&shared, |shared| shared.state().instances[known].ready = Some(Instant::now()));
-            workers::run(socket, terms, habits, lives, up).await;
-            with(&shared, |shared| shared.state().ended(known));
+            let up = || with(&shared, |shared| shared.state().instances[number].ready = Some(Instant::now()));
+            workers::run(socket, config, context, worker_state, up).await;
+            with(&shared, |shared| shared.state().record_end(number));
         });
-        state.instances[known].task = Some(task.abort_handle());
-        state.begun(known)
+        state.instances[number].task = Some(task.abort_handle());
+        state.begun_reply(number)
     }
 
-    fn stop(&self, request: &Request) -> Said {
+    fn stop(&self, request: &Request) -> Reply {
         let mut state = self.state();
-        if let Some(no) = state.duty_call(request) {
-            return no;
+        if let Some(refusal) = state.check_start_call(request) {
+            return refusal;
         }
         let text = String::from_utf8_lossy(&request.body);
         let Ok(Stop { instance_id: id }) = Stop::deserialize_json(&text) else {
-            return said(400, "instance_id is needed");
+            return error(400, "instance_id is needed");
         };
         let Some(instance) = state.instances.iter_mut().find(|i| i.id == id) else {
-            return said(404, "there never was such a worker");
+            return error(404, "no such worker");
         };
         let now = Instant::now();
-        if instance.gone.is_none() {
-            instance.gone = Some(now);
-            instance.life.send_replace(Life::Stopped);
+        if instance.unlisted.is_none() {
+            instance.unlisted = Some(now);
+            instance.state.send_replace(WorkerState::Stopped);
             state.counts.stopped += 1;
         }
         (200, "{}".into())
     }
 
-    fn trouble(self: &Arc<Self>, trouble: InjectedFault) -> bool {
+    fn inject(self: &Arc<Self>, fault: InjectedFault) -> bool {
         let now = Instant::now();
-        match trouble {
-            InjectedFault::LoseAnswers(share) => self.habits.lose(share),
-            InjectedFault::Garble(share) => self.habits.garble(share),
-            InjectedFault::LateList(by, span) => self.state().late = Some((by, now + span)),
+        match fault {
+            InjectedFault::LoseAnswers(share) => self.context.lose(share),
+            InjectedFault::Garble(share) => self.context.garble(share),
+            InjectedFault::LateList(by, span) => self.state().extra_lag = Some((by, now + span)),
             InjectedFault::CrashHost(name, back) => {
                 let mut state = self.state();
-                let Some(index) = state.turn(&name, Standing::Down) else { return false };
+                let Some(index) = state.change_state(&name, HostState::Down) else { return false };
                 for instance in state.instances.iter_mut().filter(|i| i.host == index && i.ended.is_none()) {
-                    instance.life.send_replace(Life::Crashed);
-                    instance.gone.get_or_insert(now + GHOST);
+                    instance.state.send_replace(WorkerState::Crashed);
+                    instance.unlisted.get_or_insert(now + CRASHED_LISTED_FOR);
                 }
                 drop(state);
-                self.later(back, move |shared| shared.state().machines[index].turns.push(up()));
+                self.later(back, move |shared| shared.state().machines[index].state_changes.push(up_now()));
             }
             InjectedFault::DrainHost(name, back) => {
                 let mut state = self.state();
-                let Some(index) = state.turn(&name, Standing::Draining) else { return false };
-                let stays = state.lag() + state.options.drain + A_LITTLE;
+                let Some(index) = state.change_state(&name, HostState::Draining) else { return false };
+                let drain_time = state.lag() + state.options.drain + DRAIN_MARGIN;
                 for instance in state.instances.iter_mut().filter(|i| i.host == index && i.ended.is_none()) {
                     instance.draining.get_or_insert(now);
-                    instance.life.send_if_modified(|life| {
-                        let working = *life == Life::Working;
-                        if working {
-                            *life = Life::Leaving;
+                    instance.state.send_if_modified(|state| {
+                        let was_working = *state == WorkerState::Working;
+                        if was_working {
+                            *state = WorkerState::Draining;
                         }
-                        working
+                        was_working
                     });
                 }
                 drop(state);
-                self.later(stays, move |shared| {
+                self.later(drain_time, move |shared| {
                     let mut state = shared.state();
                     for instance in state.instances.iter_mut().filter(|i| i.host == index) {
-                        if instance.draining.is_some() && instance.gone.is_none() {
-                            instance.gone = Some(Instant::now());
-                            instance.life.send_replace(Life::Stopped);
+                        if instance.draining.is_some() && instance.unlisted.is_none() {
+                            instance.unlisted = Some(Instant::now());
+                            instance.state.send_replace(WorkerState::Stopped);
                         }
                     }
                 });
-                self.later(back.max(stays), move |shared| shared.state().machines[index].turns.push(up()));
+                self.later(back.max(drain_time), move |shared| {
+                    shared.state().machines[index].state_changes.push(up_now())
+                });
             }
         }
         true
     }
 
-    fn later(self: &Arc<Self>, after: Duration, what: impl FnOnce(&Arc<Shared>) + Send + 'static) {
+    /// Runs `action` after a delay, unless the platform has been dropped by then.
+    fn later(self: &Arc<Self>, after: Duration, action: impl FnOnce(&Arc<Shared>) + Send + 'static) {
         let shared = Arc::downgrade(self);
         tokio::spawn(async move {
             sleep(after).await;
-            with(&shared, what);
+            with(&shared, action);
         });
     }
 }
 
-fn with(shared: &Weak<Shared>, what: impl FnOnce(&Arc<Shared>)) {
+fn with(shared: &Weak<Shared>, action: impl FnOnce(&Arc<Shared>)) {
     if let Some(shared) = shared.upgrade() {
-        what(&shared);
+        action(&shared);
     }
 }
 
-fn up() -> (Instant, Standing) {
-    (Instant::now(), Standing::Up)
+fn up_now() -> (Instant, HostState) {
+    (Instant::now(), HostState::Up)
 }
 
 impl State {
     fn lag(&self) -> Duration {
-        let late =
-            self.late.filter(|(_, until)| Instant::now() < *until).map_or(Duration::ZERO, |(by, _)| by);
-        self.options.max_lag + late
+        let extra =
+            self.extra_lag.filter(|(_, until)| Instant::now() < *until).map_or(Duration::ZERO, |(by, _)| by);
+        self.options.max_lag + extra
     }
 
-    /// The moment that the lists show; None before the first.
-    fn shown(&self) -> Option<Instant> {
+    /// The time whose state the lists show; None if it is before the start of the clock.
+    fn shown_at(&self) -> Option<Instant> {
         Instant::now().checked_sub(self.lag())
     }
 
-    fn turn(&mut self, host: &str, to: Standing) -> Option<usize> {
+    /// Changes the state of a host that is up; its index, or None if there is no such host.
+    fn change_state(&mut self, host: &str, to: HostState) -> Option<usize> {
         let now = Instant::now();
         let index = self.machines.iter().position(|m| m.host.name == host)?;
         let machine = &mut self.machines[index];
-        if machine.standing(now) != Standing::Up {
+        if machine.state(now) != HostState::Up {
             return None;
         }
-        machine.turns.push((now, to));
+        machine.state_changes.push((now, to));
         Some(index)
     }
 
-    fn used(&self, host: usize, at: Instant) -> u32 {
-        let there = |i: &&Instance| i.host == host && i.begun <= at && i.ended.is_none_or(|end| end > at);
-        self.instances.iter().filter(there).map(|i| self.options.functions[i.function].memory_mb).sum()
+    /// Memory of the instances that a host had at this time, in MB.
+    fn used_memory(&self, host: usize, at: Instant) -> u32 {
+        let is_running =
+            |i: &&Instance| i.host == host && i.started <= at && i.ended.is_none_or(|end| end > at);
+        self.instances.iter().filter(is_running).map(|i| self.options.functions[i.function].memory_mb).sum()
     }
 
-    fn room(&self, host: &str, function: usize) -> Option<usize> {
+    fn host_with_memory(&self, host: &str, function: usize) -> Option<usize> {
         let now = Instant::now();
         let index = self.machines.iter().position(|m| m.host.name == host)?;
         let machine = &self.machines[index];
-        let wants = self.options.functions[function].memory_mb;
-        let fits = self.used(index, now) + wants <= machine.host.memory_mb;
-        (machine.standing(now) == Standing::Up && fits).then_some(index)
+        let needed = self.options.functions[function].memory_mb;
+        let fits = self.used_memory(index, now) + needed <= machine.host.memory_mb;
+        (machine.state(now) == HostState::Up && fits).then_some(index)
     }
 
-    /// An address that refuses connections until it is listened on: one of a worker that is long gone, or a new one.
-    fn port(&mut self, host: usize) -> Option<(TcpSocket, SocketAddr)> {
+    /// Binds a port that refuses connections until the worker listens: one whose worker ended at least
+    /// `address_reuse` ago, or a new one.
+    fn bind_port(&mut self, host: usize) -> Option<(TcpSocket, SocketAddr)> {
         let now = Instant::now();
         let reuse = self.options.address_reuse;
         let machine = &mut self.machines[host];
-        let bound = |ip: Ipv4Addr, port: u16| {
+        let bind = |ip: Ipv4Addr, port: u16| {
             let at = SocketAddr::from((ip, port));
             let socket = TcpSocket::new_v4().ok()?;
             socket.set_reuseaddr(true).ok()?;
@@ -638,41 +651,42 @@
         };
         if let Some(old) = machine.free_ports.iter().position(|(since, _)| now >= *since + reuse) {
             let (_, port) = machine.free_ports.remove(old);
-            if let Some(found) = bound(machine.host.ip, port) {
+            if let Some(found) = bind(machine.host.ip, port) {
                 return Some(found);
             }
         }
-        while machine.next_port < PORTS.end {
+        while machine.next_port < WORKER_PORTS.end {
             let port = machine.next_port;
             machine.next_port += 1;
-            if let Some(found) = bound(machine.host.ip, port) {
+            if let Some(found) = bind(machine.host.ip, port) {
                 return Some(found);
             }
         }
         None
     }
 
-    fn ended(&mut self, known: usize) {
+    fn record_end(&mut self, number: usize) {
         let now = Instant::now();
-        let instance = &mut self.instances[known];
+        let instance = &mut self.instances[number];
         instance.ended = Some(now);
-        instance.gone.get_or_insert(now);
+        instance.unlisted.get_or_insert(now);
         instance.task = None;
         let (host, port) = (instance.host, instance.address.port());
         self.machines[host].free_ports.push((now, port));
     }
 
-    fn begun(&self, known: usize) -> Said {
-        let instance = &self.instances[known];
-        let begun = Begun { instance_id: instance.id.clone(), address: instance.address.to_string() };
-        (200, begun.serialize_json())
+    fn begun_reply(&self, number: usize) -> Reply {
+        let instance = &self.instances[number];
+        let reply = Begun { instance_id: instance.id.clone(), address: instance.address.to_string() };
+        (200, reply.serialize_json())
     }
 
-    /// Starts and stops: the rate, and the number of the duty's holder.
-    fn duty_call(&mut self, request: &Request) -> Option<Said> {
-        if !self.duty.take() {
+    /// Checks a start or stop: its rate, and the fencing token of the lease holder. Returns the reply if it
+    /// is refused.
+    fn check_start_call(&mut self, request: &Request) -> Option<Reply> {
+        if !self.start_calls.take() {
             self.counts.over_rate += 1;
-            return Some(said(429, "too many starts and stops"));
+            return Some(error(429, "too many starts and stops"));
         }
         let fence = request.headers.number("fence-token").unwrap_or(0.0) as u64;
         if fence < self.fence.0 {
@@ -683,34 +697,35 @@
         None
     }
 
-    fn list_call(&mut self) -> Option<Said> {
+    /// Counts a call of a list and checks the rate. Returns the reply if it is refused.
+    fn check_list_call(&mut self) -> Option<Reply> {
         self.counts.lists += 1;
-        if self.list.take() {
+        if self.list_calls.take() {
             return None;
         }
         self.counts.over_rate += 1;
-        Some(said(429, "too many calls of the lists"))
+        Some(error(429, "too many calls of the lists"))
     }
 
-    fn shown_list(&mut self, query: &str) -> Said {
-        if let Some(no) = self.list_call() {
-            return no;
+    fn shown_list(&mut self, query: &str) -> Reply {
+        if let Some(refusal) = self.check_list_call() {
+            return refusal;
         }
         let field = |key: &str| query.split('&').find_map(|p| p.strip_prefix(key)?.strip_prefix('='));
         let from = match field("page_token").map(|token| token.strip_prefix("p-")?.parse::<usize>().ok()) {
-            Some(None) => return said(400, "no such page_token"),
+            Some(None) => return error(400, "no such page_token"),
             token => token.flatten().unwrap_or(0),
         };
         let zone = field("zone");
-        let Some(at) = self.shown() else {
+        let Some(at) = self.shown_at() else {
             return (200, ShownList { instances: Vec::new(), next_token: None }.serialize_json());
         };
-        let there = |i: &&Instance| {
+        let is_listed = |i: &&Instance| {
             i.ready.is_some_and(|ready| ready <= at)
-                && i.gone.is_none_or(|gone| gone > at)
+                && i.unlisted.is_none_or(|unlisted| unlisted > at)
                 && zone.is_none_or(|zone| zone == self.machines[i.host].host.zone)
         };
-        let all: Vec<&Instance> = self.instances.iter().filter(there).collect();
+        let all: Vec<&Instance> = self.instances.iter().filter(is_listed).collect();
         let shown = |i: &&Instance| {
             let (function, machine) = (&self.options.functions[i.function], &self.machines[i.host]);
             let cold = i.ready.map(|ready| (ready + function.cold).saturating_duration_since(at));
@@ -733,24 +748,24 @@
         (200, ShownList { instances, next_token }.serialize_json())
     }
 
-    fn shown_hosts(&mut self) -> Said {
-        if let Some(no) = self.list_call() {
-            return no;
+    fn shown_hosts(&mut self) -> Reply {
+        if let Some(refusal) = self.check_list_call() {
+            return refusal;
         }
         let now = Instant::now();
-        let at = self.shown().unwrap_or(now);
+        let at = self.shown_at().unwrap_or(now);
         let mut worker_pool = Vec::new();
         for (index, machine) in self.machines.iter().enumerate() {
-            let oper_state = match machine.standing(at) {
-                Standing::Up => "up",
-                Standing::Draining => "draining",
-                Standing::Down => continue,
+            let oper_state = match machine.state(at) {
+                HostState::Up => "up",
+                HostState::Draining => "draining",
+                HostState::Down => continue,
             };
             worker_pool.push(ShownHost {
                 name: machine.host.name.clone(),
                 zone: machine.host.zone.clone(),
                 memory_mb: machine.host.memory_mb,
-                free_memory_mb: machine.host.memory_mb.saturating_sub(self.used(index, at)),
+                free_memory_mb: machine.host.memory_mb.saturating_sub(self.used_memory(index, at)),
                 oper_state: oper_state.into(),
             });
         }
--- a/crates/standins/src/wire.rs
+++ b/crates/standins/src/wire.rs
@@ -1,5 +1,6 @@
-//! HTTP/1.1 messages for the stand-ins: whole messages, heads up to [`HEAD`], bodies up to [`BODY`] with a length, in
-//! chunks or (answers) until the end of the stream. Apart from the parser of heads it shares nothing with the system.
+//! HTTP/1.1 for the mock services: reads and writes complete messages with heads up to [`MAX_HEAD_BYTES`] and
+//! bodies up to [`MAX_BODY_BYTES`]. Bodies have a length, are chunked or (responses) extend to the end of the
+//! stream. Apart from the `httparse` crate it shares nothing with the system's own implementation.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -8,20 +9,19 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
 
-/// The longest head and body that are read.
-pub const HEAD: usize = 64 << 10;
-pub const BODY: usize = 16 << 20;
+pub const MAX_HEAD_BYTES: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Why there is no whole message.
+/// Why no complete message was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadError {
     /// The stream ended before the first byte.
     Closed,
-    /// It was reset before the first byte: what was written to it has not been read to its end.
+    /// The stream was reset before the first byte: the peer has not read all that was sent to it.
     Reset,
-    /// It ended or was reset after some bytes.
+    /// The stream ended or was reset after part of the message.
     Truncated,
-    /// Bytes that are no message in the protocol.
+    /// Bytes that are not an HTTP/1.1 message, or a message over the size limits.
     Malformed,
 }
 
@@ -29,11 +29,12 @@
 pub struct Headers(pub Vec<(String, String)>);
 
 impl Headers {
-    /// The first of this name.
+    /// The value of the first header of this name; case is ignored.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
     }
 
+    /// The value as a finite number that is not negative.
     pub fn number(&self, name: &str) -> Option<f64> {
         self.get(name)?.trim().parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0)
     }
@@ -42,7 +43,7 @@
         self.get("connection").is_some_and(|value| value.to_ascii_lowercase().contains("close"))
     }
 
-    /// The time in `Keep-Alive`.
+    /// The `timeout` parameter of `Keep-Alive`.
     pub fn keep_alive(&self) -> Option<Duration> {
         let value = self.get("keep-alive")?;
         let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
@@ -69,12 +70,14 @@
     pub body: Vec<u8>,
 }
 
-enum Start {
+enum StartLine {
+    /// Method and target.
     Request(String, String),
+    /// Status.
     Response(u16),
 }
 
-async fn more(stream: &mut TcpStream, buf: &mut Vec<u8>, begun: bool) -> Result<(), ReadError> {
+async fn read_more(stream: &mut TcpStream, buf: &mut Vec<u8>, begun: bool) -> Result<(), ReadError> {
     match stream.read_buf(buf).await {
         Ok(1..) => Ok(()),
         _ if begun || !buf.is_empty() => Err(ReadError::Truncated),
@@ -83,92 +86,93 @@
     }
 }
 
-fn headers(parsed: &[httparse::Header<'_>]) -> Headers {
+fn to_headers(parsed: &[httparse::Header<'_>]) -> Headers {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     Headers(parsed.iter().map(|h| (h.name.to_string(), text(h.value))).collect())
 }
 
-fn head(buf: &[u8], answer: bool) -> Result<Option<(Start, Headers, usize)>, ReadError> {
-    let mut room = [httparse::EMPTY_HEADER; 128];
-    if answer {
-        let mut parsed = httparse::Response::new(&mut room);
+/// Parses a head at the start of `buf`: its start line, its headers and its length; None if it is incomplete.
+fn parse_head(buf: &[u8], is_response: bool) -> Result<Option<(StartLine, Headers, usize)>, ReadError> {
+    let mut storage = [httparse::EMPTY_HEADER; 128];
+    if is_response {
+        let mut parsed = httparse::Response::new(&mut storage);
         return match parsed.parse(buf) {
             Ok(httparse::Status::Complete(used)) => {
-                Ok(Some((Start::Response(parsed.code.unwrap_or(0)), headers(parsed.headers), used)))
+                Ok(Some((StartLine::Response(parsed.code.unwrap_or(0)), to_headers(parsed.headers), used)))
             }
-            Ok(httparse::Status::Partial) if buf.len() < HEAD => Ok(None),
+            Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD_BYTES => Ok(None),
             _ => Err(ReadError::Malformed),
         };
     }
-    let mut parsed = httparse::Request::new(&mut room);
+    let mut parsed = httparse::Request::new(&mut storage);
     match parsed.parse(buf) {
         Ok(httparse::Status::Complete(used)) => {
-            let start = Start::Request(
+            let start = StartLine::Request(
                 parsed.method.unwrap_or_default().to_string(),
                 parsed.path.unwrap_or_default().to_string(),
             );
-            Ok(Some((start, headers(parsed.headers), used)))
+            Ok(Some((start, to_headers(parsed.headers), used)))
         }
-        Ok(httparse::Status::Partial) if buf.len() < HEAD => Ok(None),
+        Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD_BYTES => Ok(None),
         _ => Err(ReadError::Malformed),
     }
 }
 
-async fn exactly(stream: &mut TcpStream, buf: &mut Vec<u8>, n: usize) -> Result<Vec<u8>, ReadError> {
-    if n > BODY {
+async fn read_exact(stream: &mut TcpStream, buf: &mut Vec<u8>, n: usize) -> Result<Vec<u8>, ReadError> {
+    if n > MAX_BODY_BYTES {
         return Err(ReadError::Malformed);
     }
     while buf.len() < n {
-        more(stream, buf, true).await?;
+        read_more(stream, buf, true).await?;
     }
     Ok(buf.drain(..n).collect())
 }
 
-async fn line(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Result<String, ReadError> {
+async fn read_line(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Result<String, ReadError> {
     loop {
         if let Some(at) = buf.windows(2).position(|two| two == b"\r\n") {
             let line: Vec<u8> = buf.drain(..at + 2).take(at).collect();
             return String::from_utf8(line).map_err(|_| ReadError::Malformed);
         }
-        if buf.len() > HEAD {
+        if buf.len() > MAX_HEAD_BYTES {
             return Err(ReadError::Malformed);
         }
-        more(stream, buf, true).await?;
+        read_more(stream, buf, true).await?;
     }
 }
 
-async fn chunks(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Result<Vec<u8>, ReadError> {
+async fn read_chunks(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Result<Vec<u8>, ReadError> {
     let mut body = Vec::new();
     loop {
-        let size = line(stream, buf).await?;
+        let size = read_line(stream, buf).await?;
         let digits = size.split(';').next().unwrap_or_default().trim();
         let size = usize::from_str_radix(digits, 16).map_err(|_| ReadError::Malformed)?;
         if size == 0 {
-            while !line(stream, buf).await?.is_empty() {}
+            while !read_line(stream, buf).await?.is_empty() {}
             return Ok(body);
         }
-        if body.len() + size.min(BODY) > BODY {
+        if body.len() + size.min(MAX_BODY_BYTES) > MAX_BODY_BYTES {
             return Err(ReadError::Malformed);
         }
-        body.extend(exactly(stream, buf, size).await?);
-        if !line(stream, buf).await?.is_empty() {
+        body.extend(read_exact(stream, buf, size).await?);
+        if !read_line(stream, buf).await?.is_empty() {
             return Err(ReadError::Malformed);
         }
     }
 }
 
-async fn body(
+async fn read_body(
     stream: &mut TcpStream,
     buf: &mut Vec<u8>,
     headers: &Headers,
-    to_the_end: bool,
+    until_eof: bool,
 ) -> Result<Vec<u8>, ReadError> {
     let length = headers.get("content-length").map(|text| text.trim().parse::<usize>());
     match (headers.get("transfer-encoding"), length) {
-        (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => chunks(stream, buf).await,
-        (None, Some(Ok(length))) => exactly(stream, buf, length).await,
-        (None, None) if to_the_end => {
-            while buf.len() <= BODY && matches!(stream.read_buf(buf).await, Ok(1..)) {}
+        (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => read_chunks(stream, buf).await,
+        (None, Some(Ok(length))) => read_exact(stream, buf, length).await,
+        (None, None) if until_eof => {
+            while buf.len() <= MAX_BODY_BYTES && matches!(stream.read_buf(buf).await, Ok(1..)) {}
             Ok(std::mem::take(buf))
         }
         (None, None) => Ok(Vec::new()),
@@ -176,42 +180,42 @@
     }
 }
 
-/// The next request; what came after it stays in `buf`.
+/// Reads the next request; bytes after it stay in `buf`.
 pub async fn read_request(stream: &mut TcpStream, buf: &mut Vec<u8>) -> Result<Request, ReadError> {
     loop {
-        if let Some((Start::Request(method, target), headers, used)) = head(buf, false)? {
+        if let Some((StartLine::Request(method, target), headers, used)) = parse_head(buf, false)? {
             buf.drain(..used);
-            let body = body(stream, buf, &headers, false).await?;
+            let body = read_body(stream, buf, &headers, false).await?;
             return Ok(Request { method, target, headers, body });
         }
-        more(stream, buf, false).await?;
+        read_more(stream, buf, false).await?;
     }
 }
 
-/// The next answer, to a request of this method; what came after it stays in `buf`.
+/// Reads the next response, to a request of the method `to`; bytes after it stay in `buf`.
 pub async fn read_response(
     stream: &mut TcpStream,
     buf: &mut Vec<u8>,
     to: &str,
 ) -> Result<Response, ReadError> {
     loop {
-        if let Some((Start::Response(status), headers, used)) = head(buf, true)? {
+        if let Some((StartLine::Response(status), headers, used)) = parse_head(buf, true)? {
             buf.drain(..used);
             match status {
                 101 => return Err(ReadError::Malformed),
                 100..=199 => continue,
                 _ => {}
             }
-            let none = to == "HEAD" || matches!(status, 204 | 304);
-            let body = if none { Vec::new() } else { body(stream, buf, &headers, true).await? };
+            let no_body = to == "HEAD" || matches!(status, 204 | 304);
+            let body = if no_body { Vec::new() } else { read_body(stream, buf, &headers, true).await? };
             return Ok(Response { status, headers, body });
         }
-        more(stream, buf, false).await?;
+        read_more(stream, buf, false).await?;
     }
 }
 
-/// The bytes of an answer with a length.
-pub fn answer(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+/// Serializes a response with a `Content-Length`.
+pub fn response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -226,13 +230,13 @@
     message(format!("HTTP/1.1 {status} {reason}\r\n"), headers, body, true)
 }
 
-/// The bytes of a request; with a length unless it is a GET without a body.
+/// Serializes a request, with a `Content-Length` unless it is a GET or HEAD without a body.
 pub fn request(method: &str, target: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let bodied = !body.is_empty() || !matches!(method, "GET" | "HEAD");
     message(format!("{method} {target} HTTP/1.1\r\n"), headers, body, bodied)
 }
 
-/// The same, with the body in chunks of at most `size` bytes.
+/// Serializes a request with its body in chunks of at most `size` bytes.
 pub fn request_in_chunks(
     method: &str,
     target: &str,
@@ -266,18 +270,18 @@
     bytes
 }
 
-/// One call on a connection of its own. None without a whole answer in time.
+/// Sends one request on a new connection. None without a complete response in time.
 pub async fn call(at: SocketAddr, within: Duration, bytes: &[u8], method: &str) -> Option<Response> {
-    let whole = async {
+    let exchange = async {
         let mut stream = TcpStream::connect(at).await.ok()?;
         let _ = stream.set_nodelay(true);
         stream.write_all(bytes).await.ok()?;
         read_response(&mut stream, &mut Vec::new(), method).await.ok()
     };
-    timeout_at(Instant::now() + within, whole).await.ok().flatten()
+    timeout_at(Instant::now() + within, exchange).await.ok().flatten()
 }
 
-/// FNV-1a, 64 bits: for stamps and hashes of clients, where nobody means harm.
+/// FNV-1a, 64 bits. Not for input that an adversary controls.
 pub fn hash(parts: &[&[u8]]) -> u64 {
     let mut h: u64 = 0xcbf2_9ce4_8422_2325;
     for part in parts {
@@ -294,11 +298,11 @@
     use rstest::rstest;
     use tokio::net::TcpListener;
 
-    async fn over(bytes: Vec<u8>) -> TcpStream {
+    async fn stream_of(bytes: Vec<u8>) -> TcpStream {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
         let mut sender =
-            TcpStream::connect(listener.local_addr().expect("an address")).await.expect("it is taken");
-        sender.write_all(&bytes).await.expect("it goes out");
+            TcpStream::connect(listener.local_addr().expect("an address")).await.expect("it is accepted");
+        sender.write_all(&bytes).await.expect("it is sent");
         listener.accept().await.expect("a connection").0
     }
 
@@ -306,10 +310,10 @@
     #[case::length(request("POST", "/a", &[("Host", "h")], b"hello world"))]
     #[case::chunks(request_in_chunks("POST", "/a", &[("Host", "h")], b"hello world", 4))]
     #[tokio::test]
-    async fn requests_come_back_as_they_went(#[case] bytes: Vec<u8>) {
+    async fn a_written_request_is_read_back_unchanged(#[case] bytes: Vec<u8>) {
         let (mut twice, mut buf) = (bytes.clone(), Vec::new());
         twice.extend(bytes);
-        let mut stream = over(twice).await;
+        let mut stream = stream_of(twice).await;
         for _ in 0..2 {
             let got = read_request(&mut stream, &mut buf).await.expect("a request");
             assert_eq!((got.target.as_str(), got.headers.get("HOST")), ("/a", Some("h")));
@@ -320,21 +324,21 @@
 
     #[rstest]
     #[case::length("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", Ok("hi"))]
-    #[case::until_the_end("HTTP/1.1 200 OK\r\n\r\nhi", Ok("hi"))]
-    #[case::after_another("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No\r\n\r\n", Ok(""))]
-    #[case::short("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi", Err(ReadError::Truncated))]
+    #[case::until_eof("HTTP/1.1 200 OK\r\n\r\nhi", Ok("hi"))]
+    #[case::after_an_interim_response("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No\r\n\r\n", Ok(""))]
+    #[case::truncated_body("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi", Err(ReadError::Truncated))]
     #[case::bad_chunk(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n",
         Err(ReadError::Malformed)
     )]
-    #[case::other("\x16\x03 hello\r\n\r\n", Err(ReadError::Malformed))]
+    #[case::not_http("\x16\x03 hello\r\n\r\n", Err(ReadError::Malformed))]
     #[tokio::test]
-    async fn answers_are_whole_or_say_why_not(
+    async fn an_incomplete_or_malformed_response_is_an_error(
         #[case] bytes: &'static str,
         #[case] wanted: Result<&'static str, ReadError>,
     ) {
-        let mut stream = over(bytes.into()).await;
+        let mut stream = stream_of(bytes.into()).await;
         let got = read_response(&mut stream, &mut Vec::new(), "GET").await;
-        assert_eq!(got.map(|answer| answer.body), wanted.map(|body| body.as_bytes().to_vec()));
+        assert_eq!(got.map(|response| response.body), wanted.map(|body| body.as_bytes().to_vec()));
     }
 }
--- a/crates/standins/src/workers.rs
+++ b/crates/standins/src/workers.rs
@@ -1,8 +1,9 @@
-//! A worker: refuses connections until it has started, works on `max_inflight` requests at once and turns others away.
+//! A mock worker: refuses connections until it has started, processes up to `max_inflight` requests at once
+//! and answers further ones with 503.
 
 use crate::ledger::Ledger;
 use crate::platform::Function;
-use crate::wire::{answer, hash, read_request, Request};
+use crate::wire::{hash, read_request, response, Request};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -12,128 +13,136 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout, Instant};
 
-/// One answer in so many closes its connection for no reason that a caller can see.
-const NOW_AND_THEN: u32 = 200;
-/// The longest body that a request can ask for.
-const LONGEST: f64 = (4 << 20) as f64;
+/// One response in this many closes its connection without a reason that the caller can see.
+const CLOSE_ONE_IN: u32 = 200;
+/// The longest response body that a request can ask for.
+const MAX_BODY_BYTES: f64 = (4 << 20) as f64;
+
+/// The longest input that is buffered while a request is processed.
+const MAX_BUFFERED_BYTES: usize = 64 << 10;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
+pub enum WorkerState {
     Working,
-    /// Serves, and asks callers to go.
-    Leaving,
-    /// Listens no more, and ends its work.
+    /// Still serves, and closes each connection after its response.
+    Draining,
+    /// Does not listen any more, and completes the requests in progress.
     Stopped,
     Crashed,
 }
 
-/// What all workers have in common: the ledger and the troubles of the moment.
+/// Shared by all workers: the ledger, the rates of injected faults and the count of requests refused as full.
 #[derive(Clone)]
-pub struct Habits(Arc<Common>);
+pub struct WorkerContext(Arc<Shared>);
 
-struct Common {
+struct Shared {
     ledger: Ledger,
     full: AtomicUsize,
+    /// Shares of responses to lose and to garble: the bits of an `f64`.
     lose: AtomicU64,
     garble: AtomicU64,
 }
 
-impl Habits {
-    pub fn new(ledger: Ledger) -> Habits {
+impl WorkerContext {
+    pub fn new(ledger: Ledger) -> WorkerContext {
         let none = || AtomicU64::new(0f64.to_bits());
-        Habits(Arc::new(Common { ledger, full: AtomicUsize::new(0), lose: none(), garble: none() }))
+        WorkerContext(Arc::new(Shared { ledger, full: AtomicUsize::new(0), lose: none(), garble: none() }))
     }
 
+    /// Sets the share of responses that are lost.
     pub fn lose(&self, share: f64) {
         self.0.lose.store(share.to_bits(), Relaxed);
     }
 
+    /// Sets the share of responses that are garbled.
     pub fn garble(&self, share: f64) {
         self.0.garble.store(share.to_bits(), Relaxed);
     }
 
+    /// Number of requests refused because their worker was full.
     pub fn full(&self) -> usize {
         self.0.full.load(Relaxed)
     }
 }
 
-pub struct Terms {
+pub struct WorkerConfig {
     pub instance: String,
     pub function: Function,
     pub boot: Duration,
-    /// Its work takes the usual time divided by this.
+    /// Divisor of the usual processing time.
     pub speed: f64,
     pub keep_alive: Duration,
     pub seed: u64,
 }
 
 struct Worker {
-    terms: Terms,
-    habits: Habits,
-    lives: watch::Receiver<Life>,
+    config: WorkerConfig,
+    context: WorkerContext,
+    state: watch::Receiver<WorkerState>,
     since: Instant,
     inflight: AtomicUsize,
-    chance: Mutex<oorandom::Rand32>,
+    rng: Mutex<oorandom::Rand32>,
 }
 
-/// A request that is worked on.
-struct Held<'a>(&'a Worker);
+/// Counts a request as in progress until it is dropped.
+struct InflightGuard<'a>(&'a Worker);
 
-impl Drop for Held<'_> {
+impl Drop for InflightGuard<'_> {
     fn drop(&mut self) {
         self.0.inflight.fetch_sub(1, Relaxed);
     }
 }
 
-/// The stamp of an answer.
+/// The `Server-Seal` header of a response: binds its body to the attempt.
 pub fn seal(id: &str, body: &[u8]) -> String {
     format!("{:04x}.{}.{:016x}", body.len() % 0xffff, body.len(), hash(&[id.as_bytes(), body]))
 }
 
-/// Over what must not be changed on the way to a worker.
+/// Hash of the parts of a request that must not be changed on the way to a worker.
 pub fn request_digest(method: &str, target: &str, body: &[u8]) -> u64 {
     hash(&[method.as_bytes(), target.as_bytes(), body])
 }
 
-/// Until it takes nothing more.
-async fn over(lives: &mut watch::Receiver<Life>) {
-    // An error: the platform is gone, and its workers go too.
-    let _ = lives.wait_for(|life| matches!(life, Life::Stopped | Life::Crashed)).await;
+/// Waits until the worker accepts no more requests.
+async fn stopped_or_crashed(state: &mut watch::Receiver<WorkerState>) {
+    // An error means that the platform was dropped; its workers end too.
+    let _ = state.wait_for(|state| matches!(state, WorkerState::Stopped | WorkerState::Crashed)).await;
 }
 
-async fn crashed(lives: &mut watch::Receiver<Life>) {
-    let _ = lives.wait_for(|life| *life == Life::Crashed).await;
+async fn crashed(state: &mut watch::Receiver<WorkerState>) {
+    let _ = state.wait_for(|state| *state == WorkerState::Crashed).await;
 }
 
-/// From the start to the end of a worker on its address, which is bound and not yet listened on.
+/// Runs a worker from its start to its end, on a socket that is bound and does not listen yet. Calls `up`
+/// once it listens.
 pub async fn run(
     socket: TcpSocket,
-    terms: Terms,
-    habits: Habits,
-    mut lives: watch::Receiver<Life>,
+    config: WorkerConfig,
+    context: WorkerContext,
+    mut state: watch::Receiver<WorkerState>,
     up: impl FnOnce(),
 ) {
     tokio::select! {
-        () = sleep(terms.boot) => {}
-        () = over(&mut lives) => return,
+        () = sleep(config.boot) => {}
+        () = stopped_or_crashed(&mut state) => return,
     }
     let Ok(listener) = socket.listen(256) else { return };
     up();
-    let most = terms.function.max_concurrency;
+    let most = config.function.max_concurrency;
     let worker = Arc::new(Worker {
-        habits,
-        lives: lives.clone(),
+        context,
+        state: state.clone(),
         since: Instant::now(),
         inflight: AtomicUsize::new(0),
-        chance: Mutex::new(oorandom::Rand32::new(terms.seed)),
-        terms,
+        rng: Mutex::new(oorandom::Rand32::new(config.seed)),
+        config,
     });
     let mut open = JoinSet::new();
     loop {
         while open.try_join_next().is_some() {}
         tokio::select! {
             biased;
-            () = over(&mut lives) => break,
+            () = stopped_or_crashed(&mut state) => break,
             taken = listener.accept() => match taken {
                 Ok((stream, _)) if open.len() < most => {
                     let _ = stream.set_nodelay(true);
@@ -145,9 +154,9 @@
         }
     }
     drop(listener);
-    // What is in hand ends by itself, unless the machine goes too.
+    // Requests in progress are completed, unless the machine crashes.
     tokio::select! {
-        () = crashed(&mut lives) => open.abort_all(),
+        () = crashed(&mut state) => open.abort_all(),
         () = async { while open.join_next().await.is_some() {} } => {}
     }
 }
@@ -158,15 +167,15 @@
 
 async fn connection(worker: Arc<Worker>, mut stream: TcpStream) {
     let mut buf = Vec::new();
-    let mut lives = worker.lives.clone();
+    let mut state = worker.state.clone();
     loop {
-        let read = timeout(worker.terms.keep_alive, read_request(&mut stream, &mut buf));
+        let read = timeout(worker.config.keep_alive, read_request(&mut stream, &mut buf));
         let request = tokio::select! {
             read = read => match read {
                 Ok(Ok(request)) => request,
                 _ => return,
             },
-            () = over(&mut lives) => return,
+            () = stopped_or_crashed(&mut state) => return,
         };
         if !worker.serve(&mut stream, &mut buf, request).await {
             return;
@@ -175,22 +184,22 @@
 }
 
 impl Worker {
-    fn chance(&self) -> f64 {
-        f64::from(self.chance.lock().unwrap_or_else(PoisonError::into_inner).rand_float())
+    fn random(&self) -> f64 {
+        f64::from(self.rng.lock().unwrap_or_else(PoisonError::into_inner).rand_float())
     }
 
-    fn falls(&self, share: &AtomicU64) -> bool {
+    fn occurs(&self, share: &AtomicU64) -> bool {
         let share = f64::from_bits(share.load(Relaxed));
-        share > 0.0 && self.chance() < share
+        share > 0.0 && self.random() < share
     }
 
-    /// Answers one request. True if the connection stays.
+    /// Answers one request. True if the connection stays open.
     async fn serve(&self, stream: &mut TcpStream, buf: &mut Vec<u8>, request: Request) -> bool {
         let headers = &request.headers;
         let close = headers.closes()
-            || *self.lives.borrow() != Life::Working
-            || self.chance() < 1.0 / f64::from(NOW_AND_THEN);
-        let keep = format!("timeout={}", self.terms.keep_alive.as_secs().max(1));
+            || *self.state.borrow() != WorkerState::Working
+            || self.random() < 1.0 / f64::from(CLOSE_ONE_IN);
+        let keep = format!("timeout={}", self.config.keep_alive.as_secs().max(1));
         let id = headers.get("attempt-id").unwrap_or_default().to_string();
         let mut head: Vec<(&str, &str)> = Vec::new();
         if !id.is_empty() {
@@ -200,58 +209,62 @@
         let mut not_run = head.clone();
         not_run.push(("Not-Executed", "1"));
         if id.is_empty() {
-            return stream.write_all(&answer(400, &not_run, b"")).await.is_ok() && !close;
+            return stream.write_all(&response(400, &not_run, b"")).await.is_ok() && !close;
         }
-        if headers.get("target-instance").is_some_and(|target| target != self.terms.instance) {
-            return stream.write_all(&answer(421, &not_run, b"")).await.is_ok() && !close;
+        if headers.get("target-instance").is_some_and(|target| target != self.config.instance) {
+            return stream.write_all(&response(421, &not_run, b"")).await.is_ok() && !close;
         }
-        if self.inflight.fetch_add(1, Relaxed) >= self.terms.function.max_inflight {
-            drop(Held(self));
-            self.habits.0.full.fetch_add(1, Relaxed);
-            return stream.write_all(&answer(503, &not_run, b"")).await.is_ok() && !close;
+        if self.inflight.fetch_add(1, Relaxed) >= self.config.function.max_inflight {
+            drop(InflightGuard(self));
+            self.context.0.full.fetch_add(1, Relaxed);
+            return stream.write_all(&response(503, &not_run, b"")).await.is_ok() && !close;
         }
-        let held = Held(self);
+        let guard = InflightGuard(self);
         let Request { method, target, body, .. } = &request;
-        self.habits.0.ledger.record_run(&id, &self.terms.function.name, request_digest(method, target, body));
-        let (work, late) = self.work(&request);
+        self.context.0.ledger.record_run(
+            &id,
+            &self.config.function.name,
+            request_digest(method, target, body),
+        );
+        let (work, timed_out) = self.processing_time(&request);
         tokio::select! {
             () = sleep(work) => {}
-            () = left(stream, buf) => return false,
+            () = caller_closed(stream, buf) => return false,
         }
-        drop(held);
-        if self.falls(&self.habits.0.lose) {
+        drop(guard);
+        if self.occurs(&self.context.0.lose) {
             return false;
         }
-        if self.falls(&self.habits.0.garble) {
+        if self.occurs(&self.context.0.garble) {
             let _ = stream.write_all(b"\x16\x03\x01 these bytes are no answer\r\n\r\n").await;
             return false;
         }
-        if late {
-            return stream.write_all(&answer(504, &head, b"")).await.is_ok() && !close;
+        if timed_out {
+            return stream.write_all(&response(504, &head, b"")).await.is_ok() && !close;
         }
-        let size = headers.number("standin-answer-bytes").unwrap_or(64.0).min(LONGEST) as usize;
-        let mut body = format!("{} {} at {}\n", request.method, request.target, self.terms.instance);
+        let size = headers.number("standin-answer-bytes").unwrap_or(64.0).min(MAX_BODY_BYTES) as usize;
+        let mut body = format!("{} {} at {}\n", request.method, request.target, self.config.instance);
         body.extend(std::iter::repeat_n('.', size.saturating_sub(body.len())));
         let seal = seal(&id, body.as_bytes());
         head.push(("Content-Type", "text/plain"));
         head.push(("Server-Seal", &seal));
-        stream.write_all(&answer(200, &head, body.as_bytes())).await.is_ok() && !close
+        stream.write_all(&response(200, &head, body.as_bytes())).await.is_ok() && !close
     }
 
-    /// How long it works, and whether that ends at the deadline.
-    fn work(&self, request: &Request) -> (Duration, bool) {
-        let usual = self.terms.function.work.as_secs_f64() * 1000.0;
+    /// How long the worker processes the request, and whether the request's deadline cuts that short.
+    fn processing_time(&self, request: &Request) -> (Duration, bool) {
+        let usual = self.config.function.work.as_secs_f64() * 1000.0;
         let mean = request.headers.number("standin-work-ms").unwrap_or(usual).min(60_000.0);
-        let cold = if self.since.elapsed() < self.terms.function.cold { 1.5 } else { 1.0 };
-        let ms = mean * (0.5 + self.chance()) * cold / self.terms.speed;
+        let cold = if self.since.elapsed() < self.config.function.cold { 1.5 } else { 1.0 };
+        let ms = mean * (0.5 + self.random()) * cold / self.config.speed;
         let deadline = request.headers.number("deadline-ms").unwrap_or(f64::INFINITY);
         (Duration::from_secs_f64(ms.min(deadline) / 1000.0), ms > deadline)
     }
 }
 
-/// Until the caller closes its connection; what it sends meanwhile is kept, up to a bound.
-async fn left(stream: &mut TcpStream, buf: &mut Vec<u8>) {
-    while buf.len() < 64 << 10 {
+/// Waits until the caller closes its connection; buffers what it sends meanwhile, up to a bound.
+async fn caller_closed(stream: &mut TcpStream, buf: &mut Vec<u8>) {
+    while buf.len() < MAX_BUFFERED_BYTES {
         if !matches!(stream.read_buf(buf).await, Ok(1..)) {
             return;
         }
