--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -89,8 +89,8 @@
         let played = played.map_err(|why| Wrong { code: 2, lines: one_line(why.to_string()) })?;
         let _ = std::io::stdout().write_all(played.text.as_bytes());
         return match played.verdict {
-            Verdict::Kept => Ok(String::new()),
-            Verdict::Broken => Err(Wrong { code: 1, lines: one_line("a rule is broken".into()) }),
+            Verdict::Passed => Ok(String::new()),
+            Verdict::Failed => Err(Wrong { code: 1, lines: one_line("a rule is broken".into()) }),
         };
     }
     if let Some(("play", given)) = matches.subcommand() {
--- a/crates/scheduler/tests/leaving.rs
+++ b/crates/scheduler/tests/leaving.rs
@@ -44,7 +44,7 @@
         target: &target,
         body: &body,
         deadline: DEADLINE,
-        behaviour: Behaviour::Usual,
+        behaviour: Behaviour::Normal,
     };
     (connection.send(&ledger, outgoing).await, connection)
 }
@@ -145,7 +145,7 @@
     let lost: Vec<_> = endings
         .iter()
         .filter(|(_, ending)| {
-            matches!(ending, Ending::ClosedUnanswered | Ending::CutShort | Ending::DeadlinePassed)
+            matches!(ending, Ending::ClosedUnanswered | Ending::Truncated | Ending::DeadlinePassed)
         })
         .collect();
     let mut statuses: BTreeMap<u16, usize> = BTreeMap::new();
--- a/crates/scheduler/tests/soak.rs
+++ b/crates/scheduler/tests/soak.rs
@@ -2,9 +2,9 @@
 
 use std::path::Path;
 use std::process::Command;
-use tindock_soak::judge::judge;
 use tindock_soak::play::play;
-use tindock_soak::report::Outcome;
+use tindock_soak::report::Report;
+use tindock_soak::rules::find_violations;
 use tindock_soak::scenario::Scenario;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_tindock");
@@ -17,12 +17,12 @@
     let text = std::fs::read_to_string(scenario_file(name)).expect("a scenario");
     let scenario = Scenario::read(&text).unwrap_or_else(|fault| panic!("{fault}"));
     let record = play(PROGRAM.into(), &scenario).await.unwrap_or_else(|fault| panic!("{fault}"));
-    let broken = judge(&scenario, &record);
-    let outcome = Outcome { scenario: &scenario, record: &record, broken: &broken };
+    let broken = find_violations(&scenario, &record);
+    let outcome = Report { scenario: &scenario, record: &record, violations: &broken };
     assert!(broken.is_empty(), "{}\n{}", outcome.text(), outcome.events());
     // It has met what it is for.
-    assert!(record.tries.len() >= 300, "{}", outcome.text());
-    assert!(record.ends.len() >= 4, "{}", outcome.text());
+    assert!(record.attempts.len() >= 300, "{}", outcome.text());
+    assert!(record.exits.len() >= 4, "{}", outcome.text());
 }
 
 #[tokio::test]
--- a/crates/soak/src/command.rs
+++ b/crates/soak/src/command.rs
@@ -1,11 +1,11 @@
 //! `tindock soak`: the command line, and what it does.
 
-use crate::draw::{self, Size};
 use crate::gauges::{gauges, NAMES};
-use crate::judge::judge;
+use crate::generate::{self, Size};
 use crate::play::play;
 use crate::record::Record;
-use crate::report::Outcome;
+use crate::report::Report;
+use crate::rules::find_violations;
 use crate::scenario::Scenario;
 use crate::shrink::Shrink;
 use clap::{value_parser, Arg, ArgAction, ArgMatches, Command};
@@ -20,8 +20,8 @@
 /// What a soak came to, for the exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    Kept,
-    Broken,
+    Passed,
+    Failed,
 }
 
 /// A soak's text, and its verdict.
@@ -141,7 +141,7 @@
     }
     let first = matches.get_one::<u64>("seed").copied().unwrap_or(1);
     let seeds = first..first.saturating_add(count(matches, "seeds") as u64);
-    let drawn: Vec<Scenario> = seeds.map(|seed| draw::scenario(seed, size(matches))).collect();
+    let drawn: Vec<Scenario> = seeds.map(|seed| generate::scenario(seed, size(matches))).collect();
     for scenario in &drawn {
         let wrong = |why: crate::scenario::Fault| Fault::Scenario("the command line".into(), why.to_string());
         scenario.check().map_err(wrong)?;
@@ -171,11 +171,11 @@
     let program = program(matches)?;
     let worst = matches.get_one::<String>("worst");
     let mut greatest: Option<(f64, u64)> = None;
-    let (mut text, mut verdict) = (String::new(), Verdict::Kept);
+    let (mut text, mut verdict) = (String::new(), Verdict::Passed);
     for scenario in scenarios(matches)? {
         let record = played(&program, &scenario).await?;
-        let broken = judge(&scenario, &record);
-        let outcome = Outcome { scenario: &scenario, record: &record, broken: &broken };
+        let broken = find_violations(&scenario, &record);
+        let outcome = Report { scenario: &scenario, record: &record, violations: &broken };
         println!("{}", outcome.text());
         write(path("report"), || outcome.html())?;
         write(path("events"), || outcome.events())?;
@@ -185,7 +185,7 @@
             greatest = Some((gauge.value, scenario.seed));
         }
         if !broken.is_empty() {
-            verdict = Verdict::Broken;
+            verdict = Verdict::Failed;
             if matches.get_flag("shrink") {
                 text += &shrink(&program, scenario, path("save").map(PathBuf::as_path)).await?;
             }
@@ -204,7 +204,7 @@
     let mut shrink = Shrink::new(scenario, MAX_SHRINK);
     while let Some(candidate) = shrink.candidate() {
         let record = played(program, &candidate).await?;
-        let broke = !judge(&candidate, &record).is_empty();
+        let broke = !find_violations(&candidate, &record).is_empty();
         shrink.played(candidate, broke);
     }
     let least = shrink.least();
--- a/crates/soak/src/connection.rs
+++ b/crates/soak/src/connection.rs
@@ -24,27 +24,27 @@
     /// The connection was closed in order before any byte of an answer: who closes so has read all that was sent.
     ClosedUnanswered,
     /// It ended in the midst of an answer.
-    CutShort,
+    Truncated,
     /// It was reset before any byte of an answer: who ends with unread bytes resets, so the request was not read.
     Reset,
     /// Bytes that are no answer.
-    Garbled,
+    Malformed,
     /// No answer until the client's deadline.
     DeadlinePassed,
     /// The client hung up.
-    ClientLeft,
+    ClientClosed,
 }
 
 /// How a client behaves beside the usual.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Behaviour {
-    Usual,
+    Normal,
     /// The second half of what it sends comes later.
     SlowBody,
     /// It reads its answer late.
-    ReadsLate,
+    SlowRead,
     /// It hangs up after so long.
-    Leaves(Duration),
+    ClosesEarly(Duration),
 }
 
 /// A request as it goes out.
@@ -120,18 +120,18 @@
         let bytes = request(&class.method, outgoing.target, &headers, outgoing.body);
         let until = Instant::now() + outgoing.deadline;
         let leaves_at = match outgoing.behaviour {
-            Behaviour::Leaves(after) => Instant::now() + after,
+            Behaviour::ClosesEarly(after) => Instant::now() + after,
             _ => until,
         };
         let exchange = self.exchange(&bytes, &class.method, outgoing.behaviour);
         match timeout_at(until.min(leaves_at), exchange).await {
-            Err(_) if leaves_at < until => Ending::ClientLeft,
+            Err(_) if leaves_at < until => Ending::ClientClosed,
             Err(_) => Ending::DeadlinePassed,
             Ok(Ok(answer)) => Ending::Answered(answer),
             Ok(Err(ReadError::Reset)) => Ending::Reset,
             Ok(Err(ReadError::Closed)) => Ending::ClosedUnanswered,
-            Ok(Err(ReadError::Truncated)) => Ending::CutShort,
-            Ok(Err(ReadError::Malformed)) => Ending::Garbled,
+            Ok(Err(ReadError::Truncated)) => Ending::Truncated,
+            Ok(Err(ReadError::Malformed)) => Ending::Malformed,
         }
     }
 
@@ -148,7 +148,7 @@
             sleep(SECOND_HALF_AFTER).await;
             self.stream.write_all(&bytes[first..]).await.map_err(|_| ReadError::Reset)?;
         }
-        if behaviour == Behaviour::ReadsLate {
+        if behaviour == Behaviour::SlowRead {
             sleep(READS_AFTER).await;
         }
         read_response(&mut self.stream, &mut self.early, method).await
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -9,12 +9,12 @@
 
 pub mod command;
 pub mod connection;
-pub mod draw;
 pub mod gauges;
-pub mod judge;
+pub mod generate;
 pub mod load;
 pub mod play;
 pub mod record;
 pub mod report;
+pub mod rules;
 pub mod scenario;
 pub mod shrink;
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -2,7 +2,7 @@
 //! whether earlier ones are answered or not, and further tries as the protocol lets clients have them.
 
 use crate::connection::{Behaviour, Connection, Ending, Outgoing, SECOND_HALF_AFTER};
-use crate::record::{End, Try};
+use crate::record::{Attempt, AttemptEnd};
 use crate::scenario::Scenario;
 use oorandom::Rand64;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -69,7 +69,7 @@
 }
 
 /// Plays the load of a scenario: all tries, in the order in which they were sent.
-pub async fn play(load: Arc<Load>, scenario: &Scenario) -> Vec<Try> {
+pub async fn play(load: Arc<Load>, scenario: &Scenario) -> Vec<Attempt> {
     let mut chance = Rand64::new(u128::from(scenario.seed) ^ 0x10ad);
     let user = |n: usize| User {
         zone: load.zones.get(n % load.zones.len().max(1)).cloned().unwrap_or_default(),
@@ -77,7 +77,7 @@
         kept: Mutex::new(Vec::new()),
     };
     let users: Arc<Vec<User>> = Arc::new((0..scenario.clients).map(user).collect());
-    let (mut open, mut tries) = (JoinSet::new(), Vec::new());
+    let (mut open, mut attempts) = (JoinSet::new(), Vec::new());
     let mut at = Duration::ZERO;
     for number in 0.. {
         let gap_s = -(1.0 - chance.rand_float()).ln() / scenario.rate;
@@ -88,16 +88,16 @@
         let request = draw(&mut chance, number, &load.classes, users.len());
         sleep_until(load.start + at).await;
         while let Some(ended) = open.try_join_next() {
-            tries.extend(ended.unwrap_or_default());
+            attempts.extend(ended.unwrap_or_default());
         }
         let (load, users) = (load.clone(), users.clone());
         open.spawn(async move { run(&load, &users[request.user], request).await });
     }
     while let Some(ended) = open.join_next().await {
-        tries.extend(ended.unwrap_or_default());
+        attempts.extend(ended.unwrap_or_default());
     }
-    tries.sort_by_key(|tried| tried.sent);
-    tries
+    attempts.sort_by_key(|tried| tried.sent);
+    attempts
 }
 
 fn draw(chance: &mut Rand64, number: u64, classes: &[Class], users: usize) -> Request {
@@ -115,44 +115,46 @@
     let behaviour = if drawn < SLOW_BODY {
         Behaviour::SlowBody
     } else if drawn < SLOW_BODY + READS_LATE {
-        Behaviour::ReadsLate
+        Behaviour::SlowRead
     } else if drawn < SLOW_BODY + READS_LATE + LEAVES {
-        Behaviour::Leaves(Duration::from_secs_f64((least + (most - least) * after) / 1000.0))
+        Behaviour::ClosesEarly(Duration::from_secs_f64((least + (most - least) * after) / 1000.0))
     } else {
-        Behaviour::Usual
+        Behaviour::Normal
     };
     Request { number, class, user, keeps, behaviour }
 }
 
 /// A request with its further tries.
-async fn run(load: &Load, user: &User, request: Request) -> Vec<Try> {
+async fn run(load: &Load, user: &User, request: Request) -> Vec<Attempt> {
     let class = &load.classes[request.class];
     let until = Instant::now() + class.deadline;
-    let mut tries = Vec::new();
+    let mut attempts = Vec::new();
     for turn in 0..TRIES {
-        let behaviour = if turn == 0 { request.behaviour } else { Behaviour::Usual };
+        let behaviour = if turn == 0 { request.behaviour } else { Behaviour::Normal };
         let kept = if turn == 0 && request.keeps { user.take() } else { None };
         let Some((tried, pause)) = attempt(load, user, &request, class, turn, kept, behaviour, until).await
         else {
-            return tries;
+            return attempts;
         };
         let again = is_tried_again(class, tried.end);
-        tries.push(tried);
+        attempts.push(tried);
         if !again || Instant::now() + pause >= until {
-            return tries;
+            return attempts;
         }
         sleep(pause).await;
     }
-    tries
+    attempts
 }
 
 /// Whether the protocol lets a client try again.
-fn is_tried_again(class: &Class, end: End) -> bool {
+fn is_tried_again(class: &Class, end: AttemptEnd) -> bool {
     match end {
-        End::Answered { status: 408 | 421 | 429 | 503, .. } | End::Reset | End::NotConnected => true,
-        End::Answered { status, .. } => class.repeatable && status >= 500,
-        End::ClosedUnanswered | End::CutShort | End::Garbled => class.repeatable,
-        End::DeadlinePassed | End::ClientLeft => false,
+        AttemptEnd::Answered { status: 408 | 421 | 429 | 503, .. }
+        | AttemptEnd::Reset
+        | AttemptEnd::NotConnected => true,
+        AttemptEnd::Answered { status, .. } => class.repeatable && status >= 500,
+        AttemptEnd::ClosedUnanswered | AttemptEnd::Truncated | AttemptEnd::Malformed => class.repeatable,
+        AttemptEnd::DeadlinePassed | AttemptEnd::ClientClosed => false,
     }
 }
 
@@ -167,7 +169,7 @@
     kept: Option<Connection>,
     behaviour: Behaviour,
     until: Instant,
-) -> Option<(Try, Duration)> {
+) -> Option<(Attempt, Duration)> {
     let attempt_id = format!("{:010x}{turn:02x}", request.number);
     let deadline = until.saturating_duration_since(Instant::now());
     let to = match &kept {
@@ -175,7 +177,7 @@
         None => load.entry.pick(&user.zone, user.hash, turn)?,
     };
     let sent = Instant::now();
-    let mut tried = Try {
+    let mut tried = Attempt {
         attempt_id,
         class: class.name.clone(),
         repeatable: class.repeatable,
@@ -186,7 +188,7 @@
         ended: Duration::ZERO,
         deadline: until.saturating_duration_since(load.start),
         ran: false,
-        end: End::NotConnected,
+        end: AttemptEnd::NotConnected,
     };
     let connection = match kept {
         Some(connection) => Some(connection),
@@ -225,16 +227,17 @@
     Some((tried, pause))
 }
 
-fn end_of(ending: &Ending) -> End {
+fn end_of(ending: &Ending) -> AttemptEnd {
     match ending {
-        Ending::Answered(answer) => {
-            End::Answered { status: answer.status, retry_after: answer.headers.retry_after().is_some() }
-        }
-        Ending::ClosedUnanswered => End::ClosedUnanswered,
-        Ending::CutShort => End::CutShort,
-        Ending::Reset => End::Reset,
-        Ending::Garbled => End::Garbled,
-        Ending::DeadlinePassed => End::DeadlinePassed,
-        Ending::ClientLeft => End::ClientLeft,
+        Ending::Answered(answer) => AttemptEnd::Answered {
+            status: answer.status,
+            retry_after: answer.headers.retry_after().is_some(),
+        },
+        Ending::ClosedUnanswered => AttemptEnd::ClosedUnanswered,
+        Ending::Truncated => AttemptEnd::Truncated,
+        Ending::Reset => AttemptEnd::Reset,
+        Ending::Malformed => AttemptEnd::Malformed,
+        Ending::DeadlinePassed => AttemptEnd::DeadlinePassed,
+        Ending::ClientClosed => AttemptEnd::ClientClosed,
     }
 }
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -1,7 +1,7 @@
 //! Plays a scenario on real processes, and records what is seen from outside.
 
 use crate::load::{self, Load};
-use crate::record::{Change, Done, FullCount, ProcessEnd, ProxyMachine, Record};
+use crate::record::{Change, ExecutedAction, FullCount, ProcessExit, ProxyMachine, Record};
 use crate::scenario::{Action, ActionKind, Scenario, Target, ZONES};
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -34,7 +34,7 @@
 struct Hands {
     testbed: Testbed,
     start: Instant,
-    done: Mutex<Vec<Done>>,
+    done: Mutex<Vec<ExecutedAction>>,
     changes: Mutex<Vec<Change>>,
 }
 
@@ -93,13 +93,13 @@
     let hands = Arc::new(hands);
     let counted = Arc::new(Mutex::new(Vec::new()));
     let looking = tokio::spawn(count_full(hands.clone(), counted.clone()));
-    let (tries, ()) = tokio::join!(load::play(load, scenario), strike_all(hands.clone(), scenario));
+    let (attempts, ()) = tokio::join!(load::play(load, scenario), strike_all(hands.clone(), scenario));
     sleep(scenario.grace() + LAST_LOOK).await;
     looking.abort();
     let _ = looking.await;
-    let mut record = Record { tries, ..Record::default() };
+    let mut record = Record { attempts, ..Record::default() };
     record.full = taken(&counted);
-    record.done = taken(&hands.done);
+    record.executed = taken(&hands.done);
     record.changes = taken(&hands.changes);
     finish(hands, record).await
 }
@@ -144,7 +144,7 @@
             _ => InjectedFault::CrashHost(host.clone(), action.lasts()),
         };
         self.testbed.platform.inject(trouble);
-        push(&self.done, Done { at: self.start.elapsed(), action, machine: host });
+        push(&self.done, ExecutedAction { at: self.start.elapsed(), action, machine: host });
     }
 
     async fn strike_machine(&self, action: Action, number: usize, named_by: Role, roles: &[Role]) {
@@ -163,7 +163,7 @@
             return;
         }
         let (is_frozen, lasts) = (action.kind == ActionKind::Freeze, action.lasts());
-        push(&self.done, Done { at, action, machine: machine.clone() });
+        push(&self.done, ExecutedAction { at, action, machine: machine.clone() });
         if is_frozen {
             sleep(lasts).await;
             each(&|role| fleet.resume(&machine, role));
@@ -202,7 +202,7 @@
     let operator = Operator { controllers: testbed.fleet.controllers(), first: 0 };
     record.shown = operator.show(SHOW_WITHIN).await.ok().and_then(|text| revision_of(&text));
     record.findings = testbed.ledger.findings();
-    record.ends = ends(&testbed, start);
+    record.exits = ends(&testbed, start);
     record.proxies = proxies(&testbed);
     let Testbed { fleet, platform, .. } = testbed;
     record.outlived = fleet.shutdown().await;
@@ -210,8 +210,8 @@
     Ok(record)
 }
 
-fn ends(testbed: &Testbed, start: Instant) -> Vec<ProcessEnd> {
-    let of = |end: tindock_standins::fleet::ProcessExit| ProcessEnd {
+fn ends(testbed: &Testbed, start: Instant) -> Vec<ProcessExit> {
+    let of = |end: tindock_standins::fleet::ProcessExit| ProcessExit {
         machine: end.machine,
         role: end.role,
         at: end.at.saturating_duration_since(start),
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -9,7 +9,7 @@
 
 /// How one try of a request ended, as its client saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     Answered {
         status: u16,
         /// It was told when to come back.
@@ -18,47 +18,49 @@
     /// Closed in order before any byte of an answer.
     ClosedUnanswered,
     /// Ended in the midst of an answer.
-    CutShort,
+    Truncated,
     /// Reset before any byte of an answer: not read.
     Reset,
     /// Bytes that are no answer.
-    Garbled,
+    Malformed,
     /// No answer until the client's deadline.
     DeadlinePassed,
     /// The client itself hung up.
-    ClientLeft,
+    ClientClosed,
     /// No connection came up.
     NotConnected,
 }
 
-impl End {
+impl AttemptEnd {
     pub fn status(self) -> Option<u16> {
         match self {
-            End::Answered { status, .. } => Some(status),
+            AttemptEnd::Answered { status, .. } => Some(status),
             _ => None,
         }
     }
 }
 
-impl fmt::Display for End {
+impl fmt::Display for AttemptEnd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            End::Answered { status, retry_after: true } => write!(f, "{status}, told when to come back"),
-            End::Answered { status, .. } => write!(f, "{status}"),
-            End::ClosedUnanswered => f.write_str("closed without an answer"),
-            End::CutShort => f.write_str("ended in the midst of an answer"),
-            End::Reset => f.write_str("reset, not read"),
-            End::Garbled => f.write_str("bytes that are no answer"),
-            End::DeadlinePassed => f.write_str("no answer until its deadline"),
-            End::ClientLeft => f.write_str("its client left"),
-            End::NotConnected => f.write_str("no connection"),
+            AttemptEnd::Answered { status, retry_after: true } => {
+                write!(f, "{status}, told when to come back")
+            }
+            AttemptEnd::Answered { status, .. } => write!(f, "{status}"),
+            AttemptEnd::ClosedUnanswered => f.write_str("closed without an answer"),
+            AttemptEnd::Truncated => f.write_str("ended in the midst of an answer"),
+            AttemptEnd::Reset => f.write_str("reset, not read"),
+            AttemptEnd::Malformed => f.write_str("bytes that are no answer"),
+            AttemptEnd::DeadlinePassed => f.write_str("no answer until its deadline"),
+            AttemptEnd::ClientClosed => f.write_str("its client left"),
+            AttemptEnd::NotConnected => f.write_str("no connection"),
         }
     }
 }
 
 /// One try of a request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Try {
+pub struct Attempt {
     pub attempt_id: String,
     pub class: String,
     pub repeatable: bool,
@@ -73,12 +75,12 @@
     pub deadline: Duration,
     /// A worker began to work on it.
     pub ran: bool,
-    pub end: End,
+    pub end: AttemptEnd,
 }
 
 /// A process that ended.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ProcessEnd {
+pub struct ProcessExit {
     pub machine: String,
     pub role: Role,
     pub at: Duration,
@@ -97,7 +99,7 @@
 
 /// An action that struck: its machine's processes ran.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Done {
+pub struct ExecutedAction {
     pub at: Duration,
     pub action: Action,
     /// The machine's name; empty for the operator.
@@ -122,9 +124,9 @@
 /// All that was seen.
 #[derive(Debug, Clone, Default)]
 pub struct Record {
-    pub tries: Vec<Try>,
-    pub done: Vec<Done>,
-    pub ends: Vec<ProcessEnd>,
+    pub attempts: Vec<Attempt>,
+    pub executed: Vec<ExecutedAction>,
+    pub exits: Vec<ProcessExit>,
     pub changes: Vec<Change>,
     pub full: Vec<FullCount>,
     pub findings: Vec<Finding>,
@@ -142,9 +144,9 @@
 
     /// The first SIGTERM of the life in which a machine's processes were at this time, if it had come by then.
     pub fn terminated(&self, machine: &str, role: Role, at: Duration) -> Option<Duration> {
-        let ends = self.ends.iter().filter(|end| end.machine == machine && end.role == role && end.at < at);
+        let ends = self.exits.iter().filter(|end| end.machine == machine && end.role == role && end.at < at);
         let born = ends.map(|end| end.at).max().unwrap_or_default();
-        let signals = self.done.iter().filter(|done| {
+        let signals = self.executed.iter().filter(|done| {
             done.machine == machine
                 && done.action.kind == crate::scenario::ActionKind::Terminate
                 && done.at >= born
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,13 +1,13 @@
 //! A soak's outcome as text, as a page (HTML) and as events (a JSON object a line).
 
 use crate::gauges::{gauges, struck, Gauge};
-use crate::judge::Broken;
-use crate::record::{Record, Try};
+use crate::record::{Attempt, Record};
+use crate::rules::Violation;
 use crate::scenario::{ActionKind, Scenario};
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// Broken rules that are told one by one.
+/// Violation rules that are told one by one.
 const MAX_TOLD: usize = 20;
 /// Around a try that broke a rule, what happened is told from so long before it.
 const BEFORE: Duration = Duration::from_secs(8);
@@ -18,13 +18,13 @@
 const MAX_WIDTH_PX: f64 = 4_000.0;
 
 /// A soak that has been judged.
-pub struct Outcome<'a> {
+pub struct Report<'a> {
     pub scenario: &'a Scenario,
     pub record: &'a Record,
-    pub broken: &'a [Broken],
+    pub violations: &'a [Violation],
 }
 
-impl Outcome<'_> {
+impl Report<'_> {
     /// For a terminal.
     pub fn text(&self) -> String {
         let mut text = String::new();
@@ -45,12 +45,13 @@
             scenario.clients,
             scenario.grace_s
         )?;
-        let served = record.tries.iter().filter(|tried| tried.end.status().is_some_and(|s| s < 300)).count();
+        let served =
+            record.attempts.iter().filter(|tried| tried.end.status().is_some_and(|s| s < 300)).count();
         let acknowledged = record.changes.iter().filter(|change| change.acknowledged.is_some()).count();
         writeln!(
             out,
             "{} tries, {served} served; {} SIGTERM, {} SIGHUP, {} SIGKILL, {} frozen; {acknowledged} of {} changes taken",
-            record.tries.len(),
+            record.attempts.len(),
             struck(record, ActionKind::Terminate),
             struck(record, ActionKind::Hangup),
             struck(record, ActionKind::Kill),
@@ -60,23 +61,23 @@
         for Gauge { name, unit, value } in gauges(record) {
             writeln!(out, "  {name:<16} {value:>8.2} {unit}")?;
         }
-        for broken in self.broken.iter().take(MAX_TOLD) {
+        for broken in self.violations.iter().take(MAX_TOLD) {
             writeln!(out, "BROKEN {broken}")?;
         }
-        if self.broken.len() > MAX_TOLD {
-            writeln!(out, "and {} more", self.broken.len() - MAX_TOLD)?;
+        if self.violations.len() > MAX_TOLD {
+            writeln!(out, "and {} more", self.violations.len() - MAX_TOLD)?;
         }
-        let verdict = if self.broken.is_empty() { "kept" } else { "broken" };
+        let verdict = if self.violations.is_empty() { "kept" } else { "broken" };
         writeln!(out, "{verdict}")
     }
 
     /// One object a line, in the order of time.
     pub fn events(&self) -> String {
         let mut lines: Vec<(Duration, String)> = Vec::new();
-        for tried in &self.record.tries {
+        for tried in &self.record.attempts {
             lines.push((tried.sent, try_event(tried)));
         }
-        for done in &self.record.done {
+        for done in &self.record.executed {
             let at = done.at.as_secs_f64();
             let (kind, machine) = (done.action.kind, &done.machine);
             lines.push((
@@ -84,7 +85,7 @@
                 format!("{{\"at_s\":{at:.3},\"event\":\"{kind:?}\",\"machine\":\"{machine}\"}}"),
             ));
         }
-        for end in &self.record.ends {
+        for end in &self.record.exits {
             let (at, machine, role, status) =
                 (end.at.as_secs_f64(), &end.machine, end.role.name(), &end.status);
             let text = format!(
@@ -92,7 +93,7 @@
             );
             lines.push((end.at, text));
         }
-        for broken in self.broken {
+        for broken in self.violations {
             let (at, rule, what) = (broken.at.as_secs_f64(), broken.rule, escaped(&broken.what));
             let text = format!(
                 "{{\"at_s\":{at:.3},\"event\":\"broken\",\"rule\":\"{rule:?}\",\"what\":\"{what}\"}}"
@@ -116,7 +117,7 @@
     fn write_html(&self, out: &mut String) -> std::fmt::Result {
         writeln!(out, "<h1>Soak, seed {}</h1>\n<pre>{}</pre>", self.scenario.seed, marked_up(&self.text()))?;
         out.push_str(&self.picture());
-        for broken in self.broken.iter().take(MAX_TOLD) {
+        for broken in self.violations.iter().take(MAX_TOLD) {
             writeln!(out, "<h2>{}</h2>", marked_up(&broken.to_string()))?;
             if let Some(tried) = &broken.attempt {
                 self.write_timeline(out, tried)?;
@@ -126,7 +127,7 @@
     }
 
     /// What happened to the proxy of a try around it, and the proxy's own log.
-    fn write_timeline(&self, out: &mut String, tried: &Try) -> std::fmt::Result {
+    fn write_timeline(&self, out: &mut String, tried: &Attempt) -> std::fmt::Result {
         let Some(proxy) = self.record.proxy_at(tried.to) else { return Ok(()) };
         let from = tried.sent.saturating_sub(BEFORE);
         let mut rows: Vec<(Duration, String)> = vec![
@@ -134,9 +135,9 @@
             (tried.sent, format!("{} {} is sent", tried.class, tried.attempt_id)),
             (tried.ended, tried.end.to_string()),
         ];
-        let here = self.record.done.iter().filter(|done| done.machine == proxy.name && done.at >= from);
+        let here = self.record.executed.iter().filter(|done| done.machine == proxy.name && done.at >= from);
         rows.extend(here.map(|done| (done.at, format!("{:?} to {}", done.action.kind, done.machine))));
-        let ends = self.record.ends.iter().filter(|end| end.machine == proxy.name && end.at >= from);
+        let ends = self.record.exits.iter().filter(|end| end.machine == proxy.name && end.at >= from);
         rows.extend(ends.map(|end| (end.at, format!("{} ended: {}", end.role.name(), end.status))));
         rows.sort_by_key(|(at, _)| *at);
         out.push_str("<table>\n");
@@ -156,8 +157,8 @@
         for (row, proxy) in self.record.proxies.iter().enumerate() {
             let y = row * ROW_PX;
             let _ = writeln!(svg, "<text x=\"0\" y=\"{}\" font-size=\"11\">{}</text>", y + 12, proxy.name);
-            for done in self.record.done.iter().filter(|done| done.machine == proxy.name) {
-                let ends = self.record.ends.iter().filter(|end| end.machine == proxy.name);
+            for done in self.record.executed.iter().filter(|done| done.machine == proxy.name) {
+                let ends = self.record.exits.iter().filter(|end| end.machine == proxy.name);
                 let end = ends.map(|end| end.at).filter(|at| *at > done.at).min();
                 let to = end.unwrap_or(done.at + self.scenario.grace());
                 let _ = writeln!(
@@ -170,7 +171,7 @@
                     done.action.kind
                 );
             }
-            let broken = self.broken.iter().filter_map(|broken| broken.attempt.as_ref());
+            let broken = self.violations.iter().filter_map(|broken| broken.attempt.as_ref());
             for tried in broken.filter(|tried| tried.to == proxy.address) {
                 let (from, to) = (px(tried.sent), px(tried.ended));
                 let middle = y + ROW_PX / 2;
@@ -185,7 +186,7 @@
     }
 }
 
-fn try_event(tried: &Try) -> String {
+fn try_event(tried: &Attempt) -> String {
     format!(
         "{{\"at_s\":{:.3},\"event\":\"try\",\"id\":\"{}\",\"class\":\"{}\",\"to\":\"{}\",\"opened_s\":{:.3},\"ended_s\":{:.3},\"end\":\"{}\"}}",
         tried.sent.as_secs_f64(),
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/rules.rs
@@ -1,6 +1,6 @@
 //! The judge: joins what was seen from outside the processes, and tells the rules that were broken.
 
-use crate::record::{Done, End, ProcessEnd, Record, Try};
+use crate::record::{Attempt, AttemptEnd, ExecutedAction, ProcessExit, Record};
 use crate::scenario::{ActionKind, Scenario};
 use std::fmt;
 use std::time::Duration;
@@ -45,52 +45,52 @@
 
 /// A rule that was broken.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
     pub at: Duration,
     pub what: String,
     /// The try that it is about.
-    pub attempt: Option<Try>,
+    pub attempt: Option<Attempt>,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:?} at {:.2} s: {}", self.rule, self.at.as_secs_f64(), self.what)
     }
 }
 
 /// The rules that were broken, by time.
-pub fn judge(scenario: &Scenario, record: &Record) -> Vec<Broken> {
+pub fn find_violations(scenario: &Scenario, record: &Record) -> Vec<Violation> {
     let mut broken = Vec::new();
-    for tried in &record.tries {
+    for tried in &record.attempts {
         broken.extend(lost(record, tried));
         broken.extend(given_up(record, tried));
         broken.extend(told_nothing(record, tried));
     }
     let ledger = record.findings.iter();
     broken.extend(ledger.map(|finding| of(Rule::Ledger, scenario.length(), finding.to_string())));
-    broken.extend(record.done.iter().filter_map(|done| outlives(scenario, record, done)));
+    broken.extend(record.executed.iter().filter_map(|done| outlives(scenario, record, done)));
     let outlived = record.outlived.iter();
     broken
         .extend(outlived.map(|name| of(Rule::Grace, scenario.length(), format!("{name} had to be killed"))));
-    broken.extend(record.ends.iter().filter_map(|end| ended_by_itself(record, end)));
+    broken.extend(record.exits.iter().filter_map(|end| ended_by_itself(record, end)));
     broken.extend(overloaded(record));
     broken.extend(configuration_lost(scenario, record));
     broken.sort_by_key(|broken| (broken.at, broken.rule));
     broken
 }
 
-fn of(rule: Rule, at: Duration, what: String) -> Broken {
-    Broken { rule, at, what, attempt: None }
+fn of(rule: Rule, at: Duration, what: String) -> Violation {
+    Violation { rule, at, what, attempt: None }
 }
 
 /// Whether there was unplanned trouble in the span, or shortly before it.
 fn is_troubled(record: &Record, from: Duration, to: Duration) -> bool {
-    let unplanned = record.done.iter().filter(|done| !done.action.kind.is_planned());
+    let unplanned = record.executed.iter().filter(|done| !done.action.kind.is_planned());
     unplanned.into_iter().any(|done| done.at <= to && done.at + done.action.lasts() + CONTACT >= from)
 }
 
-fn about(record: &Record, tried: &Try) -> String {
+fn about(record: &Record, tried: &Attempt) -> String {
     let place = record.proxy_at(tried.to).map_or_else(|| tried.to.to_string(), |proxy| proxy.name.clone());
     let terminated = record.terminated(&place, Role::Proxy, tried.ended);
     let since = |at: Duration| match terminated {
@@ -111,17 +111,18 @@
 }
 
 /// A request that crosses the close of its connection: nobody has passed it on, and its end came at once.
-pub fn crosses(tried: &Try) -> bool {
-    tried.end == End::ClosedUnanswered && !tried.ran && tried.ended <= tried.last_byte + LOSS_SLACK
+pub fn crosses(tried: &Attempt) -> bool {
+    tried.end == AttemptEnd::ClosedUnanswered && !tried.ran && tried.ended <= tried.last_byte + LOSS_SLACK
 }
 
-fn lost(record: &Record, tried: &Try) -> Option<Broken> {
-    let is_lost = matches!(tried.end, End::ClosedUnanswered | End::CutShort | End::Garbled);
+fn lost(record: &Record, tried: &Attempt) -> Option<Violation> {
+    let is_lost =
+        matches!(tried.end, AttemptEnd::ClosedUnanswered | AttemptEnd::Truncated | AttemptEnd::Malformed);
     let by_deadline = tried.ended + BY_ITS_DEADLINE >= tried.deadline;
     if !is_lost || by_deadline || crosses(tried) || is_troubled(record, tried.sent, tried.ended) {
         return None;
     }
-    Some(Broken {
+    Some(Violation {
         rule: Rule::Lost,
         at: tried.ended,
         what: about(record, tried),
@@ -130,12 +131,12 @@
 }
 
 /// The SIGTERM of the proxy's life that a try met, if it came before the try ended.
-fn met_termination(record: &Record, tried: &Try) -> Option<Duration> {
+fn met_termination(record: &Record, tried: &Attempt) -> Option<Duration> {
     let proxy = record.proxy_at(tried.to)?;
     record.terminated(&proxy.name, Role::Proxy, tried.ended)
 }
 
-fn given_up(record: &Record, tried: &Try) -> Option<Broken> {
+fn given_up(record: &Record, tried: &Attempt) -> Option<Violation> {
     let terminated = met_termination(record, tried)?;
     let late = tried.sent >= terminated + LATE;
     let by_deadline = tried.ended + BY_ITS_DEADLINE >= tried.deadline;
@@ -143,7 +144,7 @@
     if !late || by_deadline || !is_given_up || is_troubled(record, tried.sent, tried.ended) {
         return None;
     }
-    Some(Broken {
+    Some(Violation {
         rule: Rule::GivenUp,
         at: tried.ended,
         what: about(record, tried),
@@ -151,10 +152,10 @@
     })
 }
 
-fn told_nothing(record: &Record, tried: &Try) -> Option<Broken> {
+fn told_nothing(record: &Record, tried: &Attempt) -> Option<Violation> {
     met_termination(record, tried)?;
-    let End::Answered { status: 503, retry_after: false } = tried.end else { return None };
-    Some(Broken {
+    let AttemptEnd::Answered { status: 503, retry_after: false } = tried.end else { return None };
+    Some(Violation {
         rule: Rule::ToldNothing,
         at: tried.ended,
         what: about(record, tried),
@@ -163,7 +164,7 @@
 }
 
 /// A process of a machine that got SIGTERM and did not end in time.
-fn outlives(scenario: &Scenario, record: &Record, done: &Done) -> Option<Broken> {
+fn outlives(scenario: &Scenario, record: &Record, done: &ExecutedAction) -> Option<Violation> {
     if done.action.kind != ActionKind::Terminate {
         return None;
     }
@@ -173,19 +174,19 @@
     if record.terminated(&done.machine, role, done.at) != Some(done.at) {
         return None;
     }
-    let ends = || record.ends.iter().filter(|end| end.machine == done.machine && end.role == role);
+    let ends = || record.exits.iter().filter(|end| end.machine == done.machine && end.role == role);
     if ends().any(|end| end.at <= done.at && done.at <= end.at + STARTING) {
         return None;
     }
     let until = done.at + scenario.grace() + SEEN_WITHIN;
     // What the end of the soak cuts short is told by those that had to be killed; a frozen process cannot end.
-    let frozen = record.done.iter().any(|other| {
+    let frozen = record.executed.iter().any(|other| {
         other.machine == done.machine
             && other.action.kind == ActionKind::Freeze
             && other.at <= until
             && other.at + other.action.lasts() >= done.at
     });
-    let last_seen = record.ends.iter().map(|end| end.at).max().unwrap_or_default();
+    let last_seen = record.exits.iter().map(|end| end.at).max().unwrap_or_default();
     let has_ended = ends().any(|end| (done.at..=until).contains(&end.at));
     if frozen || has_ended || until > last_seen {
         return None;
@@ -193,17 +194,17 @@
     Some(of(Rule::Grace, until, format!("{} outlives its grace period", done.machine)))
 }
 
-fn ended_by_itself(record: &Record, end: &ProcessEnd) -> Option<Broken> {
+fn ended_by_itself(record: &Record, end: &ProcessExit) -> Option<Violation> {
     let killed = record
-        .done
+        .executed
         .iter()
         .any(|done| done.machine == end.machine && done.action.kind == ActionKind::Kill && done.at <= end.at);
-    let signalled = record.done.iter().any(|done| {
+    let signalled = record.executed.iter().any(|done| {
         let kinds = [ActionKind::Kill, ActionKind::Terminate];
         done.machine == end.machine && kinds.contains(&done.action.kind) && done.at <= end.at + SEEN_WITHIN
     });
     let before = record
-        .ends
+        .exits
         .iter()
         .filter(|other| (&other.machine, other.role) == (&end.machine, end.role) && other.at < end.at);
     let starting = before.map(|other| other.at).max().is_some_and(|at| end.at < at + STARTING);
@@ -215,7 +216,7 @@
     Some(of(Rule::Ended, end.at, format!("{} {role} ended by itself: {}", end.machine, end.status)))
 }
 
-fn strikes_a_process(done: &Done) -> bool {
+fn strikes_a_process(done: &ExecutedAction) -> bool {
     matches!(done.action.kind, ActionKind::Terminate | ActionKind::Kill | ActionKind::Freeze)
 }
 
@@ -234,17 +235,17 @@
 }
 
 /// Only what machines in touch hand to workers counts; who that was is not seen from outside, so all have to be.
-fn overloaded(record: &Record) -> Option<Broken> {
+fn overloaded(record: &Record) -> Option<Violation> {
     let in_touch = |at: Duration| {
         let from = at.saturating_sub(FULL_WINDOW + CONTACT);
-        !record.done.iter().any(|done| strikes_a_process(done) && (from..=at).contains(&done.at))
+        !record.executed.iter().any(|done| strikes_a_process(done) && (from..=at).contains(&done.at))
     };
     let (turned_away, at) = worst_full(record, in_touch);
     let what = format!("{turned_away} requests turned away as full within {} s", FULL_WINDOW.as_secs());
     (turned_away > SHED_ALLOWANCE).then(|| of(Rule::Limit, at, what))
 }
 
-fn configuration_lost(scenario: &Scenario, record: &Record) -> Option<Broken> {
+fn configuration_lost(scenario: &Scenario, record: &Record) -> Option<Violation> {
     let acknowledged = record.changes.iter().filter(|change| change.acknowledged.is_some());
     let newest = acknowledged.map(|change| change.revision).max()?;
     let shown = record.shown.unwrap_or_default();
--- a/crates/soak/tests/judging.rs
+++ b/crates/soak/tests/rules.rs
@@ -4,9 +4,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use tindock_soak::gauges::{gauges, NAMES};
-use tindock_soak::judge::{judge, Rule};
-use tindock_soak::record::{Change, Done, End, FullCount, ProcessEnd, ProxyMachine, Record, Try};
-use tindock_soak::report::Outcome;
+use tindock_soak::record::{
+    Attempt, AttemptEnd, Change, ExecutedAction, FullCount, ProcessExit, ProxyMachine, Record,
+};
+use tindock_soak::report::Report;
+use tindock_soak::rules::{find_violations, Rule};
 use tindock_soak::scenario::{Action, ActionKind, Scenario};
 use tindock_standins::fleet::Role;
 use tindock_standins::ledger::Finding;
@@ -35,18 +37,18 @@
     }
 }
 
-fn done(at: u64, kind: ActionKind) -> Done {
+fn done(at: u64, kind: ActionKind) -> ExecutedAction {
     let action = Action { at_s: at as f64 / 1000.0, kind, on: "proxy-0".into(), for_s: None };
-    Done { at: ms(at), action, machine: PROXY.into() }
+    ExecutedAction { at: ms(at), action, machine: PROXY.into() }
 }
 
-fn process_end(at: u64, succeeded: bool) -> ProcessEnd {
-    ProcessEnd { machine: PROXY.into(), role: Role::Proxy, at: ms(at), succeeded, status: "status".into() }
+fn process_end(at: u64, succeeded: bool) -> ProcessExit {
+    ProcessExit { machine: PROXY.into(), role: Role::Proxy, at: ms(at), succeeded, status: "status".into() }
 }
 
 /// SIGTERM at 10 s, the end at 14 s, and one try.
-fn record(sent: u64, ended: u64, end: End) -> Record {
-    let tried = Try {
+fn record(sent: u64, ended: u64, end: AttemptEnd) -> Record {
+    let tried = Attempt {
         attempt_id: "a".into(),
         class: "book".into(),
         repeatable: false,
@@ -60,35 +62,35 @@
         end,
     };
     Record {
-        tries: vec![tried],
-        done: vec![done(10_000, ActionKind::Terminate)],
-        ends: vec![process_end(14_000, true)],
+        attempts: vec![tried],
+        executed: vec![done(10_000, ActionKind::Terminate)],
+        exits: vec![process_end(14_000, true)],
         proxies: vec![ProxyMachine { name: PROXY.into(), address: address(), log: "log".into() }],
         ..Record::default()
     }
 }
 
 fn rules(record: &Record) -> Vec<Rule> {
-    judge(&scenario(), record).into_iter().map(|broken| broken.rule).collect()
+    find_violations(&scenario(), record).into_iter().map(|broken| broken.rule).collect()
 }
 
-const SERVED: End = End::Answered { status: 200, retry_after: false };
-const BROKEN_OFF: End = End::Answered { status: 502, retry_after: false };
+const SERVED: AttemptEnd = AttemptEnd::Answered { status: 200, retry_after: false };
+const BROKEN_OFF: AttemptEnd = AttemptEnd::Answered { status: 502, retry_after: false };
 
 #[rstest]
 #[case::served(11_000, 12_000, SERVED, &[])]
-#[case::closed(11_000, 12_000, End::ClosedUnanswered, &[Rule::Lost])]
-#[case::cut_short(11_000, 12_000, End::CutShort, &[Rule::Lost])]
-#[case::closed_without_any_signal(5_000, 6_000, End::ClosedUnanswered, &[Rule::Lost])]
-#[case::closed_at_its_deadline(4_000, 11_900, End::ClosedUnanswered, &[])]
-#[case::not_read(11_000, 12_000, End::Reset, &[])]
-#[case::its_client_left(11_000, 12_000, End::ClientLeft, &[])]
+#[case::closed(11_000, 12_000, AttemptEnd::ClosedUnanswered, &[Rule::Lost])]
+#[case::cut_short(11_000, 12_000, AttemptEnd::Truncated, &[Rule::Lost])]
+#[case::closed_without_any_signal(5_000, 6_000, AttemptEnd::ClosedUnanswered, &[Rule::Lost])]
+#[case::closed_at_its_deadline(4_000, 11_900, AttemptEnd::ClosedUnanswered, &[])]
+#[case::not_read(11_000, 12_000, AttemptEnd::Reset, &[])]
+#[case::its_client_left(11_000, 12_000, AttemptEnd::ClientClosed, &[])]
 #[case::taken_early_and_broken_off(12_900, 13_900, BROKEN_OFF, &[])]
 #[case::taken_late_and_broken_off(13_100, 13_900, BROKEN_OFF, &[Rule::GivenUp])]
-#[case::told_when_to_come_back(11_000, 11_100, End::Answered { status: 503, retry_after: true }, &[])]
-#[case::told_nothing(11_000, 11_100, End::Answered { status: 503, retry_after: false }, &[Rule::ToldNothing])]
-#[case::full_before_sigterm(9_000, 9_100, End::Answered { status: 503, retry_after: false }, &[])]
-fn a_try_is_judged(#[case] sent: u64, #[case] ended: u64, #[case] end: End, #[case] wanted: &[Rule]) {
+#[case::told_when_to_come_back(11_000, 11_100, AttemptEnd::Answered { status: 503, retry_after: true }, &[])]
+#[case::told_nothing(11_000, 11_100, AttemptEnd::Answered { status: 503, retry_after: false }, &[Rule::ToldNothing])]
+#[case::full_before_sigterm(9_000, 9_100, AttemptEnd::Answered { status: 503, retry_after: false }, &[])]
+fn a_try_is_judged(#[case] sent: u64, #[case] ended: u64, #[case] end: AttemptEnd, #[case] wanted: &[Rule]) {
     assert_eq!(rules(&record(sent, ended, end)), wanted);
 }
 
@@ -101,8 +103,8 @@
     #[case] at: u64,
     #[case] wanted: &[Rule],
 ) {
-    let mut record = record(11_000, 12_000, End::ClosedUnanswered);
-    record.done.push(done(at, kind));
+    let mut record = record(11_000, 12_000, AttemptEnd::ClosedUnanswered);
+    record.executed.push(done(at, kind));
     assert_eq!(rules(&record), wanted);
 }
 
@@ -111,15 +113,15 @@
 #[case::too_late(16_900, &[Rule::Grace])]
 fn a_process_ends_within_its_grace_period(#[case] ended: u64, #[case] wanted: &[Rule]) {
     let mut record = record(11_000, 12_000, SERVED);
-    record.ends = vec![process_end(ended, true)];
+    record.exits = vec![process_end(ended, true)];
     assert_eq!(rules(&record), wanted);
 }
 
 #[test]
 fn an_agent_that_ends_in_time_does_not_excuse_its_proxy() {
     let mut record = record(11_000, 12_000, SERVED);
-    let agent = ProcessEnd { role: Role::Agent, ..process_end(14_000, true) };
-    record.ends = vec![agent, process_end(17_500, true)];
+    let agent = ProcessExit { role: Role::Agent, ..process_end(14_000, true) };
+    record.exits = vec![agent, process_end(17_500, true)];
     assert_eq!(rules(&record), [Rule::Grace]);
 }
 
@@ -128,7 +130,7 @@
 #[case::badly(14_000, false, &[Rule::Ended])]
 fn a_process_that_ends_by_itself_is_found(#[case] at: u64, #[case] succeeded: bool, #[case] wanted: &[Rule]) {
     let mut record = record(11_000, 12_000, SERVED);
-    record.ends.push(process_end(at, succeeded));
+    record.exits.push(process_end(at, succeeded));
     assert_eq!(rules(&record), wanted);
 }
 
@@ -141,15 +143,15 @@
     #[case] ran: bool,
     #[case] wanted: &[Rule],
 ) {
-    let mut record = record(11_000, ended, End::ClosedUnanswered);
-    record.tries[0].ran = ran;
+    let mut record = record(11_000, ended, AttemptEnd::ClosedUnanswered);
+    record.attempts[0].ran = ran;
     assert_eq!(rules(&record), wanted);
 }
 
 #[test]
 fn a_slow_request_crosses_a_close_with_its_last_byte() {
-    let mut record = record(11_000, 11_350, End::ClosedUnanswered);
-    record.tries[0].last_byte = ms(11_300);
+    let mut record = record(11_000, 11_350, AttemptEnd::ClosedUnanswered);
+    record.attempts[0].last_byte = ms(11_300);
     assert_eq!(rules(&record), []);
 }
 
@@ -158,8 +160,8 @@
 #[case::later(15_700, &[Rule::Ended])]
 fn a_process_that_has_just_been_started_ends_by_sigterm_itself(#[case] at: u64, #[case] wanted: &[Rule]) {
     let mut record = record(11_000, 12_000, SERVED);
-    record.done.push(done(at, ActionKind::Terminate));
-    record.ends.push(process_end(at, false));
+    record.executed.push(done(at, ActionKind::Terminate));
+    record.exits.push(process_end(at, false));
     assert_eq!(rules(&record), wanted);
 }
 
@@ -176,8 +178,8 @@
 #[case::at_once(&[(1_000, 0), (4_000, 8), (5_500, 18)], &[Rule::Limit])]
 fn workers_are_not_handed_more_than_they_hold(#[case] counts: &[(u64, usize)], #[case] wanted: &[Rule]) {
     let mut record = record(11_000, 12_000, SERVED);
-    record.done[0].at = ms(25_000);
-    record.ends = vec![process_end(29_000, true)];
+    record.executed[0].at = ms(25_000);
+    record.exits = vec![process_end(29_000, true)];
     record.full = counts.iter().map(|&(at, turned_away)| FullCount { at: ms(at), turned_away }).collect();
     assert_eq!(rules(&record), wanted);
 }
@@ -207,9 +209,9 @@
 
 #[test]
 fn reports_name_the_rule_the_try_and_the_signal() {
-    let (scenario, record) = (scenario(), record(11_000, 12_000, End::ClosedUnanswered));
-    let broken = judge(&scenario, &record);
-    let outcome = Outcome { scenario: &scenario, record: &record, broken: &broken };
+    let (scenario, record) = (scenario(), record(11_000, 12_000, AttemptEnd::ClosedUnanswered));
+    let broken = find_violations(&scenario, &record);
+    let outcome = Report { scenario: &scenario, record: &record, violations: &broken };
     let text = outcome.text();
     assert!(text.contains("BROKEN Lost at 12.00 s: book a at edge-1"), "{text}");
     assert!(text.contains("sent +1.00 s after its SIGTERM"), "{text}");
--- a/crates/soak/tests/scenarios.rs
+++ b/crates/soak/tests/scenarios.rs
@@ -1,7 +1,7 @@
 //! Scenarios: drawn from seeds, read from files with one clear error, and shrunk.
 
 use rstest::rstest;
-use tindock_soak::draw::{scenario, Size};
+use tindock_soak::generate::{scenario, Size};
 use tindock_soak::scenario::{Action, ActionKind, Scenario};
 use tindock_soak::shrink::Shrink;
 
