--- a/crates/scheduler/tests/accord_runs.rs
+++ b/crates/scheduler/tests/accord_runs.rs
@@ -6,8 +6,8 @@
 use std::process::Child;
 use std::thread::sleep;
 use std::time::Duration;
-use tindock_trial::between::Way;
-use tindock_trial::group::{said, Group};
+use tindock_trial::group::{exit_and_output, Group};
+use tindock_trial::relays::LinkState;
 
 /// Side by side, each with its own group.
 const GROUPS: u64 = 4;
@@ -24,7 +24,7 @@
 /// One run; what it did, for whoever reads the log of the test.
 fn one(seed: u64) -> String {
     let mut chance = Rand32::new(seed);
-    let mut group = Group::founded(&format!("chance{seed}"), MEMBERS, |_| String::new());
+    let mut group = Group::start_with_policy(&format!("chance{seed}"), MEMBERS, |_| String::new());
     group.load_up_to(NUMBERS);
     let (mut up, mut stopped, mut story) = (group.all(), Vec::new(), Vec::new());
     let mut proposals: Vec<Child> = Vec::new();
@@ -66,15 +66,17 @@
             }
             6 => {
                 let way = match chance.rand_range(0..3) {
-                    0 => Way::LateAndTwice(Duration::from_millis(u64::from(chance.rand_range(5..400)))),
-                    1 => Way::Loses(3),
-                    _ => Way::Cut,
+                    0 => LinkState::DelayAndDuplicate(Duration::from_millis(u64::from(
+                        chance.rand_range(5..400),
+                    ))),
+                    1 => LinkState::DropOneIn(3),
+                    _ => LinkState::Cut,
                 };
                 let (to, from) = (chance.rand_range(0..5) as usize, chance.rand_range(0..5) as usize);
                 // One way or the whole of one member.
                 match chance.rand_range(0..2) {
-                    0 => group.relays[to].set(group.hears[from], way),
-                    _ => group.part(&[to], &group.all(), way),
+                    0 => group.relays[to].set(group.endpoints[from], way),
+                    _ => group.set_links(&[to], &group.all(), way),
                 }
                 story.push(format!("n{to} {way:?}"));
             }
@@ -87,10 +89,11 @@
     for at in group.all().into_iter().filter(|at| !up.contains(at)) {
         group.fleet.nodes[at].launch();
     }
-    let ended: Vec<_> = proposals.into_iter().map(|p| said(p.wait_with_output().expect("an end"))).collect();
+    let ended: Vec<_> =
+        proposals.into_iter().map(|p| exit_and_output(p.wait_with_output().expect("an end"))).collect();
     let number = group.until_one_in_force();
     let story = format!("{}; {number} in force; {ended:?}", story.join(", "));
-    assert_eq!(group.judge(), [""; 0], "seed {seed}: {story}");
+    assert_eq!(group.violations(), [""; 0], "seed {seed}: {story}");
     story
 }
 
--- a/crates/scheduler/tests/changeover.rs
+++ b/crates/scheduler/tests/changeover.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use tindock_trial::mocks::{list_entry, Agent, Worker};
 use tindock_trial::peers::*;
-use tindock_trial::standins::{line, Agent, Worker};
 
 const SLOTS: usize = 2;
 const RUN: Duration = Duration::from_millis(20);
@@ -23,7 +23,7 @@
 const LEAST: f64 = 0.35;
 
 fn begins(mut command: Command) -> Scheduler {
-    Scheduler::over(command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("a scheduler"))
+    Scheduler::from_child(command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("a scheduler"))
 }
 
 fn old_shape(number: usize, agent: SocketAddr) -> Scheduler {
@@ -112,7 +112,7 @@
     let workers: Vec<_> = (0..5).map(|n| Worker::start(&format!("w{n}"), SLOTS, RUN)).collect();
     let lines = |status: &str| -> Vec<String> {
         let status = |n| if n == 0 { status } else { "active" };
-        (0..4).map(|n| line(&workers[n], status(n), 0)).collect()
+        (0..4).map(|n| list_entry(&workers[n], status(n), 0)).collect()
     };
     let agent = Agent::start(lines("active"));
     // Ports that were free a moment ago: each must know the other's before it starts.
@@ -134,7 +134,7 @@
     std::thread::sleep(Duration::from_millis(1200));
     let (mut list, drains) = (lines("leaving"), Instant::now());
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis();
-    list.push(line(&workers[4], "active", unix));
+    list.push(list_entry(&workers[4], "active", unix));
     agent.list(list);
     std::thread::sleep(Duration::from_millis(2500));
     stop.store(true, Ordering::SeqCst);
@@ -148,16 +148,17 @@
     // 2: nothing unrepeatable came to workers twice.
     let mut seen = HashSet::new();
     for worker in &workers {
-        for (id, _) in worker.came.lock().expect("notes").iter() {
+        for (id, _) in worker.received.lock().expect("notes").iter() {
             assert!(seen.insert(id.clone()), "{id} came twice, the second time to {}", worker.name);
         }
     }
     // 3: nothing new past the grace.
     let late = |at: &Instant| *at > drains + GRACE;
-    let after = workers[0].came.lock().expect("notes").iter().filter(|(_, at)| late(at)).count();
+    let after = workers[0].received.lock().expect("notes").iter().filter(|(_, at)| late(at)).count();
     assert_eq!(after, 0, "tasks to a worker that drains");
     // 4: in no second the new worker was sent what pushes it over; yet it is used.
-    let came: Vec<_> = workers[4].came.lock().expect("notes").iter().map(|(_, at)| *at - drains).collect();
+    let came: Vec<_> =
+        workers[4].received.lock().expect("notes").iter().map(|(_, at)| *at - drains).collect();
     let full = SLOTS as f64 / RUN.as_secs_f64();
     for (number, from) in came.iter().enumerate() {
         let within = came[number..].iter().filter(|at| **at < *from + Duration::from_secs(1)).count();
@@ -172,7 +173,7 @@
 #[test]
 fn a_greedy_kind_is_found_out() {
     let worker = Worker::start("w0", SLOTS, RUN);
-    let agent = Agent::start(vec![line(&worker, "active", 0)]);
+    let agent = Agent::start(vec![list_entry(&worker, "active", 0)]);
     let old = old_shape(9, agent.address);
     let (news, to) = listener();
     let (stop, answers) = (Arc::new(AtomicBool::new(false)), Arc::default());
@@ -189,7 +190,7 @@
         let mut peer = Peer::connect(greedy.address);
         let mut sent = 0;
         while !ends.load(Ordering::SeqCst) {
-            let waits = greedy.line.lock().expect("a line").iter().filter(|(_, at)| *at == to).count();
+            let waits = greedy.queue.lock().expect("a line").iter().filter(|(_, at)| *at == to).count();
             if waits < 60 {
                 peer.post("/release/p", &format!("greedy-{sent}"), &to.to_string());
                 peer.read();
--- a/crates/scheduler/tests/installations.rs
+++ b/crates/scheduler/tests/installations.rs
@@ -82,7 +82,7 @@
             self.came.lock().expect("notes").push((id.clone(), Instant::now()));
             // The body tells where the news goes.
             let to: SocketAddr = message.body.parse().expect("an address");
-            peer.taken();
+            peer.accept_task();
             // Long enough that tasks overlap, so that all workers are wanted.
             std::thread::sleep(Duration::from_millis(15));
             let text =
@@ -120,8 +120,8 @@
     fs::write(folder.join("tindock.toml"), CONFIGURATION).expect("a configuration");
     let mut command = Command::new(program());
     command.args(["run", "tindock.toml"]).current_dir(folder).stdout(Stdio::piped()).stderr(Stdio::piped());
-    let mut scheduler = Scheduler::over(command.spawn().expect("a scheduler"));
-    scheduler.line("in force");
+    let mut scheduler = Scheduler::from_child(command.spawn().expect("a scheduler"));
+    scheduler.wait_for_line("in force");
     scheduler
 }
 
@@ -183,14 +183,14 @@
     let load = Load::start(&on);
     // A worker at another's address, and half a file: both are turned down.
     place(&folder, "more.csv", &format!("name,address\nw9,{}\n", w0.address));
-    schedulers.iter_mut().for_each(|s| drop(s.line("yard.csv:2:1: worker \"w0\" is at")));
+    schedulers.iter_mut().for_each(|s| drop(s.wait_for_line("yard.csv:2:1: worker \"w0\" is at")));
     place(&folder, "more.csv", "name,addr");
-    schedulers.iter_mut().for_each(|s| drop(s.line("more.csv:1:10: the file ends")));
+    schedulers.iter_mut().for_each(|s| drop(s.wait_for_line("more.csv:1:10: the file ends")));
     // w2 is taken out.
     let told = Instant::now();
     fs::remove_file(folder.join("inventory/more.csv")).expect("the file");
     place(&folder, "yard.csv", &csv(&[w0, w1]));
-    schedulers.iter_mut().for_each(|s| drop(s.line("in force: 2 workers")));
+    schedulers.iter_mut().for_each(|s| drop(s.wait_for_line("in force: 2 workers")));
     let seen = told.elapsed();
     assert!(seen < Duration::from_secs(3), "noticed after {seen:?}");
     let drained = Instant::now();
@@ -204,7 +204,7 @@
     assert!(late < Duration::from_millis(250), "a task {late:?} after both knew that w2 drains");
     // And put back.
     place(&folder, "yard.csv", &csv(&[w0, w1, w2]));
-    schedulers.iter_mut().for_each(|s| drop(s.line("in force: 3 workers")));
+    schedulers.iter_mut().for_each(|s| drop(s.wait_for_line("in force: 3 workers")));
     let (before, began) = (count(&[w2]), Instant::now());
     while count(&[w2]) == before {
         assert!(began.elapsed() < PATIENCE, "w2 takes part again");
@@ -230,7 +230,7 @@
     place(&folder, "yard.csv", &csv(&[w0, w1, w2]));
     let mut scheduler = start(&folder);
     w1.ill.store(true, Ordering::SeqCst);
-    scheduler.line("worker w1 is down");
+    scheduler.wait_for_line("worker w1 is down");
     let load = Load::start(&[scheduler.address; 6]);
     let (before, began) = (count(&[w1]), Instant::now());
     while count(&[w0, w2]) < 20 {
@@ -245,7 +245,7 @@
     }
     assert_eq!(count(&[w1]), before);
     w1.ill.store(false, Ordering::SeqCst);
-    scheduler.line("worker w1 is back");
+    scheduler.wait_for_line("worker w1 is back");
     let began = Instant::now();
     while count(&[w1]) == before {
         assert!(began.elapsed() < PATIENCE, "w1 takes part again");
--- a/crates/scheduler/tests/keeps.rs
+++ b/crates/scheduler/tests/keeps.rs
@@ -42,7 +42,7 @@
             eprintln!("{}", self.1.log());
         }
         self.1.kill();
-        self.0.end_kept();
+        self.0.kill_all();
     }
 }
 
@@ -50,7 +50,7 @@
 /// handover, and can be undone.
 #[test]
 fn a_new_program_goes_round_and_back() {
-    let (mut fleet, mut keeper) = Fleet::kept("programs", 3);
+    let (mut fleet, mut keeper) = Fleet::start_with_keeper("programs", 3);
     let new = longer(&fleet.folder, "tindock-next");
     let plan = fleet.program_plan("next", "tindock-next", &keeper, "");
     let ends = Ends(&mut fleet, &mut keeper);
@@ -62,14 +62,14 @@
     let (code, said) = rollout("undo", &plan);
     assert_eq!(code, Some(0), "{said}");
     assert_eq!(programs(ends.0, ends.1), vec![old(); 3]);
-    assert_eq!(ends.0.judge(), [""; 0]);
+    assert_eq!(ends.0.violations(), [""; 0]);
 }
 
 /// Guards against a program that does not serve, or ends soon after: the old one goes on, or is back, and the run stops
 /// at the first scheduler.
 #[test]
 fn a_program_that_ends_is_gone_back_on() {
-    let (mut fleet, mut keeper) = Fleet::kept("ends", 3);
+    let (mut fleet, mut keeper) = Fleet::start_with_keeper("ends", 3);
     another(&fleet.folder, "tindock-broken", "exit 3");
     let plan = fleet.program_plan("broken", "tindock-broken", &keeper, "change-within = \"6s\"");
     let ends = Ends(&mut fleet, &mut keeper);
@@ -81,14 +81,14 @@
     );
     assert_eq!(programs(ends.0, ends.1), vec![old(); 3]);
     assert!(ends.1.log().contains("the new program ended before it served"), "{}", ends.1.log());
-    assert_eq!(ends.0.judge(), [""; 0]);
+    assert_eq!(ends.0.violations(), [""; 0]);
 }
 
 /// Guards against a keeper whose end takes schedulers with it, or whose next start begins a second process over them;
 /// and against a crash that nobody answers.
 #[test]
 fn a_keeper_finds_what_it_left_and_answers_crashes() {
-    let (mut fleet, mut keeper) = Fleet::kept("found", 2);
+    let (mut fleet, mut keeper) = Fleet::start_with_keeper("found", 2);
     let ends = Ends(&mut fleet, &mut keeper);
     ends.0.load();
     ends.0.wait_for_answers(50);
@@ -103,7 +103,7 @@
     ends.0.wait_for_answers(50);
     ends.1.start();
     assert_eq!(pids(ends.0), before);
-    assert_eq!(ends.0.judge(), [""; 0]);
+    assert_eq!(ends.0.violations(), [""; 0]);
     let kill = std::process::Command::new("kill").args(["-KILL", &before[0]]).status();
     assert!(kill.expect("kill").success());
     until("another process", || {
--- a/crates/scheduler/tests/kills.rs
+++ b/crates/scheduler/tests/kills.rs
@@ -5,8 +5,8 @@
 use std::fs;
 use std::time::Duration;
 use tindock_berth::digest;
-use tindock_trial::between::Fault;
 use tindock_trial::fleet::{rollout, settings, until, Coordinator, Fleet};
+use tindock_trial::relays::Fault;
 
 /// Side by side, each with its own fleet.
 const FLEETS: u64 = 5;
@@ -16,10 +16,10 @@
 fn fault(chance: &mut Rand32) -> Fault {
     match chance.rand_range(0..6) {
         0 => Fault::Refuse,
-        1 => Fault::Silence,
-        2 => Fault::Swallow("reread".into()),
-        3 => Fault::LateAnswers(Duration::from_millis(u64::from(chance.rand_range(100..2500)))),
-        4 => Fault::CutAnswers(3),
+        1 => Fault::Blackhole,
+        2 => Fault::DropMatching("reread".into()),
+        3 => Fault::DelayResponses(Duration::from_millis(u64::from(chance.rand_range(100..2500)))),
+        4 => Fault::TruncateResponses(3),
         _ => Fault::None,
     }
 }
@@ -111,7 +111,7 @@
                 for seed in (number..runs).step_by(FLEETS as usize) {
                     println!("{}", one(&fleet, seed));
                 }
-                assert_eq!(fleet.judge(), [""; 0]);
+                assert_eq!(fleet.violations(), [""; 0]);
             })
         })
         .collect();
--- a/crates/scheduler/tests/leaving.rs
+++ b/crates/scheduler/tests/leaving.rs
@@ -210,7 +210,7 @@
         client.post("/release", &format!("long{n}"), "x");
         let line = line.get_or_insert_with(|| Peer::accept(&worker));
         line.read();
-        line.taken();
+        line.accept_task();
     }
     std::thread::sleep(LONG_TASK);
     for (n, client) in clients.iter_mut().enumerate() {
@@ -221,9 +221,9 @@
     in_hand.post("/plan", "in-hand", "x");
     let mut line = line.expect("tasks came over it");
     line.read();
-    line.taken();
+    line.accept_task();
     scheduler.signal("-TERM");
-    scheduler.line("told to stop: what is in hand has 3.3 s");
+    scheduler.wait_for_line("told to stop: what is in hand has 3.3 s");
 
     let mut late = Peer::connect(scheduler.address);
     late.post("/release", "late", "x");
--- a/crates/scheduler/tests/operators.rs
+++ b/crates/scheduler/tests/operators.rs
@@ -11,8 +11,9 @@
         .enumerate()
         .map(|(i, (listener, at))| (listener, entry(&format!("w{i}"), at, "active")))
         .unzip();
-    let mut scheduler = Scheduler::over(spawn(name, &operated(&config(agent, &entries, 128)), 256));
-    let at = operators(&mut scheduler);
+    let mut scheduler =
+        Scheduler::from_child(spawn(name, &with_management(&config(agent, &entries, 128)), 256));
+    let at = management_address(&mut scheduler);
     (scheduler, at, listeners, discovery)
 }
 
@@ -60,7 +61,7 @@
     client.post("/plan", "f1", "x");
     let mut line = Peer::accept(&workers[0]);
     line.read();
-    line.taken();
+    line.accept_task();
     assert!(call(at, b"telemetry\n").contains(r#""attempts":1,"in_flight":1,"#));
     scheduler.done("f1", "w0", "result");
     assert_eq!(client.read().first, "HTTP/1.1 200 OK");
@@ -115,8 +116,8 @@
         &[entry("w1", workers[1].local_addr().expect("its address"), "active")],
         128,
     );
-    let mut next = Scheduler::over(spawn_beside("by-hand", &operated(&again), 256));
-    let at = operators(&mut next);
+    let mut next = Scheduler::from_child(spawn_beside("by-hand", &with_management(&again), 256));
+    let at = management_address(&mut next);
     assert!(call(at, b"telemetry\n").contains(r#""workers_known":1,"workers_excluded":1"#));
 }
 
@@ -126,27 +127,27 @@
 fn a_new_file_changes_the_workloads_and_a_broken_one_nothing() {
     let (mut scheduler, at, workers, discovery) = start("retuned", 1);
     let entries = [entry("w0", workers[0].local_addr().expect("its address"), "active")];
-    let first = operated(&config(discovery.local_addr().expect("its address"), &entries, 128));
+    let first = with_management(&config(discovery.local_addr().expect("its address"), &entries, 128));
     let mut waiting = Peer::connect(scheduler.address);
     waiting.post("/release", "r1", "x");
     let mut line = Peer::accept(&workers[0]);
     line.read();
-    line.taken();
+    line.accept_task();
     // "release" may be repeated from now on, "plan" is dropped, "count" is new.
     let second = first.replace(r#""fragile""#, r#""retryable""#).replace(r#""plan""#, r#""count""#);
     scheduler.reload("retuned", &second);
-    scheduler.line("workloads count, release");
+    scheduler.wait_for_line("workloads count, release");
     let mut client = Peer::connect(scheduler.address);
     client.post("/plan", "r2", "x");
     assert_eq!(client.read().first, "HTTP/1.1 404 Not Found");
     let mut client = Peer::connect(scheduler.address);
     client.post("/count", "r3", "x");
     line.read();
-    line.taken();
+    line.accept_task();
     scheduler.done("r3", "w0", "counted");
     assert_eq!(client.read().body, "counted");
     // It came when it was not to be repeated.
-    scheduler.news(r#"{"id":"r1","from":"w0","state":"lost"}"#);
+    scheduler.send_update(r#"{"id":"r1","from":"w0","state":"lost"}"#);
     assert_eq!(waiting.read().first, "HTTP/1.1 500 Internal Server Error");
     let broken = [
         String::new(),
@@ -165,7 +166,7 @@
             // Neither the other address nor the other workload is taken from it.
             scheduler
                 .reload("retuned", &text.replace(r#""count""#, r#""sum""#).replace("127.0.0.1", "127.0.0.9"));
-            said(scheduler.line("turned down, the old one is kept"))
+            said(scheduler.wait_for_line("turned down, the old one is kept"))
         })
         .collect();
     insta::assert_snapshot!(why + &call(at, b"telemetry\n"));
--- a/crates/scheduler/tests/platform.rs
+++ b/crates/scheduler/tests/platform.rs
@@ -57,16 +57,16 @@
     command.env("GW_CONFIG", path).env_remove("GW_MGMT").env_remove("TMPDIR");
     runtime.map(|folder| command.env("TMPDIR", folder));
     let child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("a scheduler");
-    let mut scheduler = Scheduler::over(child);
+    let mut scheduler = Scheduler::from_child(child);
     let mut client = Peer::connect(scheduler.address);
     client.post("/plan", "p1", "x");
     let mut line = Peer::accept(&workers);
     line.read();
-    line.taken();
+    line.accept_task();
     scheduler.done("p1", "w0", "result");
     assert_eq!(client.read().body, "result");
     scheduler.signal("-HUP");
-    scheduler.line("configuration read again");
+    scheduler.wait_for_line("configuration read again");
     refused(scheduler.child.id())
 }
 
--- a/crates/scheduler/tests/rollouts.rs
+++ b/crates/scheduler/tests/rollouts.rs
@@ -6,10 +6,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 use tindock_berth::digest;
-use tindock_trial::between::Fault;
+use tindock_trial::checks::{least_service, service};
 use tindock_trial::fleet::{rollout, settings, until, Coordinator, Fleet};
-use tindock_trial::judge::{least_service, service};
 use tindock_trial::peers::{listener, serve_each};
+use tindock_trial::relays::Fault;
 
 /// New settings that change nothing for the clients.
 fn good() -> String {
@@ -58,9 +58,9 @@
     assert_eq!(fleet.files(), files);
     assert_eq!(fleet.in_force(), digests(&fleet, "harm", "old"));
     fleet.wait_for_answers(300);
-    let wrong = fleet.judge();
+    let wrong = fleet.violations();
     assert!(wrong.is_empty(), "{wrong:?}");
-    let told = fleet.told();
+    let told = fleet.records();
     let least = least_service(&told, before, after, Duration::from_secs(1));
     assert!(least >= 0.75, "{least}");
     // What was in hand at the undoing ends under the rules it came under.
@@ -78,9 +78,9 @@
     until("the second stage", || recorded(&plan, r#""stage":1"#));
     // Both are of the stage that comes: one is out of reach, the other's answers come after their time.
     fleet.nodes[4].relay.set(Fault::Refuse);
-    fleet.nodes[5].relay.set(Fault::LateAnswers(Duration::from_millis(1500)));
+    fleet.nodes[5].relay.set(Fault::DelayResponses(Duration::from_millis(1500)));
     until("the last stage", || recorded(&plan, r#""stage":2"#));
-    until("the cut is felt", || fleet.nodes[4].relay.struck() > 3 && fleet.nodes[5].relay.struck() > 3);
+    until("the cut is felt", || fleet.nodes[4].relay.affected() > 3 && fleet.nodes[5].relay.affected() > 3);
     fleet.nodes[4].relay.set(Fault::None);
     fleet.nodes[5].relay.set(Fault::None);
     let (code, said) = run.end();
@@ -92,7 +92,7 @@
     let (code, said) = rollout("undo", &plan);
     assert_eq!(code, Some(0), "{said}");
     assert_eq!(fleet.in_force(), digests(&fleet, "shares", "old"));
-    assert_eq!(fleet.judge(), [""; 0]);
+    assert_eq!(fleet.violations(), [""; 0]);
 }
 
 /// Guards against a fleet that stays half changed when the coordinator dies between a file and the word to read it: it
@@ -105,10 +105,10 @@
         let before = fleet.in_force();
         let text = if run == "first" { good() } else { format!(r#"{{"settings":{}}}"#, settings(4.0)) };
         let plan = fleet.plan(run, &text, "");
-        fleet.nodes[0].relay.set(Fault::Swallow("reread".into()));
-        let struck = fleet.nodes[0].relay.struck();
+        fleet.nodes[0].relay.set(Fault::DropMatching("reread".into()));
+        let struck = fleet.nodes[0].relay.affected();
         let coordinator = Coordinator::start("run", &plan);
-        until("the word to read", || fleet.nodes[0].relay.struck() > struck);
+        until("the word to read", || fleet.nodes[0].relay.affected() > struck);
         coordinator.kill();
         fleet.nodes[0].relay.set(Fault::None);
         // The file is replaced, what is in force is not; service hangs on none of it.
@@ -122,7 +122,7 @@
         let wanted = digests(&fleet, run, if word == "resume" { "new" } else { "old" });
         assert_eq!((fleet.in_force(), fleet.files().iter().map(digest).collect()), (wanted.clone(), wanted));
     }
-    assert_eq!(fleet.judge(), [""; 0]);
+    assert_eq!(fleet.violations(), [""; 0]);
 }
 
 /// Guards against a crash under the new settings that nobody notices, and against one that comes back changed after the
@@ -143,7 +143,7 @@
     assert_eq!(code, Some(1), "{said}");
     assert!(said.contains("n0 gives no answer") || said.contains("n0 ended and began again"), "{said}");
     assert_eq!(fleet.in_force(), digests(&fleet, "crash", "old"));
-    assert_eq!(fleet.judge(), [""; 0]);
+    assert_eq!(fleet.violations(), [""; 0]);
 }
 
 /// Guards against an exit that says all is well where one could not be undone.
@@ -171,7 +171,7 @@
     let (code, said) = rollout("resume", &plan);
     assert_eq!(code, Some(1), "{said}");
     assert_eq!(fleet.in_force(), digests(&fleet, "stuck", "old"));
-    assert_eq!(fleet.judge(), [""; 0]);
+    assert_eq!(fleet.violations(), [""; 0]);
 }
 
 /// Guards against two runs at one fleet, by another name and from another place; and against one told to stop that goes
@@ -193,7 +193,7 @@
     let (code, said) = run.end();
     assert!(code == Some(1) && said.contains("told to stop"), "{code:?} {said}");
     assert_eq!(fleet.in_force(), digests(&fleet, "one", "old"));
-    assert_eq!(fleet.judge(), [""; 0]);
+    assert_eq!(fleet.violations(), [""; 0]);
 }
 
 /// Guards against a run that begins over a fleet that is not whole, and against plans that cannot be what was meant.
@@ -261,7 +261,7 @@
     let (code, said) = sleeper.end();
     assert!(code == Some(3) && said.contains("another run has the fleet"), "{code:?} {said}");
     assert_eq!((fleet.files(), fleet.in_force()), (files, in_force));
-    assert_eq!(fleet.judge(), [""; 0]);
+    assert_eq!(fleet.violations(), [""; 0]);
 }
 
 /// Guards against a scheduler that stands still in the midst of its change, and against a worker that staff have taken
@@ -283,7 +283,7 @@
     assert_eq!(fleet.in_force(), digests(&fleet, "still", "old"));
     let figures = tindock_trial::peers::call(fleet.nodes[0].management, b"telemetry\n");
     assert!(figures.contains(r#""workers_excluded":1"#), "{figures}");
-    assert_eq!(fleet.judge(), [""; 0]);
+    assert_eq!(fleet.violations(), [""; 0]);
 }
 
 /// Guards against a mixture that lasts: one that is down when its turn comes stops the run, and comes back as the others
@@ -300,7 +300,7 @@
     assert!(code == Some(1) && said.contains("n2 gives no answer"), "{code:?} {said}");
     fleet.nodes[2].start();
     assert_eq!(fleet.in_force(), digests(&fleet, "turn", "old"));
-    assert_eq!(fleet.judge(), [""; 0]);
+    assert_eq!(fleet.violations(), [""; 0]);
 }
 
 /// Guards against harm that one workload hides from the sum: only unrepeatable tasks suffer, and they are one in two.
@@ -322,5 +322,5 @@
         "{last}"
     );
     assert_eq!(fleet.in_force(), digests(&fleet, "some", "old"));
-    assert_eq!(fleet.judge(), [""; 0]);
+    assert_eq!(fleet.violations(), [""; 0]);
 }
--- a/crates/scheduler/tests/sockets.rs
+++ b/crates/scheduler/tests/sockets.rs
@@ -24,7 +24,7 @@
     assert_eq!(task.header("idempotency-key"), Some("mark-a1"));
     let left: u64 = task.header("x-expires-in-ms").expect("time left").parse().expect("a number");
     assert!((1..=15000).contains(&left), "{left} ms");
-    line.taken();
+    line.accept_task();
     scheduler.done("a1", "w0", "the result");
     let answer = client.read();
     assert_eq!((answer.first.as_str(), answer.body.as_str()), ("HTTP/1.1 200 OK", "the result"));
@@ -68,7 +68,7 @@
     client.post("/release", "n1", "x");
     let mut line = Peer::accept(&worker);
     line.read();
-    line.taken();
+    line.accept_task();
     scheduler.done("n1", "w0", "first");
     client.read();
     client.post("/release", "n2", "x");
@@ -79,7 +79,7 @@
         client.post("/release", id, "x");
         let mut line = Peer::accept(&worker);
         line.read();
-        line.taken();
+        line.accept_task();
         scheduler.done(id, "w0", id);
         assert_eq!(client.read().body, id);
     }
@@ -116,9 +116,12 @@
     client.post("/plan", "e2", "x");
     let mut line = Peer::accept(&worker);
     line.read();
-    line.taken();
+    line.accept_task();
     // The answer to news is behind the 202 in the scheduler's own order of things.
-    assert_eq!(scheduler.news(r#"{"id":"e2","from":"w0","state":"started"}"#), "HTTP/1.1 204 No Content");
+    assert_eq!(
+        scheduler.send_update(r#"{"id":"e2","from":"w0","state":"started"}"#),
+        "HTTP/1.1 204 No Content"
+    );
     drop(client);
     assert_eq!(line.read().first, "DELETE /jobs/e2 HTTP/1.1");
 }
@@ -134,9 +137,9 @@
     clients[1].post("/plan", "h2", "x");
     let mut second = Peer::accept(&worker);
     second.read();
-    second.taken();
-    first.taken();
-    scheduler.news(r#"{"id":"h1","from":"w0","state":"started"}"#);
+    second.accept_task();
+    first.accept_task();
+    scheduler.send_update(r#"{"id":"h1","from":"w0","state":"started"}"#);
     let [gone, _stays] = clients;
     drop(gone);
     // One carries the call-off, which is not answered; the other is idle. Both are closed.
@@ -167,10 +170,10 @@
     for wrong in
         ["", "{", "[]", r#"{"id":"a","from":"w0","state":"odd"}"#, r#"{"id":"a","from":"w0","state":"done"}"#]
     {
-        assert_eq!(scheduler.news(wrong), "HTTP/1.1 400 Bad Request");
+        assert_eq!(scheduler.send_update(wrong), "HTTP/1.1 400 Bad Request");
     }
     let unknown = r#"{"id":"a","from":"nobody","state":"done","result":"r"}"#;
-    assert_eq!(scheduler.news(unknown), "HTTP/1.1 204 No Content");
+    assert_eq!(scheduler.send_update(unknown), "HTTP/1.1 204 No Content");
 }
 
 /// Guards against a list lost to a bad answer: it changes nothing, and the next one counts.
@@ -182,12 +185,12 @@
     assert!(watch.read().first.starts_with("GET /v1/servers?after=41&wait_ms="));
     let wrong = entry("w0", at, "unheard-of");
     watch.answer(&format!(r#"{{"index":42,"snapshot":true,"endpoints":[{wrong}]}}"#));
-    scheduler.line("the list is kept");
+    scheduler.wait_for_line("the list is kept");
     let mut client = Peer::connect(scheduler.address);
     client.post("/plan", "f1", "x");
     let mut line = Peer::accept(&worker);
     line.read();
-    line.taken();
+    line.accept_task();
     let mut watch = Peer::accept(&discovery);
     assert!(watch.read().first.starts_with("GET /v1/servers?after=41&wait_ms="));
     let (drains, comes) = (entry("w0", at, "leaving"), entry("w1", beside, "active"));
@@ -210,15 +213,15 @@
     client.post("/release", "i1", "x");
     let mut line = Peer::accept(&worker);
     line.read();
-    line.taken();
+    line.accept_task();
     for bad in ["", "{", &config(([127, 0, 0, 1], 1).into(), &[], 8)] {
         scheduler.reload("reload", bad);
-        scheduler.line("the old one is kept");
+        scheduler.wait_for_line("the old one is kept");
     }
     let ((other, beside), (nobody, gone)) = (listener(), listener());
     drop(nobody);
     scheduler.reload("reload", &config(gone, &[], 1024));
-    scheduler.line("the list is kept");
+    scheduler.wait_for_line("the list is kept");
     let (second, agent) = listener();
     scheduler.reload("reload", &config(agent, &[], 1024));
     let mut moved = Peer::accept(&second);
@@ -230,7 +233,7 @@
     assert!(moved.read().first.starts_with("GET /v1/servers?after=3&wait_ms="));
     // The same once more changes nothing; what came by then is kept.
     scheduler.reload("reload", &config(agent, &[], 1024));
-    scheduler.line("discovery is still at");
+    scheduler.wait_for_line("discovery is still at");
     scheduler.done("i1", "w0", "in hand");
     assert_eq!(client.read().body, "in hand");
     client.post("/release", "i2", "x");
@@ -248,14 +251,14 @@
     client.post("/release", "g1", "x");
     let mut line = Peer::accept(&worker);
     line.read();
-    line.taken();
+    line.accept_task();
     scheduler.signal("-TERM");
-    scheduler.line("told to stop: what is in hand has 3.3 s");
+    scheduler.wait_for_line("told to stop: what is in hand has 3.3 s");
     assert!(idle.try_read().is_none(), "an idle connection is closed");
     let mut late = Peer::connect(scheduler.address);
     late.post("/release", "g2", "x");
     line.read();
-    line.taken();
+    line.accept_task();
     scheduler.done("g2", "w0", "late");
     scheduler.done("g1", "w0", "in hand");
     for (client, result) in [(&mut late, "late"), (&mut client, "in hand")] {
@@ -273,12 +276,12 @@
     // At its own limit, and when descriptors run out before it.
     for (told, held) in [(64, 1024), (1024, 40)] {
         let name = format!("room-{told}");
-        let scheduler = Scheduler::limited(&name, agent, &[entry("w0", at, "active")], told, held);
+        let scheduler = Scheduler::with_limits(&name, agent, &[entry("w0", at, "active")], told, held);
         let mut known = Peer::connect(scheduler.address);
         known.post("/plan", "j1", "x");
         let mut line = Peer::accept(&worker);
         line.read();
-        line.taken();
+        line.accept_task();
         scheduler.done("j1", "w0", "first");
         assert_eq!(known.read().body, "first");
         let mut silent: Vec<Peer> = (0..100).map(|_| Peer::connect(scheduler.address)).collect();
@@ -288,7 +291,7 @@
         assert!(silent[0].try_read().is_none(), "the one idle for longest was closed");
         known.post("/plan", "j2", "x");
         line.read();
-        line.taken();
+        line.accept_task();
         scheduler.done("j2", "w0", "second");
         assert_eq!(known.read().body, "second");
     }
@@ -303,7 +306,7 @@
     known.post("/plan", "k1", "x");
     let mut line = Peer::accept(&worker);
     line.read();
-    line.taken();
+    line.accept_task();
     let mut halves =
         ["", "POST /plan HTT", "POST /plan HTTP/1.1\r\nX-Trace-Id: k2\r\nContent-Length: 9\r\n\r\nhalf"].map(
             |text| {
@@ -322,7 +325,7 @@
     assert_eq!(known.read().body, "first");
     known.post("/plan", "k3", "x");
     line.read();
-    line.taken();
+    line.accept_task();
     scheduler.done("k3", "w0", "second");
     assert_eq!(known.read().body, "second");
 }
@@ -355,7 +358,7 @@
     let mut line = Peer::accept(&worker);
     let task = line.read();
     assert_eq!((task.header("x-trace-id"), task.body.as_str()), (Some("l3"), "x"));
-    line.taken();
+    line.accept_task();
     scheduler.done("l3", "w0", "chunks");
     assert_eq!(peer.read().body, "chunks");
     assert!(peer.try_read().is_none(), "the one behind it is not read");
@@ -375,7 +378,7 @@
         worker.set_nonblocking(true).expect("a listener that does not wait");
         if let Some((stream, _)) = [&worker, &other].iter().find_map(|l| l.accept().ok()) {
             stream.set_nonblocking(false).expect("a stream that waits");
-            break Peer::over(stream);
+            break Peer::new(stream);
         }
     };
     line.read();
--- a/crates/scheduler/tests/upgrades.rs
+++ b/crates/scheduler/tests/upgrades.rs
@@ -11,10 +11,10 @@
 fn worker(name: &'static str, scheduler: SocketAddr, ran: Arc<AtomicUsize>) -> SocketAddr {
     let (listener, at) = listener();
     serve_each(listener, move |stream| {
-        let mut line = Peer::over(stream);
+        let mut line = Peer::new(stream);
         while let Some(task) = line.try_read() {
             let id = task.header("x-trace-id").expect("an id").to_string();
-            line.taken();
+            line.accept_task();
             ran.fetch_add(1, Ordering::SeqCst);
             std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_millis(30));
@@ -42,7 +42,7 @@
 }
 
 fn on(listen: SocketAddr, config: &str) -> String {
-    operated(&config.replacen("127.0.0.1:0", &listen.to_string(), 1))
+    with_management(&config.replacen("127.0.0.1:0", &listen.to_string(), 1))
 }
 
 /// Upgrades one after the other.
@@ -57,8 +57,8 @@
     let workers = [("w0", &ran[0]), ("w1", &ran[1]), ("w2", &ran[2])];
     let entries = workers.map(|(name, ran)| entry(name, worker(name, listen, ran.clone()), "active"));
     let text = on(listen, &config(agent, &entries, 512));
-    let mut old = Scheduler::over(spawn("takes-over", &text, 512));
-    let at = operators(&mut old);
+    let mut old = Scheduler::from_child(spawn("takes-over", &text, 512));
+    let at = management_address(&mut old);
     assert_eq!(call(at, b"exclude w2\n"), "done\n");
     let (stop, sent) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let clients = [0, 1, 2, 3].map(|n| {
@@ -97,15 +97,15 @@
     };
     wait_for(20);
     for _ in 0..UPGRADES {
-        let mut new = Scheduler::over(spawn_beside("takes-over", &text, 512));
-        let at = operators(&mut new);
+        let mut new = Scheduler::from_child(spawn_beside("takes-over", &text, 512));
+        let at = management_address(&mut new);
         while call(at, b"readyz\n") != "done\n" {}
         old.signal("-TERM");
         wait_for(20);
         // What staff tell one process holds for both, and for the next.
         assert_eq!(call(at, b"exclude w2\n"), "done\n");
         assert!(old.child.wait().expect("its end").success());
-        new.line("the process before this one has ended");
+        new.wait_for_line("the process before this one has ended");
         old = new;
     }
     stop.store(true, Ordering::SeqCst);
@@ -119,18 +119,18 @@
 #[test]
 fn a_new_process_that_ends_early_changes_nothing() {
     let ((discovery, agent), (worker, at)) = (listener(), listener());
-    let text = operated(&config(agent, &[entry("w0", at, "active")], 128));
-    let mut old = Scheduler::over(spawn("ends-early", &text, 256));
-    let operators = operators(&mut old);
+    let text = with_management(&config(agent, &[entry("w0", at, "active")], 128));
+    let mut old = Scheduler::from_child(spawn("ends-early", &text, 256));
+    let operators = management_address(&mut old);
     let place = runtime("ends-early").join("tindock-n1.sock");
     let hello = r#"{"Hello":{"version":1}}"#;
     let said = [&(hello.len() as u32).to_be_bytes(), hello.as_bytes()].concat();
     let mut new = UnixStream::connect(&place).expect("a place to ask");
     std::io::Write::write_all(&mut new, &said).expect("room to write");
-    old.line("handed over");
+    old.wait_for_line("handed over");
     assert_eq!(call(operators, b"readyz\n"), "error not ready: clients are not let in\n");
     drop(new);
-    old.line("this one goes on");
+    old.wait_for_line("this one goes on");
     assert_eq!(call(operators, b"readyz\n"), "done\n");
     let mut client = Peer::connect(old.address);
     client.post("/plan", "e1", "x");
@@ -141,7 +141,7 @@
     // Who says what is no hello changes nothing.
     let mut odd = UnixStream::connect(&place).expect("a place to ask");
     std::io::Write::write_all(&mut odd, b"\0\0\0\x02{}").expect("room to write");
-    old.line("not answered");
+    old.wait_for_line("not answered");
     assert_eq!(call(operators, b"readyz\n"), "done\n");
     drop(discovery);
 }
@@ -151,18 +151,18 @@
 #[test]
 fn a_start_goes_on_without_what_cannot_be_taken_over() {
     let ((discovery, agent), (_worker, at)) = (listener(), listener());
-    let text = operated(&config(agent, &[entry("w0", at, "active")], 128));
+    let text = with_management(&config(agent, &[entry("w0", at, "active")], 128));
     let _ = std::fs::remove_dir_all(runtime("left-over"));
     std::fs::create_dir_all(runtime("left-over")).expect("a folder");
     std::fs::write(runtime("left-over").join("tindock-n1.bans"), "{\"version\":1,").expect("a file");
     let place = runtime("left-over").join("tindock-n1.sock");
     drop(UnixListener::bind(&place).expect("a file that nobody answers at"));
-    let mut first = Scheduler::over(spawn_beside("left-over", &text, 256));
-    assert_eq!(call(operators(&mut first), b"readyz\n"), "done\n");
+    let mut first = Scheduler::from_child(spawn_beside("left-over", &text, 256));
+    assert_eq!(call(management_address(&mut first), b"readyz\n"), "done\n");
     drop(first);
     std::fs::remove_file(&place).expect("its place");
     let silent = UnixListener::bind(&place).expect("a process that stands still");
-    let mut next = Scheduler::over(spawn_beside("left-over", &text, 256));
-    assert_eq!(call(operators(&mut next), b"readyz\n"), "done\n");
+    let mut next = Scheduler::from_child(spawn_beside("left-over", &text, 256));
+    assert_eq!(call(management_address(&mut next), b"readyz\n"), "done\n");
     drop((silent, discovery));
 }
--- a/crates/trial/examples/policies.rs
+++ b/crates/trial/examples/policies.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use tindock_trial::fleet::{until, Fleet};
 use tindock_trial::group::Group;
-use tindock_trial::standins::End;
+use tindock_trial::mocks::TaskEnd;
 
 const REST: Duration = Duration::from_secs(10);
 
@@ -22,10 +22,10 @@
     let ended = child.wait_with_output().expect("an end");
     assert_eq!(ended.status.code(), Some(0), "{ended:?}");
     up.iter().for_each(|at| group.until_finished(number, *at));
-    let told = group.fleet.told();
-    let of: Vec<_> = told.iter().filter(|t| t.told >= began && up.contains(&t.to)).collect();
-    let lost = of.iter().filter(|t| t.end != End::Finished).count() as f64 / of.len().max(1) as f64;
-    (took, group.mixture(number - 1, number), lost)
+    let told = group.fleet.records();
+    let of: Vec<_> = told.iter().filter(|t| t.answered >= began && up.contains(&t.to)).collect();
+    let lost = of.iter().filter(|t| t.end != TaskEnd::Finished).count() as f64 / of.len().max(1) as f64;
+    (took, group.overlap(number - 1, number), lost)
 }
 
 /// CPU seconds that a process has used.
@@ -56,7 +56,7 @@
     for &schedulers in &sizes {
         for down in 0..=2.min((schedulers - 1) / 2) {
             let name = format!("times{schedulers}-{down}");
-            let mut group = Group::founded(&name, schedulers, |_| String::new());
+            let mut group = Group::start_with_policy(&name, schedulers, |_| String::new());
             let up: Vec<usize> = (0..schedulers - down).collect();
             (schedulers - down..schedulers).for_each(|at| group.fleet.nodes[at].kill());
             for number in [2, 3] {
--- a/crates/trial/src/judge.rs
+++ b/crates/trial/src/checks.rs
@@ -1,24 +1,24 @@
 //! Judges from what clients got and workers ran, and from nothing else.
 
-use crate::standins::{End, Told};
+use crate::mocks::{TaskEnd, TaskRecord};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 /// What broke, a line each, with the task; empty: all kept. `unrepeatable` tells from an id whether its task must not
 /// run twice; `gone` whether the scheduler was killed outright between two moments, when no answer is owed.
-pub fn broken(
-    told: &[Told],
+pub fn violations(
+    told: &[TaskRecord],
     came: &[(String, String, Instant)],
     unrepeatable: impl Fn(&str) -> bool,
     gone: impl Fn(usize, Instant, Instant) -> bool,
 ) -> Vec<String> {
     let mut wrong = Vec::new();
     for task in told {
-        let Told { id, to, end, .. } = task;
-        if *end == End::None && !gone(*to, task.sent, task.told) {
+        let TaskRecord { id, to, end, .. } = task;
+        if *end == TaskEnd::NoResponse && !gone(*to, task.sent, task.answered) {
             wrong.push(format!("rule 1: {id} got no answer from scheduler {to}"));
         }
-        if *end == End::Odd {
+        if *end == TaskEnd::Unexpected {
             wrong.push(format!("rule 1: {id} got an answer that is none of the three"));
         }
         if task.more {
@@ -31,13 +31,13 @@
     }
     // A client whose scheduler is killed under its task hands it in once more, as the protocol has it: that is its own
     // repeat, of which the next process can know nothing.
-    let again = |id: &str| told.iter().any(|task| task.id == id && gone(task.to, task.sent, task.told));
+    let again = |id: &str| told.iter().any(|task| task.id == id && gone(task.to, task.sent, task.answered));
     for (id, workers) in &runs {
         if workers.len() > 1 && unrepeatable(id) && !again(id) {
             wrong.push(format!("rule 2: {id} came to workers {}", workers.join(" and ")));
         }
     }
-    for task in told.iter().filter(|task| task.end == End::Shed && unrepeatable(&task.id)) {
+    for task in told.iter().filter(|task| task.end == TaskEnd::Shed && unrepeatable(&task.id)) {
         if let Some(workers) = runs.get(task.id.as_str()) {
             // The stand-ins of this crate run whatever they take, so one that came has run.
             wrong.push(format!("rule 2: {} was shed, and came to worker {}", task.id, workers.join(" and ")));
@@ -47,14 +47,15 @@
 }
 
 /// The share of tasks that finished of those that got their answer, or lost hope of one, in that time.
-pub fn service(told: &[Told], from: Instant, to: Instant) -> f64 {
-    let of: Vec<&Told> = told.iter().filter(|task| task.told >= from && task.told < to).collect();
-    let finished = of.iter().filter(|task| task.end == End::Finished).count();
+pub fn service(told: &[TaskRecord], from: Instant, to: Instant) -> f64 {
+    let of: Vec<&TaskRecord> =
+        told.iter().filter(|task| task.answered >= from && task.answered < to).collect();
+    let finished = of.iter().filter(|task| task.end == TaskEnd::Finished).count();
     finished as f64 / of.len().max(1) as f64
 }
 
 /// The least service of any such span that lies between two moments, in steps of a tenth of it.
-pub fn least_service(told: &[Told], from: Instant, to: Instant, span: Duration) -> f64 {
+pub fn least_service(told: &[TaskRecord], from: Instant, to: Instant, span: Duration) -> f64 {
     let mut least = 1.0_f64;
     let mut at = from;
     while at + span <= to {
@@ -68,9 +69,9 @@
 mod tests {
     use super::*;
 
-    fn told(id: &str, end: End) -> Told {
+    fn told(id: &str, end: TaskEnd) -> TaskRecord {
         let now = Instant::now();
-        Told { id: id.into(), to: 0, sent: now, told: now, end, more: false }
+        TaskRecord { id: id.into(), to: 0, sent: now, answered: now, end, more: false }
     }
 
     /// Guards against a judge that cannot find anything: each planted defect is found, and a whole record has none.
@@ -81,22 +82,26 @@
             ids.iter().map(|(id, worker)| (id.to_string(), worker.to_string(), now)).collect()
         };
         let (once, never) = (|id: &str| id.starts_with('u'), |_, _, _| false);
-        let whole = [told("u1", End::Finished), told("i1", End::Shed), told("u2", End::BrokenOff)];
-        assert_eq!(broken(&whole, &came(&[("u1", "w0"), ("i1", "w0"), ("i1", "w1")]), once, never), [""; 0]);
+        let whole =
+            [told("u1", TaskEnd::Finished), told("i1", TaskEnd::Shed), told("u2", TaskEnd::Interrupted)];
+        assert_eq!(
+            violations(&whole, &came(&[("u1", "w0"), ("i1", "w0"), ("i1", "w1")]), once, never),
+            [""; 0]
+        );
         let cases = [
-            (told("i1", End::None), came(&[])),
-            (told("i1", End::Odd), came(&[])),
-            (Told { more: true, ..told("i1", End::Finished) }, came(&[])),
-            (told("u1", End::Finished), came(&[("u1", "w0"), ("u1", "w1")])),
-            (told("u1", End::Shed), came(&[("u1", "w0")])),
+            (told("i1", TaskEnd::NoResponse), came(&[])),
+            (told("i1", TaskEnd::Unexpected), came(&[])),
+            (TaskRecord { more: true, ..told("i1", TaskEnd::Finished) }, came(&[])),
+            (told("u1", TaskEnd::Finished), came(&[("u1", "w0"), ("u1", "w1")])),
+            (told("u1", TaskEnd::Shed), came(&[("u1", "w0")])),
         ];
         for (task, came) in cases {
-            assert_eq!(broken(std::slice::from_ref(&task), &came, once, never).len(), 1, "{task:?}");
+            assert_eq!(violations(std::slice::from_ref(&task), &came, once, never).len(), 1, "{task:?}");
         }
-        assert!(broken(&[told("i1", End::None)], &[], once, |_, _, _| true).is_empty());
+        assert!(violations(&[told("i1", TaskEnd::NoResponse)], &[], once, |_, _, _| true).is_empty());
         let twice = came(&[("u1", "w0"), ("u1", "w1")]);
-        assert!(broken(&[told("u1", End::Finished)], &twice, once, |_, _, _| true).is_empty());
-        let later = [told("a", End::Finished), told("b", End::Shed)];
+        assert!(violations(&[told("u1", TaskEnd::Finished)], &twice, once, |_, _, _| true).is_empty());
+        let later = [told("a", TaskEnd::Finished), told("b", TaskEnd::Shed)];
         assert_eq!(service(&later, now, now + Duration::from_secs(60)), 0.5);
     }
 }
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -1,10 +1,10 @@
 //! Several real schedulers before the same workers, each with its files, its operators' address behind a relay, and
 //! clients of its own.
 
-use crate::between::Relay;
-use crate::judge;
+use crate::checks;
+use crate::mocks::{Agent, Client, TaskRecord, Worker};
 use crate::peers::{call, entry, program, scratch, try_call};
-use crate::standins::{Agent, Client, Told, Worker};
+use crate::relays::Relay;
 use std::fs::{self, File};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -64,7 +64,7 @@
     /// Starts its process; returns when it answers its operators, ready or not.
     pub fn launch(&mut self) {
         self.launch_with(&[]);
-        until(&format!("{} answers", self.name), || !self.says("readyz").is_empty());
+        until(&format!("{} answers", self.name), || !self.query("readyz").is_empty());
         if let Some((_, back)) = self.gone.last_mut() {
             back.get_or_insert(Instant::now());
         }
@@ -83,7 +83,7 @@
 
     /// A second process beside the one that runs, with another operators' address, which is to take over; whoever asked
     /// for it ends it.
-    pub fn beside(&self) -> Child {
+    pub fn spawn_second(&self) -> Child {
         let mut at = self.management;
         at.set_port(at.port() + SECOND);
         let mut command = Command::new(program());
@@ -100,7 +100,7 @@
         let (file, at) = (self.configuration.clone(), format!("management.listen={}", self.management));
         self.launch_with(&["run", &file.display().to_string(), "--set", &at]);
         let id = self.child.as_ref().expect("it runs").id();
-        until("the new process answers", || self.says("version").contains(&format!("\"pid\":{id},")));
+        until("the new process answers", || self.query("version").contains(&format!("\"pid\":{id},")));
         until("the new process is ready", || self.is_ready());
         send("-TERM", before.id());
         assert!(before.wait().expect("an end").success());
@@ -112,7 +112,7 @@
     }
 
     /// What it answers to a call, or nothing.
-    pub fn says(&self, call: &str) -> String {
+    pub fn query(&self, call: &str) -> String {
         try_call(self.management, format!("{call}\n").as_bytes()).unwrap_or_default()
     }
 
@@ -239,28 +239,28 @@
         }
     }
 
-    pub fn told(&self) -> Vec<Told> {
-        self.clients.iter().flat_map(Client::told).collect()
+    pub fn records(&self) -> Vec<TaskRecord> {
+        self.clients.iter().flat_map(Client::records).collect()
     }
 
     /// Waits for so many answers from now on, wherever.
     pub fn wait_for_answers(&self, more: usize) {
-        let from = self.told().len();
-        until("answers to clients", || self.told().len() >= from + more);
+        let from = self.records().len();
+        until("answers to clients", || self.records().len() >= from + more);
     }
 
     /// Ends the clients; what broke, by the judge.
-    pub fn judge(&mut self) -> Vec<String> {
+    pub fn violations(&mut self) -> Vec<String> {
         self.clients.iter_mut().for_each(Client::stop);
         let notes = self
             .workers
             .iter()
-            .map(|worker| (worker.name.clone(), worker.came.lock().expect("notes").clone()));
+            .map(|worker| (worker.name.clone(), worker.received.lock().expect("notes").clone()));
         let came: Vec<_> = notes
             .flat_map(|(name, came)| came.into_iter().map(move |(id, at)| (id, name.clone(), at)))
             .collect();
         let gone = |to: usize, from, until| self.nodes[to].was_gone(from, until);
-        judge::broken(&self.told(), &came, |id| id.contains("-r-"), gone)
+        checks::violations(&self.records(), &came, |id| id.contains("-r-"), gone)
     }
 
     /// A plan over all, watched for a second a stage; `next` is the text of the file with the new settings.
@@ -384,7 +384,7 @@
 
 impl Fleet {
     /// A fleet whose processes a keeper starts, from a program of its own folder.
-    pub fn kept(name: &str, schedulers: usize) -> (Self, Keeper) {
+    pub fn start_with_keeper(name: &str, schedulers: usize) -> (Self, Keeper) {
         let fleet = Self::written(name, schedulers);
         let own = fleet.folder.join("tindock-old");
         fs::copy(program(), own).expect("a program");
@@ -424,7 +424,7 @@
     }
 
     /// Ends the processes that a keeper has left, by the numbers that they tell.
-    pub fn end_kept(&self) {
+    pub fn kill_all(&self) {
         for node in &self.nodes {
             for port in [node.management.port(), node.management.port() + SECOND] {
                 let at = SocketAddr::from((node.management.ip(), port));
--- a/crates/trial/src/group.rs
+++ b/crates/trial/src/group.rs
@@ -2,10 +2,10 @@
 //! any one to any other can be cut by itself. A policy's number shows from outside: under number n the workload `under-n`
 //! is taken, and no other of that name.
 
-use crate::between::{Datagrams, Way};
 use crate::fleet::{until, Fleet, Node};
+use crate::mocks::{Client, TaskEnd, TaskRecord};
 use crate::peers::program;
-use crate::standins::{Client, End, Told};
+use crate::relays::{DatagramRelay, LinkState};
 use std::fs;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,16 +14,16 @@
 
 /// What a member serves on, and the longest time for which two numbers may be in force.
 pub const LEASE: Duration = Duration::from_millis(1500);
-pub const BOUND: Duration = Duration::from_millis(1600);
+pub const MAX_OVERLAP: Duration = Duration::from_millis(1600);
 const GROUP: u16 = 6000;
 const EVERY: Duration = Duration::from_millis(25);
 
 pub struct Group {
     pub fleet: Fleet,
     /// In front of each member.
-    pub relays: Vec<Datagrams>,
+    pub relays: Vec<DatagramRelay>,
     /// Where each hears, and speaks from.
-    pub hears: Vec<SocketAddr>,
+    pub endpoints: Vec<SocketAddr>,
     /// By number of the policy and of the scheduler.
     clients: Vec<(usize, Client)>,
 }
@@ -48,7 +48,7 @@
         let mut fleet = Fleet::written(name, schedulers);
         let at = |node: &Node| SocketAddr::from((node.address.ip(), node.address.port() - 7000 + GROUP));
         let hears: Vec<SocketAddr> = fleet.nodes.iter().map(at).collect();
-        let relays: Vec<Datagrams> = hears.iter().map(|at| Datagrams::to(*at)).collect();
+        let relays: Vec<DatagramRelay> = hears.iter().map(|at| DatagramRelay::to(*at)).collect();
         let members =
             fleet.nodes.iter().zip(&relays).map(|(node, r)| format!("\"{}={}\"", node.name, r.address));
         let members = members.collect::<Vec<_>>().join(", ");
@@ -68,13 +68,13 @@
             fs::write(&node.configuration, text).expect("a configuration");
             node.launch();
         }
-        let group = Group { fleet, relays, hears, clients: Vec::new() };
+        let group = Group { fleet, relays, endpoints: hears, clients: Vec::new() };
         group.until_all_answer();
         group
     }
 
     /// The same, with number 1 in force at all and clients at work.
-    pub fn founded(name: &str, schedulers: usize, more: impl Fn(usize) -> String) -> Self {
+    pub fn start_with_policy(name: &str, schedulers: usize, more: impl Fn(usize) -> String) -> Self {
         let mut group = Group::start(name, schedulers, more);
         let (code, said) = group.propose(0, 1);
         assert_eq!(code, Some(0), "{said}");
@@ -91,7 +91,7 @@
 
     fn until_all_answer(&self) {
         for node in &self.fleet.nodes {
-            until(&format!("{} answers", node.name), || node.says("policy").ends_with("end\n"));
+            until(&format!("{} answers", node.name), || node.query("policy").ends_with("end\n"));
         }
     }
 
@@ -124,7 +124,7 @@
     }
 
     pub fn command(&self, to: usize, words: &[&str]) -> (Option<i32>, String) {
-        said(self.begin(to, words).wait_with_output().expect("its end"))
+        exit_and_output(self.begin(to, words).wait_with_output().expect("its end"))
     }
 
     /// Proposes the policy that is to be that number.
@@ -135,18 +135,18 @@
 
     /// The number in force at one, as it says itself; none where it gives no answer.
     pub fn number(&self, at: usize) -> Option<usize> {
-        self.word(at, "\"number\":")?.parse().ok()
+        self.status_field(at, "\"number\":")?.parse().ok()
     }
 
     /// What stands behind some words of a status.
-    pub fn word(&self, at: usize, words: &str) -> Option<String> {
-        let said = self.fleet.nodes[at].says("policy");
+    pub fn status_field(&self, at: usize, words: &str) -> Option<String> {
+        let said = self.fleet.nodes[at].query("policy");
         let rest = said.split(words).nth(1)?;
         Some(rest.split([',', '}']).next()?.trim_matches('"').into())
     }
 
     pub fn serves(&self, at: usize) -> bool {
-        self.word(at, "\"serves\":").as_deref() == Some("true")
+        self.status_field(at, "\"serves\":").as_deref() == Some("true")
     }
 
     /// Waits until that number is in force at all of them, and they serve.
@@ -171,49 +171,49 @@
     }
 
     /// Cuts all ways between the two parts, or opens them.
-    pub fn part(&self, one: &[usize], other: &[usize], way: Way) {
+    pub fn set_links(&self, one: &[usize], other: &[usize], way: LinkState) {
         for &a in one {
             for &b in other {
-                self.relays[a].set(self.hears[b], way);
-                self.relays[b].set(self.hears[a], way);
+                self.relays[a].set(self.endpoints[b], way);
+                self.relays[b].set(self.endpoints[a], way);
             }
         }
     }
 
     pub fn heal(&self) {
-        self.relays.iter().for_each(|relay| relay.set_all(Way::Open));
+        self.relays.iter().for_each(|relay| relay.set_all(LinkState::Open));
     }
 
     /// Answers to tasks of a policy's own workload.
-    pub fn told(&self, number: usize) -> Vec<Told> {
+    pub fn records(&self, number: usize) -> Vec<TaskRecord> {
         let of = self.clients.iter().filter(|(of, _)| *of == number);
-        of.flat_map(|(_, client)| client.told()).collect()
+        of.flat_map(|(_, client)| client.records()).collect()
     }
 
     /// Waits until a scheduler has finished a task under that policy that was handed in from now on.
     pub fn until_finished(&self, number: usize, at: usize) {
         let from = Instant::now();
         until(&format!("a task under {number} at n{at}"), || {
-            self.told(number).iter().any(|t| t.to == at && t.end == End::Finished && t.sent >= from)
+            self.records(number).iter().any(|t| t.to == at && t.end == TaskEnd::Finished && t.sent >= from)
         });
     }
 
     /// For how long tasks were still taken under `old`, as far as clients can tell, after the first was under `new`.
-    pub fn mixture(&self, old: usize, new: usize) -> Duration {
-        let finished = |number| self.told(number).into_iter().filter(|told| told.end == End::Finished);
-        let first = finished(new).map(|told| told.told).min();
+    pub fn overlap(&self, old: usize, new: usize) -> Duration {
+        let finished = |number| self.records(number).into_iter().filter(|told| told.end == TaskEnd::Finished);
+        let first = finished(new).map(|told| told.answered).min();
         let last = finished(old).map(|told| told.sent).max();
         first.zip(last).map_or(Duration::ZERO, |(first, last)| last.saturating_duration_since(first))
     }
 
     /// What broke: the four rules by the judge, and two policies for longer than the bound.
-    pub fn judge(&mut self) -> Vec<String> {
+    pub fn violations(&mut self) -> Vec<String> {
         self.clients.iter_mut().for_each(|(_, client)| client.stop());
-        let mut wrong = self.fleet.judge();
+        let mut wrong = self.fleet.violations();
         let last = self.clients.iter().map(|(number, _)| *number).max().unwrap_or_default();
         for old in 1..last {
-            let mixture = (old + 1..=last).map(|new| self.mixture(old, new)).max().unwrap_or_default();
-            if mixture > BOUND {
+            let mixture = (old + 1..=last).map(|new| self.overlap(old, new)).max().unwrap_or_default();
+            if mixture > MAX_OVERLAP {
                 wrong.push(format!("number {old} was served under {mixture:?} after a later one"));
             }
         }
@@ -222,7 +222,7 @@
 }
 
 /// Exit code and all that was said.
-pub fn said(output: Output) -> (Option<i32>, String) {
+pub fn exit_and_output(output: Output) -> (Option<i32>, String) {
     let text = [output.stdout, output.stderr].concat();
     (output.status.code(), String::from_utf8(text).expect("text"))
 }
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -2,9 +2,9 @@
 //! them ([`between`]), what stands around them ([`standins`], [`peers`]), and a judge that knows nothing of the inside
 //! ([`judge`]). No part of what is shipped.
 
-pub mod between;
+pub mod checks;
 pub mod fleet;
 pub mod group;
-pub mod judge;
+pub mod mocks;
 pub mod peers;
-pub mod standins;
+pub mod relays;
--- a/crates/trial/src/standins.rs
+++ b/crates/trial/src/mocks.rs
@@ -19,9 +19,9 @@
     slots: usize,
     run: Duration,
     /// Ids of tasks, as they came.
-    pub came: Mutex<Vec<(String, Instant)>>,
+    pub received: Mutex<Vec<(String, Instant)>>,
     /// What waits, with where its news goes.
-    pub line: Mutex<VecDeque<(String, SocketAddr)>>,
+    pub queue: Mutex<VecDeque<(String, SocketAddr)>>,
     running: Mutex<usize>,
 }
 
@@ -29,8 +29,8 @@
     /// Of so many slots; each task runs for as long.
     pub fn start(name: &str, slots: usize, run: Duration) -> Arc<Self> {
         let (listener, address) = listener();
-        let (came, line, running) = (Mutex::default(), Mutex::default(), Mutex::new(0));
-        let worker = Arc::new(Worker { name: name.into(), address, slots, run, came, line, running });
+        let (received, queue, running) = (Mutex::default(), Mutex::default(), Mutex::new(0));
+        let worker = Arc::new(Worker { name: name.into(), address, slots, run, received, queue, running });
         let serves = worker.clone();
         serve_each(listener, move |stream| serves.clone().serve(stream));
         worker
@@ -41,15 +41,15 @@
         while let Some(message) = peer.try_read() {
             if message.first.starts_with("POST") {
                 let id = message.header("x-trace-id").expect("an id").to_string();
-                self.came.lock().expect("notes").push((id.clone(), Instant::now()));
+                self.received.lock().expect("notes").push((id.clone(), Instant::now()));
                 // The body tells where the news goes.
                 let to = message.body.parse().expect("an address");
-                self.line.lock().expect("a line").push_back((id, to));
-                peer.taken();
+                self.queue.lock().expect("a line").push_back((id, to));
+                peer.accept_task();
                 self.clone().begin();
             } else {
                 let id = message.first.split(['/', ' ']).nth(3).unwrap_or_default().to_string();
-                self.line.lock().expect("a line").retain(|(waits, _)| *waits != id);
+                self.queue.lock().expect("a line").retain(|(waits, _)| *waits != id);
                 peer.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             }
         }
@@ -61,7 +61,7 @@
         if *running == self.slots {
             return;
         }
-        let Some((id, to)) = self.line.lock().expect("a line").pop_front() else { return };
+        let Some((id, to)) = self.queue.lock().expect("a line").pop_front() else { return };
         *running += 1;
         let worker = self.clone();
         std::thread::spawn(move || {
@@ -128,32 +128,32 @@
 }
 
 /// A worker's entry in the list.
-pub fn line(worker: &Worker, status: &str, since_ms: u128) -> String {
+pub fn list_entry(worker: &Worker, status: &str, since_ms: u128) -> String {
     let entry = entry(&worker.name, worker.address, status);
     entry.replace(r#""since_ms":0"#, &format!(r#""since_ms":{since_ms}"#))
 }
 
 /// How a task ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum TaskEnd {
     Finished,
     Shed,
-    BrokenOff,
+    Interrupted,
     /// Another answer than those three.
-    Odd,
+    Unexpected,
     /// The scheduler was not there, or went away: no answer.
-    None,
+    NoResponse,
 }
 
 /// One task, as its client saw it.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct TaskRecord {
     pub id: String,
     /// The scheduler, by number.
     pub to: usize,
     pub sent: Instant,
-    pub told: Instant,
-    pub end: End,
+    pub answered: Instant,
+    pub end: TaskEnd,
     /// Whatever came behind the one answer.
     pub more: bool,
 }
@@ -162,7 +162,7 @@
 /// is answered at once does not come more often.
 pub struct Client {
     stop: Arc<AtomicBool>,
-    told: Arc<Mutex<Vec<Told>>>,
+    told: Arc<Mutex<Vec<TaskRecord>>>,
     hand: Option<JoinHandle<()>>,
 }
 
@@ -185,7 +185,7 @@
         Client { stop, told, hand: Some(hand) }
     }
 
-    pub fn told(&self) -> Vec<Told> {
+    pub fn records(&self) -> Vec<TaskRecord> {
         self.told.lock().expect("notes").clone()
     }
 
@@ -201,9 +201,9 @@
     }
 }
 
-fn hand_in(line: &mut Option<Peer>, to: usize, at: SocketAddr, path: &str, id: String) -> Told {
+fn hand_in(line: &mut Option<Peer>, to: usize, at: SocketAddr, path: &str, id: String) -> TaskRecord {
     let sent = Instant::now();
-    let fresh = || TcpStream::connect(at).ok().map(Peer::over);
+    let fresh = || TcpStream::connect(at).ok().map(Peer::new);
     // An idle connection may have been closed meanwhile: a client notices before it writes.
     if line.as_ref().is_some_and(Peer::is_closed) {
         *line = None;
@@ -219,14 +219,14 @@
         answer = post(&mut peer);
     }
     let end = match answer.as_ref().map(|answer| answer.first.split(' ').nth(1).unwrap_or_default()) {
-        Some("200") => End::Finished,
-        Some("503") => End::Shed,
-        Some("500") => End::BrokenOff,
-        Some(_) => End::Odd,
-        None => End::None,
+        Some("200") => TaskEnd::Finished,
+        Some("503") => TaskEnd::Shed,
+        Some("500") => TaskEnd::Interrupted,
+        Some(_) => TaskEnd::Unexpected,
+        None => TaskEnd::NoResponse,
     };
     let more = peer.as_ref().is_some_and(Peer::has_more);
     let closes = answer.is_none_or(|answer| answer.header("connection") == Some("close"));
     *line = peer.filter(|_| !closes);
-    Told { id, to, sent, told: Instant::now(), end, more }
+    TaskRecord { id, to, sent, answered: Instant::now(), end, more }
 }
--- a/crates/trial/src/peers.rs
+++ b/crates/trial/src/peers.rs
@@ -36,13 +36,13 @@
 }
 
 impl Peer {
-    pub fn over(stream: TcpStream) -> Self {
+    pub fn new(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
         Peer(BufReader::new(stream))
     }
 
     pub fn connect(to: SocketAddr) -> Self {
-        Self::over(TcpStream::connect(to).expect("a connection"))
+        Self::new(TcpStream::connect(to).expect("a connection"))
     }
 
     pub fn accept(listener: &TcpListener) -> Self {
@@ -52,7 +52,7 @@
             match listener.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(false).expect("a stream that waits");
-                    return Self::over(stream);
+                    return Self::new(stream);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock && began.elapsed() < PATIENCE => {
                     std::thread::sleep(Duration::from_millis(2));
@@ -134,7 +134,7 @@
         self.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
     }
 
-    pub fn taken(&mut self) {
+    pub fn accept_task(&mut self) {
         self.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
     }
 }
@@ -214,27 +214,27 @@
 
 impl Scheduler {
     pub fn start(name: &str, discovery: SocketAddr, entries: &[String]) -> Self {
-        Self::limited(name, discovery, entries, 1024, 1024)
+        Self::with_limits(name, discovery, entries, 1024, 1024)
     }
 
-    /// Told of this many sockets, and held to this many descriptors.
-    pub fn limited(name: &str, agent: SocketAddr, entries: &[String], told: usize, held: usize) -> Self {
-        Self::over(spawn(name, &config(agent, entries, told), held))
+    /// TaskRecord of this many sockets, and held to this many descriptors.
+    pub fn with_limits(name: &str, agent: SocketAddr, entries: &[String], told: usize, held: usize) -> Self {
+        Self::from_child(spawn(name, &config(agent, entries, told), held))
     }
 
     /// A process that has just been started, as soon as it listens.
-    pub fn over(mut child: Child) -> Self {
+    pub fn from_child(mut child: Child) -> Self {
         let log = BufReader::new(child.stdout.take().expect("its log"));
         let address = ([0, 0, 0, 0], 0).into();
         let mut scheduler = Scheduler { child, address, log };
-        let line = scheduler.line("listens on ");
+        let line = scheduler.wait_for_line("listens on ");
         let address = line.split("listens on ").nth(1).expect("an address");
         scheduler.address = address.trim().parse().expect("an address");
         scheduler
     }
 
     /// Reads the log up to a line that has these words.
-    pub fn line(&mut self, words: &str) -> String {
+    pub fn wait_for_line(&mut self, words: &str) -> String {
         loop {
             let mut line = String::new();
             assert!(self.log.read_line(&mut line).expect("a log") > 0, "the log ends before {words:?}");
@@ -255,7 +255,7 @@
         self.signal("-HUP");
     }
 
-    pub fn news(&self, text: &str) -> String {
+    pub fn send_update(&self, text: &str) -> String {
         let mut worker = Peer::connect(self.address);
         worker.write(&format!(
             "POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {}\r\n\r\n{text}",
@@ -265,8 +265,8 @@
     }
 
     pub fn done(&self, id: &str, from: &str, result: &str) {
-        let told =
-            self.news(&format!(r#"{{"id":"{id}","from":"{from}","state":"done","result":"{result}"}}"#));
+        let told = self
+            .send_update(&format!(r#"{{"id":"{id}","from":"{from}","state":"done","result":"{result}"}}"#));
         assert_eq!(told, "HTTP/1.1 204 No Content");
     }
 }
@@ -279,13 +279,13 @@
 }
 
 /// A configuration with an operators' address.
-pub fn operated(config: &str) -> String {
+pub fn with_management(config: &str) -> String {
     config.replacen(r#""seed""#, r#""mgmt":"127.0.0.1:0","seed""#, 1)
 }
 
 /// A scheduler whose operators' address answers there.
-pub fn operators(scheduler: &mut Scheduler) -> SocketAddr {
-    let line = scheduler.line("operators' address is ");
+pub fn management_address(scheduler: &mut Scheduler) -> SocketAddr {
+    let line = scheduler.wait_for_line("operators' address is ");
     line.split("address is ").nth(1).expect("an address").trim().parse().expect("an address")
 }
 
--- a/crates/trial/src/between.rs
+++ b/crates/trial/src/relays.rs
@@ -17,13 +17,13 @@
     /// Ended at once.
     Refuse,
     /// Taken, and then nothing in either direction.
-    Silence,
+    Blackhole,
     /// The same for connections whose first words are these; all others pass.
-    Swallow(String),
+    DropMatching(String),
     /// Answers come so much later, in order.
-    LateAnswers(Duration),
+    DelayResponses(Duration),
     /// Ended after so many bytes of the answer.
-    CutAnswers(usize),
+    TruncateResponses(usize),
 }
 
 #[derive(Default)]
@@ -52,7 +52,7 @@
     }
 
     /// Connections that a fault has struck so far.
-    pub fn struck(&self) -> usize {
+    pub fn affected(&self) -> usize {
         self.state.lock().expect("a count").struck
     }
 }
@@ -84,16 +84,16 @@
         let mut some = &bytes[..read];
         let strikes = match &fault {
             Fault::None => false,
-            Fault::Refuse | Fault::Silence => true,
-            Fault::Swallow(words) => !answers && first && some.starts_with(words.as_bytes()),
-            Fault::LateAnswers(_) | Fault::CutAnswers(_) => answers,
+            Fault::Refuse | Fault::Blackhole => true,
+            Fault::DropMatching(words) => !answers && first && some.starts_with(words.as_bytes()),
+            Fault::DelayResponses(_) | Fault::TruncateResponses(_) => answers,
         };
         first = false;
         if strikes {
             state.lock().expect("a count").struck += 1;
             match fault {
-                Fault::LateAnswers(by) => sleep(by),
-                Fault::CutAnswers(after) => some = &some[..read.min(after.saturating_sub(passed))],
+                Fault::DelayResponses(by) => sleep(by),
+                Fault::TruncateResponses(after) => some = &some[..read.min(after.saturating_sub(passed))],
                 Fault::Refuse => break,
                 // What was swallowed is gone for good; the connection stands until the other end leaves.
                 _ => continue,
@@ -109,7 +109,7 @@
 }
 
 /// Passes datagrams on to one address; faults strike by who sends them.
-pub struct Datagrams {
+pub struct DatagramRelay {
     pub address: SocketAddr,
     faults: Arc<Mutex<Ways>>,
     passed: Arc<AtomicUsize>,
@@ -118,22 +118,22 @@
 /// What happens to datagrams of one sender, or of all.
 #[derive(Clone, Debug, Default)]
 struct Ways {
-    all: Way,
-    of: HashMap<SocketAddr, Way>,
+    all: LinkState,
+    of: HashMap<SocketAddr, LinkState>,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Way {
+pub enum LinkState {
     #[default]
     Open,
     Cut,
     /// Each comes so much later, and once more after twice that.
-    LateAndTwice(Duration),
+    DelayAndDuplicate(Duration),
     /// One in so many is lost, by turns.
-    Loses(usize),
+    DropOneIn(usize),
 }
 
-impl Datagrams {
+impl DatagramRelay {
     pub fn to(target: SocketAddr) -> Self {
         let front = Arc::new(UdpSocket::bind((target.ip(), 0)).expect("a socket"));
         let address = front.local_addr().expect("an address");
@@ -141,20 +141,20 @@
         let (ways, passed) = (faults.clone(), Arc::new(AtomicUsize::new(0)));
         let counts = passed.clone();
         spawn(move || pass(&front, target, &ways, &counts));
-        Datagrams { address, faults, passed }
+        DatagramRelay { address, faults, passed }
     }
 
-    /// Datagrams that came here so far.
+    /// DatagramRelay that came here so far.
     pub fn passed(&self) -> usize {
         self.passed.load(Ordering::Relaxed)
     }
 
     /// For whoever sends from there; the last word counts, also over `set_all`.
-    pub fn set(&self, from: SocketAddr, way: Way) {
+    pub fn set(&self, from: SocketAddr, way: LinkState) {
         self.faults.lock().expect("faults").of.insert(from, way);
     }
 
-    pub fn set_all(&self, way: Way) {
+    pub fn set_all(&self, way: LinkState) {
         *self.faults.lock().expect("faults") = Ways { all: way, of: HashMap::new() };
     }
 }
@@ -185,11 +185,11 @@
         });
         let count = passed.fetch_add(1, Ordering::Relaxed) + 1;
         match way {
-            Way::Open => drop(to.send(&bytes[..length])),
-            Way::Cut => {}
-            Way::Loses(in_so_many) if count.is_multiple_of(in_so_many) => {}
-            Way::Loses(_) => drop(to.send(&bytes[..length])),
-            Way::LateAndTwice(by) => {
+            LinkState::Open => drop(to.send(&bytes[..length])),
+            LinkState::Cut => {}
+            LinkState::DropOneIn(in_so_many) if count.is_multiple_of(in_so_many) => {}
+            LinkState::DropOneIn(_) => drop(to.send(&bytes[..length])),
+            LinkState::DelayAndDuplicate(by) => {
                 let (to, bytes) = (to.clone(), bytes[..length].to_vec());
                 spawn(move || {
                     for _ in 0..2 {
@@ -237,7 +237,7 @@
     fn datagrams_go_the_way_that_is_set() {
         let [target, sender, other] = [(); 3].map(|()| UdpSocket::bind("127.0.0.1:0").expect("a socket"));
         target.set_read_timeout(Some(Duration::from_millis(300))).expect("a time-out");
-        let relay = Datagrams::to(target.local_addr().expect("an address"));
+        let relay = DatagramRelay::to(target.local_addr().expect("an address"));
         let came = |from: &UdpSocket| {
             from.send_to(b"word", relay.address).expect("sent");
             let mut count = 0;
@@ -247,11 +247,11 @@
             count
         };
         assert_eq!((came(&sender), came(&other)), (1, 1));
-        relay.set(sender.local_addr().expect("an address"), Way::Cut);
+        relay.set(sender.local_addr().expect("an address"), LinkState::Cut);
         assert_eq!((came(&sender), came(&other)), (0, 1));
-        relay.set_all(Way::LateAndTwice(Duration::from_millis(20)));
+        relay.set_all(LinkState::DelayAndDuplicate(Duration::from_millis(20)));
         assert_eq!((came(&sender), came(&other)), (2, 2));
-        relay.set_all(Way::Loses(2));
+        relay.set_all(LinkState::DropOneIn(2));
         assert_eq!(came(&sender) + came(&sender), 1);
     }
 
@@ -260,19 +260,19 @@
     fn each_fault_does_what_it_says() {
         let relay = Relay::to(echo());
         assert_eq!(ask(&relay, "hello").as_deref(), Some("hello"));
-        relay.set(Fault::Silence);
+        relay.set(Fault::Blackhole);
         assert_eq!(ask(&relay, "hello"), None);
-        relay.set(Fault::Swallow("set".into()));
+        relay.set(Fault::DropMatching("set".into()));
         assert_eq!((ask(&relay, "set x"), ask(&relay, "get x").as_deref()), (None, Some("get x")));
-        relay.set(Fault::CutAnswers(2));
+        relay.set(Fault::TruncateResponses(2));
         assert_eq!(ask(&relay, "hello").as_deref(), Some("he"));
-        relay.set(Fault::LateAnswers(Duration::from_millis(100)));
+        relay.set(Fault::DelayResponses(Duration::from_millis(100)));
         let began = Instant::now();
         assert_eq!(ask(&relay, "hello").as_deref(), Some("hello"));
         assert!(began.elapsed() >= Duration::from_millis(100));
-        let struck = relay.struck();
+        let struck = relay.affected();
         relay.set(Fault::Refuse);
         assert_ne!(ask(&relay, "hello").as_deref(), Some("hello"));
-        assert!(relay.struck() > struck);
+        assert!(relay.affected() > struck);
     }
 }
