--- a/crates/scheduler/tests/installations.rs
+++ b/crates/scheduler/tests/installations.rs
@@ -196,7 +196,7 @@
     let drained = Instant::now();
     let before = count(&[w0, w1]);
     while count(&[w0, w1]) < before + 40 {
-        assert!(drained.elapsed() < PATIENCE, "tasks go on");
+        assert!(drained.elapsed() < STEP_TIMEOUT, "tasks go on");
         std::thread::sleep(Duration::from_millis(2));
     }
     let last = w2.last().expect("w2 had tasks");
@@ -207,7 +207,7 @@
     schedulers.iter_mut().for_each(|s| drop(s.wait_for_line("in force: 3 workers")));
     let (before, began) = (count(&[w2]), Instant::now());
     while count(&[w2]) == before {
-        assert!(began.elapsed() < PATIENCE, "w2 takes part again");
+        assert!(began.elapsed() < STEP_TIMEOUT, "w2 takes part again");
         std::thread::sleep(Duration::from_millis(2));
     }
     load.end();
@@ -235,7 +235,7 @@
     let (before, began) = (count(&[w1]), Instant::now());
     while count(&[w0, w2]) < 20 {
         assert!(
-            began.elapsed() < PATIENCE,
+            began.elapsed() < STEP_TIMEOUT,
             "tasks go on: {} {} {}",
             count(&[w0]),
             count(&[w1]),
@@ -248,7 +248,7 @@
     scheduler.wait_for_line("worker w1 is back");
     let began = Instant::now();
     while count(&[w1]) == before {
-        assert!(began.elapsed() < PATIENCE, "w1 takes part again");
+        assert!(began.elapsed() < STEP_TIMEOUT, "w1 takes part again");
         std::thread::sleep(Duration::from_millis(2));
     }
     load.end();
--- a/crates/scheduler/tests/keeps.rs
+++ b/crates/scheduler/tests/keeps.rs
@@ -30,7 +30,7 @@
 }
 
 fn programs(fleet: &Fleet, keeper: &Keeper) -> Vec<String> {
-    fleet.nodes.iter().map(|node| keeper.told(&node.name, "program")).collect()
+    fleet.nodes.iter().map(|node| keeper.status_field(&node.name, "program")).collect()
 }
 
 /// Ends what the keeper has started, also when a test panics.
--- a/crates/scheduler/tests/operators.rs
+++ b/crates/scheduler/tests/operators.rs
@@ -76,7 +76,7 @@
     drop(client);
     let began = Instant::now();
     while !call(at, b"telemetry\n").contains(r#""in_flight":0"#) {
-        assert!(began.elapsed() < PATIENCE, "still in hand");
+        assert!(began.elapsed() < STEP_TIMEOUT, "still in hand");
     }
     // Not taken in: neither finished nor anything else.
     let mut client = Peer::connect(scheduler.address);
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Several real schedulers before the same workers, each with its files, its operators' address behind a relay, and
-//! clients of its own.
+//! Several real schedulers with the same workers. Each has its own files, its management address behind a
+//! relay, and its own clients.
 
 use crate::checks;
 use crate::mocks::{Agent, Client, TaskRecord, Worker};
@@ -15,20 +15,22 @@
 use std::time::{Duration, Instant};
 
 /// A step that takes this long is a failure.
-pub const PATIENCE: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(5);
-/// A worker's slots and the time of a run: with six schedulers of twenty tasks a second about half of what four bear.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Slots of a worker and duration of a task: six schedulers with twenty tasks a second use about half of the
+/// capacity of four workers.
 const SLOTS: usize = 2;
 const RUN: Duration = Duration::from_millis(20);
-/// A client's tasks: longer than a run takes, so that each scheduler gets the same at any time.
-const EVERY: Duration = Duration::from_millis(60);
+/// Interval of a client's tasks: longer than a task runs, so that each scheduler gets the same number of
+/// tasks.
+const TASK_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Waits until it holds; a failure names what never did.
+/// Waits until the condition holds; `what` names it in the failure.
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let began = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < PATIENCE, "never came: {what}");
-        sleep(LOOK);
+        assert!(began.elapsed() < STEP_TIMEOUT, "timed out waiting for: {what}");
+        sleep(POLL_INTERVAL);
     }
 }
 
@@ -36,17 +38,18 @@
     assert!(Command::new("kill").args([signal, &id.to_string()]).status().expect("kill").success());
 }
 
-/// One scheduler, whether it runs at the moment or not.
+/// One scheduler, running or not.
 pub struct Node {
     pub name: String,
     pub address: SocketAddr,
-    /// Its operators' address, and the way to it that others use.
+    /// Its management address.
     pub management: SocketAddr,
+    /// The relay through which rollouts reach the management address.
     pub relay: Relay,
     pub configuration: PathBuf,
     child: Option<Child>,
-    /// When it was killed, and when it was ready again.
-    gone: Vec<(Instant, Option<Instant>)>,
+    /// When it was killed, and when it answered again.
+    downtimes: Vec<(Instant, Option<Instant>)>,
     log: PathBuf,
 }
 
@@ -61,57 +64,57 @@
         until(&format!("{} is ready", self.name), || self.is_ready());
     }
 
-    /// Starts its process; returns when it answers its operators, ready or not.
+    /// Starts its process; returns when its management address answers, ready or not.
     pub fn launch(&mut self) {
         self.launch_with(&[]);
         until(&format!("{} answers", self.name), || !self.query("readyz").is_empty());
-        if let Some((_, back)) = self.gone.last_mut() {
+        if let Some((_, back)) = self.downtimes.last_mut() {
             back.get_or_insert(Instant::now());
         }
     }
 
-    fn launch_with(&mut self, words: &[&str]) {
+    fn launch_with(&mut self, args: &[&str]) {
         let log = File::options().create(true).append(true).open(&self.log).expect("a log");
         let folder = self.configuration.with_extension("run");
         fs::create_dir_all(&folder).expect("a folder");
         let mut command = Command::new(program());
         command.env("GW_CONFIG", &self.configuration).env("TMPDIR", folder).env_remove("GW_MGMT");
         command.stdin(Stdio::null()).stderr(log.try_clone().expect("a log")).stdout(log);
-        command.args(words);
+        command.args(args);
         self.child = Some(command.spawn().expect("a scheduler"));
     }
 
-    /// A second process beside the one that runs, with another operators' address, which is to take over; whoever asked
-    /// for it ends it.
+    /// Starts a second process with another management address while the first runs; it is to take over. The
+    /// caller must end it.
     pub fn spawn_second(&self) -> Child {
         let mut at = self.management;
-        at.set_port(at.port() + SECOND);
+        at.set_port(at.port() + SECOND_OFFSET);
         let mut command = Command::new(program());
         command.arg("run").arg(&self.configuration).arg("--set").arg(format!("management.listen={at}"));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
         command.spawn().expect("a second process")
     }
 
-    /// Starts a second process beside the one that runs, with another operators' address, which is to take over; the one
-    /// before is told to end once the new one is ready. For an installation's own form.
+    /// Starts a second process with another management address, which takes over; once it is ready, the first
+    /// one gets SIGTERM. For configurations in the installation's TOML form.
     pub fn upgrade(&mut self) {
-        let mut before = self.child.take().expect("it runs");
-        self.management.set_port(self.management.port() + SECOND);
+        let mut previous = self.child.take().expect("it runs");
+        self.management.set_port(self.management.port() + SECOND_OFFSET);
         let (file, at) = (self.configuration.clone(), format!("management.listen={}", self.management));
         self.launch_with(&["run", &file.display().to_string(), "--set", &at]);
         let id = self.child.as_ref().expect("it runs").id();
         until("the new process answers", || self.query("version").contains(&format!("\"pid\":{id},")));
         until("the new process is ready", || self.is_ready());
-        send("-TERM", before.id());
-        assert!(before.wait().expect("an end").success());
+        send("-TERM", previous.id());
+        assert!(previous.wait().expect("an end").success());
     }
 
-    /// Its process.
+    /// Its process id.
     pub fn id(&self) -> u32 {
         self.child.as_ref().expect("it runs").id()
     }
 
-    /// What it answers to a call, or nothing.
+    /// Its response to a management call; empty if there is none.
     pub fn query(&self, call: &str) -> String {
         try_call(self.management, format!("{call}\n").as_bytes()).unwrap_or_default()
     }
@@ -120,31 +123,31 @@
         send(signal, self.child.as_ref().expect("it runs").id());
     }
 
-    /// Ends it outright.
+    /// Sends SIGKILL.
     pub fn kill(&mut self) {
-        self.gone.push((Instant::now(), None));
+        self.downtimes.push((Instant::now(), None));
         let mut child = self.child.take().expect("it runs");
         child.kill().and_then(|()| child.wait()).expect("killed");
     }
 
-    /// Whether it was away at some time between the two.
-    pub fn was_gone(&self, from: Instant, to: Instant) -> bool {
-        // A client learns of the end a moment after it.
+    /// Whether it was down at some time between the two.
+    pub fn was_down(&self, from: Instant, to: Instant) -> bool {
+        // A client observes the end of the process with a short delay.
         let to = to + Duration::from_millis(50);
-        self.gone.iter().any(|(left, back)| *left <= to && back.is_none_or(|back| back >= from))
+        self.downtimes.iter().any(|(left, back)| *left <= to && back.is_none_or(|back| back >= from))
     }
 
-    /// The settings in force, by their digest.
+    /// The digest of the settings in force.
     pub fn in_force(&self) -> String {
-        let said = call(self.management, b"version\n");
-        let word = said.split("\"settings\":\"").nth(1).and_then(|rest| rest.split('"').next());
-        word.unwrap_or_else(|| panic!("no version of {}: {said}", self.name)).into()
+        let version = call(self.management, b"version\n");
+        let digest = version.split("\"settings\":\"").nth(1).and_then(|rest| rest.split('"').next());
+        digest.unwrap_or_else(|| panic!("no version of {}: {version}", self.name)).into()
     }
 }
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // Also when the test panics, and when it stands still.
+        // Also ends the process if the test panics, and if the process is stopped (SIGSTOP).
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
             let _ = child.wait();
@@ -152,15 +155,15 @@
     }
 }
 
-/// Ports that the system gives to nobody by itself.
-const CLIENTS: u16 = 7000;
-const OPERATORS: u16 = 8000;
-/// From one of a scheduler's operators' addresses to the other.
-const SECOND: u16 = 1000;
-const KEEPER: u16 = 10_000;
+/// First ports of clients' and of management addresses, below the kernel's ephemeral range.
+const CLIENT_PORTS: u16 = 7000;
+const MANAGEMENT_PORTS: u16 = 8000;
+/// Offset from the management port of a scheduler's first process to that of its second one.
+const SECOND_OFFSET: u16 = 1000;
+const KEEPER_PORT: u16 = 10_000;
 
-/// An address of loopback for one fleet of one process alone. Guards against a port that was free a moment ago: a
-/// scheduler that comes back needs its own again, and tests run side by side.
+/// A loopback address for one fleet of one test process. Tests run in parallel, and a restarted scheduler
+/// needs its port again, which another test could otherwise have taken meanwhile.
 fn host() -> Ipv4Addr {
     static FLEETS: AtomicU8 = AtomicU8::new(0);
     let [high, low, ..] = (std::process::id() as u16).to_be_bytes();
@@ -175,7 +178,7 @@
     agent: Arc<Agent>,
 }
 
-/// What all schedulers of a fleet are told; `limit` is the hard limit of both workloads, in seconds.
+/// The settings of all schedulers of a fleet; `limit` is the hard limit of both workloads, in seconds.
 pub fn settings(limit: f64) -> String {
     let promised = limit / 2.0;
     format!(
@@ -190,15 +193,16 @@
 }
 
 impl Fleet {
-    /// So many schedulers, ready, with four workers; the folder of that name is made anew.
+    /// Starts schedulers with four workers, and waits until they are ready; the folder of this name is
+    /// emptied.
     pub fn start(name: &str, schedulers: usize) -> Self {
-        let mut fleet = Self::written(name, schedulers);
+        let mut fleet = Self::prepare(name, schedulers);
         fleet.nodes.iter_mut().for_each(Node::start);
         fleet
     }
 
-    /// The same with no process begun.
-    pub(crate) fn written(name: &str, schedulers: usize) -> Self {
+    /// Writes the files and starts the workers of a fleet, but no scheduler.
+    pub(crate) fn prepare(name: &str, schedulers: usize) -> Self {
         let folder = scratch().join(name);
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).expect("a folder");
@@ -207,7 +211,7 @@
         let host = host();
         let nodes = (0..schedulers).map(|number| {
             let port = |from: u16| SocketAddr::from((host, from + number as u16));
-            let (address, management) = (port(CLIENTS), port(OPERATORS));
+            let (address, management) = (port(CLIENT_PORTS), port(MANAGEMENT_PORTS));
             let name = format!("n{number}");
             let configuration = folder.join(format!("{name}.json"));
             let text = format!(
@@ -217,8 +221,8 @@
             );
             fs::write(&configuration, text).expect("a configuration");
             let (relay, log) = (Relay::to(management), folder.join(format!("{name}.log")));
-            let (child, gone) = (None, Vec::new());
-            Node { name, address, management, relay, configuration, child, gone, log }
+            let (child, downtimes) = (None, Vec::new());
+            Node { name, address, management, relay, configuration, child, downtimes, log }
         });
         let nodes = nodes.collect();
         Fleet { folder, nodes, workers, clients: Vec::new(), agent }
@@ -228,42 +232,44 @@
         self.agent.address
     }
 
-    /// Two clients at each scheduler, one a workload.
+    /// Starts two clients at each scheduler, one for each workload.
     pub fn load(&mut self) {
         for (number, node) in self.nodes.iter().enumerate() {
             for path in ["/plan/p", "/release/r"] {
-                // The workers bear what six schedulers hand them at that pace.
-                let every = EVERY * self.nodes.len().div_ceil(6) as u32;
+                // The workers can process the tasks of six schedulers at this interval.
+                let every = TASK_INTERVAL * self.nodes.len().div_ceil(6) as u32;
                 self.clients.push(Client::start(number, node.address, path, every));
             }
         }
     }
 
+    /// All tasks of all clients so far.
     pub fn records(&self) -> Vec<TaskRecord> {
         self.clients.iter().flat_map(Client::records).collect()
     }
 
-    /// Waits for so many answers from now on, wherever.
+    /// Waits for this many further responses from any schedulers.
     pub fn wait_for_answers(&self, more: usize) {
         let from = self.records().len();
         until("answers to clients", || self.records().len() >= from + more);
     }
 
-    /// Ends the clients; what broke, by the judge.
+    /// Stops the clients and returns the violations of the rules.
     pub fn violations(&mut self) -> Vec<String> {
         self.clients.iter_mut().for_each(Client::stop);
-        let notes = self
+        let recorded = self
             .workers
             .iter()
-            .map(|worker| (worker.name.clone(), worker.received.lock().expect("notes").clone()));
-        let came: Vec<_> = notes
-            .flat_map(|(name, came)| came.into_iter().map(move |(id, at)| (id, name.clone(), at)))
+            .map(|worker| (worker.name.clone(), worker.received.lock().expect("records").clone()));
+        let received: Vec<_> = recorded
+            .flat_map(|(name, received)| received.into_iter().map(move |(id, at)| (id, name.clone(), at)))
             .collect();
-        let gone = |to: usize, from, until| self.nodes[to].was_gone(from, until);
-        checks::violations(&self.records(), &came, |id| id.contains("-r-"), gone)
+        let was_down = |to: usize, from, until| self.nodes[to].was_down(from, until);
+        checks::violations(&self.records(), &received, |id| id.contains("-r-"), was_down)
     }
 
-    /// A plan over all, watched for a second a stage; `next` is the text of the file with the new settings.
+    /// Writes a rollout plan for all schedulers that watches each stage for a second; `next` is the text of
+    /// the file with the new settings.
     pub fn plan(&self, run: &str, next: &str, more: &str) -> PathBuf {
         let (plan, file) = (self.folder.join(format!("{run}.toml")), self.folder.join(format!("{run}.json")));
         fs::write(&file, next).expect("settings");
@@ -272,29 +278,34 @@
             .iter()
             .map(|node| {
                 let (name, at) = (&node.name, node.relay.address);
-                format!("[[scheduler]]\nname = \"{name}\"\nmanagement = \"{at}\"\nconfiguration = \"{name}.json\"\n")
+                format!(
+                    "[[scheduler]]\nname = \"{name}\"\nmanagement = \"{at}\"\n\
+                     configuration = \"{name}.json\"\n"
+                )
             })
             .collect();
         let text = format!(
             "name = \"{run}\"\nrecord = \"{run}-record\"\n[change]\nsettings = \"{run}.json\"\n\
-             [stages]\nshares = [0.17, 0.5, 1.0]\nwatch = \"1s\"\nwatch-at-most = \"25s\"\n{more}\n{schedulers}"
+             [stages]\nshares = [0.17, 0.5, 1.0]\nwatch = \"1s\"\nwatch-at-most = \"25s\"\n\
+             {more}\n{schedulers}"
         );
         fs::write(&plan, text).expect("a plan");
         plan
     }
 
-    /// The texts of all configurations.
+    /// The texts of all configuration files.
     pub fn files(&self) -> Vec<String> {
         let read = |node: &Node| fs::read_to_string(&node.configuration).expect("a configuration");
         self.nodes.iter().map(read).collect()
     }
 
+    /// The digests of the settings in force at all schedulers.
     pub fn in_force(&self) -> Vec<String> {
         self.nodes.iter().map(Node::in_force).collect()
     }
 }
 
-/// A process that works on a plan: `tindock rollout WORD PLAN`.
+/// A process that executes a rollout plan: `tindock rollout WORD PLAN`.
 pub struct Coordinator {
     pub child: Child,
 }
@@ -315,11 +326,11 @@
         send(signal, self.child.id());
     }
 
-    /// Its exit code and all that it said.
+    /// Waits for its end: the exit code and all output.
     pub fn end(self) -> (Option<i32>, String) {
         let output = self.child.wait_with_output().expect("its end");
-        let said = [output.stdout, output.stderr].concat();
-        (output.status.code(), String::from_utf8(said).expect("text"))
+        let text = [output.stdout, output.stderr].concat();
+        (output.status.code(), String::from_utf8(text).expect("text"))
     }
 }
 
@@ -328,7 +339,7 @@
     Coordinator::start(word, plan).end()
 }
 
-/// A keeper over a fleet's schedulers, with the file that tells it of them.
+/// A keeper process (`tindock keep`) that supervises a fleet's schedulers, with its configuration file.
 pub struct Keeper {
     child: Option<Child>,
     file: PathBuf,
@@ -340,7 +351,7 @@
         let mut command = Command::new(program());
         let log =
             File::options().create(true).append(true).open(self.file.with_extension("log")).expect("a log");
-        // As staff would from beside it: by a path that holds nowhere else.
+        // Like an operator in that folder: with a relative path that is valid nowhere else.
         let (folder, file) = (self.file.parent(), self.file.file_name());
         command
             .current_dir(folder.expect("a folder"))
@@ -363,12 +374,13 @@
         fs::read_to_string(self.file.with_extension("log")).unwrap_or_default()
     }
 
-    /// What it tells of a scheduler, under a word of its answer.
-    pub fn told(&self, name: &str, word: &str) -> String {
-        let said = call(self.control, b"programs\n");
-        let of = said.split("{\"fence\"").find(|one| one.contains(&format!("\"name\":\"{name}\"")));
-        let of = of.unwrap_or_else(|| panic!("{name} is not told: {said}"));
-        let value = of.split(&format!("\"{word}\":")).nth(1).and_then(|rest| rest.split([',', '}']).next());
+    /// The value of a field in the status that the keeper reports of a scheduler.
+    pub fn status_field(&self, name: &str, field: &str) -> String {
+        let status = call(self.control, b"programs\n");
+        let entry = status.split("{\"fence\"").find(|one| one.contains(&format!("\"name\":\"{name}\"")));
+        let entry = entry.unwrap_or_else(|| panic!("{name} is not listed: {status}"));
+        let value =
+            entry.split(&format!("\"{field}\":")).nth(1).and_then(|rest| rest.split([',', '}']).next());
         value.unwrap_or_default().trim_matches('"').into()
     }
 }
@@ -383,23 +395,25 @@
 }
 
 impl Fleet {
-    /// A fleet whose processes a keeper starts, from a program of its own folder.
+    /// Starts a fleet whose processes a keeper starts, from a copy of the program in the fleet's folder.
     pub fn start_with_keeper(name: &str, schedulers: usize) -> (Self, Keeper) {
-        let fleet = Self::written(name, schedulers);
+        let fleet = Self::prepare(name, schedulers);
         let own = fleet.folder.join("tindock-old");
         fs::copy(program(), own).expect("a program");
         let host = fleet.nodes[0].address.ip();
-        let (control, file) = (SocketAddr::from((host, KEEPER)), fleet.folder.join("keep.toml"));
+        let (control, file) = (SocketAddr::from((host, KEEPER_PORT)), fleet.folder.join("keep.toml"));
         let of = |node: &Node| {
             let (name, one) = (&node.name, node.management);
-            let other = SocketAddr::from((host, one.port() + SECOND));
+            let other = SocketAddr::from((host, one.port() + SECOND_OFFSET));
             format!(
-                "[[scheduler]]\nname = \"{name}\"\nconfiguration = \"{name}.json\"\nmanagement = [\"{one}\", \"{other}\"]\n"
+                "[[scheduler]]\nname = \"{name}\"\nconfiguration = \"{name}.json\"\n\
+                 management = [\"{one}\", \"{other}\"]\n"
             )
         };
         let schedulers: String = fleet.nodes.iter().map(of).collect();
         let text = format!(
-            "name = \"keeper\"\ncontrol = \"{control}\"\nfolder = \"keep\"\nprogram = \"tindock-old\"\n{schedulers}"
+            "name = \"keeper\"\ncontrol = \"{control}\"\nfolder = \"keep\"\nprogram = \"tindock-old\"\n\
+             {schedulers}"
         );
         fs::write(&file, text).expect("a keeper's file");
         let mut keeper = Keeper { child: None, file, control };
@@ -407,7 +421,7 @@
         (fleet, keeper)
     }
 
-    /// A plan that brings a program through the keeper.
+    /// Writes a plan that rolls out a program through the keeper.
     pub fn program_plan(&self, run: &str, program: &str, keeper: &Keeper, more: &str) -> PathBuf {
         let plan = self.folder.join(format!("{run}.toml"));
         let schedulers = self.nodes.iter().map(|node| {
@@ -423,13 +437,13 @@
         plan
     }
 
-    /// Ends the processes that a keeper has left, by the numbers that they tell.
+    /// Kills the scheduler processes that a keeper has left running, by the process ids that they report.
     pub fn kill_all(&self) {
         for node in &self.nodes {
-            for port in [node.management.port(), node.management.port() + SECOND] {
+            for port in [node.management.port(), node.management.port() + SECOND_OFFSET] {
                 let at = SocketAddr::from((node.management.ip(), port));
-                let said = try_call(at, b"version\n").unwrap_or_default();
-                let id = said.split("\"pid\":").nth(1).and_then(|rest| rest.split(',').next());
+                let version = try_call(at, b"version\n").unwrap_or_default();
+                let id = version.split("\"pid\":").nth(1).and_then(|rest| rest.split(',').next());
                 if let Some(id) = id {
                     let _ = Command::new("kill").args(["-KILL", id]).status();
                 }
--- a/crates/trial/src/group.rs
+++ b/crates/trial/src/group.rs
@@ -1,6 +1,6 @@
-//! Schedulers that decide their policy together: each hears the others through a relay of its own, so that the way from
-//! any one to any other can be cut by itself. A policy's number shows from outside: under number n the workload `under-n`
-//! is taken, and no other of that name.
+//! Schedulers that agree on their policy by consensus. Each receives the others' datagrams through its own
+//! relay, so that the link from any one to any other can be cut separately. A policy's number is visible from
+//! outside: under number n, tasks of the workload `under-n` are accepted, and of no other `under-` workload.
 
 use crate::fleet::{until, Fleet, Node};
 use crate::mocks::{Client, TaskEnd, TaskRecord};
@@ -12,29 +12,33 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
-/// What a member serves on, and the longest time for which two numbers may be in force.
+/// The lease under which a member serves.
 pub const LEASE: Duration = Duration::from_millis(1500);
+/// The longest time for which two policy numbers may be in force at different members.
 pub const MAX_OVERLAP: Duration = Duration::from_millis(1600);
-const GROUP: u16 = 6000;
-const EVERY: Duration = Duration::from_millis(25);
+const GROUP_PORT: u16 = 6000;
+const TASK_INTERVAL: Duration = Duration::from_millis(25);
 
 pub struct Group {
     pub fleet: Fleet,
-    /// In front of each member.
+    /// The relay in front of each member.
     pub relays: Vec<DatagramRelay>,
-    /// Where each hears, and speaks from.
+    /// The address on which each member receives and from which it sends.
     pub endpoints: Vec<SocketAddr>,
-    /// By number of the policy and of the scheduler.
+    /// Clients, with the number of the policy whose workload they use.
     clients: Vec<(usize, Client)>,
 }
 
-/// The policy that is to be number `n`; `more` stands under `[workers]`.
+/// The policy that is to get number `n`; `more` is appended to its section `[workers]`.
 pub fn policy(n: usize, more: &str) -> String {
     let workload = |name: &str, effect: &str| {
-        format!("[[workload]]\nname = \"{name}\"\neffect = \"{effect}\"\npromised = \"3s\"\nhard-limit = \"6s\"\n")
+        format!(
+            "[[workload]]\nname = \"{name}\"\neffect = \"{effect}\"\n\
+             promised = \"3s\"\nhard-limit = \"6s\"\n"
+        )
     };
-    let own = format!("under-{n}");
-    let workloads = [("plan", "idempotent"), ("release", "unrepeatable"), (own.as_str(), "idempotent")];
+    let numbered = format!("under-{n}");
+    let workloads = [("plan", "idempotent"), ("release", "unrepeatable"), (numbered.as_str(), "idempotent")];
     let workloads: String = workloads.iter().map(|(name, effect)| workload(name, effect)).collect();
     format!(
         "{workloads}[workers]\nmost-assignments = 3\ntell-start = true\nconnect-within = \"1s\"\n\
@@ -43,23 +47,24 @@
 }
 
 impl Group {
-    /// So many schedulers that run, and have decided nothing yet; `more` is for the file of each.
+    /// Starts schedulers that have not agreed on a policy yet; `more` is appended to the configuration of
+    /// each.
     pub fn start(name: &str, schedulers: usize, more: impl Fn(usize) -> String) -> Self {
-        let mut fleet = Fleet::written(name, schedulers);
-        let at = |node: &Node| SocketAddr::from((node.address.ip(), node.address.port() - 7000 + GROUP));
-        let hears: Vec<SocketAddr> = fleet.nodes.iter().map(at).collect();
-        let relays: Vec<DatagramRelay> = hears.iter().map(|at| DatagramRelay::to(*at)).collect();
+        let mut fleet = Fleet::prepare(name, schedulers);
+        let at = |node: &Node| SocketAddr::from((node.address.ip(), node.address.port() - 7000 + GROUP_PORT));
+        let endpoints: Vec<SocketAddr> = fleet.nodes.iter().map(at).collect();
+        let relays: Vec<DatagramRelay> = endpoints.iter().map(|at| DatagramRelay::to(*at)).collect();
         let members =
             fleet.nodes.iter().zip(&relays).map(|(node, r)| format!("\"{}={}\"", node.name, r.address));
         let members = members.collect::<Vec<_>>().join(", ");
         let discovery = fleet.discovery();
         for (number, node) in fleet.nodes.iter_mut().enumerate() {
             node.configuration = fleet.folder.join(format!("n{number}.toml"));
-            let (listen, management, hears) = (node.address, node.management, hears[number]);
+            let (listen, management, endpoint) = (node.address, node.management, endpoints[number]);
             let text = format!(
-                "name = \"n{number}\"\nlisten = \"{listen}\"\ndiscovery = \"{discovery}\"\nseed = {number}\n{}\n\
-                 [management]\nlisten = \"{management}\"\nruntime = \"n{number}.run\"\n\
-                 [accord]\nlisten = \"{hears}\"\nfolder = \"n{number}.accord\"\nmembers = [{members}]\n\
+                "name = \"n{number}\"\nlisten = \"{listen}\"\ndiscovery = \"{discovery}\"\nseed = {number}\n\
+                 {}\n[management]\nlisten = \"{management}\"\nruntime = \"n{number}.run\"\n\
+                 [accord]\nlisten = \"{endpoint}\"\nfolder = \"n{number}.accord\"\nmembers = [{members}]\n\
                  lease = \"{}ms\"\n{}",
                 policy(0, &format!("schedulers = {schedulers}")),
                 LEASE.as_millis(),
@@ -68,16 +73,16 @@
             fs::write(&node.configuration, text).expect("a configuration");
             node.launch();
         }
-        let group = Group { fleet, relays, endpoints: hears, clients: Vec::new() };
+        let group = Group { fleet, relays, endpoints, clients: Vec::new() };
         group.until_all_answer();
         group
     }
 
-    /// The same, with number 1 in force at all and clients at work.
+    /// Starts schedulers with policy number 1 in force at all of them, and clients under load.
     pub fn start_with_policy(name: &str, schedulers: usize, more: impl Fn(usize) -> String) -> Self {
         let mut group = Group::start(name, schedulers, more);
-        let (code, said) = group.propose(0, 1);
-        assert_eq!(code, Some(0), "{said}");
+        let (code, output) = group.propose(0, 1);
+        assert_eq!(code, Some(0), "{output}");
         group.until_in_force(1, &group.all());
         group.load_up_to(3);
         group.fleet.load();
@@ -95,53 +100,54 @@
         }
     }
 
-    /// Clients for the policies up to that number, at each scheduler.
+    /// Starts clients for the policies up to this number, at each scheduler.
     pub fn load_up_to(&mut self, last: usize) {
         let first = self.clients.iter().map(|(number, _)| *number).max().unwrap_or_default() + 1;
         for number in first..=last {
             for (to, node) in self.fleet.nodes.iter().enumerate() {
                 let path = format!("/under-{number}/u{number}");
-                // Four workers bear what six schedulers hand them at that pace.
-                let every = EVERY * self.fleet.nodes.len().div_ceil(6) as u32;
+                // Four workers can process the tasks of six schedulers at this interval.
+                let every = TASK_INTERVAL * self.fleet.nodes.len().div_ceil(6) as u32;
                 self.clients.push((number, Client::start(to, node.address, &path, every)));
             }
         }
     }
 
-    /// A policy's file.
+    /// Writes the file of a policy.
     pub fn file(&self, number: usize, more: &str) -> PathBuf {
         let path = self.fleet.folder.join(format!("policy-{number}.toml"));
         fs::write(&path, policy(number, more)).expect("a policy");
         path
     }
 
-    /// A command of staff's to one scheduler, begun.
-    pub fn begin(&self, to: usize, words: &[&str]) -> std::process::Child {
+    /// Starts an operator's policy command to one scheduler.
+    pub fn begin(&self, to: usize, args: &[&str]) -> std::process::Child {
         let mut command = Command::new(program());
-        command.arg("policy").args(words).arg("--at").arg(self.fleet.nodes[to].management.to_string());
+        command.arg("policy").args(args).arg("--at").arg(self.fleet.nodes[to].management.to_string());
         command.stdout(std::process::Stdio::piped()).stderr(std::process::Stdio::piped());
         command.spawn().expect("a command")
     }
 
-    pub fn command(&self, to: usize, words: &[&str]) -> (Option<i32>, String) {
-        exit_and_output(self.begin(to, words).wait_with_output().expect("its end"))
+    /// Runs an operator's policy command to its end.
+    pub fn command(&self, to: usize, args: &[&str]) -> (Option<i32>, String) {
+        exit_and_output(self.begin(to, args).wait_with_output().expect("its end"))
     }
 
-    /// Proposes the policy that is to be that number.
+    /// Proposes the policy that is to get this number.
     pub fn propose(&self, to: usize, number: usize) -> (Option<i32>, String) {
         let file = self.file(number, "");
         self.command(to, &["propose", &file.display().to_string()])
     }
 
-    /// The number in force at one, as it says itself; none where it gives no answer.
+    /// The policy number that a scheduler reports as in force; None without a response.
     pub fn number(&self, at: usize) -> Option<usize> {
         self.status_field(at, "\"number\":")?.parse().ok()
     }
 
-    /// What stands behind some words of a status.
-    pub fn status_field(&self, at: usize, words: &str) -> Option<String> {
-        let said = self.fleet.nodes[at].query("policy");
-        let rest = said.split(words).nth(1)?;
+    /// The value after this text in a scheduler's policy status.
+    pub fn status_field(&self, at: usize, text: &str) -> Option<String> {
+        let status = self.fleet.nodes[at].query("policy");
+        let rest = status.split(text).nth(1)?;
         Some(rest.split([',', '}']).next()?.trim_matches('"').into())
     }
 
@@ -149,7 +155,7 @@
         self.status_field(at, "\"serves\":").as_deref() == Some("true")
     }
 
-    /// Waits until that number is in force at all of them, and they serve.
+    /// Waits until this number is in force at all of them, and they serve.
     pub fn until_in_force(&self, number: usize, at: &[usize]) {
         for &at in at {
             until(&format!("number {number} at n{at}"), || {
@@ -158,7 +164,7 @@
         }
     }
 
-    /// Waits until one number is in force at all, and all serve.
+    /// Waits until the same number is in force at all members, and all serve.
     pub fn until_one_in_force(&self) -> usize {
         let mut number = None;
         until("one number at all", || {
@@ -170,27 +176,28 @@
         number.unwrap_or_default()
     }
 
-    /// Cuts all ways between the two parts, or opens them.
-    pub fn set_links(&self, one: &[usize], other: &[usize], way: LinkState) {
+    /// Sets the state of all links between two parts of the group, in both directions.
+    pub fn set_links(&self, one: &[usize], other: &[usize], state: LinkState) {
         for &a in one {
             for &b in other {
-                self.relays[a].set(self.endpoints[b], way);
-                self.relays[b].set(self.endpoints[a], way);
+                self.relays[a].set(self.endpoints[b], state);
+                self.relays[b].set(self.endpoints[a], state);
             }
         }
     }
 
+    /// Opens all links.
     pub fn heal(&self) {
         self.relays.iter().for_each(|relay| relay.set_all(LinkState::Open));
     }
 
-    /// Answers to tasks of a policy's own workload.
+    /// Tasks of the workload `under-n` of a policy.
     pub fn records(&self, number: usize) -> Vec<TaskRecord> {
         let of = self.clients.iter().filter(|(of, _)| *of == number);
         of.flat_map(|(_, client)| client.records()).collect()
     }
 
-    /// Waits until a scheduler has finished a task under that policy that was handed in from now on.
+    /// Waits until a scheduler has finished a task under this policy that was sent from now on.
     pub fn until_finished(&self, number: usize, at: usize) {
         let from = Instant::now();
         until(&format!("a task under {number} at n{at}"), || {
@@ -198,30 +205,31 @@
         });
     }
 
-    /// For how long tasks were still taken under `old`, as far as clients can tell, after the first was under `new`.
+    /// How long tasks were still accepted under `old`, as far as clients can observe, after the first was
+    /// finished under `new`.
     pub fn overlap(&self, old: usize, new: usize) -> Duration {
-        let finished = |number| self.records(number).into_iter().filter(|told| told.end == TaskEnd::Finished);
-        let first = finished(new).map(|told| told.answered).min();
-        let last = finished(old).map(|told| told.sent).max();
+        let finished = |number| self.records(number).into_iter().filter(|task| task.end == TaskEnd::Finished);
+        let first = finished(new).map(|task| task.answered).min();
+        let last = finished(old).map(|task| task.sent).max();
         first.zip(last).map_or(Duration::ZERO, |(first, last)| last.saturating_duration_since(first))
     }
 
-    /// What broke: the four rules by the judge, and two policies for longer than the bound.
+    /// Violations of the rules of `checks`, and overlaps of two policies for longer than the bound.
     pub fn violations(&mut self) -> Vec<String> {
         self.clients.iter_mut().for_each(|(_, client)| client.stop());
-        let mut wrong = self.fleet.violations();
+        let mut found = self.fleet.violations();
         let last = self.clients.iter().map(|(number, _)| *number).max().unwrap_or_default();
         for old in 1..last {
-            let mixture = (old + 1..=last).map(|new| self.overlap(old, new)).max().unwrap_or_default();
-            if mixture > MAX_OVERLAP {
-                wrong.push(format!("number {old} was served under {mixture:?} after a later one"));
+            let overlap = (old + 1..=last).map(|new| self.overlap(old, new)).max().unwrap_or_default();
+            if overlap > MAX_OVERLAP {
+                found.push(format!("number {old} was served under {overlap:?} after a later one"));
             }
         }
-        wrong
+        found
     }
 }
 
-/// Exit code and all that was said.
+/// The exit code, standard output and standard error of a process.
 pub fn exit_and_output(output: Output) -> (Option<i32>, String) {
     let text = [output.stdout, output.stderr].concat();
     (output.status.code(), String::from_utf8(text).expect("text"))
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -1,6 +1,6 @@
-//! The means of proof for what several processes do together: real schedulers on loopback ([`fleet`], [`group`]), faults between
-//! them ([`between`]), what stands around them ([`standins`], [`peers`]), and a judge that knows nothing of the inside
-//! ([`judge`]). No part of what is shipped.
+//! Test support for several real schedulers on loopback ([`fleet`], [`group`]): relays that inject network
+//! faults between them ([`relays`]), mock workers, discovery and clients ([`mocks`], [`peers`]), and checks
+//! of what clients and workers observed ([`checks`]). It is not part of the shipped program.
 
 pub mod checks;
 pub mod fleet;
--- a/crates/trial/src/mocks.rs
+++ b/crates/trial/src/mocks.rs
@@ -1,4 +1,5 @@
-//! What stands around the schedulers: workers, the discovery, clients. Each writes down what it ran, sent and got.
+//! Mock workers, discovery and clients around the schedulers. Workers record the tasks that they received,
+//! and clients what they sent and got.
 
 use crate::peers::{entry, listener, serve_each, Peer};
 use std::collections::VecDeque;
@@ -9,30 +10,31 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long the discovery holds a watch that brings nothing.
-const WATCH: Duration = Duration::from_millis(200);
+/// The discovery answers a watch after this time even if the list is unchanged.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A worker that serves in order, tells starts and ends, and notes what came when.
+/// A worker that runs tasks in the order of arrival, reports their starts and ends, and records their arrival
+/// times.
 pub struct Worker {
     pub name: String,
     pub address: SocketAddr,
     slots: usize,
     run: Duration,
-    /// Ids of tasks, as they came.
+    /// Ids of received tasks, in the order of arrival.
     pub received: Mutex<Vec<(String, Instant)>>,
-    /// What waits, with where its news goes.
+    /// Waiting tasks: their ids and where their updates are sent.
     pub queue: Mutex<VecDeque<(String, SocketAddr)>>,
     running: Mutex<usize>,
 }
 
 impl Worker {
-    /// Of so many slots; each task runs for as long.
+    /// Starts a worker with this many slots; each task runs for `run`.
     pub fn start(name: &str, slots: usize, run: Duration) -> Arc<Self> {
         let (listener, address) = listener();
         let (received, queue, running) = (Mutex::default(), Mutex::default(), Mutex::new(0));
         let worker = Arc::new(Worker { name: name.into(), address, slots, run, received, queue, running });
-        let serves = worker.clone();
-        serve_each(listener, move |stream| serves.clone().serve(stream));
+        let server = worker.clone();
+        serve_each(listener, move |stream| server.clone().serve(stream));
         worker
     }
 
@@ -41,37 +43,37 @@
         while let Some(message) = peer.try_read() {
             if message.first.starts_with("POST") {
                 let id = message.header("x-trace-id").expect("an id").to_string();
-                self.received.lock().expect("notes").push((id.clone(), Instant::now()));
-                // The body tells where the news goes.
+                self.received.lock().expect("records").push((id.clone(), Instant::now()));
+                // The body is the address for the task's updates.
                 let to = message.body.parse().expect("an address");
-                self.queue.lock().expect("a line").push_back((id, to));
+                self.queue.lock().expect("a queue").push_back((id, to));
                 peer.accept_task();
-                self.clone().begin();
+                self.clone().start_next();
             } else {
                 let id = message.first.split(['/', ' ']).nth(3).unwrap_or_default().to_string();
-                self.queue.lock().expect("a line").retain(|(waits, _)| *waits != id);
+                self.queue.lock().expect("a queue").retain(|(waiting, _)| *waiting != id);
                 peer.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             }
         }
     }
 
-    /// Starts the next task in line if a slot is free.
-    fn begin(self: Arc<Self>) {
+    /// Starts the next waiting task if a slot is free.
+    fn start_next(self: Arc<Self>) {
         let mut running = self.running.lock().expect("a count");
         if *running == self.slots {
             return;
         }
-        let Some((id, to)) = self.queue.lock().expect("a line").pop_front() else { return };
+        let Some((id, to)) = self.queue.lock().expect("a queue").pop_front() else { return };
         *running += 1;
         let worker = self.clone();
         std::thread::spawn(move || {
-            tell(to, &format!(r#"{{"id":"{id}","from":"{}","state":"started"}}"#, worker.name));
+            send_update(to, &format!(r#"{{"id":"{id}","from":"{}","state":"started"}}"#, worker.name));
             std::thread::sleep(worker.run);
             *worker.running.lock().expect("a count") -= 1;
             let free = worker.slots - *worker.running.lock().expect("a count");
             let (name, load) = (&worker.name, format!(r#"{{"free-slots":{free}}}"#));
-            worker.clone().begin();
-            tell(
+            worker.clone().start_next();
+            send_update(
                 to,
                 &format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"{name}","load":{load}}}"#),
             );
@@ -79,30 +81,31 @@
     }
 }
 
-/// How long a worker waits for a scheduler that stands still.
-const NEWS: Duration = Duration::from_secs(1);
+/// A worker waits at most this long for the response to an update.
+const UPDATE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A worker's news. A scheduler that is gone, or stands still, does not stop the worker.
-pub fn tell(to: SocketAddr, text: &str) {
+/// Sends a task update to a scheduler. Errors and time-outs are ignored: the worker continues if the
+/// scheduler has ended or does not respond.
+pub fn send_update(to: SocketAddr, text: &str) {
     let Ok(mut stream) = TcpStream::connect(to) else { return };
     let length = text.len();
-    let whole = format!("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{text}");
-    let _ = stream.set_read_timeout(Some(NEWS));
-    let _ = stream.write_all(whole.as_bytes()).and_then(|()| stream.read(&mut [0; 256]));
+    let request = format!("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{text}");
+    let _ = stream.set_read_timeout(Some(UPDATE_TIMEOUT));
+    let _ = stream.write_all(request.as_bytes()).and_then(|()| stream.read(&mut [0; 256]));
 }
 
-/// A discovery agent: whole lists, and watches that end at once when there is something new.
+/// A mock discovery agent: complete lists, and watches that end at once when the list changes.
 pub struct Agent {
     pub address: SocketAddr,
-    lists: Mutex<(u64, Vec<String>)>,
+    list: Mutex<(u64, Vec<String>)>,
 }
 
 impl Agent {
     pub fn start(entries: Vec<String>) -> Arc<Self> {
         let (listener, address) = listener();
-        let agent = Arc::new(Agent { address, lists: Mutex::new((1, entries)) });
-        let serves = agent.clone();
-        serve_each(listener, move |stream| serves.serve(stream));
+        let agent = Arc::new(Agent { address, list: Mutex::new((1, entries)) });
+        let server = agent.clone();
+        serve_each(listener, move |stream| server.serve(stream));
         agent
     }
 
@@ -111,19 +114,19 @@
         while let Some(message) = peer.try_read() {
             let after = message.first.split("after=").nth(1).and_then(|v| v.split('&').next()?.parse().ok());
             let began = Instant::now();
-            while after == Some(self.lists.lock().expect("a list").0) && began.elapsed() < WATCH {
+            while after == Some(self.list.lock().expect("a list").0) && began.elapsed() < WATCH_TIMEOUT {
                 std::thread::sleep(Duration::from_millis(2));
             }
-            let (index, entries) = self.lists.lock().expect("a list").clone();
+            let (index, entries) = self.list.lock().expect("a list").clone();
             let entries = entries.join(",");
             peer.answer(&format!(r#"{{"index":{index},"snapshot":true,"endpoints":[{entries}]}}"#));
         }
     }
 
-    /// Names these from now on.
+    /// Replaces the list of workers.
     pub fn list(&self, entries: Vec<String>) {
-        let mut lists = self.lists.lock().expect("a list");
-        *lists = (lists.0 + 1, entries);
+        let mut list = self.list.lock().expect("a list");
+        *list = (list.0 + 1, entries);
     }
 }
 
@@ -133,65 +136,70 @@
     entry.replace(r#""since_ms":0"#, &format!(r#""since_ms":{since_ms}"#))
 }
 
-/// How a task ended for its client.
+/// How a task ended, as its client observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskEnd {
+    /// Status 200.
     Finished,
+    /// Status 503: refused without having run.
     Shed,
+    /// Status 500: given up, and it may have run.
     Interrupted,
-    /// Another answer than those three.
+    /// A status other than those three.
     Unexpected,
-    /// The scheduler was not there, or went away: no answer.
+    /// No response: the scheduler was not running, or ended.
     NoResponse,
 }
 
-/// One task, as its client saw it.
+/// One task, as its client observed it.
 #[derive(Clone, Debug)]
 pub struct TaskRecord {
     pub id: String,
     /// The scheduler, by number.
     pub to: usize,
     pub sent: Instant,
+    /// When the response was received, or the attempt failed.
     pub answered: Instant,
     pub end: TaskEnd,
-    /// Whatever came behind the one answer.
-    pub more: bool,
+    /// Whether there were bytes after the response.
+    pub has_extra_bytes: bool,
 }
 
-/// Hands tasks to one scheduler, one after the other and no faster than one in so long, until told to stop: one that
-/// is answered at once does not come more often.
+/// Sends tasks to one scheduler, one after the other and at most one in each interval, until it is stopped.
+/// Because of the interval, a scheduler that responds sooner does not get more tasks.
 pub struct Client {
     stop: Arc<AtomicBool>,
-    told: Arc<Mutex<Vec<TaskRecord>>>,
-    hand: Option<JoinHandle<()>>,
+    records: Arc<Mutex<Vec<TaskRecord>>>,
+    thread: Option<JoinHandle<()>>,
 }
 
 impl Client {
-    /// Tasks of `path`, whose bodies tell workers where their news goes.
-    pub fn start(to: usize, at: SocketAddr, path: &str, every: Duration) -> Self {
-        let (stop, told) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
-        let (ends, notes, path) = (stop.clone(), told.clone(), path.to_string());
-        let hand = std::thread::spawn(move || {
-            let (mut line, mut number) = (None, 0);
-            while !ends.load(Ordering::SeqCst) {
+    /// Starts a client that sends tasks of `path`. Their bodies are the address for the workers' updates.
+    pub fn start(to: usize, at: SocketAddr, path: &str, interval: Duration) -> Self {
+        let (stop, records) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
+        let (should_stop, recorded, path) = (stop.clone(), records.clone(), path.to_string());
+        let thread = std::thread::spawn(move || {
+            let (mut connection, mut number) = (None, 0);
+            while !should_stop.load(Ordering::SeqCst) {
                 let id = format!("{}-{}-{number}", at.port(), path.rsplit('/').next().unwrap_or_default());
                 number += 1;
-                let one = hand_in(&mut line, to, at, &path, id);
-                let next = one.sent + every;
-                notes.lock().expect("notes").push(one);
+                let record = send_task(&mut connection, to, at, &path, id);
+                let next = record.sent + interval;
+                recorded.lock().expect("records").push(record);
                 std::thread::sleep(next.saturating_duration_since(Instant::now()));
             }
         });
-        Client { stop, told, hand: Some(hand) }
+        Client { stop, records, thread: Some(thread) }
     }
 
+    /// All tasks so far.
     pub fn records(&self) -> Vec<TaskRecord> {
-        self.told.lock().expect("notes").clone()
+        self.records.lock().expect("records").clone()
     }
 
     pub fn stop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
-        self.hand.take().into_iter().for_each(|hand| hand.join().expect("a client"));
+        self.thread.take().into_iter().for_each(|thread| thread.join().expect("a client"));
     }
 }
 
@@ -201,32 +209,33 @@
     }
 }
 
-fn hand_in(line: &mut Option<Peer>, to: usize, at: SocketAddr, path: &str, id: String) -> TaskRecord {
+fn send_task(connection: &mut Option<Peer>, to: usize, at: SocketAddr, path: &str, id: String) -> TaskRecord {
     let sent = Instant::now();
-    let fresh = || TcpStream::connect(at).ok().map(Peer::new);
-    // An idle connection may have been closed meanwhile: a client notices before it writes.
-    if line.as_ref().is_some_and(Peer::is_closed) {
-        *line = None;
+    let connect = || TcpStream::connect(at).ok().map(Peer::new);
+    // Does not write to an idle connection that the scheduler has closed meanwhile.
+    if connection.as_ref().is_some_and(Peer::is_closed) {
+        *connection = None;
     }
-    let kept = line.take();
-    let is_kept = kept.is_some();
-    let mut peer = kept.or_else(fresh);
+    let idle = connection.take();
+    let was_idle = idle.is_some();
+    let mut peer = idle.or_else(connect);
     let post = |peer: &mut Option<Peer>| peer.as_mut()?.try_post(6000, path, &id, &at.to_string());
-    let mut answer = post(&mut peer);
-    // As the protocol has it: on a kept connection that was closed as it wrote, a client sends once more on a new one.
-    if answer.is_none() && is_kept {
-        peer = fresh();
-        answer = post(&mut peer);
+    let mut response = post(&mut peer);
+    // As the protocol requires: if an idle connection was closed during the write, the client repeats the
+    // request once on a new one.
+    if response.is_none() && was_idle {
+        peer = connect();
+        response = post(&mut peer);
     }
-    let end = match answer.as_ref().map(|answer| answer.first.split(' ').nth(1).unwrap_or_default()) {
+    let end = match response.as_ref().map(|response| response.first.split(' ').nth(1).unwrap_or_default()) {
         Some("200") => TaskEnd::Finished,
         Some("503") => TaskEnd::Shed,
         Some("500") => TaskEnd::Interrupted,
         Some(_) => TaskEnd::Unexpected,
         None => TaskEnd::NoResponse,
     };
-    let more = peer.as_ref().is_some_and(Peer::has_more);
-    let closes = answer.is_none_or(|answer| answer.header("connection") == Some("close"));
-    *line = peer.filter(|_| !closes);
-    TaskRecord { id, to, sent, answered: Instant::now(), end, more }
+    let has_extra_bytes = peer.as_ref().is_some_and(Peer::has_more);
+    let closes = response.is_none_or(|response| response.header("connection") == Some("close"));
+    *connection = peer.filter(|_| !closes);
+    TaskRecord { id, to, sent, answered: Instant::now(), end, has_extra_bytes }
 }
--- a/crates/trial/src/peers.rs
+++ b/crates/trial/src/peers.rs
@@ -1,4 +1,4 @@
-//! Peers of the scheduler that are spoken to and answered by hand, and the scheduler as a process.
+//! Peers that exchange single HTTP messages with a scheduler, and the scheduler as a process.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 /// A step that takes this long is a failure.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One end of a connection that speaks HTTP/1.1 by hand.
+/// One end of an HTTP/1.1 connection on which a test reads and writes single messages.
 pub struct Peer(pub BufReader<TcpStream>);
 
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     }
 }
 
-/// A task as clients write it.
+/// The request by which a client submits a task.
 fn task(ms: u64, path: &str, id: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -37,7 +37,7 @@
 
 impl Peer {
     pub fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(STEP_TIMEOUT)).expect("a time-out");
         Peer(BufReader::new(stream))
     }
 
@@ -54,7 +54,7 @@
                     stream.set_nonblocking(false).expect("a stream that waits");
                     return Self::new(stream);
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock && began.elapsed() < PATIENCE => {
+                Err(e) if e.kind() == ErrorKind::WouldBlock && began.elapsed() < STEP_TIMEOUT => {
                     std::thread::sleep(Duration::from_millis(2));
                 }
                 Err(e) => panic!("no connection: {e}"),
@@ -67,7 +67,7 @@
         self
     }
 
-    /// The next message; none at the connection's end, also in the midst of one.
+    /// Reads the next message. None at the end of the connection, also within a message.
     pub fn try_read(&mut self) -> Option<Message> {
         let (mut first, mut headers) = (String::new(), String::new());
         match self.0.read_line(&mut first) {
@@ -99,24 +99,24 @@
         self.write(&task(ms, path, id, body))
     }
 
-    /// Hands in a task and waits for its answer; none where the connection ends before.
+    /// Submits a task and waits for its response. None if the connection ends before.
     pub fn try_post(&mut self, ms: u64, path: &str, id: &str, body: &str) -> Option<Message> {
         let whole = task(ms, path, id, body);
         self.0.get_mut().write_all(whole.as_bytes()).ok()?;
         self.try_read()
     }
 
-    /// Whether the other end has closed, as far as can be seen without waiting.
+    /// Whether the other end has closed the connection, as far as is known without waiting.
     pub fn is_closed(&self) -> bool {
         self.peek().is_none()
     }
 
-    /// Whether something stands there that nobody asked for.
+    /// Whether there are unread bytes.
     pub fn has_more(&self) -> bool {
         !self.0.buffer().is_empty() || self.peek().is_some_and(|there| there > 0)
     }
 
-    /// Bytes that have come; none at the end.
+    /// Number of unread bytes, 1 at most; None if the connection is closed.
     fn peek(&self) -> Option<usize> {
         let stream = self.0.get_ref();
         stream.set_nonblocking(true).ok()?;
@@ -134,6 +134,7 @@
         self.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
     }
 
+    /// Answers 202 Accepted, as a worker does to a task.
     pub fn accept_task(&mut self) {
         self.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
     }
@@ -154,7 +155,7 @@
     pub log: BufReader<std::process::ChildStdout>,
 }
 
-/// The program that is tried: built beside the test that runs.
+/// The program under test, in the build folder of the running test.
 pub fn program() -> PathBuf {
     let test = std::env::current_exe().expect("the test's own program");
     let folder = test.ancestors().nth(2).expect("the folder of the build");
@@ -163,7 +164,7 @@
     program
 }
 
-/// A folder of the build for what tests write.
+/// A folder for files of tests, in the build folder.
 pub fn scratch() -> PathBuf {
     let folder = program().with_file_name("trial-files");
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -176,19 +177,19 @@
     path
 }
 
-/// The folder that a scheduler and the one that takes over from it have in common.
+/// The runtime folder that a scheduler shares with the process that takes over from it.
 pub fn runtime(name: &str) -> PathBuf {
     scratch().join(format!("{name}.run"))
 }
 
-/// Starts it with this many descriptors at the most, and an empty runtime folder.
+/// Starts a scheduler with this limit of file descriptors and an empty runtime folder.
 pub fn spawn(name: &str, config: &str, descriptors: usize) -> Child {
     let _ = std::fs::remove_dir_all(runtime(name));
     std::fs::create_dir_all(runtime(name)).expect("a folder");
     spawn_beside(name, config, descriptors)
 }
 
-/// The same with the runtime folder as it is.
+/// Starts a scheduler as `spawn` does, but keeps the contents of the runtime folder.
 pub fn spawn_beside(name: &str, config: &str, descriptors: usize) -> Child {
     let path = write_config(name, config);
     let mut command = Command::new("sh");
@@ -217,12 +218,18 @@
         Self::with_limits(name, discovery, entries, 1024, 1024)
     }
 
-    /// TaskRecord of this many sockets, and held to this many descriptors.
-    pub fn with_limits(name: &str, agent: SocketAddr, entries: &[String], told: usize, held: usize) -> Self {
-        Self::from_child(spawn(name, &config(agent, entries, told), held))
+    /// Starts a scheduler configured for this many sockets, with this limit of file descriptors.
+    pub fn with_limits(
+        name: &str,
+        agent: SocketAddr,
+        entries: &[String],
+        sockets: usize,
+        descriptors: usize,
+    ) -> Self {
+        Self::from_child(spawn(name, &config(agent, entries, sockets), descriptors))
     }
 
-    /// A process that has just been started, as soon as it listens.
+    /// Wraps a process that has just been started, and waits until it listens.
     pub fn from_child(mut child: Child) -> Self {
         let log = BufReader::new(child.stdout.take().expect("its log"));
         let address = ([0, 0, 0, 0], 0).into();
@@ -233,7 +240,7 @@
         scheduler
     }
 
-    /// Reads the log up to a line that has these words.
+    /// Reads the log up to a line that contains this text.
     pub fn wait_for_line(&mut self, words: &str) -> String {
         loop {
             let mut line = String::new();
@@ -249,12 +256,13 @@
         assert!(Command::new("kill").args([signal, &id]).status().expect("kill").success());
     }
 
-    /// Its file is replaced, and it is told.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, name: &str, config: &str) {
         write_config(name, config);
         self.signal("-HUP");
     }
 
+    /// Sends a task update as a worker does; the status line of the response.
     pub fn send_update(&self, text: &str) -> String {
         let mut worker = Peer::connect(self.address);
         worker.write(&format!(
@@ -264,10 +272,11 @@
         worker.read().first
     }
 
+    /// Reports as worker `from` that a task is done.
     pub fn done(&self, id: &str, from: &str, result: &str) {
-        let told = self
+        let response = self
             .send_update(&format!(r#"{{"id":"{id}","from":"{from}","state":"done","result":"{result}"}}"#));
-        assert_eq!(told, "HTTP/1.1 204 No Content");
+        assert_eq!(response, "HTTP/1.1 204 No Content");
     }
 }
 
@@ -278,33 +287,34 @@
     }
 }
 
-/// A configuration with an operators' address.
+/// Adds a management address to a configuration.
 pub fn with_management(config: &str) -> String {
     config.replacen(r#""seed""#, r#""mgmt":"127.0.0.1:0","seed""#, 1)
 }
 
-/// A scheduler whose operators' address answers there.
+/// Reads the management address from the log.
 pub fn management_address(scheduler: &mut Scheduler) -> SocketAddr {
     let line = scheduler.wait_for_line("operators' address is ");
     line.split("address is ").nth(1).expect("an address").trim().parse().expect("an address")
 }
 
-/// The whole answer to an operator's call, as it is written; none where nobody is there.
+/// Sends a call to a management address. The complete response, or None if the address does not accept
+/// connections.
 pub fn try_call(at: SocketAddr, line: &[u8]) -> Option<String> {
     let mut stream = TcpStream::connect(at).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).ok()?;
     stream.write_all(line).ok()?;
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
     Some(String::from_utf8(answer).expect("text"))
 }
 
-/// The same of one that is there.
+/// Sends a call to a management address that must respond.
 pub fn call(at: SocketAddr, line: &[u8]) -> String {
-    try_call(at, line).expect("an operators' address that answers")
+    try_call(at, line).expect("a response from the management address")
 }
 
-/// Serves each connection on a thread of its own.
+/// Serves each connection on a new thread.
 pub fn serve_each(listener: TcpListener, serve: impl Fn(TcpStream) + Clone + Send + 'static) {
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
--- a/crates/trial/src/relays.rs
+++ b/crates/trial/src/relays.rs
@@ -1,4 +1,5 @@
-//! Relays on loopback between two processes, for connections and for datagrams, whose faults are set while they run.
+//! Relays on loopback between two processes, for TCP connections and for UDP datagrams. Faults can be set
+//! while they run.
 
 use crate::peers::listener;
 use std::collections::HashMap;
@@ -9,30 +10,30 @@
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// What happens to connections. A new fault also strikes those that are open.
+/// A fault of connections. A new fault also affects open connections.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Fault {
     #[default]
     None,
-    /// Ended at once.
+    /// Connections are closed at once.
     Refuse,
-    /// Taken, and then nothing in either direction.
+    /// Connections are accepted, and no bytes are forwarded in either direction.
     Blackhole,
-    /// The same for connections whose first words are these; all others pass.
+    /// As `Blackhole` for requests of connections whose first bytes are these; others are not affected.
     DropMatching(String),
-    /// Answers come so much later, in order.
+    /// Responses are delayed by this time, in order.
     DelayResponses(Duration),
-    /// Ended after so many bytes of the answer.
+    /// Connections are closed after this many bytes of the response.
     TruncateResponses(usize),
 }
 
 #[derive(Default)]
 struct State {
     fault: Fault,
-    struck: usize,
+    affected: usize,
 }
 
-/// Passes connections on to one address.
+/// Forwards connections to one address.
 pub struct Relay {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
@@ -42,8 +43,8 @@
     pub fn to(target: SocketAddr) -> Self {
         let (listener, address) = listener();
         let state = Arc::new(Mutex::new(State::default()));
-        let serves = state.clone();
-        spawn(move || accept(&listener, target, &serves));
+        let relay_state = state.clone();
+        spawn(move || accept(&listener, target, &relay_state));
         Relay { address, state }
     }
 
@@ -51,9 +52,9 @@
         self.state.lock().expect("a fault").fault = fault;
     }
 
-    /// Connections that a fault has struck so far.
+    /// How often a fault has taken effect so far.
     pub fn affected(&self) -> usize {
-        self.state.lock().expect("a count").struck
+        self.state.lock().expect("a count").affected
     }
 }
 
@@ -63,44 +64,44 @@
         spawn(move || {
             let fault = state.lock().expect("a fault").fault.clone();
             if fault == Fault::Refuse {
-                state.lock().expect("a count").struck += 1;
+                state.lock().expect("a count").affected += 1;
                 return;
             }
             let Ok(server) = TcpStream::connect(target) else { return };
             let (Ok(from_client), Ok(from_server)) = (client.try_clone(), server.try_clone()) else { return };
-            let answers = state.clone();
-            let back = spawn(move || pump(from_server, client, &answers, true));
-            pump(from_client, server, &state, false);
+            let response_state = state.clone();
+            let back = spawn(move || copy(from_server, client, &response_state, true));
+            copy(from_client, server, &state, false);
             let _ = back.join();
         });
     }
 }
 
-/// Carries bytes one way until an end, or a fault that ends it.
-fn pump(mut from: TcpStream, mut to: TcpStream, state: &Mutex<State>, answers: bool) {
+/// Copies bytes in one direction until the end of the stream, or until a fault ends it.
+fn copy(mut from: TcpStream, mut to: TcpStream, state: &Mutex<State>, is_response: bool) {
     let (mut bytes, mut passed, mut first) = ([0; 4096], 0, true);
     while let Ok(read @ 1..) = from.read(&mut bytes) {
         let fault = state.lock().expect("a fault").fault.clone();
-        let mut some = &bytes[..read];
-        let strikes = match &fault {
+        let mut chunk = &bytes[..read];
+        let applies = match &fault {
             Fault::None => false,
             Fault::Refuse | Fault::Blackhole => true,
-            Fault::DropMatching(words) => !answers && first && some.starts_with(words.as_bytes()),
-            Fault::DelayResponses(_) | Fault::TruncateResponses(_) => answers,
+            Fault::DropMatching(text) => !is_response && first && chunk.starts_with(text.as_bytes()),
+            Fault::DelayResponses(_) | Fault::TruncateResponses(_) => is_response,
         };
         first = false;
-        if strikes {
-            state.lock().expect("a count").struck += 1;
+        if applies {
+            state.lock().expect("a count").affected += 1;
             match fault {
                 Fault::DelayResponses(by) => sleep(by),
-                Fault::TruncateResponses(after) => some = &some[..read.min(after.saturating_sub(passed))],
+                Fault::TruncateResponses(after) => chunk = &chunk[..read.min(after.saturating_sub(passed))],
                 Fault::Refuse => break,
-                // What was swallowed is gone for good; the connection stands until the other end leaves.
+                // The bytes are dropped; the connection stays open until the sender closes it.
                 _ => continue,
             }
         }
-        passed += some.len();
-        if to.write_all(some).is_err() || some.len() < read {
+        passed += chunk.len();
+        if to.write_all(chunk).is_err() || chunk.len() < read {
             break;
         }
     }
@@ -108,28 +109,29 @@
     let _ = from.shutdown(Shutdown::Read);
 }
 
-/// Passes datagrams on to one address; faults strike by who sends them.
+/// Forwards datagrams to one address; faults are set by sender.
 pub struct DatagramRelay {
     pub address: SocketAddr,
-    faults: Arc<Mutex<Ways>>,
+    faults: Arc<Mutex<Links>>,
     passed: Arc<AtomicUsize>,
 }
 
-/// What happens to datagrams of one sender, or of all.
+/// The link states by sender, and the one of all other senders.
 #[derive(Clone, Debug, Default)]
-struct Ways {
+struct Links {
     all: LinkState,
-    of: HashMap<SocketAddr, LinkState>,
+    by_sender: HashMap<SocketAddr, LinkState>,
 }
 
+/// What happens to the datagrams of a sender.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LinkState {
     #[default]
     Open,
     Cut,
-    /// Each comes so much later, and once more after twice that.
+    /// Each datagram is delayed by this time, and delivered again after twice this time.
     DelayAndDuplicate(Duration),
-    /// One in so many is lost, by turns.
+    /// Every n-th datagram is dropped.
     DropOneIn(usize),
 }
 
@@ -137,39 +139,39 @@
     pub fn to(target: SocketAddr) -> Self {
         let front = Arc::new(UdpSocket::bind((target.ip(), 0)).expect("a socket"));
         let address = front.local_addr().expect("an address");
-        let faults = Arc::new(Mutex::new(Ways::default()));
-        let (ways, passed) = (faults.clone(), Arc::new(AtomicUsize::new(0)));
-        let counts = passed.clone();
-        spawn(move || pass(&front, target, &ways, &counts));
+        let faults = Arc::new(Mutex::new(Links::default()));
+        let (links, passed) = (faults.clone(), Arc::new(AtomicUsize::new(0)));
+        let counter = passed.clone();
+        spawn(move || forward(&front, target, &links, &counter));
         DatagramRelay { address, faults, passed }
     }
 
-    /// DatagramRelay that came here so far.
+    /// Number of datagrams received so far.
     pub fn passed(&self) -> usize {
         self.passed.load(Ordering::Relaxed)
     }
 
-    /// For whoever sends from there; the last word counts, also over `set_all`.
-    pub fn set(&self, from: SocketAddr, way: LinkState) {
-        self.faults.lock().expect("faults").of.insert(from, way);
+    /// Sets the link state of one sender. A later call of `set` or `set_all` overrides it.
+    pub fn set(&self, from: SocketAddr, link: LinkState) {
+        self.faults.lock().expect("faults").by_sender.insert(from, link);
     }
 
-    pub fn set_all(&self, way: LinkState) {
-        *self.faults.lock().expect("faults") = Ways { all: way, of: HashMap::new() };
+    pub fn set_all(&self, link: LinkState) {
+        *self.faults.lock().expect("faults") = Links { all: link, by_sender: HashMap::new() };
     }
 }
 
-fn pass(front: &Arc<UdpSocket>, target: SocketAddr, ways: &Mutex<Ways>, passed: &AtomicUsize) {
+fn forward(front: &Arc<UdpSocket>, target: SocketAddr, links: &Mutex<Links>, passed: &AtomicUsize) {
     let mut bytes = [0; 2048];
-    let mut behind: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
+    let mut upstream: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
     loop {
-        // An error tells of an earlier one that met nobody.
+        // An error reports that an earlier datagram was not delivered (ICMP).
         let Ok((length, from)) = front.recv_from(&mut bytes) else { continue };
-        let way = {
-            let ways = ways.lock().expect("faults");
-            ways.of.get(&from).copied().unwrap_or(ways.all)
+        let link = {
+            let links = links.lock().expect("faults");
+            links.by_sender.get(&from).copied().unwrap_or(links.all)
         };
-        let to = behind.entry(from).or_insert_with(|| {
+        let to = upstream.entry(from).or_insert_with(|| {
             let socket = Arc::new(UdpSocket::bind((target.ip(), 0)).expect("a socket"));
             socket.connect(target).expect("a target");
             let (back, front) = (socket.clone(), front.clone());
@@ -184,10 +186,10 @@
             socket
         });
         let count = passed.fetch_add(1, Ordering::Relaxed) + 1;
-        match way {
+        match link {
             LinkState::Open => drop(to.send(&bytes[..length])),
             LinkState::Cut => {}
-            LinkState::DropOneIn(in_so_many) if count.is_multiple_of(in_so_many) => {}
+            LinkState::DropOneIn(one_in) if count.is_multiple_of(one_in) => {}
             LinkState::DropOneIn(_) => drop(to.send(&bytes[..length])),
             LinkState::DelayAndDuplicate(by) => {
                 let (to, bytes) = (to.clone(), bytes[..length].to_vec());
@@ -207,7 +209,7 @@
     use super::*;
     use std::time::Instant;
 
-    /// A server that answers each connection's first words with themselves.
+    /// A server that echoes the first bytes of each connection.
     fn echo() -> SocketAddr {
         let (listener, address) = listener();
         spawn(move || {
@@ -221,10 +223,10 @@
         address
     }
 
-    fn ask(relay: &Relay, words: &str) -> Option<String> {
+    fn exchange(relay: &Relay, text: &str) -> Option<String> {
         let mut stream = TcpStream::connect(relay.address).expect("a relay");
         stream.set_read_timeout(Some(Duration::from_millis(300))).expect("a time-out");
-        stream.write_all(words.as_bytes()).ok()?;
+        stream.write_all(text.as_bytes()).ok()?;
         let mut text = String::new();
         match stream.read_to_string(&mut text) {
             Ok(_) => Some(text),
@@ -232,13 +234,13 @@
         }
     }
 
-    /// Guards against a way of datagrams that is open when it is cut, or the other way round.
+    /// Guards against a datagram relay that forwards on a cut link, or drops on an open one.
     #[test]
-    fn datagrams_go_the_way_that_is_set() {
+    fn datagrams_follow_the_link_state_of_their_sender() {
         let [target, sender, other] = [(); 3].map(|()| UdpSocket::bind("127.0.0.1:0").expect("a socket"));
         target.set_read_timeout(Some(Duration::from_millis(300))).expect("a time-out");
         let relay = DatagramRelay::to(target.local_addr().expect("an address"));
-        let came = |from: &UdpSocket| {
+        let received = |from: &UdpSocket| {
             from.send_to(b"word", relay.address).expect("sent");
             let mut count = 0;
             while target.recv(&mut [0; 16]).is_ok() {
@@ -246,33 +248,34 @@
             }
             count
         };
-        assert_eq!((came(&sender), came(&other)), (1, 1));
+        assert_eq!((received(&sender), received(&other)), (1, 1));
         relay.set(sender.local_addr().expect("an address"), LinkState::Cut);
-        assert_eq!((came(&sender), came(&other)), (0, 1));
+        assert_eq!((received(&sender), received(&other)), (0, 1));
         relay.set_all(LinkState::DelayAndDuplicate(Duration::from_millis(20)));
-        assert_eq!((came(&sender), came(&other)), (2, 2));
+        assert_eq!((received(&sender), received(&other)), (2, 2));
         relay.set_all(LinkState::DropOneIn(2));
-        assert_eq!(came(&sender) + came(&sender), 1);
+        assert_eq!(received(&sender) + received(&sender), 1);
     }
 
-    /// Guards against a fault that does not strike, or strikes what it should not: tests would then prove nothing.
+    /// Guards against a fault that has no effect, or affects other connections: tests that use it would pass
+    /// without reason.
     #[test]
-    fn each_fault_does_what_it_says() {
+    fn each_connection_fault_has_its_effect_and_no_other() {
         let relay = Relay::to(echo());
-        assert_eq!(ask(&relay, "hello").as_deref(), Some("hello"));
+        assert_eq!(exchange(&relay, "hello").as_deref(), Some("hello"));
         relay.set(Fault::Blackhole);
-        assert_eq!(ask(&relay, "hello"), None);
+        assert_eq!(exchange(&relay, "hello"), None);
         relay.set(Fault::DropMatching("set".into()));
-        assert_eq!((ask(&relay, "set x"), ask(&relay, "get x").as_deref()), (None, Some("get x")));
+        assert_eq!((exchange(&relay, "set x"), exchange(&relay, "get x").as_deref()), (None, Some("get x")));
         relay.set(Fault::TruncateResponses(2));
-        assert_eq!(ask(&relay, "hello").as_deref(), Some("he"));
+        assert_eq!(exchange(&relay, "hello").as_deref(), Some("he"));
         relay.set(Fault::DelayResponses(Duration::from_millis(100)));
         let began = Instant::now();
-        assert_eq!(ask(&relay, "hello").as_deref(), Some("hello"));
+        assert_eq!(exchange(&relay, "hello").as_deref(), Some("hello"));
         assert!(began.elapsed() >= Duration::from_millis(100));
-        let struck = relay.affected();
+        let affected = relay.affected();
         relay.set(Fault::Refuse);
-        assert_ne!(ask(&relay, "hello").as_deref(), Some("hello"));
-        assert!(relay.affected() > struck);
+        assert_ne!(exchange(&relay, "hello").as_deref(), Some("hello"));
+        assert!(relay.affected() > affected);
     }
 }
