--- a/crates/soak/src/generate.rs
+++ b/crates/soak/src/generate.rs
@@ -70,8 +70,8 @@
     generator.scenario
 }
 
-fn between(rng: &mut Rand64, [least, most]: [f64; 2]) -> f64 {
-    let sampled = least + (most - least) * rng.rand_float();
+fn between(rng: &mut Rand64, [min, max]: [f64; 2]) -> f64 {
+    let sampled = min + (max - min) * rng.rand_float();
     (sampled * 100.0).round() / 100.0
 }
 
@@ -127,7 +127,7 @@
         what: &str,
         durations: Option<[f64; 2]>,
     ) {
-        let most = match what {
+        let max = match what {
             "controller" => self.scenario.controllers,
             "host" => self.scenario.hosts,
             _ => self.scenario.proxies,
@@ -135,7 +135,7 @@
         let count = (per_second * self.scenario.seconds * 2.0 * self.rng.rand_float()).round() as usize;
         for _ in 0..count {
             let at = self.random_time();
-            let number = self.rng.rand_range(0..most as u64);
+            let number = self.rng.rand_range(0..max as u64);
             let for_s = durations.map(|range| self.between(range));
             self.push(at, kind, format!("{what}-{number}"), for_s);
         }
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -111,13 +111,13 @@
     let user = rng.rand_range(0..users as u64) as usize;
     let reuse = rng.rand_float() < REUSE_PROBABILITY;
     let (sampled, after) = (rng.rand_float(), rng.rand_float());
-    let [least, most] = EARLY_CLOSE_AFTER_MS;
+    let [min, max] = EARLY_CLOSE_AFTER_MS;
     let behaviour = if sampled < SLOW_BODY_PROBABILITY {
         Behaviour::SlowBody
     } else if sampled < SLOW_BODY_PROBABILITY + SLOW_READ_PROBABILITY {
         Behaviour::SlowRead
     } else if sampled < SLOW_BODY_PROBABILITY + SLOW_READ_PROBABILITY + EARLY_CLOSE_PROBABILITY {
-        Behaviour::ClosesEarly(Duration::from_secs_f64((least + (most - least) * after) / 1000.0))
+        Behaviour::ClosesEarly(Duration::from_secs_f64((min + (max - min) * after) / 1000.0))
     } else {
         Behaviour::Normal
     };
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -180,10 +180,10 @@
             route.timeout_ms += (revision % 7) as u32;
         }
         if revision.is_multiple_of(EXTRA_ROUTE_EVERY) {
-            let mut more = routes[0].clone();
-            more.name = format!("r-{revision}");
-            more.path_prefix = format!("/soak-{revision}/");
-            routes.push(more);
+            let mut extra = routes[0].clone();
+            extra.name = format!("r-{revision}");
+            extra.path_prefix = format!("/soak-{revision}/");
+            routes.push(extra);
         }
         let text = configuration(revision, &routes, &self.testbed.functions);
         let controllers = self.testbed.fleet.controllers();
--- a/crates/soak/src/scenario.rs
+++ b/crates/soak/src/scenario.rs
@@ -190,14 +190,14 @@
         let Some((target, which)) = action.target() else {
             return Err(field(name("on"), "proxy-N, controller-N or host-N, as the kind has it"));
         };
-        let most = match target {
+        let max = match target {
             Target::Proxy => self.proxies,
             Target::Controller => self.controllers,
             Target::Host => self.hosts,
             Target::Operator => 1,
         };
-        if which >= most {
-            return Err(field(name("on"), format!("numbers go from 0 to {}", most - 1)));
+        if which >= max {
+            return Err(field(name("on"), format!("numbers go from 0 to {}", max - 1)));
         }
         let lasts = matches!(action.kind, ActionKind::Freeze | ActionKind::DrainHost | ActionKind::CrashHost);
         match action.for_s {
@@ -209,18 +209,18 @@
     }
 }
 
-fn within(name: impl Into<String>, value: f64, [least, most]: [f64; 2]) -> Result<(), Fault> {
-    if value.is_finite() && (least..=most).contains(&value) {
+fn within(name: impl Into<String>, value: f64, [min, max]: [f64; 2]) -> Result<(), Fault> {
+    if value.is_finite() && (min..=max).contains(&value) {
         return Ok(());
     }
-    Err(field(name, format!("{value} is not between {least} and {most}")))
+    Err(field(name, format!("{value} is not between {min} and {max}")))
 }
 
-fn counts(name: &str, value: usize, most: usize) -> Result<(), Fault> {
-    if (1..=most).contains(&value) {
+fn counts(name: &str, value: usize, max: usize) -> Result<(), Fault> {
+    if (1..=max).contains(&value) {
         return Ok(());
     }
-    Err(field(name, format!("{value} is not between 1 and {most}")))
+    Err(field(name, format!("{value} is not between 1 and {max}")))
 }
 
 /// The line number and the reason, in one line.
--- a/crates/soak/tests/rules.rs
+++ b/crates/soak/tests/rules.rs
@@ -49,7 +49,7 @@
 
 /// SIGTERM at 10 s, the exit at 14 s, and one attempt.
 fn record(sent: u64, ended: u64, end: AttemptEnd) -> Record {
-    let tried = Attempt {
+    let attempt = Attempt {
         attempt_id: "a".into(),
         class: "book".into(),
         repeatable: false,
@@ -63,7 +63,7 @@
         end,
     };
     Record {
-        attempts: vec![tried],
+        attempts: vec![attempt],
         executed: vec![executed(10_000, ActionKind::Terminate)],
         exits: vec![process_end(14_000, true)],
         proxies: vec![ProxyMachine { name: PROXY.into(), address: address(), log: "log".into() }],
@@ -72,7 +72,7 @@
 }
 
 fn rules(record: &Record) -> Vec<Rule> {
-    find_violations(&scenario(), record).into_iter().map(|broken| broken.rule).collect()
+    find_violations(&scenario(), record).into_iter().map(|violation| violation.rule).collect()
 }
 
 const SERVED: AttemptEnd = AttemptEnd::Answered { status: 200, retry_after: false };
@@ -231,8 +231,8 @@
 #[test]
 fn reports_name_the_rule_the_attempt_and_the_signal() {
     let (scenario, record) = (scenario(), record(11_000, 12_000, AttemptEnd::ClosedUnanswered));
-    let broken = find_violations(&scenario, &record);
-    let outcome = Report { scenario: &scenario, record: &record, violations: &broken };
+    let violations = find_violations(&scenario, &record);
+    let outcome = Report { scenario: &scenario, record: &record, violations: &violations };
     let text = outcome.text();
     assert!(text.contains("BROKEN Lost at 12.00 s: book a at edge-1"), "{text}");
     assert!(text.contains("sent +1.00 s after its SIGTERM"), "{text}");
--- a/crates/standins/src/clients.rs
+++ b/crates/standins/src/clients.rs
@@ -63,8 +63,8 @@
                 while let Some(done) = open.join_next().await {
                     let Ok((index, ready)) = done else { continue };
                     let misses = &checked[index].misses;
-                    let more = misses.load(Relaxed).saturating_add(1);
-                    misses.store(if ready { 0 } else { more }, Relaxed);
+                    let one_more = misses.load(Relaxed).saturating_add(1);
+                    misses.store(if ready { 0 } else { one_more }, Relaxed);
                 }
                 sleep_until(next).await;
             }
@@ -72,7 +72,8 @@
         ProxySelector { proxies, checks: checks.abort_handle() }
     }
 
-    /// The proxy for an attempt of a client; attempts count from 0, and each of a request gets another proxy.
+    /// The proxy for an attempt of a request. Attempts count from 0; each selects another proxy, local zone
+    /// first.
     pub fn pick(&self, zone: &str, client: u64, attempt: usize) -> Option<SocketAddr> {
         let is_ready = |w: &&CheckedProxy| w.misses.load(Relaxed) < MAX_MISSES;
         let local: Vec<&CheckedProxy> = self.proxies.iter().filter(|w| w.proxy.zone == zone).collect();
@@ -511,8 +512,8 @@
             let at = SocketAddr::from(([127, 0, 0, n], 1));
             ProxyAddress { zone: zone.into(), data_plane: at, readiness: at }
         };
-        let entry = ProxySelector::new(vec![proxy("a", 1), proxy("a", 2), proxy("b", 3)]);
-        let mut picked: Vec<_> = (0..3).filter_map(|attempt| entry.pick("a", 5, attempt)).collect();
+        let selector = ProxySelector::new(vec![proxy("a", 1), proxy("a", 2), proxy("b", 3)]);
+        let mut picked: Vec<_> = (0..3).filter_map(|attempt| selector.pick("a", 5, attempt)).collect();
         assert_eq!(picked[2], SocketAddr::from(([127, 0, 0, 3], 1)));
         picked.sort();
         picked.dedup();
--- a/crates/standins/src/demo.rs
+++ b/crates/standins/src/demo.rs
@@ -347,8 +347,8 @@
                 number += 1000;
                 let (clients, class) = (clients.clone(), class.clone());
                 open.spawn(async move {
-                    for turn in 0.. {
-                        let (outcome, ..) = clients.request(&class, number + turn, user, false).await;
+                    for repetition in 0.. {
+                        let (outcome, ..) = clients.request(&class, number + repetition, user, false).await;
                         if matches!(outcome, Outcome::OnTime | Outcome::Late) {
                             return true;
                         }
--- a/crates/standins/src/loopback.rs
+++ b/crates/standins/src/loopback.rs
@@ -46,11 +46,11 @@
     /// Reserves a free network; `seed` selects where the search begins.
     pub fn free(seed: u32) -> std::io::Result<Net> {
         let mut last = std::io::ErrorKind::AddrInUse.into();
-        for turn in 0..64u32 {
-            let n = seed.wrapping_mul(0x9e37_79b1).wrapping_add(turn.wrapping_mul(0x0101)) >> 8;
+        for round in 0..64u32 {
+            let n = seed.wrapping_mul(0x9e37_79b1).wrapping_add(round.wrapping_mul(0x0101)) >> 8;
             let (x, y) = (64 + (n % 190) as u8, (n / 190 % 250) as u8);
             // Below the kernel's ephemeral port range for outgoing connections.
-            let ports = Ports::from([18_000, 20_000, 22_000, 8_020][turn as usize % 4]);
+            let ports = Ports::from([18_000, 20_000, 22_000, 8_020][round as usize % 4]);
             match Self::reserve(x, y, ports) {
                 Ok(net) => return Ok(net),
                 Err(why) => last = why,
--- a/crates/standins/src/operator.rs
+++ b/crates/standins/src/operator.rs
@@ -127,11 +127,11 @@
     ) -> Result<(usize, Response), CallError> {
         let until = Instant::now() + within;
         let (mut delay, mut calls, mut refused) = (FIRST_DELAY, 0, 0);
-        for turn in self.first.. {
-            let Some(&at) = self.controllers.get(turn % self.controllers.len().max(1)) else { break };
+        for index in self.first.. {
+            let Some(&at) = self.controllers.get(index % self.controllers.len().max(1)) else { break };
             let call_timeout = CALL_TIMEOUT + Duration::from_millis(body.len() as u64 / 100);
-            let (more, response) = follow(at, call_timeout, method, path, headers, body).await;
-            calls += more;
+            let (sent, response) = follow(at, call_timeout, method, path, headers, body).await;
+            calls += sent;
             if let Some(response) = response {
                 let why = || {
                     CallError::Response(response.status, String::from_utf8_lossy(&response.body).into_owned())
@@ -209,9 +209,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("an address");
         let at = listener.local_addr().expect("an address");
         tokio::spawn(async move {
-            for turn in 0.. {
+            for index in 0.. {
                 let Ok((mut stream, _)) = listener.accept().await else { return };
-                let status = statuses[turn.min(statuses.len() - 1)];
+                let status = statuses[index.min(statuses.len() - 1)];
                 let _ = read_request(&mut stream, &mut Vec::new()).await;
                 let to =
                     redirect_to.map(|at| format!("http://{at}/v1/Configuration.Replace")).unwrap_or_default();
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -204,8 +204,8 @@
 
     fn take(&mut self) -> bool {
         let now = Instant::now();
-        let more = now.duration_since(self.refilled_at).as_secs_f64() * self.rate;
-        (self.tokens, self.refilled_at) = ((self.tokens + more).min(self.rate.max(1.0)), now);
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * self.rate;
+        (self.tokens, self.refilled_at) = ((self.tokens + refill).min(self.rate.max(1.0)), now);
         let is_allowed = self.tokens >= 1.0;
         self.tokens -= f64::from(u8::from(is_allowed));
         is_allowed
--- a/crates/standins/src/report.rs
+++ b/crates/standins/src/report.rs
@@ -94,8 +94,8 @@
 /// at points in time.
 pub fn svg(title: &str, classes: &[Class], done: &[RequestRecord], marks: &[(Duration, String)]) -> String {
     let last = done.iter().map(|d| d.at.as_secs_f64()).fold(1.0, f64::max);
-    let most = done.iter().map(|d| d.took.as_secs_f64() * 1000.0).fold(100.0, f64::max);
-    let decades = most.log10().ceil().clamp(2.0, 6.0);
+    let max_ms = done.iter().map(|d| d.took.as_secs_f64() * 1000.0).fold(100.0, f64::max);
+    let decades = max_ms.log10().ceil().clamp(2.0, 6.0);
     let x = |s: f64| LEFT + s / last * (WIDTH - LEFT - RIGHT);
     let y = |ms: f64| HEIGHT - BOTTOM - ms.max(1.0).log10() / decades * (HEIGHT - TOP - BOTTOM);
     let mut out = format!(
--- a/crates/standins/src/workers.rs
+++ b/crates/standins/src/workers.rs
@@ -128,7 +128,7 @@
     }
     let Ok(listener) = socket.listen(256) else { return };
     up();
-    let most = config.function.max_concurrency;
+    let max_connections = config.function.max_concurrency;
     let worker = Arc::new(Worker {
         context,
         state: state.clone(),
@@ -144,7 +144,7 @@
             biased;
             () = stopped_or_crashed(&mut state) => break,
             taken = listener.accept() => match taken {
-                Ok((stream, _)) if open.len() < most => {
+                Ok((stream, _)) if open.len() < max_connections => {
                     let _ = stream.set_nodelay(true);
                     open.spawn(connection(worker.clone(), stream));
                 }
