--- a/crates/inventory/tests/reading.rs
+++ b/crates/inventory/tests/reading.rs
@@ -71,13 +71,13 @@
 }
 
 fn entries() -> impl Strategy<Value = Vec<Entry>> {
-    let word = "[a-z][a-zA-Z0-9_.,:#\"'\\\\{}\\[\\]&*!|>%@`-]{0,12}";
+    let text = "[a-z][a-zA-Z0-9_.,:#\"'\\\\{}\\[\\]&*!|>%@`-]{0,12}";
     let host = prop_oneof![
         any::<u32>().prop_map(|n| Host::Ip(Ipv4Addr::from(n).into())),
         any::<u128>().prop_map(|n| Host::Ip(Ipv6Addr::from(n).into())),
         "[a-z][a-z0-9]{0,8}(\\.[a-z][a-z0-9-]{0,8}[a-z0-9]){0,2}".prop_map(Host::Name),
     ];
-    let entry = (word, host, 1..=65535u16, word, word, 1..=1024u32, any::<u32>(), any::<bool>());
+    let entry = (text, host, 1..=65535u16, text, text, 1..=1024u32, any::<u32>(), any::<bool>());
     let entry = entry.prop_map(|(name, host, port, zone, kind, slots, group, active)| {
         let (address, place) = (Address { host, port }, Place::start("f"));
         let state = if active { State::Active } else { State::Leaving };
--- a/crates/scheduler/src/keep/mod.rs
+++ b/crates/scheduler/src/keep/mod.rs
@@ -1,4 +1,4 @@
-//! `tindock keep`: supervises the schedulers of member machine. The state machine of each is
+//! `tindock keep`: supervises the schedulers of one machine. The state machine of each is
 //! [`tindock_rollout::supervisor`]; this module does its input and output: [`processes`] starts and ends
 //! processes, [`store`] persists which program each scheduler runs, and [`control`] accepts calls.
 //!
@@ -97,13 +97,15 @@
 
     fn run_loop(&mut self, requests: &Receiver<Request>) {
         loop {
-            let turn = Instant::now();
+            let cycle_start = Instant::now();
             self.poll();
             for at in 0..self.members.len() {
                 self.act(at);
             }
             // Calls are answered until the next poll is due.
-            while let Some(rest) = POLL_INTERVAL.checked_sub(turn.elapsed()).filter(|rest| !rest.is_zero()) {
+            while let Some(rest) =
+                POLL_INTERVAL.checked_sub(cycle_start.elapsed()).filter(|rest| !rest.is_zero())
+            {
                 let Ok(Request { call, reply }) = requests.recv_timeout(rest) else { break };
                 let answer = self.answer(call);
                 // The caller may have closed the connection.
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Carries out the supervisor's orders for member scheduler, and logs and saves a change of its state.
+    /// Carries out the supervisor's orders for one scheduler, and logs and saves a change of its state.
     /// The program of an upgrade is on disk before a process of it starts.
     fn act(&mut self, at: usize) {
         let now = self.now();
@@ -161,16 +163,16 @@
                     until.saturating_sub(now).as_secs_f64()
                 );
             }
-            (State::Upgrading, _) => info!(log, "starting another program beside the running member"),
+            (State::Upgrading, _) => info!(log, "starting another program beside the running one"),
             (State::Serving, Some(Upgrade::Done)) => info!(log, "the new program serves"),
             (State::Serving, Some(Upgrade::ExitedEarly)) => {
-                warn!(log, "the new program exited before it served; the old member keeps serving")
+                warn!(log, "the new program exited before it served; the old one keeps serving")
             }
             (State::Serving, Some(Upgrade::TimedOut)) => {
-                warn!(log, "the new program did not serve in time; the old member keeps serving")
+                warn!(log, "the new program did not serve in time; the old one keeps serving")
             }
             (State::Serving, Some(Upgrade::RolledBack)) => {
-                warn!(log, "the new program exited soon after it served; rolled back to the old member")
+                warn!(log, "the new program exited soon after it served; rolled back to the old one")
             }
             (State::Serving, None) => {}
         }
--- a/crates/scheduler/src/rollout/coordinator.rs
+++ b/crates/scheduler/src/rollout/coordinator.rs
@@ -205,8 +205,8 @@
     /// files.
     pub fn begin(plan: Plan, mode: Mode, log_format: LogFormat) -> Result<Self, CommandError> {
         let not_started = |lines| CommandError { code: 1, lines };
-        let one = |why: String| not_started(vec![why]);
-        let (mut record, history) = Record::open(&plan.record).map_err(one)?;
+        let single = |why: String| not_started(vec![why]);
+        let (mut record, history) = Record::open(&plan.record).map_err(single)?;
         let history = history.filter(|history| mode != Mode::Run || !history.is_settled());
         // The start time distinguishes runs of the same name.
         let new_id = || format!("{}.{:x}", plan.name, record::unix_ms());
@@ -215,18 +215,18 @@
             (Some(history), Mode::Run) => {
                 let why =
                     format!("run {} was interrupted: `resume` continues it, `undo` undoes it", history.run);
-                return Err(one(why));
+                return Err(single(why));
             }
-            (None, Mode::Undo | Mode::Resume) => return Err(one("no run was started here".into())),
+            (None, Mode::Undo | Mode::Resume) => return Err(single("no run was started here".into())),
             (Some(history), Mode::Resume) if history.is_settled() => {
-                return Err(one(format!("run {} has ended; `undo` undoes it", history.run)));
+                return Err(single(format!("run {} has ended; `undo` undoes it", history.run)));
             }
             (None, Mode::Run) => {
                 let members = load_members(&plan).map_err(not_started)?;
                 let number = check_ready(&plan, &members).map_err(not_started)? + 1;
                 (members, number)
             }
-            (Some(history), _) => Self::recorded(&plan, &record, history).map_err(one)?,
+            (Some(history), _) => Self::recorded(&plan, &record, history).map_err(single)?,
         };
         // Leases come before the file fences, so that this run cannot take the files from one in progress.
         let leased = each(&members, |member| remote::lease(&member.scheduler, &id, number));
@@ -266,7 +266,7 @@
             None => Self::write_start(&mut record, &plan, &id, number, &members),
             Some(_) => record.write(Step::Taken { number }),
         };
-        written.map_err(one)?;
+        written.map_err(single)?;
         let rollout = match history {
             None => Rollout::new(machine, zero),
             Some(history) => {
@@ -373,7 +373,7 @@
             self.print(format!("watching {} unchanged schedulers first", self.members.len()));
         }
         loop {
-            let turn = Instant::now();
+            let cycle_start = Instant::now();
             self.poll();
             if self.record.stop_requested() {
                 self.rollout.stop(Reason::StoppedByOperator, self.now());
@@ -389,7 +389,7 @@
             if self.rollout.is_over() {
                 return self.finish();
             }
-            std::thread::sleep(POLL_INTERVAL.saturating_sub(turn.elapsed()));
+            std::thread::sleep(POLL_INTERVAL.saturating_sub(cycle_start.elapsed()));
         }
     }
 
--- a/crates/scheduler/src/rollout/record.rs
+++ b/crates/scheduler/src/rollout/record.rs
@@ -250,18 +250,18 @@
     let mut status: serde_json::Value = serde_json::from_str(&text).map_err(unreadable)?;
     let running = matches!(lock(folder), Ok(Err(_)));
     status["coordinator"] = if running { "works" } else { "gone" }.into();
-    let word = |value: &serde_json::Value| value.as_str().map_or_else(|| value.to_string(), String::from);
+    let text_of = |value: &serde_json::Value| value.as_str().map_or_else(|| value.to_string(), String::from);
     let output = match form {
         StatusFormat::Json => format!("{status}\n"),
         StatusFormat::Text => {
             let top = ["run", "state", "stage", "why", "coordinator"].into_iter();
             let mut lines: String = top
                 .filter(|key| !status[key].is_null())
-                .map(|key| format!("{key}: {}\n", word(&status[key])))
+                .map(|key| format!("{key}: {}\n", text_of(&status[key])))
                 .collect();
             for one in status["schedulers"].as_array().into_iter().flatten() {
-                let short = |key: &str| word(&one[key]).chars().take(12).collect::<String>();
-                let (name, state) = (word(&one["name"]), word(&one["state"]));
+                let short = |key: &str| text_of(&one[key]).chars().take(12).collect::<String>();
+                let (name, state) = (text_of(&one["name"]), text_of(&one["state"]));
                 let (settings, program) = (short("settings"), short("program"));
                 lines += &format!("{name}: {state}, settings {settings}, program {program}\n");
             }
--- a/crates/scheduler/tests/accord_runs.rs
+++ b/crates/scheduler/tests/accord_runs.rs
@@ -35,8 +35,8 @@
                 let number = choose(&mut rng, &runs).and_then(|at| Some((at, group.number(at)? + 1)));
                 if let Some((at, next)) = number.filter(|(_, next)| *next <= NUMBERS) {
                     let file = group.file(next, &format!("# {}", proposals.len()));
-                    let words = ["propose", &file.display().to_string(), "--within", "3"];
-                    proposals.push(group.begin(at, &words));
+                    let args = ["propose", &file.display().to_string(), "--within", "3"];
+                    proposals.push(group.begin(at, &args));
                     events.push(format!("n{at} proposes {next}"));
                 }
             }
--- a/crates/scheduler/tests/accords.rs
+++ b/crates/scheduler/tests/accords.rs
@@ -15,7 +15,10 @@
 
 /// Whether a scheduler finished a task under this policy that a client sent after `from`.
 fn served_after(group: &Group, number: usize, at: usize, from: Instant) -> bool {
-    group.told(number).iter().any(|told| told.to == at && told.end == End::Finished && told.sent > from)
+    group
+        .told(number)
+        .iter()
+        .any(|record| record.to == at && record.end == End::Finished && record.sent > from)
 }
 
 /// Guards against a change that is in force at some members only, or that costs tasks although all members
@@ -302,8 +305,8 @@
     fs::write(&path, &text).expect("written");
     group.fleet.nodes[1].signal("-HUP");
     until("the reload succeeds", || {
-        let said = group.fleet.nodes[1].says("telemetry");
-        said.split("\"reloads_ok\":").nth(1).is_some_and(|rest| !rest.starts_with('0'))
+        let telemetry = group.fleet.nodes[1].says("telemetry");
+        telemetry.split("\"reloads_ok\":").nth(1).is_some_and(|rest| !rest.starts_with('0'))
     });
     let from = Instant::now();
     group.fleet.nodes[1].upgrade();
