--- a/crates/scheduler/tests/accords.rs
+++ b/crates/scheduler/tests/accords.rs
@@ -18,7 +18,7 @@
     group
         .records(number)
         .iter()
-        .any(|told| told.to == at && told.end == TaskEnd::Finished && told.sent > from)
+        .any(|record| record.to == at && record.end == TaskEnd::Finished && record.sent > from)
 }
 
 /// Guards against a change that is in force at some members only, or that costs tasks although all members
@@ -310,8 +310,8 @@
     fs::write(&path, &text).expect("written");
     group.fleet.nodes[1].signal("-HUP");
     until("the reload succeeds", || {
-        let said = group.fleet.nodes[1].query("telemetry");
-        said.split("\"reloads_ok\":").nth(1).is_some_and(|rest| !rest.starts_with('0'))
+        let telemetry = group.fleet.nodes[1].query("telemetry");
+        telemetry.split("\"reloads_ok\":").nth(1).is_some_and(|rest| !rest.starts_with('0'))
     });
     let from = Instant::now();
     group.fleet.nodes[1].upgrade();
