--- a/crates/rehearsal/examples/play.rs
+++ b/crates/rehearsal/examples/play.rs
@@ -1,62 +1,62 @@
-//! Plays one scenario and prints what came of it: `play FILE [--seed N] [--plant NAME] [--sharing NAME]`.
+//! Runs scenarios and prints a report of each: `play FILE... [--seed N] [--plant NAME] [--sharing NAME]`.
 
 use std::process::ExitCode;
-use tindock_rehearsal::{play_sharing, Planted, Sharing};
+use tindock_rehearsal::{play_sharing, InjectedDefect, Sharing};
 
-fn planted(name: &str) -> Option<Planted> {
-    Planted::ALL.into_iter().find(|planted| format!("{planted:?}") == name)
+fn defect_by_name(name: &str) -> Option<InjectedDefect> {
+    InjectedDefect::ALL.into_iter().find(|defect| format!("{defect:?}") == name)
 }
 
-fn sharing(name: &str) -> Option<Sharing> {
+fn sharing_by_name(name: &str) -> Option<Sharing> {
     Sharing::ALL.into_iter().find(|sharing| format!("{sharing:?}") == name)
 }
 
 fn main() -> ExitCode {
-    let (mut files, mut seed, mut plant) = (Vec::new(), 1, None);
-    let mut shared = Sharing::Loans;
-    let mut words = std::env::args().skip(1);
-    while let Some(word) = words.next() {
-        match word.as_str() {
-            "--seed" => match words.next().and_then(|seed| seed.parse().ok()) {
+    let (mut files, mut seed, mut defect) = (Vec::new(), 1, None);
+    let mut sharing = Sharing::Loans;
+    let mut args = std::env::args().skip(1);
+    while let Some(arg) = args.next() {
+        match arg.as_str() {
+            "--seed" => match args.next().and_then(|seed| seed.parse().ok()) {
                 Some(given) => seed = given,
-                None => return wrong("--seed wants a number"),
+                None => return usage_error("--seed requires a number"),
             },
-            "--plant" => match words.next().and_then(|name| planted(&name)) {
-                Some(given) => plant = Some(given),
-                None => return wrong("--plant wants one of the names in planted.rs"),
+            "--plant" => match args.next().and_then(|name| defect_by_name(&name)) {
+                Some(given) => defect = Some(given),
+                None => return usage_error("--plant requires one of the names in injected_defects.rs"),
             },
-            "--sharing" => match words.next().and_then(|name| sharing(&name)) {
-                Some(given) => shared = given,
-                None => return wrong("--sharing wants Loans, Fixed, Alone or AllSeeing"),
+            "--sharing" => match args.next().and_then(|name| sharing_by_name(&name)) {
+                Some(given) => sharing = given,
+                None => return usage_error("--sharing requires Loans, Fixed, Alone or AllSeeing"),
             },
-            _ => files.push(word),
+            _ => files.push(arg),
         }
     }
     if files.is_empty() {
-        return wrong("play FILE... [--seed N] [--plant NAME] [--sharing NAME]");
+        return usage_error("play FILE... [--seed N] [--plant NAME] [--sharing NAME]");
     }
-    let mut well = true;
+    let mut all_hold = true;
     for file in files {
         let text = match std::fs::read_to_string(&file) {
             Ok(text) => text,
-            Err(why) => return wrong(&format!("{file}: {why}")),
+            Err(error) => return usage_error(&format!("{file}: {error}")),
         };
-        match play_sharing(&text, seed, plant, shared) {
+        match play_sharing(&text, seed, defect, sharing) {
             Ok(report) => {
-                well &= report.holds();
+                all_hold &= report.holds();
                 println!("{report}");
             }
-            Err(fault) => return wrong(&format!("{file}: {fault}")),
+            Err(error) => return usage_error(&format!("{file}: {error}")),
         }
     }
-    if well {
+    if all_hold {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     }
 }
 
-fn wrong(what: &str) -> ExitCode {
-    eprintln!("{what}");
+fn usage_error(message: &str) -> ExitCode {
+    eprintln!("{message}");
     ExitCode::from(2)
 }
--- a/crates/rehearsal/src/controller.rs
+++ b/crates/rehearsal/src/controller.rs
@@ -1,8 +1,9 @@
-//! The controller's carrying, as in `house::controller`: the control store's actions, news to agents, and the autoscaler while
-//! it holds the lease. What is decided there beside the control store is `tindock_controller`'s, here and there.
+//! Controller process model: executes the control store's actions, sends updates to agents, and runs the
+//! autoscaler while it holds the leadership lease. It mirrors the controller of the system processes;
+//! decisions outside the control store come from `tindock_controller`, which both use.
 
-use crate::notes::{hash, InstanceUpdate, Note, PEER_PORT};
-use crate::planted::Planted;
+use crate::injected_defects::InjectedDefect;
+use crate::messages::{hash, InstanceUpdate, PeerMessage, PEER_PORT};
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -13,22 +14,22 @@
 use tindock_controller::{
     list_interval, platform_instances, services, Agents, LeaseHolder, LeaseSettings, PauseDetector,
 };
-use tindock_stacks as stacks;
+use tindock_stacks as autoscaler;
 
-const FIRST: Duration = Duration::from_millis(400);
-const FOLLOW: Duration = Duration::from_millis(1000);
-const STAYS: Duration = Duration::from_millis(150);
-const STAYS_MOST: Duration = Duration::from_secs(1);
-/// After SIGTERM it hands its place as a voter over for so long at most: SIGKILL comes after `grace_s`.
+const INITIAL_LIST_INTERVAL: Duration = Duration::from_millis(400);
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(1000);
+const MIN_SHUTDOWN: Duration = Duration::from_millis(150);
+const MAX_REPLY_WAIT: Duration = Duration::from_secs(1);
+/// Longest time after SIGTERM for handing over the voter seat; SIGKILL follows after `grace_s`.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(3);
-const GOES_OUT: Duration = Duration::from_millis(30);
+const REPLY_SEND_TIME: Duration = Duration::from_millis(30);
 
-/// A call to the platform.
+/// Calls to the platform API.
 #[derive(Clone, Debug)]
 pub enum Call {
     List,
-    /// The list, while nobody holds the duty.
-    First,
+    /// Instance list requested while there is no lease holder.
+    InitialList,
     Hosts,
     Begin {
         token: u64,
@@ -42,80 +43,80 @@
     },
 }
 
-/// How it was answered; `Unclear` also for lists that did not come.
+/// Result of a platform call; `Unknown` also covers lists that did not arrive.
 #[derive(Clone, Debug)]
 pub enum Answer {
-    List(Vec<stacks::ListedInstance>),
-    Hosts(Vec<stacks::Host>),
-    Begun(stacks::StartResult),
+    List(Vec<autoscaler::ListedInstance>),
+    Hosts(Vec<autoscaler::Host>),
+    Started(autoscaler::StartResult),
     Stopped(bool),
-    Unclear,
+    Unknown,
 }
 
-/// What the operator hears.
+/// Reply to an operator's call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    Taken,
-    /// Another text holds under this revision.
+    Acknowledged,
+    /// A different configuration is committed under this revision.
     Conflict,
-    Later,
-    Nothing,
-    Word(Vec<u8>),
-    Elsewhere(IpAddr),
+    Unavailable,
+    Empty,
+    Configuration(Vec<u8>),
+    Redirect(IpAddr),
     Invalid,
 }
 
 pub enum Out {
-    Note { to: SocketAddr, note: Note },
+    PeerMessage { to: SocketAddr, message: PeerMessage },
     Store { token: u64, what: Stored },
     Platform { number: u64, call: Call },
     Reply { call: u64, reply: Reply },
 }
 
-pub struct Terms {
+pub struct ControllerSettings {
     pub name: String,
     pub setup: MemberSettings,
-    pub stacks: stacks::PlatformSettings,
+    pub platform: autoscaler::PlatformSettings,
     pub list_rate: f64,
-    pub rebinding: stacks::Rebinding,
-    pub planted: Option<Planted>,
+    pub rebinding: autoscaler::Rebinding,
+    pub defect: Option<InjectedDefect>,
 }
 
 pub struct Controller {
-    terms: Terms,
+    settings: ControllerSettings,
     pub control_store: ControlStore,
     catalogue: Option<Rc<Catalogue>>,
     agents: Agents,
-    contact: PauseDetector,
+    pause_detector: PauseDetector,
     lease: Option<LeaseHolder>,
     holder: Option<(SocketAddr, u64)>,
     relay: Relay,
-    followed: Duration,
-    reading_first: bool,
-    first_due: Duration,
-    /// Operators' calls in hand, and when one was last answered.
+    last_follow: Duration,
+    reading_initial_list: bool,
+    initial_list_due: Duration,
+    /// Operators' calls that are not answered yet, and the time of the last reply.
     calls: BTreeSet<u64>,
-    replied: Duration,
+    last_reply: Duration,
     pub out: Vec<Out>,
 }
 
 impl Controller {
-    pub fn new(terms: Terms, kept: DiskState) -> Controller {
-        let control_store = ControlStore::new(terms.setup.clone(), kept, Duration::ZERO);
+    pub fn new(settings: ControllerSettings, disk_state: DiskState) -> Controller {
+        let control_store = ControlStore::new(settings.setup.clone(), disk_state, Duration::ZERO);
         Controller {
-            terms,
+            settings,
             control_store,
             catalogue: None,
             agents: Agents::new(Ipv4Addr::UNSPECIFIED.into()),
-            contact: PauseDetector::default(),
+            pause_detector: PauseDetector::default(),
             lease: None,
             holder: None,
             relay: Relay::default(),
-            followed: Duration::ZERO,
-            reading_first: false,
-            first_due: Duration::ZERO,
+            last_follow: Duration::ZERO,
+            reading_initial_list: false,
+            initial_list_due: Duration::ZERO,
             calls: BTreeSet::new(),
-            replied: Duration::ZERO,
+            last_reply: Duration::ZERO,
             out: Vec::new(),
         }
     }
@@ -129,16 +130,16 @@
         self.lease.as_ref().map_or(due, |lease| due.min(lease.next_due()))
     }
 
-    fn send(&mut self, to: SocketAddr, note: Note) {
-        self.out.push(Out::Note { to, note });
+    fn send(&mut self, to: SocketAddr, message: PeerMessage) {
+        self.out.push(Out::PeerMessage { to, message });
     }
 
     pub fn replace(&mut self, now: Duration, call: u64, text: &[u8]) {
-        self.contact.observe(now);
+        self.pause_detector.observe(now);
         match Catalogue::read(text) {
             Ok(catalogue) => {
-                if self.terms.planted == Some(Planted::AckBeforeMajority) {
-                    self.out.push(Out::Reply { call, reply: Reply::Taken });
+                if self.settings.defect == Some(InjectedDefect::AckBeforeMajority) {
+                    self.out.push(Out::Reply { call, reply: Reply::Acknowledged });
                 }
                 if !self.open_call(now, call) {
                     return;
@@ -153,59 +154,59 @@
     }
 
     pub fn show(&mut self, now: Duration, call: u64) {
-        self.contact.observe(now);
+        self.pause_detector.observe(now);
         if self.open_call(now, call) {
             self.control_store.show(now, call);
         }
     }
 
-    /// Whether a majority was heard since the start, and none lately.
+    /// Whether a majority was reachable since the start, but not recently.
     fn is_cut_off(&self, now: Duration) -> bool {
         self.control_store.ready() && !self.is_in_touch(now)
     }
 
-    /// Whether a majority was heard since the start, and lately.
+    /// Whether a majority was reachable since the start, and still is.
     fn is_in_touch(&self, now: Duration) -> bool {
-        self.control_store.ready() && self.contact.is_fresh(now) && self.control_store.in_touch(now)
+        self.control_store.ready() && self.pause_detector.is_fresh(now) && self.control_store.in_touch(now)
     }
 
-    /// Whether a call is for the control store; else it was answered at once.
+    /// Registers a call for the control store. While cut off it replies `Unavailable` and returns false.
     fn open_call(&mut self, now: Duration, call: u64) -> bool {
         if self.is_cut_off(now) {
-            self.reply(now, call, Reply::Later);
+            self.reply(now, call, Reply::Unavailable);
             return false;
         }
         self.calls.insert(call)
     }
 
-    /// Calls in hand when contact is lost are answered at once.
-    fn release_calls(&mut self, now: Duration) {
+    /// Replies `Unavailable` to all open calls once contact with the majority is lost.
+    fn reject_open_calls(&mut self, now: Duration) {
         if self.is_cut_off(now) {
             for call in std::mem::take(&mut self.calls) {
-                self.reply(now, call, Reply::Later);
+                self.reply(now, call, Reply::Unavailable);
             }
         }
     }
 
     fn reply(&mut self, now: Duration, call: u64, reply: Reply) {
-        self.replied = now;
+        self.last_reply = now;
         self.out.push(Out::Reply { call, reply });
     }
 
-    /// The platform's answer to a call made under this number.
-    pub fn answered(&mut self, now: Duration, number: u64, call: &Call, answer: Answer) {
-        self.contact.observe(now);
-        if matches!(call, Call::First) {
-            self.reading_first = false;
+    /// Handles the platform's answer to a call made under lease number `number`.
+    pub fn platform_answered(&mut self, now: Duration, number: u64, call: &Call, answer: Answer) {
+        self.pause_detector.observe(now);
+        if matches!(call, Call::InitialList) {
+            self.reading_initial_list = false;
             if let (Answer::List(listed), None) = (answer, self.holder) {
-                self.show_first(now, listed);
+                self.send_initial_list(now, listed);
             }
             return;
         }
         let Some(lease) = self.lease.as_mut().filter(|lease| lease.number == number) else { return };
-        let drain_ignored = self.terms.planted == Some(Planted::DrainIgnored);
+        let drain_ignored = self.settings.defect == Some(InjectedDefect::DrainIgnored);
         match call {
-            Call::First => {}
+            Call::InitialList => {}
             Call::List => {
                 let mut listed = if let Answer::List(listed) = answer { Some(listed) } else { None };
                 if drain_ignored {
@@ -221,12 +222,12 @@
                 lease.hosts_read(now, hosts.as_deref());
             }
             Call::Begin { token, .. } => {
-                let begun = if let Answer::Begun(begun) = answer {
-                    begun
+                let started = if let Answer::Started(started) = answer {
+                    started
                 } else {
-                    stacks::StartResult::OutcomeUnknown
+                    autoscaler::StartResult::OutcomeUnknown
                 };
-                lease.scaler.start_answered(now, *token, begun);
+                lease.scaler.start_answered(now, *token, started);
             }
             Call::Stop { token, .. } => {
                 lease.scaler.stop_answered(now, *token, matches!(answer, Answer::Stopped(true)));
@@ -234,27 +235,27 @@
         }
     }
 
-    pub fn note(&mut self, now: Duration, from: SocketAddr, note: Note) {
-        self.contact.observe(now);
-        match note {
-            Note::ControlStore(envelope) => self.control_store.receive(now, from, envelope),
-            Note::Pull { ip, revision, mark } => {
+    pub fn receive(&mut self, now: Duration, from: SocketAddr, message: PeerMessage) {
+        self.pause_detector.observe(now);
+        match message {
+            PeerMessage::ControlStore(envelope) => self.control_store.receive(now, from, envelope),
+            PeerMessage::Pull { ip, revision, mark } => {
                 self.agents.record_pull(now, ip, revision, true);
-                let news = self.news(now, ip);
-                self.send(from, news);
-                self.send_word(now, Some(ip));
+                let status = self.status_for(now, ip);
+                self.send(from, status);
+                self.send_configuration(now, Some(ip));
                 self.relay.handle_pull(now, ip, mark);
-                self.hand_on();
-                self.read_first(now);
+                self.forward_updates();
+                self.request_initial_list(now);
             }
-            Note::Follow { mark, greets, proxy } => {
+            PeerMessage::Follow { mark, wants_status, proxy } => {
                 let relays = self.control_store.members().contains(&from);
                 if !relays {
                     self.agents.record_follow(now, from.ip());
                 }
-                if greets {
-                    let news = self.news(now, from.ip());
-                    self.send(from, news);
+                if wants_status {
+                    let status = self.status_for(now, from.ip());
+                    self.send(from, status);
                 }
                 if let Some(lease) = &mut self.lease {
                     if let Some(proxy) = proxy {
@@ -262,141 +263,142 @@
                     }
                     lease.source.follow(now, lease.scaler.version(), from.ip(), mark, relays);
                 }
-                self.tell_instances(now);
+                self.send_instances(now);
             }
-            Note::Stacks(news) => self.take_stacks(now, from, (*news).clone()),
-            Note::Demand(demands) => {
+            PeerMessage::Instances(update) => self.apply_instances(now, from, (*update).clone()),
+            PeerMessage::Demand(demands) => {
                 let Some(lease) = self.lease.as_mut() else { return };
                 for demand in demands {
                     lease.scaler.update_demand(now, demand);
                 }
             }
-            Note::Gone(instance) => {
+            PeerMessage::InstanceGone(instance) => {
                 if let Some(lease) = self.lease.as_mut() {
                     lease.scaler.instance_gone(now, &instance);
                 }
             }
-            Note::Ready(instance) => {
+            PeerMessage::InstanceReady(instance) => {
                 if let Some(lease) = self.lease.as_mut() {
                     lease.scaler.instance_ready(now, &instance);
                 }
             }
-            Note::Inherit { entries, tag, numbers } => {
+            PeerMessage::Handover { entries, tag, numbers } => {
                 if let Some(lease) = self.lease.as_mut() {
                     lease.receive_handover(now, entries, &numbers, tag);
                 }
             }
-            Note::News { .. } | Note::Word(_) | Note::Owners(_) => {}
+            PeerMessage::ControllerStatus { .. } | PeerMessage::Configuration(_) | PeerMessage::Owners(_) => {
+            }
         }
     }
 
-    fn news(&mut self, now: Duration, to: IpAddr) -> Note {
-        let pages = self.agents.sample(now, to);
-        Note::News {
+    fn status_for(&mut self, now: Duration, to: IpAddr) -> PeerMessage {
+        let agents = self.agents.sample(now, to);
+        PeerMessage::ControllerStatus {
             holder: self.holder,
-            revision: self.control_store.committed().map_or(0, |word| word.revision),
-            touch: self.is_in_touch(now),
-            archives: self.control_store.members(),
-            pages,
+            revision: self.control_store.committed().map_or(0, |configuration| configuration.revision),
+            in_contact: self.is_in_touch(now),
+            controllers: self.control_store.members(),
+            agents,
         }
     }
 
-    fn send_word(&mut self, now: Duration, to: Option<IpAddr>) {
+    fn send_configuration(&mut self, now: Duration, to: Option<IpAddr>) {
         if self.is_cut_off(now) {
             return;
         }
         let Some(catalogue) = self.catalogue.clone() else { return };
         for (ip, _) in self.agents.behind(now, catalogue.revision, to) {
             self.agents.record_sent(now, ip, catalogue.revision, true);
-            self.send(SocketAddr::new(ip, PEER_PORT), Note::Word(catalogue.clone()));
+            self.send(SocketAddr::new(ip, PEER_PORT), PeerMessage::Configuration(catalogue.clone()));
         }
     }
 
-    /// While nobody holds the duty a page that asks is shown what the platform lists.
-    fn read_first(&mut self, now: Duration) {
-        if self.holder.is_some() || self.reading_first || now < self.first_due {
+    /// Requests the platform's instance list when an agent polls and there is no lease holder.
+    fn request_initial_list(&mut self, now: Duration) {
+        if self.holder.is_some() || self.reading_initial_list || now < self.initial_list_due {
             return;
         }
-        (self.reading_first, self.first_due) = (true, now + FIRST);
-        self.out.push(Out::Platform { number: 0, call: Call::First });
+        (self.reading_initial_list, self.initial_list_due) = (true, now + INITIAL_LIST_INTERVAL);
+        self.out.push(Out::Platform { number: 0, call: Call::InitialList });
     }
 
-    fn show_first(&mut self, now: Duration, list: Vec<stacks::ListedInstance>) {
-        let stacks = Rc::new(platform_instances(list));
+    fn send_initial_list(&mut self, now: Duration, list: Vec<autoscaler::ListedInstance>) {
+        let instances = Rc::new(platform_instances(list));
         for ip in self.relay.agents_without_state(now) {
-            self.send(SocketAddr::new(ip, PEER_PORT), Note::Stacks(stacks.clone()));
+            self.send(SocketAddr::new(ip, PEER_PORT), PeerMessage::Instances(instances.clone()));
         }
     }
 
-    /// Whether a process that was told to end at `began` may do so now.
+    /// Whether a process that received SIGTERM at `began` may exit.
     pub fn may_end(&self, now: Duration, began: Duration) -> bool {
-        let answered = self.calls.is_empty() && now >= self.replied + GOES_OUT;
-        let handed_over = self.control_store.may_exit(now) || now >= began + HANDOVER_TIMEOUT;
-        handed_over && now >= began + if answered { STAYS } else { STAYS_MOST }
+        let answered = self.calls.is_empty() && now >= self.last_reply + REPLY_SEND_TIME;
+        let handover_done = self.control_store.may_exit(now) || now >= began + HANDOVER_TIMEOUT;
+        handover_done && now >= began + if answered { MIN_SHUTDOWN } else { MAX_REPLY_WAIT }
     }
 
     fn follow(&mut self, now: Duration) {
         let Some((holder, _)) = self.holder else { return };
-        self.followed = now;
+        self.last_follow = now;
         let mark = self.relay.replica().mark();
-        if holder != self.terms.setup.me {
-            return self.send(holder, Note::Follow { mark, greets: false, proxy: None });
+        if holder != self.settings.setup.me {
+            return self.send(holder, PeerMessage::Follow { mark, wants_status: false, proxy: None });
         }
         if let Some(lease) = &mut self.lease {
             lease.source.follow(now, lease.scaler.version(), holder.ip(), mark, true);
         }
     }
 
-    fn take_stacks(&mut self, now: Duration, from: SocketAddr, news: InstanceUpdate) {
-        if self.relay.apply(now, news) == Applied::Gap {
+    fn apply_instances(&mut self, now: Duration, from: SocketAddr, update: InstanceUpdate) {
+        if self.relay.apply(now, update) == Applied::Gap {
             let mark = self.relay.replica().mark();
-            self.send(from, Note::Follow { mark, greets: false, proxy: None });
+            self.send(from, PeerMessage::Follow { mark, wants_status: false, proxy: None });
         }
-        self.hand_on();
+        self.forward_updates();
     }
 
-    fn hand_on(&mut self) {
+    fn forward_updates(&mut self) {
         while let Some(copies) = self.relay.pull() {
             for ip in copies.to {
-                self.send(SocketAddr::new(ip, PEER_PORT), Note::Stacks(copies.update.clone()));
+                self.send(SocketAddr::new(ip, PEER_PORT), PeerMessage::Instances(copies.update.clone()));
             }
         }
     }
 
-    fn tell_instances(&mut self, now: Duration) {
+    fn send_instances(&mut self, now: Duration) {
         let Some(lease) = self.lease.as_mut().filter(|lease| lease.has_complete_view()) else { return };
         lease.update_proxies(now);
         lease.source.tick(now, lease.scaler.version());
-        let me = self.terms.setup.me;
+        let me = self.settings.setup.me;
         let mut sends = Vec::new();
         while let Some((ip, from)) = lease.source.pull() {
             sends.push((ip, lease.changes_since(now, from)));
         }
-        for (ip, news) in sends {
+        for (ip, update) in sends {
             match ip == me.ip() {
-                true => self.take_stacks(now, me, news),
-                false => self.send(SocketAddr::new(ip, PEER_PORT), Note::Stacks(Rc::new(news))),
+                true => self.apply_instances(now, me, update),
+                false => self.send(SocketAddr::new(ip, PEER_PORT), PeerMessage::Instances(Rc::new(update))),
             }
         }
     }
 
-    /// Everything the deciders want done.
-    pub fn carry(&mut self, now: Duration) {
-        self.contact.observe(now);
+    /// Executes the actions that the decision components have queued.
+    pub fn process_actions(&mut self, now: Duration) {
+        self.pause_detector.observe(now);
         while let Some(order) = self.control_store.next() {
             match order {
                 Action::Send { to, envelope } => {
-                    self.out.push(Out::Note { to, note: Note::ControlStore(envelope) })
+                    self.out.push(Out::PeerMessage { to, message: PeerMessage::ControlStore(envelope) })
                 }
                 Action::Store { token, what } => self.out.push(Out::Store { token, what }),
                 Action::Answer { call, outcome } => {
                     let reply = match outcome {
-                        Outcome::Acknowledged | Outcome::Superseded(_) => Reply::Taken,
+                        Outcome::Acknowledged | Outcome::Superseded(_) => Reply::Acknowledged,
                         Outcome::Conflict(_) => Reply::Conflict,
-                        Outcome::Unavailable { .. } => Reply::Later,
-                        Outcome::Empty => Reply::Nothing,
-                        Outcome::Found(word) => Reply::Word(word.text.to_vec()),
-                        Outcome::Redirect(at) => Reply::Elsewhere(at.ip()),
+                        Outcome::Unavailable { .. } => Reply::Unavailable,
+                        Outcome::Empty => Reply::Empty,
+                        Outcome::Found(configuration) => Reply::Configuration(configuration.text.to_vec()),
+                        Outcome::Redirect(at) => Reply::Redirect(at.ip()),
                     };
                     if self.calls.remove(&call) {
                         self.reply(now, call, reply);
@@ -404,37 +406,40 @@
                 }
             }
         }
-        self.release_calls(now);
+        self.reject_open_calls(now);
         let revision = self.catalogue.as_ref().map_or(0, |c| c.revision);
-        let word =
+        let configuration =
             self.control_store.committed().filter(|w| w.revision > revision || self.catalogue.is_none());
-        if let Some(catalogue) = word.and_then(|word| Catalogue::read(&word.text).ok()) {
+        if let Some(catalogue) =
+            configuration.and_then(|configuration| Catalogue::read(&configuration.text).ok())
+        {
             if let Some(lease) = &mut self.lease {
                 lease.scaler.update_services(now, &services(&catalogue));
             }
             self.catalogue = Some(Rc::new(catalogue));
-            self.send_word(now, None);
+            self.send_configuration(now, None);
         }
-        self.carry_lease(now);
+        self.process_lease(now);
         let holder = self.control_store.holder();
         if holder != self.holder {
             self.holder = holder;
             for ip in self.agents.recent(now) {
-                let news = self.news(now, ip);
-                self.send(SocketAddr::new(ip, PEER_PORT), news);
+                let status = self.status_for(now, ip);
+                self.send(SocketAddr::new(ip, PEER_PORT), status);
             }
             self.follow(now);
         }
-        if now >= self.followed + FOLLOW {
+        if now >= self.last_follow + FOLLOW_INTERVAL {
             self.follow(now);
         }
     }
 
-    fn carry_lease(&mut self, now: Duration) {
-        let held = self.control_store.lease_number(now);
-        let clings = self.terms.planted == Some(Planted::DutyPastTerm) && held.is_none();
-        if !clings && self.lease.as_ref().map(|lease| lease.number) != held {
-            self.lease = held.map(|number| self.take_up_lease(now, number));
+    fn process_lease(&mut self, now: Duration) {
+        let current = self.control_store.lease_number(now);
+        let keeps_expired_lease =
+            self.settings.defect == Some(InjectedDefect::DutyPastTerm) && current.is_none();
+        if !keeps_expired_lease && self.lease.as_ref().map(|lease| lease.number) != current {
+            self.lease = current.map(|number| self.start_lease(now, number));
         }
         let Some(lease) = self.lease.as_mut() else { return };
         let number = lease.number;
@@ -447,22 +452,22 @@
         lease.end_handover(now);
         while let Some(order) = lease.next_order(now) {
             let call = match order {
-                stacks::Order::Begin { token, service, host, nonce } => {
+                autoscaler::Order::Begin { token, service, host, nonce } => {
                     Call::Begin { token, service, host, nonce }
                 }
-                stacks::Order::Stop { token, instance } => Call::Stop { token, instance },
+                autoscaler::Order::Stop { token, instance } => Call::Stop { token, instance },
             };
             self.out.push(Out::Platform { number, call });
         }
-        self.tell_instances(now);
+        self.send_instances(now);
     }
 
-    fn take_up_lease(&self, now: Duration, number: u64) -> LeaseHolder {
+    fn start_lease(&self, now: Duration, number: u64) -> LeaseHolder {
         let settings = LeaseSettings {
-            terms: self.terms.stacks.clone(),
-            seed: number ^ hash(&self.terms.name),
-            rebinding: self.terms.rebinding,
-            list_interval: list_interval(self.terms.list_rate),
+            terms: self.settings.platform.clone(),
+            seed: number ^ hash(&self.settings.name),
+            rebinding: self.settings.rebinding,
+            list_interval: list_interval(self.settings.list_rate),
         };
         LeaseHolder::start(now, number, settings, self.catalogue.as_deref(), self.relay.replica())
     }
--- a/crates/rehearsal/src/html.rs
+++ b/crates/rehearsal/src/html.rs
@@ -1,7 +1,7 @@
-//! The report of `tindock play`: one HTML file with plots as inline SVG, and nothing from elsewhere.
+//! HTML report of `tindock play`: one file with plots as inline SVG and no external resources.
 
 use crate::command::{spread, Group, MEASURES};
-use crate::report::{Held, Report, Row, Span};
+use crate::report::{LeasePeriod, Report, Row, Span};
 use crate::setting::mean;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -11,11 +11,11 @@
 const RIGHT: f64 = 16.0;
 const TOP: f64 = 10.0;
 const HEIGHT: f64 = 150.0;
-/// Of a line of the time line.
-const BAR: f64 = 18.0;
-/// Lines of a time line, and findings and seeds told; the rest is counted.
-const LINES: usize = 40;
-const TOLD: usize = 50;
+/// Height of one row of the time line.
+const BAR_HEIGHT: f64 = 18.0;
+/// Rows of the time line and findings shown; the rest is only counted.
+const MAX_LINES: usize = 40;
+const MAX_FINDINGS: usize = 50;
 
 const STYLE: &str = "body{font:14px/1.45 \
     system-ui,sans-serif;color:#1b1f24;background:#fff;max-width:980px;margin:1.5em auto;padding:0 1em}\
@@ -39,19 +39,19 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-/// The seconds that are drawn, and where.
+/// Time range of a plot, mapped to x coordinates.
 struct Time {
     from: f64,
     to: f64,
 }
 
-/// Before traffic there is little to see.
-const BEFORE: i64 = -2;
+/// First second shown, shortly before traffic starts.
+const FIRST_SECOND: i64 = -2;
 
 impl Time {
     fn of(report: &Report) -> Time {
         let last = report.rows.last().map_or(1.0, |row| row.second as f64 + 1.0);
-        Time { from: BEFORE as f64, to: last.max(1.0) }
+        Time { from: FIRST_SECOND as f64, to: last.max(1.0) }
     }
 
     fn x(&self, at: f64) -> f64 {
@@ -59,10 +59,10 @@
         LEFT + share * (WIDTH - LEFT - RIGHT)
     }
 
-    /// Lines and numbers below a plot of this height.
+    /// Grid lines and labels of the time axis.
     fn axis(&self, out: &mut String, height: f64) {
         let step = step(self.to - self.from, 12.0);
-        // Plus nothing: no minus before a zero.
+        // Adding 0 turns -0 into 0.
         let mut at = (self.from / step).ceil() * step + 0.0;
         while at <= self.to {
             let x = self.x(at);
@@ -78,7 +78,7 @@
     }
 }
 
-/// 1, 2 or 5 times a power of ten, for about so many steps.
+/// Step of 1, 2 or 5 times a power of ten that gives about `steps` steps.
 fn step(all: f64, steps: f64) -> f64 {
     let rough = (all / steps).max(1e-9);
     let ten = 10f64.powf(rough.log10().floor());
@@ -95,12 +95,12 @@
     );
 }
 
-/// Numbers at the left, up to `most`.
-fn scale(out: &mut String, most: f64) {
-    let step = step(most, 4.0).max(1.0);
+/// Grid lines and labels of the value axis, up to `max_value`.
+fn scale(out: &mut String, max_value: f64) {
+    let step = step(max_value, 4.0).max(1.0);
     let mut value = 0.0;
-    while value <= most {
-        let y = y(value, most);
+    while value <= max_value {
+        let y = y(value, max_value);
         let _ = write!(
             out,
             "<line x1=\"{LEFT}\" x2=\"{:.1}\" y1=\"{y:.1}\" y2=\"{y:.1}\" stroke=\"#e3e6ea\"/>\
@@ -113,8 +113,8 @@
     }
 }
 
-fn y(value: f64, most: f64) -> f64 {
-    TOP + HEIGHT * (1.0 - (value / most.max(1.0)).clamp(0.0, 1.0))
+fn y(value: f64, max_value: f64) -> f64 {
+    TOP + HEIGHT * (1.0 - (value / max_value.max(1.0)).clamp(0.0, 1.0))
 }
 
 fn key(out: &mut String, parts: &[(&str, &str)]) {
@@ -128,10 +128,10 @@
 fn requests(out: &mut String, report: &Report, time: &Time) {
     out.push_str("<h2>Requests, by the second in which they were sent</h2>");
     key(out, &[(GREEN, "served in aim"), (YELLOW, "served later"), (ORANGE, "refused"), (RED, "failed")]);
-    let most = report.rows.iter().map(|row| row.sent).max().unwrap_or(0).max(1) as f64;
+    let max_value = report.rows.iter().map(|row| row.sent).max().unwrap_or(0).max(1) as f64;
     begin(out, HEIGHT, "requests by second");
     time.axis(out, HEIGHT);
-    scale(out, most);
+    scale(out, max_value);
     for row in report.rows.iter().filter(|row| row.sent > 0) {
         let (from, to) = (time.x(row.second as f64), time.x(row.second as f64 + 1.0));
         let _ = write!(
@@ -148,7 +148,7 @@
         let parts =
             [(row.aim, GREEN), (row.served - row.aim, YELLOW), (row.refused, ORANGE), (row.failed, RED)];
         for (count, colour) in parts.into_iter().filter(|(count, _)| *count > 0) {
-            let (low, high) = (y(below, most), y(below + count as f64, most));
+            let (low, high) = (y(below, max_value), y(below + count as f64, max_value));
             let _ = write!(
                 out,
                 "<rect x=\"{from:.1}\" y=\"{high:.1}\" width=\"{:.1}\" height=\"{:.1}\" fill=\"{colour}\"/>",
@@ -162,26 +162,30 @@
     out.push_str("</svg>");
 }
 
-/// Steps of one figure, filled down to the axis or as a line.
+/// Step curve of one figure, filled down to the axis or as a line.
 fn steps(
     out: &mut String,
     rows: &[Row],
     time: &Time,
-    most: f64,
+    max_value: f64,
     (colour, filled): (&str, bool),
     of: fn(&Row) -> usize,
 ) {
     let mut path = String::new();
-    let rows = &rows[rows.partition_point(|row| row.second < BEFORE)..];
+    let rows = &rows[rows.partition_point(|row| row.second < FIRST_SECOND)..];
     let (Some(first), Some(last)) = (rows.first(), rows.last()) else { return };
     for row in rows {
         let (from, to) = (time.x(row.second as f64), time.x(row.second as f64 + 1.0));
-        let at = y(of(row) as f64, most);
+        let at = y(of(row) as f64, max_value);
         let _ = write!(path, "{}{from:.1},{at:.1}L{to:.1},{at:.1}", if path.is_empty() { "M" } else { "L" });
     }
     if filled {
-        let ends = (time.x(last.second as f64 + 1.0), time.x(first.second as f64), y(0.0, most));
-        let _ = write!(path, "L{:.1},{:.1}L{:.1},{:.1}Z", ends.0, ends.2, ends.1, ends.2);
+        let done_sender = (time.x(last.second as f64 + 1.0), time.x(first.second as f64), y(0.0, max_value));
+        let _ = write!(
+            path,
+            "L{:.1},{:.1}L{:.1},{:.1}Z",
+            done_sender.0, done_sender.2, done_sender.1, done_sender.2
+        );
         let _ = write!(out, "<path d=\"{path}\" fill=\"{colour}\"/>");
     } else {
         let _ = write!(out, "<path d=\"{path}\" fill=\"none\" stroke=\"{colour}\" stroke-width=\"1.6\"/>");
@@ -200,95 +204,95 @@
 ) {
     let _ = write!(out, "<h2>{title}</h2>");
     key(out, &[(BLUE, fill_name), (RED, line_name)]);
-    let most = report.rows.iter().map(|row| filled(row).max(line(row))).max().unwrap_or(0).max(1) as f64;
+    let max_value = report.rows.iter().map(|row| filled(row).max(line(row))).max().unwrap_or(0).max(1) as f64;
     begin(out, HEIGHT, title);
     time.axis(out, HEIGHT);
-    steps(out, &report.rows, time, most, (BLUE, true), filled);
-    scale(out, most);
-    steps(out, &report.rows, time, most, (RED, false), line);
+    steps(out, &report.rows, time, max_value, (BLUE, true), filled);
+    scale(out, max_value);
+    steps(out, &report.rows, time, max_value, (RED, false), line);
     out.push_str("</svg>");
 }
 
 fn bar(out: &mut String, time: &Time, line: usize, (from, to): (f64, f64), colour: &str, what: &str) {
     let (x, end) = (time.x(from), time.x(to));
-    let top = TOP + line as f64 * BAR + 3.0;
+    let top = TOP + line as f64 * BAR_HEIGHT + 3.0;
     let _ = write!(
         out,
         "<rect x=\"{x:.1}\" y=\"{top:.1}\" width=\"{:.1}\" height=\"{:.1}\" rx=\"2\" \
             fill=\"{colour}\"><title>{} \
          ({from:.2} to {to:.2} s)</title></rect>",
         (end - x).max(3.0),
-        BAR - 6.0,
+        BAR_HEIGHT - 6.0,
         escaped(what)
     );
-    // The name goes where there is room for it.
-    let wide = what.chars().count() as f64 * 5.8;
+    // Puts the label to the right of the bar if it fits, else to the left.
+    let width = what.chars().count() as f64 * 5.8;
     let (at, anchor) =
-        if end + 6.0 + wide < WIDTH { (end.max(x + 3.0) + 5.0, "start") } else { (x - 5.0, "end") };
+        if end + 6.0 + width < WIDTH { (end.max(x + 3.0) + 5.0, "start") } else { (x - 5.0, "end") };
     let _ = write!(
         out,
         "<text x=\"{at:.1}\" y=\"{:.1}\" text-anchor=\"{anchor}\">{}</text>",
-        top + BAR - 8.0,
+        top + BAR_HEIGHT - 8.0,
         escaped(what)
     );
 }
 
 fn time_line(out: &mut String, report: &Report, time: &Time) {
-    out.push_str("<h2>What happened, and who held the duty</h2>");
+    out.push_str("<h2>Events and lease holders</h2>");
     key(
         out,
         &[
-            (ORANGE, "fault or act of an operator"),
-            (BLUE, "held the duty (starts and stops instances)"),
+            (ORANGE, "fault or operator action"),
+            (BLUE, "held the leadership lease (starts and stops instances)"),
             (RED, "rule broken"),
         ],
     );
-    let spans: Vec<&Span> = report.spans.iter().filter(|span| span.to >= time.from).take(LINES).collect();
-    let mut holders: BTreeMap<&str, Vec<&Held>> = BTreeMap::new();
-    for held in report.duties.iter().filter(|held| held.to >= time.from) {
-        holders.entry(&held.who).or_default().push(held);
+    let spans: Vec<&Span> = report.spans.iter().filter(|span| span.to >= time.from).take(MAX_LINES).collect();
+    let mut holders: BTreeMap<&str, Vec<&LeasePeriod>> = BTreeMap::new();
+    for held in report.lease_periods.iter().filter(|held| held.to >= time.from) {
+        holders.entry(&held.holder).or_default().push(held);
     }
-    let lines = spans.len() + holders.len().min(LINES) + usize::from(!report.findings.is_empty());
-    let height = lines.max(1) as f64 * BAR;
+    let lines = spans.len() + holders.len().min(MAX_LINES) + usize::from(!report.findings.is_empty());
+    let height = lines.max(1) as f64 * BAR_HEIGHT;
     begin(out, height, "time line");
     time.axis(out, height);
     for (line, span) in spans.iter().enumerate() {
         bar(out, time, line, (span.from, span.to), ORANGE, &span.what);
     }
-    for (k, (who, held)) in holders.into_iter().take(LINES).enumerate() {
+    for (k, (holder, held)) in holders.into_iter().take(MAX_LINES).enumerate() {
         let line = spans.len() + k;
         for (n, held) in held.iter().enumerate() {
-            let name = if n == 0 { who } else { "" };
+            let name = if n == 0 { holder } else { "" };
             bar(out, time, line, (held.from.max(time.from), held.to), BLUE, name);
         }
     }
     if !report.findings.is_empty() {
-        let at = TOP + lines as f64 * BAR - 5.0;
+        let at = TOP + lines as f64 * BAR_HEIGHT - 5.0;
         let _ = write!(out, "<text x=\"{:.1}\" y=\"{at:.1}\" text-anchor=\"end\">broken</text>", LEFT - 6.0);
     }
-    for finding in report.findings.iter().take(TOLD) {
-        let (x, top) = (time.x(finding.at), TOP + (lines - 1) as f64 * BAR + 3.0);
+    for finding in report.findings.iter().take(MAX_FINDINGS) {
+        let (x, top) = (time.x(finding.at), TOP + (lines - 1) as f64 * BAR_HEIGHT + 3.0);
         let _ = write!(
             out,
             "<rect x=\"{:.1}\" y=\"{top:.1}\" width=\"3\" height=\"{:.1}\" \
                 fill=\"{RED}\"><title>{}</title></rect>",
             x - 1.5,
-            BAR - 6.0,
+            BAR_HEIGHT - 6.0,
             escaped(&finding.to_string())
         );
     }
     out.push_str("</svg>");
-    if report.spans.len() > LINES {
-        let _ = write!(out, "<p>and {} more</p>", report.spans.len() - LINES);
+    if report.spans.len() > MAX_LINES {
+        let _ = write!(out, "<p>and {} more</p>", report.spans.len() - MAX_LINES);
     }
 }
 
-fn classes(out: &mut String, report: &Report) {
+fn route_figures(out: &mut String, report: &Report) {
     out.push_str(
         "<h2>By route</h2><table><tr><th>route<th>sent<th>served<th>in \
         aim<th>refused<th>failed<th>median, ms<th>99 of 100, ms</tr>",
     );
-    for class in &report.classes {
+    for class in &report.route_figures {
         let _ = write!(
             out,
             "<tr><td>{}<td>{}<td>{}<td>{}<td>{}<td>{}<td>{:.1}<td>{:.1}</tr>",
@@ -298,8 +302,8 @@
             class.aim,
             class.refused,
             class.failed,
-            class.took.0,
-            class.took.1
+            class.latency_ms.0,
+            class.latency_ms.1
         );
     }
     out.push_str("</table>");
@@ -310,13 +314,13 @@
         return;
     }
     let _ = write!(out, "<p class=\"broken\">{} findings:</p><ul class=\"broken\">", report.findings.len());
-    for finding in report.findings.iter().take(TOLD) {
+    for finding in report.findings.iter().take(MAX_FINDINGS) {
         let _ = write!(out, "<li>{}</li>", escaped(&finding.to_string()));
     }
     out.push_str("</ul>");
 }
 
-/// Means with intervals, one row for each value of the setting.
+/// Means with confidence intervals, one row for each value of the setting.
 fn means(out: &mut String, groups: &[Group], name: Option<&str>) {
     let seeds = groups.first().map_or(0, |group| group.reports.len());
     let _ = write!(out, "<h2>Means, seeds: {seeds}</h2><p>± half of the 95 % interval (Student's t)</p>");
@@ -336,7 +340,7 @@
     out.push_str("</table></div>");
 }
 
-/// Shares in aim and served over the values, with their intervals.
+/// Shares served and served within the aim, over the values of the setting.
 fn sweep(out: &mut String, groups: &[Group], name: &str) {
     let _ = write!(out, "<h2>Shares over {}</h2>", escaped(name));
     key(out, &[(GREEN, "in aim"), (BLUE, "served")]);
@@ -364,9 +368,9 @@
             y(share) + 4.0,
         );
     }
-    let wide = (WIDTH - LEFT - RIGHT) / groups.len().max(1) as f64;
+    let width = (WIDTH - LEFT - RIGHT) / groups.len().max(1) as f64;
     for (n, group) in groups.iter().enumerate() {
-        let x = LEFT + wide * (n as f64 + 0.5);
+        let x = LEFT + width * (n as f64 + 0.5);
         let value = escaped(group.value.as_deref().unwrap_or(""));
         let below = TOP + HEIGHT + 14.0;
         let _ = write!(out, "<text x=\"{x:.1}\" y=\"{below:.1}\" text-anchor=\"middle\">{value}</text>");
@@ -390,7 +394,7 @@
 
 pub fn page(groups: &[Group], name: Option<&str>) -> String {
     let all = || groups.iter().flat_map(|group| group.reports.iter().map(move |report| (group, report)));
-    // The run that is drawn: one with findings, if there is any, with the fewest in aim.
+    // Shows the worst run: one with findings if there is any, with the lowest share within the aim.
     let worst = all().min_by(|(_, a), (_, b)| a.holds().cmp(&b.holds()).then(a.aim.total_cmp(&b.aim)));
     let title = escaped(worst.map_or("", |(_, report)| &report.title));
     let mut out = format!(
@@ -432,8 +436,8 @@
     }
     let _ = write!(
         out,
-        "<p>Served {:.4}, in aim {:.4}; {} starts and {} stops of instances; longest without a holder of \
-            the duty {:.2} s; \
+        "<p>Served {:.4}, in aim {:.4}; {} starts and {} stops of instances; longest without a lease \
+            holder {:.2} s; \
          slowest acknowledgement of a configuration {:.2} s.</p>",
         report.served, report.aim, report.starts, report.stops, report.gap, report.slowest_ack
     );
@@ -454,10 +458,10 @@
         &time,
         "Instances",
         (|row| row.ready, "ready"),
-        (|row| row.there, "ready, starting or ending"),
+        (|row| row.present, "ready, starting or ending"),
     );
     time_line(&mut out, report, &time);
-    classes(&mut out, report);
+    route_figures(&mut out, report);
     out.push_str("</html>\n");
     out
 }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,62 +1,65 @@
-//! Rehearsals: the deciders of the whole system together, on simulated time.
+//! Simulator: runs the decision components of the whole system together on simulated time.
 //!
-//! Edge machines (`gazette`, `lending`) and core machines (`control_store`, `stacks`) are put together as `house` puts them, with
-//! its carrying mirrored here in small ([`page`], [`desk`], [`controller`]); around them are a platform with workers, clients,
-//! operators and links, all written from the published protocol. What happens and what must hold comes from a scenario, a
-//! small text file. One seeded chance decides everything that is drawn, so a run can be played again.
+//! Edge machines (`tindock_gazette`, `tindock_lending`) and core machines (`tindock_control_store`,
+//! `tindock_stacks`) are assembled as in the system processes, whose I/O code is mirrored here in reduced
+//! form ([`agent`], [`proxy`], [`controller`]). Around them are models of the platform with its workers, of
+//! clients, operators and network links, all written from the published protocol. A scenario, a small text
+//! file, states what happens and what must hold. All random numbers come from one seed, so a run can be
+//! repeated exactly.
 //!
-//! [`play`] runs a scenario ([`command`] is `tindock play`); its [`Report`] has a table by second and what the judge found. The judge knows only what
-//! clients, workers, operators and the platform see. Defects that can be [`Planted`] show that it finds what it looks for.
+//! [`play`] runs a scenario ([`command`] is `tindock play`). Its [`Report`] has a table by second and the
+//! findings of the checker, which sees only what clients, workers, operators and the platform can see.
+//! [`InjectedDefect`]s are used to test that the checker finds what it is meant to find.
 
+pub mod agent;
 mod baselines;
-mod chance;
+mod checker;
 mod command;
 pub mod controller;
-pub mod desk;
 mod html;
-mod judge;
+mod injected_defects;
 mod list;
+mod messages;
 mod net;
-mod notes;
 mod operator;
-pub mod page;
-mod planted;
 mod platform;
+pub mod proxy;
 mod report;
+mod rng;
 mod scenario;
 mod setting;
 mod wire;
 mod world;
 
 pub use baselines::{Ranking, Sharing};
-pub use command::{command, run, Played};
-pub use judge::{Finding, Rule};
+pub use checker::{Finding, Rule};
+pub use command::{command, run, PlayOutcome};
+pub use injected_defects::InjectedDefect;
 pub use list::LIST;
-pub use planted::Planted;
-pub use report::{Class, Held, Loans, Report, Row, Span};
-pub use scenario::{Fault, Scenario, Wrong};
+pub use report::{AllocationFigures, LeasePeriod, Report, RouteFigures, Row, Span};
+pub use scenario::{Scenario, ScenarioError, ScenarioErrorKind};
 
-/// The one host of all routes.
+/// Host name of all routes.
 pub(crate) const HOST: &str = "site.example";
 
-/// Plays a scenario with this seed.
-pub fn play(text: &str, seed: u64, planted: Option<Planted>) -> Result<Report, Fault> {
-    play_sharing(text, seed, planted, Sharing::Loans)
+/// Runs a scenario with this seed.
+pub fn play(text: &str, seed: u64, defect: Option<InjectedDefect>) -> Result<Report, ScenarioError> {
+    play_sharing(text, seed, defect, Sharing::Loans)
 }
 
-/// The same with another way to share slots.
+/// Runs a scenario with another way of sharing slots between proxies.
 pub fn play_sharing(
     text: &str,
     seed: u64,
-    planted: Option<Planted>,
+    defect: Option<InjectedDefect>,
     sharing: Sharing,
-) -> Result<Report, Fault> {
+) -> Result<Report, ScenarioError> {
     let scenario = Scenario::read(text)?;
-    Ok(world::World::new(scenario, seed, planted, (sharing, Ranking::Limit)).run(|_| ()))
+    Ok(world::World::new(scenario, seed, defect, (sharing, Ranking::Limit)).run(|_| ()))
 }
 
-/// Slots on loan, with another way to rank instances.
-pub fn play_ranking(text: &str, seed: u64, ranking: Ranking) -> Result<Report, Fault> {
+/// Runs a scenario with slot allocation and another instance ranking.
+pub fn play_ranking(text: &str, seed: u64, ranking: Ranking) -> Result<Report, ScenarioError> {
     let scenario = Scenario::read(text)?;
     Ok(world::World::new(scenario, seed, None, (Sharing::Loans, ranking)).run(|_| ()))
 }
--- a/crates/rehearsal/src/list.rs
+++ b/crates/rehearsal/src/list.rs
@@ -1,11 +1,11 @@
-//! What a scenario file may hold, for `tindock play --list`. Each line is an example that can be read.
+//! Syntax of scenario files, for `tindock play --list`. Each line is a valid example.
 
-/// Lines by what they are about; `what` says the rest, with what holds where a word is left out.
+/// Lines by topic. The second string explains the line, with defaults in brackets.
 pub const LIST: [(&str, &[(&str, &str)]); 4] = [
     (
-        "The place",
+        "Setup",
         &[
-            ("title Two zones", "the name of it"),
+            ("title Two zones", "name of the scenario"),
             ("length 20", "seconds of traffic (20; at most 600)"),
             ("lead 6", "seconds for machines to come up before traffic (6; at most 60)"),
             ("zones a:west b:west", "zones, each with its region"),
@@ -23,11 +23,11 @@
             (
                 "platform rate 27 duty 150 lag 0.8 addresses 4000",
                 "lists a second, starts and stops a \
-                second, seconds that lists are late, addresses for instances",
+                second, seconds by which lists lag, addresses for instances",
             ),
             (
                 "platform brush 0.01 brush-ms 5",
-                "a new connection holds a slot so often, for so many ms \
+                "share of new connections that hold a slot, and for how many ms \
                 (never)",
             ),
             (
@@ -38,7 +38,7 @@
             ("timers downgrade 0.25 ack 5 seed-lag 3 recovery 10 loss-slack 0.5", "more of them"),
             (
                 "timers budget-ratio 0.2 budget-slack 58 budget-window 10 sync-ms 1",
-                "further tries: a \
+                "retry budget: a \
                 share of requests and so many more in so many seconds; ms of a disk write",
             ),
             (
@@ -61,7 +61,7 @@
         ],
     ),
     (
-        "What happens: `at SECOND ...`, counted from the start of traffic",
+        "Actions: `at SECOND ...`, counted from the start of traffic",
         &[
             ("at 1 burst check x2 for 3", "more requests: of a route or of `all`; `in a` for one zone only"),
             ("at 1 burst all x3 for 3 in a", ""),
@@ -71,15 +71,15 @@
                 down); `power`: no resets",
             ),
             ("at 2 kill core-a-1 for 2 power", ""),
-            ("at 2 wipe core-b-1 for 2", "loses its disk as well"),
+            ("at 2 wipe core-b-1 for 2", "it loses its disk as well"),
             (
                 "at 3 freeze holder for 2",
-                "stands still; `holder`: who holds the duty; `acker`: who \
+                "stops running; `holder`: the lease holder; `acker`: the machine that \
                 acknowledged last",
             ),
             (
                 "at 4 roll edge* gap 2 for 1",
-                "stopped in order, one each `gap` seconds, started again \
+                "SIGTERM, one each `gap` seconds, started again \
                 after its end",
             ),
             ("at 5 cut edge-a-1 rest for 2", "no path between two sides; `rest`: all other machines"),
@@ -89,13 +89,13 @@
                 "packets lost and ms more between two \
                 sides",
             ),
-            ("at 6 drain host-a-1", "the platform empties a host"),
+            ("at 6 drain host-a-1", "the platform drains a host"),
             (
                 "at 6 crash host-b-1 for 4 silent",
-                "a host goes with what runs on it; `silent`: without \
+                "a host fails with what runs on it; `silent`: without \
                 resets",
             ),
-            ("at 7 late list by 2 for 3", "the platform's lists are later, by seconds"),
+            ("at 7 late list by 2 for 3", "the platform's lists lag more, by seconds"),
             ("at 7 slow list by 1 for 3", "lists take longer, seconds"),
             ("at 7 refuse list for 3", "also `refuse calls`: starts and stops"),
             ("at 7 lose calls for 2", "starts and stops are done, their answers are lost"),
@@ -103,13 +103,13 @@
             ("at 8 lose answers 0.1 for 3", "workers run a share of requests and reset the connection"),
             (
                 "at 8 spoil cut 0.1 for 3",
-                "also stalled, garbled, unsealed, surplus, failed: what workers \
-                do to a share of answers",
+                "also stalled, garbled, unsealed, surplus, failed: faults that workers \
+                apply to a share of answers",
             ),
             (
                 "at 9 config touch",
                 "the operator sends a configuration with new times; `to core-a-1`: \
-                there at first",
+                sent there first",
             ),
             (
                 "at 9 config move batch dock by 2",
@@ -117,10 +117,13 @@
                 remark)",
             ),
             ("at 9 config add fresh log rate 5", "a new route"),
-            ("at 9 config drop batch", "a route goes"),
-            ("at 9 config invalid", "one that cannot be valid"),
-            ("at 9 config touch wipe 2", "who acknowledges it loses its disk at once, for 2 s"),
-            ("at 9 replace core-b-2 after 0.5", "gone for good; an empty one comes at another address"),
+            ("at 9 config drop batch", "a route is removed"),
+            ("at 9 config invalid", "an invalid configuration"),
+            ("at 9 config touch wipe 2", "the machine that acknowledges it loses its disk at once, for 2 s"),
+            (
+                "at 9 replace core-b-2 after 0.5",
+                "removed permanently; an empty one starts at another address",
+            ),
             ("at 9 disk core-a-1 slow 20 full for 2", "writes take so many times as long; `full`: fail"),
             (
                 "at 9 freeze half:edge*,core-a-1 for 1",
@@ -130,36 +133,39 @@
         ],
     ),
     (
-        "What must hold: `expect ...`, beside the rules, which are always judged",
+        "Expectations: `expect ...`, in addition to the rules, which are always checked",
         &[
             ("expect served >= 0.9", "share of requests; `route NAME`, `from S`, `to S` for a part of them"),
-            ("expect aim >= 0.5 route check from 0 to 20", "the same of those served in aim"),
+            ("expect aim >= 0.5 route check from 0 to 20", "the same for requests served within the aim"),
             (
                 "expect limit <= 10",
-                "turned away as full by one function's instances in 5 s; `anytime`: \
-                also in trouble",
+                "rejected as full by one service's instances in 5 s; `anytime`: \
+                also during disturbances",
             ),
             ("expect limit anytime <= 200", ""),
-            ("expect holder within 4", "nobody holds the duty for at most so long, seconds"),
-            ("expect acked within 5", "changes are acknowledged, seconds"),
-            ("expect recovered within 10", "0.95 is served so long after the last trouble"),
+            ("expect holder within 4", "longest time without a lease holder, seconds"),
+            ("expect acked within 5", "longest time until a change is acknowledged, seconds"),
+            (
+                "expect recovered within 10",
+                "0.95 is served from this many seconds after the last disturbance",
+            ),
             ("expect starts <= 100", "instances started"),
             ("expect left <= 100", "instances at the end"),
             (
                 "expect reused >= 0",
-                "addresses that went to another service: that the scenario is what it \
-                says",
+                "addresses that went to another service: checks that the scenario \
+                exercises address reuse",
             ),
-            ("expect configuration kept", "says what is judged anyway; so do the next three"),
+            ("expect configuration kept", "restates a rule that is always checked; so do the next three"),
             ("expect never doubled", ""),
             ("expect drain kept", ""),
             ("expect budget kept", ""),
         ],
     ),
-    ("Remarks", &[("# as you like", "to the end of the line")]),
+    ("Comments", &[("# as you like", "to the end of the line")]),
 ];
 
-/// As it is printed.
+/// Text that `tindock play --list` prints.
 pub fn list() -> String {
     let mut text = String::new();
     for (about, lines) in LIST {
--- a/crates/rehearsal/src/notes.rs
+++ b/crates/rehearsal/src/messages.rs
@@ -1,42 +1,42 @@
-//! What pages, archives and desks say to each other: `house::notes`, as far as it decides anything.
+//! Messages between agents, controllers and proxies: those of the system processes that affect decisions.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
 use tindock_catalogue::Catalogue;
 pub use tindock_circulation::{InstanceUpdate, Listed, Mark, Owners, Proxy};
 use tindock_control_store::Envelope;
-use tindock_stacks as stacks;
+use tindock_stacks as autoscaler;
 
 pub const PEER_PORT: u16 = 7300;
-pub const LEND_PORT: u16 = 7301;
+pub const ALLOCATION_PORT: u16 = 7301;
 
 #[derive(Clone)]
-pub enum Note {
+pub enum PeerMessage {
     ControlStore(Envelope),
     Pull {
         ip: IpAddr,
         revision: u64,
         mark: Mark,
     },
-    News {
+    ControllerStatus {
         holder: Option<(SocketAddr, u64)>,
         revision: u64,
-        touch: bool,
-        archives: Vec<SocketAddr>,
-        pages: Vec<IpAddr>,
+        in_contact: bool,
+        controllers: Vec<SocketAddr>,
+        agents: Vec<IpAddr>,
     },
-    Word(Rc<Catalogue>),
+    Configuration(Rc<Catalogue>),
     Follow {
         mark: Mark,
-        greets: bool,
+        wants_status: bool,
         proxy: Option<Proxy>,
     },
-    Stacks(Rc<InstanceUpdate>),
+    Instances(Rc<InstanceUpdate>),
     Owners(Owners),
-    Demand(Vec<stacks::Demand>),
-    Gone(String),
-    Ready(String),
-    Inherit {
+    Demand(Vec<autoscaler::Demand>),
+    InstanceGone(String),
+    InstanceReady(String),
+    Handover {
         entries: Vec<Listed>,
         tag: u64,
         numbers: Vec<(String, u32)>,
--- a/crates/rehearsal/src/net.rs
+++ b/crates/rehearsal/src/net.rs
@@ -1,11 +1,11 @@
-//! Machines' places and the links between them: delay, loss, cuts.
+//! Zones of machines, and the links between them: delay, loss, cuts.
 
-use crate::chance::Chance;
-use crate::scenario::NetTerms;
+use crate::rng::Rng;
+use crate::scenario::NetworkSettings;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Who is at one end of a link.
+/// Endpoint of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Node {
     Edge(usize),
@@ -18,69 +18,69 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Harm {
+pub struct LinkFault {
     pub a: Vec<Node>,
     pub b: Vec<Node>,
     pub cut: bool,
-    /// Only from `a` to `b`.
+    /// Affects only the direction from `a` to `b`.
     pub one_way: bool,
     pub loss: f64,
     pub delay: f64,
 }
 
 pub struct Net {
-    terms: NetTerms,
-    /// The zone of each node, and of each zone its region.
-    places: BTreeMap<Node, usize>,
+    settings: NetworkSettings,
+    /// Zone of each node, and region of each zone.
+    zones_of: BTreeMap<Node, usize>,
     regions: Vec<usize>,
-    harms: BTreeMap<u64, Harm>,
+    faults: BTreeMap<u64, LinkFault>,
     next: u64,
 }
 
-/// A lost packet of a stream comes again after this.
-const AGAIN: Duration = Duration::from_millis(200);
+/// Delay until a lost packet of a stream is sent again.
+const RETRANSMISSION_DELAY: Duration = Duration::from_millis(200);
 
 fn millis(ms: f64) -> Duration {
     Duration::from_nanos((ms.max(0.0) * 1e6) as u64)
 }
 
 impl Net {
-    pub fn new(terms: NetTerms, regions: Vec<usize>) -> Net {
-        Net { terms, places: BTreeMap::new(), regions, harms: BTreeMap::new(), next: 0 }
+    pub fn new(settings: NetworkSettings, regions: Vec<usize>) -> Net {
+        Net { settings, zones_of: BTreeMap::new(), regions, faults: BTreeMap::new(), next: 0 }
     }
 
     pub fn place(&mut self, node: Node, zone: usize) {
-        self.places.insert(node, zone);
+        self.zones_of.insert(node, zone);
     }
 
     pub fn zone(&self, node: Node) -> usize {
-        self.places.get(&node).copied().unwrap_or(0)
+        self.zones_of.get(&node).copied().unwrap_or(0)
     }
 
-    pub fn harm(&mut self, harm: Harm) -> u64 {
+    pub fn add_fault(&mut self, fault: LinkFault) -> u64 {
         self.next += 1;
-        self.harms.insert(self.next, harm);
+        self.faults.insert(self.next, fault);
         self.next
     }
 
-    pub fn mend(&mut self, harm: u64) {
-        self.harms.remove(&harm);
+    pub fn remove_fault(&mut self, fault: u64) {
+        self.faults.remove(&fault);
     }
 
-    fn harms(&self, a: Node, b: Node) -> impl Iterator<Item = &Harm> {
-        let between = move |harm: &&Harm| {
-            let back = !harm.one_way && harm.a.contains(&b) && harm.b.contains(&a);
-            back || harm.a.contains(&a) && harm.b.contains(&b)
+    fn faults_between(&self, a: Node, b: Node) -> impl Iterator<Item = &LinkFault> {
+        let between = move |fault: &&LinkFault| {
+            let back = !fault.one_way && fault.a.contains(&b) && fault.b.contains(&a);
+            back || fault.a.contains(&a) && fault.b.contains(&b)
         };
-        self.harms.values().filter(between)
+        self.faults.values().filter(between)
     }
 
-    /// Whether nothing comes from `a` to `b`.
+    /// Whether nothing gets from `a` to `b`.
     pub fn cut(&self, a: Node, b: Node) -> bool {
-        self.harms(a, b).any(|harm| harm.cut)
+        self.faults_between(a, b).any(|fault| fault.cut)
     }
 
-    /// One way, without chance; a loopback takes next to nothing.
+    /// One-way delay without random variation; a loopback takes next to nothing.
     pub fn delay(&self, a: Node, b: Node) -> Duration {
         if a == b {
             return Duration::from_micros(30);
@@ -89,43 +89,43 @@
         let (from, to) = (self.zone(a), self.zone(b));
         let region = |zone: usize| self.regions.get(zone).copied().unwrap_or(0);
         let mut ms = if from == to {
-            self.terms.zone
+            self.settings.zone
         } else if region(from) == region(to) {
-            self.terms.cross
+            self.settings.cross
         } else {
-            self.terms.region
+            self.settings.region
         };
         if outside(&a) || outside(&b) {
-            ms = ms.max(self.terms.client);
+            ms = ms.max(self.settings.client);
         }
-        ms += self.harms(a, b).map(|harm| harm.delay).sum::<f64>();
+        ms += self.faults_between(a, b).map(|fault| fault.delay).sum::<f64>();
         millis(ms)
     }
 
-    fn lost(&self, chance: &mut Chance, a: Node, b: Node) -> bool {
-        let loss = self.terms.loss + self.harms(a, b).map(|harm| harm.loss).sum::<f64>();
-        a != b && loss > 0.0 && chance.share() < loss
+    fn lost(&self, rng: &mut Rng, a: Node, b: Node) -> bool {
+        let loss = self.settings.loss + self.faults_between(a, b).map(|fault| fault.loss).sum::<f64>();
+        a != b && loss > 0.0 && rng.unit() < loss
     }
 
-    /// How long a datagram takes; None if it does not come.
-    pub fn datagram(&self, chance: &mut Chance, a: Node, b: Node) -> Option<Duration> {
-        if self.cut(a, b) || self.lost(chance, a, b) {
+    /// Time for a datagram; None if it is lost.
+    pub fn datagram(&self, rng: &mut Rng, a: Node, b: Node) -> Option<Duration> {
+        if self.cut(a, b) || self.lost(rng, a, b) {
             return None;
         }
-        Some(self.delay(a, b).mul_f64(1.0 + 0.2 * chance.share()))
+        Some(self.delay(a, b).mul_f64(1.0 + 0.2 * rng.unit()))
     }
 
-    /// How long bytes of a stream take; None behind a cut.
-    pub fn stream(&self, chance: &mut Chance, a: Node, b: Node) -> Option<Duration> {
+    /// Time for bytes of a stream; None if the link is cut.
+    pub fn stream(&self, rng: &mut Rng, a: Node, b: Node) -> Option<Duration> {
         if self.cut(a, b) {
             return None;
         }
-        let mut takes = self.delay(a, b).mul_f64(1.0 + 0.2 * chance.share());
+        let mut takes = self.delay(a, b).mul_f64(1.0 + 0.2 * rng.unit());
         for _ in 0..4 {
-            if !self.lost(chance, a, b) {
+            if !self.lost(rng, a, b) {
                 break;
             }
-            takes += AGAIN;
+            takes += RETRANSMISSION_DELAY;
         }
         Some(takes)
     }
--- a/crates/rehearsal/src/operator.rs
+++ b/crates/rehearsal/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators: configurations as they send them, and what of them was acknowledged.
+//! Configurations that operators send, and which of them were acknowledged.
 
 use crate::scenario::{Change, RouteLine, Scenario, ServiceLine};
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One route of a configuration and where its requests go.
+/// A route of a configuration and the service it points to.
 #[derive(Clone, Debug)]
 pub struct Route {
     pub line: RouteLine,
@@ -14,7 +14,7 @@
     pub service: String,
 }
 
-/// A configuration as it was sent.
+/// A configuration revision as sent.
 pub struct Version {
     pub revision: u64,
     pub text: Rc<[u8]>,
@@ -36,7 +36,7 @@
     }
 }
 
-/// What the newest configuration is to say; each change makes a version.
+/// State of the newest configuration; each change produces a version.
 pub struct Plan {
     services: Vec<ServiceLine>,
     pub routes: Vec<Route>,
@@ -60,7 +60,7 @@
         Plan { services: scenario.services.clone(), routes, revision: 0, touched: 0 }
     }
 
-    /// A service's name as it is in the configuration: of a copied one, the first copy.
+    /// Name of a service in the configuration; for a service with copies, the first copy.
     fn service(&self, name: &str) -> String {
         let copied = self.services.iter().find(|service| service.name == name && service.copies > 1);
         copied.map_or(name.to_string(), |_| format!("{name}-1"))
@@ -116,8 +116,10 @@
             let service = if invalid && k == 0 { "no-such-service" } else { r.service.as_str() };
             let _ = write!(
                 out,
-                "{comma}{{\"name\":\"{}\",\"hostname\":\"{}\",\"path_prefix\":\"{}\",\"route_type\":\"{kind}\",\
-                 \"timeout_ms\":{},\"target_latency_ms\":{},\"priority\":{},\"service\":\"{service}\",\"max_retries\":{}}}",
+                "{comma}{{\"name\":\"{}\",\"hostname\":\"{}\",\"path_prefix\":\"{}\",\
+                 \"route_type\":\"{kind}\",\
+                 \"timeout_ms\":{},\"target_latency_ms\":{},\"priority\":{},\
+                 \"service\":\"{service}\",\"max_retries\":{}}}",
                 r.name,
                 crate::HOST,
                 path(&r.name),
@@ -135,7 +137,8 @@
                 first = false;
                 let _ = write!(
                     out,
-                    "{comma}{{\"name\":\"{name}\",\"health_path\":null,\"max_concurrency\":100,\"memory_mb\":{},\
+                    "{comma}{{\"name\":\"{name}\",\"health_path\":null,\"max_concurrency\":100,\
+                     \"memory_mb\":{},\
                      \"boot_ms\":{},\"max_inflight\":{}}}",
                     service.memory, service.boot, service.slots,
                 );
--- a/crates/rehearsal/src/platform.rs
+++ b/crates/rehearsal/src/platform.rs
@@ -1,38 +1,39 @@
-//! The platform, written from its published protocol: hosts, workers with slots and run times, lists that are late, a rate.
+//! Platform model, written from the published protocol: hosts, workers with slots and run times, delayed
+//! lists, rate limits.
 
-use crate::chance::Chance;
 use crate::controller::{Answer, Call};
-use crate::scenario::PlatformTerms;
+use crate::rng::Rng;
+use crate::scenario::PlatformModelSettings;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use tindock_stacks as stacks;
+use tindock_stacks as autoscaler;
 
-/// A crashed worker stays in the list for so long.
-const GHOST: Duration = Duration::from_secs(2);
-/// Beyond `drain_ms` a leaving worker serves a little longer.
-const LONGER: Duration = Duration::from_millis(700);
+/// Time for which a crashed worker stays in the list.
+const CRASHED_LISTED_FOR: Duration = Duration::from_secs(2);
+/// Time for which a draining worker keeps serving beyond the drain time.
+const DRAIN_OVERRUN: Duration = Duration::from_millis(700);
 
 pub struct Host {
     pub name: String,
     pub zone: usize,
     pub memory: u32,
-    /// Times at which it began to drain, went down and came back.
+    /// Start of its drain; begin and end of its last outage.
     pub drains: Option<Duration>,
     pub down: Option<(Duration, Duration)>,
 }
 
-/// A request at work.
+/// A running request.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub id: u64,
     pub attempt: usize,
     pub edge: usize,
-    pub life: u64,
-    pub hand: u64,
+    pub incarnation: u64,
+    pub request_id: u64,
     pub token: u64,
-    /// The connection its request came on.
-    pub line: u64,
+    /// Connection on which the request arrived.
+    pub connection: u64,
 }
 
 pub struct Instance {
@@ -43,15 +44,15 @@
     pub begun: Duration,
     pub up: Duration,
     pub drains: Option<Duration>,
-    /// Takes nothing any more.
+    /// When it stopped accepting requests.
     pub closed: Option<Duration>,
     pub freed: Option<Duration>,
-    /// Ended by a crash: shown until then.
-    pub ghost: Option<Duration>,
+    /// After a crash: listed until this time.
+    pub listed_until: Option<Duration>,
     pub runs: Vec<Run>,
-    /// New connections that hold a slot until then.
-    pub brushes: Vec<Duration>,
-    /// Runs take so many times as long as elsewhere.
+    /// Expiry times of slots held by new connections.
+    pub brief_holds: Vec<Duration>,
+    /// Factor on the run times of this instance.
     pub pace: f64,
     memory: u32,
 }
@@ -62,9 +63,9 @@
     }
 }
 
-/// What a service of the configurations sent is like.
+/// Properties of a service's instances.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct ServiceModel {
     pub slots: u32,
     pub memory: u32,
     pub boot: u32,
@@ -73,59 +74,68 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Moods {
+pub struct PlatformFaults {
+    /// Additional lag of lists, seconds.
     pub late: f64,
+    /// Additional time a list call takes, seconds.
     pub slow: f64,
-    pub refused: bool,
+    pub lists_refused: bool,
     pub calls_refused: bool,
     pub silent: bool,
+    /// Starts and stops are executed without an answer.
     pub unanswered: bool,
 }
 
 pub struct Platform {
-    terms: PlatformTerms,
+    settings: PlatformModelSettings,
     drain: Duration,
     reuse: Duration,
     zones: Vec<String>,
     pub hosts: Vec<Host>,
     pub instances: Vec<Instance>,
-    pub kinds: BTreeMap<String, Kind>,
+    pub services: BTreeMap<String, ServiceModel>,
     nonces: BTreeMap<String, usize>,
-    /// Who has an address now, and free ones with the time they were freed.
+    /// Instance by current address; freed addresses with the time they became free.
     by_address: BTreeMap<SocketAddr, usize>,
     by_id: BTreeMap<String, usize>,
     freed: VecDeque<(Duration, SocketAddr)>,
-    given: usize,
+    addresses_used: usize,
     lists: VecDeque<Duration>,
     calls: VecDeque<Duration>,
-    shown: Duration,
-    pub moods: Moods,
+    /// Time of the newest state shown in a list; later lists show no older one.
+    last_view: Duration,
+    pub faults: PlatformFaults,
     pub starts: usize,
     pub stops: usize,
     pub reused: usize,
-    /// Starts of moves, which have nonces of their own.
+    /// Starts made by rebinding moves, recognised by their nonces.
     pub moves: usize,
 }
 
 impl Platform {
-    pub fn new(terms: PlatformTerms, drain: Duration, reuse: Duration, zones: Vec<String>) -> Platform {
+    pub fn new(
+        settings: PlatformModelSettings,
+        drain: Duration,
+        reuse: Duration,
+        zones: Vec<String>,
+    ) -> Platform {
         Platform {
-            terms,
+            settings,
             drain,
             reuse,
             zones,
             hosts: Vec::new(),
             instances: Vec::new(),
-            kinds: BTreeMap::new(),
+            services: BTreeMap::new(),
             nonces: BTreeMap::new(),
             by_address: BTreeMap::new(),
             by_id: BTreeMap::new(),
             freed: VecDeque::new(),
-            given: 0,
+            addresses_used: 0,
             lists: VecDeque::new(),
             calls: VecDeque::new(),
-            shown: Duration::ZERO,
-            moods: Moods::default(),
+            last_view: Duration::ZERO,
+            faults: PlatformFaults::default(),
             starts: 0,
             stops: 0,
             reused: 0,
@@ -133,8 +143,8 @@
         }
     }
 
-    /// Who has this address now.
-    pub fn at(&self, at: SocketAddr) -> Option<usize> {
+    /// Instance that has this address now.
+    pub fn instance_at(&self, at: SocketAddr) -> Option<usize> {
         self.by_address.get(&at).copied()
     }
 
@@ -143,7 +153,7 @@
     }
 
     fn address(&mut self, now: Duration, service: &str) -> Option<SocketAddr> {
-        // An address that was used before is taken first: that is what makes its old users see another service.
+        // Reuses freed addresses first, so that stale users of an address reach another service.
         if self.freed.front().is_some_and(|(at, _)| *at + self.reuse <= now) {
             let (_, at) = self.freed.pop_front()?;
             let before = self.instances.iter().rev().find(|instance| instance.at == at);
@@ -152,11 +162,11 @@
             }
             return Some(at);
         }
-        if self.given >= self.terms.addresses {
+        if self.addresses_used >= self.settings.addresses {
             return None;
         }
-        self.given += 1;
-        let [high, low] = (self.given as u16).to_be_bytes();
+        self.addresses_used += 1;
+        let [high, low] = (self.addresses_used as u16).to_be_bytes();
         Some(SocketAddr::from((Ipv4Addr::new(10, 128, high, low), 8080)))
     }
 
@@ -165,11 +175,11 @@
             .filter(|i| i.host == host && i.begun <= at && i.freed.is_none_or(|freed| freed > at))
             .map(|i| u64::from(i.memory))
             .sum();
-        let whole = self.hosts.get(host).map_or(0, |host| host.memory);
-        u64::from(whole).saturating_sub(taken) as u32
+        let total = self.hosts.get(host).map_or(0, |host| host.memory);
+        u64::from(total).saturating_sub(taken) as u32
     }
 
-    fn rate(times: &mut VecDeque<Duration>, now: Duration, most: f64) -> bool {
+    fn within_rate(times: &mut VecDeque<Duration>, now: Duration, most: f64) -> bool {
         while times.front().is_some_and(|at| *at + Duration::from_secs(1) <= now) {
             times.pop_front();
         }
@@ -180,51 +190,52 @@
         true
     }
 
-    /// A call, and how long its answer takes beyond its way; None for no answer.
-    pub fn call(&mut self, now: Duration, chance: &mut Chance, call: &Call) -> Option<(Duration, Answer)> {
-        if self.moods.silent {
+    /// Executes a call. Returns the processing time and the answer, or None for no answer.
+    pub fn call(&mut self, now: Duration, rng: &mut Rng, call: &Call) -> Option<(Duration, Answer)> {
+        if self.faults.silent {
             return None;
         }
-        let listing = matches!(call, Call::List | Call::First | Call::Hosts);
-        let soon = Duration::from_millis(2).mul_f64(1.0 + chance.share());
-        let takes = soon + Duration::from_secs_f64(if listing { self.moods.slow } else { 0.0 });
+        let listing = matches!(call, Call::List | Call::InitialList | Call::Hosts);
+        let base_delay = Duration::from_millis(2).mul_f64(1.0 + rng.unit());
+        let takes = base_delay + Duration::from_secs_f64(if listing { self.faults.slow } else { 0.0 });
         if listing {
-            if self.moods.refused || !Platform::rate(&mut self.lists, now, self.terms.rate) {
-                return Some((takes, Answer::Unclear));
+            if self.faults.lists_refused || !Platform::within_rate(&mut self.lists, now, self.settings.rate) {
+                return Some((takes, Answer::Unknown));
             }
-            let lag = self.terms.lag * (0.4 + 0.6 * chance.share()) + self.moods.late;
-            let view = now.saturating_sub(Duration::from_secs_f64(lag)).max(self.shown);
-            self.shown = view;
+            let lag = self.settings.lag * (0.4 + 0.6 * rng.unit()) + self.faults.late;
+            let view = now.saturating_sub(Duration::from_secs_f64(lag)).max(self.last_view);
+            self.last_view = view;
             let answer = match call {
-                Call::List | Call::First => Answer::List(self.list(view)),
-                _ => Answer::Hosts(self.pool(view)),
+                Call::List | Call::InitialList => Answer::List(self.list(view)),
+                _ => Answer::Hosts(self.host_list(view)),
             };
             return Some((takes, answer));
         }
-        let refused = self.moods.calls_refused || !Platform::rate(&mut self.calls, now, self.terms.duty);
+        let call_refused = self.faults.calls_refused
+            || !Platform::within_rate(&mut self.calls, now, self.settings.call_rate);
         let answer = match call {
-            Call::Begin { .. } if refused => Answer::Begun(stacks::StartResult::RateLimited),
-            Call::Stop { .. } if refused => Answer::Stopped(false),
+            Call::Begin { .. } if call_refused => Answer::Started(autoscaler::StartResult::RateLimited),
+            Call::Stop { .. } if call_refused => Answer::Stopped(false),
             Call::Begin { service, host, nonce, .. } => {
-                Answer::Begun(self.begin(now, chance, service, host, nonce))
+                Answer::Started(self.start(now, rng, service, host, nonce))
             }
             Call::Stop { instance, .. } => {
                 self.stop(now, instance);
                 Answer::Stopped(true)
             }
-            _ => Answer::Unclear,
+            _ => Answer::Unknown,
         };
-        (!self.moods.unanswered).then_some((takes, answer))
+        (!self.faults.unanswered).then_some((takes, answer))
     }
 
-    fn list(&self, view: Duration) -> Vec<stacks::ListedInstance> {
+    fn list(&self, view: Duration) -> Vec<autoscaler::ListedInstance> {
         let shown = self.instances.iter().filter(|i| {
-            let gone = i.ghost.or(i.freed.max(i.closed));
+            let gone = i.listed_until.or(i.freed.max(i.closed));
             i.up <= view && gone.is_none_or(|gone| gone > view)
         });
         let listed = |i: &Instance| {
             let host = self.hosts.get(i.host);
-            stacks::ListedInstance {
+            autoscaler::ListedInstance {
                 instance: i.id.clone(),
                 service: i.service.clone(),
                 address: i.at,
@@ -236,11 +247,11 @@
         shown.map(listed).collect()
     }
 
-    fn pool(&self, view: Duration) -> Vec<stacks::Host> {
-        let there = self.hosts.iter().enumerate();
-        let there = there.filter(|(_, h)| h.down.is_none_or(|(from, to)| view < from || view >= to));
-        there
-            .map(|(n, h)| stacks::Host {
+    fn host_list(&self, view: Duration) -> Vec<autoscaler::Host> {
+        let present = self.hosts.iter().enumerate();
+        let present = present.filter(|(_, h)| h.down.is_none_or(|(from, to)| view < from || view >= to));
+        present
+            .map(|(n, h)| autoscaler::Host {
                 name: h.name.clone(),
                 zone: self.zones.get(h.zone).cloned().unwrap_or_default(),
                 memory_mb: h.memory,
@@ -250,30 +261,32 @@
             .collect()
     }
 
-    fn begin(
+    fn start(
         &mut self,
         now: Duration,
-        chance: &mut Chance,
+        rng: &mut Rng,
         service: &str,
         host: &str,
         nonce: &str,
-    ) -> stacks::StartResult {
+    ) -> autoscaler::StartResult {
         if let Some(known) = self.nonces.get(&format!("{service} {nonce}")) {
             let known = &self.instances[*known];
-            return stacks::StartResult::Started { instance: known.id.clone(), address: known.at };
+            return autoscaler::StartResult::Started { instance: known.id.clone(), address: known.at };
         }
-        let Some(kind) = self.kinds.get(service).cloned() else { return stacks::StartResult::UnknownService };
+        let Some(kind) = self.services.get(service).cloned() else {
+            return autoscaler::StartResult::UnknownService;
+        };
         let Some(n) = self.hosts.iter().position(|h| h.name == host) else {
-            return stacks::StartResult::NoCapacity;
+            return autoscaler::StartResult::NoCapacity;
         };
         let up = self.hosts[n].drains.is_none() && self.hosts[n].down.is_none_or(|(_, to)| now >= to);
         if !up || self.free_memory(n, now) < kind.memory {
-            return stacks::StartResult::NoCapacity;
+            return autoscaler::StartResult::NoCapacity;
         }
-        let Some(at) = self.address(now, service) else { return stacks::StartResult::NoCapacity };
+        let Some(at) = self.address(now, service) else { return autoscaler::StartResult::NoCapacity };
         let id = format!("i-{}", self.instances.len() + 1);
-        let boot = chance.spread(f64::from(kind.boot), kind.spread) / 1e3;
-        let pace = if kind.uneven > 0.0 { chance.spread(1.0, kind.uneven) } else { 1.0 };
+        let boot = rng.log_normal(f64::from(kind.boot), kind.spread) / 1e3;
+        let pace = if kind.uneven > 0.0 { rng.log_normal(1.0, kind.uneven) } else { 1.0 };
         let place = self.instances.len();
         self.starts += 1;
         self.moves += usize::from(nonce.starts_with("rb."));
@@ -290,13 +303,13 @@
             drains: None,
             closed: None,
             freed: None,
-            ghost: None,
+            listed_until: None,
             runs: Vec::new(),
-            brushes: Vec::new(),
+            brief_holds: Vec::new(),
             pace,
             memory: kind.memory,
         });
-        stacks::StartResult::Started { instance: id, address: at }
+        autoscaler::StartResult::Started { instance: id, address: at }
     }
 
     fn stop(&mut self, now: Duration, id: &str) {
@@ -308,7 +321,7 @@
         }
     }
 
-    /// Stops listening, ends its work, then frees its memory.
+    /// Stops listening, finishes its running requests, then frees its memory.
     pub fn close(&mut self, now: Duration, n: usize) {
         let Some(instance) = self.instances.get_mut(n) else { return };
         instance.closed.get_or_insert(now);
@@ -324,8 +337,8 @@
         }
     }
 
-    /// A run is over; false if it was not there any more.
-    pub fn done(&mut self, now: Duration, n: usize, run: u64) -> Option<Run> {
+    /// Ends a run; None if it had already ended.
+    pub fn end_run(&mut self, now: Duration, n: usize, run: u64) -> Option<Run> {
         let instance = self.instances.get_mut(n)?;
         let at = instance.runs.iter().position(|r| r.id == run)?;
         let run = instance.runs.swap_remove(at);
@@ -333,25 +346,25 @@
         Some(run)
     }
 
-    /// Instances of a host that begins to drain: they serve on until the time given back.
+    /// Starts draining a host. Returns its instances and the time until which they keep serving.
     pub fn drain(&mut self, now: Duration, host: usize) -> (Vec<usize>, Duration) {
         if let Some(host) = self.hosts.get_mut(host) {
             host.drains = Some(now);
         }
-        let mut there = Vec::new();
+        let mut present = Vec::new();
         for (n, instance) in self.instances.iter_mut().enumerate() {
             if instance.host == host && instance.closed.is_none() {
                 instance.drains = Some(now);
-                there.push(n);
+                present.push(n);
             }
         }
-        (there, now + Duration::from_secs_f64(self.terms.lag) + self.drain + LONGER)
+        (present, now + Duration::from_secs_f64(self.settings.lag) + self.drain + DRAIN_OVERRUN)
     }
 
-    /// A host goes with all that runs on it: what was at work there.
-    pub fn crash(&mut self, now: Duration, host: usize, lasts: Duration) -> Vec<(usize, Vec<Run>)> {
+    /// Crashes a host. Returns its instances with the requests that ran on them.
+    pub fn crash(&mut self, now: Duration, host: usize, duration: Duration) -> Vec<(usize, Vec<Run>)> {
         if let Some(host) = self.hosts.get_mut(host) {
-            host.down = Some((now, now + lasts));
+            host.down = Some((now, now + duration));
         }
         let mut lost = Vec::new();
         for n in 0..self.instances.len() {
@@ -360,7 +373,7 @@
                 continue;
             }
             instance.closed = Some(now);
-            instance.ghost = Some(now + GHOST);
+            instance.listed_until = Some(now + CRASHED_LISTED_FOR);
             let runs = std::mem::take(&mut instance.runs);
             self.end_if_idle(now, n);
             lost.push((n, runs));
@@ -372,23 +385,23 @@
         self.instances.iter().filter(|instance| instance.listens(now)).count()
     }
 
-    /// Slots at work, and slots there are, of instances that are ready.
+    /// Busy slots and all slots of ready instances.
     pub fn slots(&self, now: Duration) -> (usize, usize) {
-        let kind = |i: &Instance| self.kinds.get(&i.service).map_or(0, |kind| kind.slots as usize);
+        let kind = |i: &Instance| self.services.get(&i.service).map_or(0, |kind| kind.slots as usize);
         let ready = self.instances.iter().filter(|i| i.listens(now));
         ready.fold((0, 0), |(busy, slots), i| (busy + i.runs.len(), slots + kind(i)))
     }
 
-    /// Memory of all instances by their time, GB s.
-    pub fn held(&self, now: Duration) -> f64 {
-        let held = |i: &Instance| {
+    /// Memory of all instances over time, GB s.
+    pub fn memory_gb_s(&self, now: Duration) -> f64 {
+        let gb_s = |i: &Instance| {
             f64::from(i.memory) * (i.freed.unwrap_or(now).saturating_sub(i.begun)).as_secs_f64()
         };
-        self.instances.iter().map(held).sum::<f64>() / 1024.0
+        self.instances.iter().map(gb_s).sum::<f64>() / 1024.0
     }
 
-    /// Begun and not ended, whether ready or not.
-    pub fn there(&self) -> usize {
+    /// Instances that were started and have not ended, ready or not.
+    pub fn present(&self) -> usize {
         self.instances.iter().filter(|instance| instance.freed.is_none()).count()
     }
 }
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,6 +1,6 @@
-//! What a run came to.
+//! Results of a run.
 
-use crate::judge::Finding;
+use crate::checker::Finding;
 use std::fmt;
 
 /// One second of a run.
@@ -8,24 +8,25 @@
 pub struct Row {
     pub second: i64,
     pub sent: usize,
-    /// Of those sent in this second.
+    /// This and the next three count the requests sent in this second.
     pub served: usize,
     pub aim: usize,
     pub refused: usize,
     pub failed: usize,
-    /// Turned away by workers as full.
+    /// Rejected by workers because all slots were busy.
     pub full: usize,
     pub ready: usize,
-    pub there: usize,
+    /// Instances that are starting, ready or ending.
+    pub present: usize,
     pub holder: u64,
-    /// Slots at work, and slots of ready instances.
+    /// Busy slots, and slots of ready instances.
     pub busy: usize,
     pub slots: usize,
     pub revision: u64,
     pub happened: Vec<String>,
 }
 
-/// Something that went wrong or was done on purpose; seconds from the start of traffic.
+/// A fault or an operator action; seconds from the start of traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Span {
     pub from: f64,
@@ -33,49 +34,51 @@
     pub what: String,
 }
 
-/// Who held the duty: from its first look at the platform under this number to its last.
+/// A period of holding the leadership lease: from the first read of the platform's list under this number
+/// to the last.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
+pub struct LeasePeriod {
     pub from: f64,
     pub to: f64,
-    pub who: String,
+    pub holder: String,
     pub number: u64,
 }
 
-/// Requests of one route line.
+/// Figures of one route line.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Class {
+pub struct RouteFigures {
     pub name: String,
     pub sent: usize,
     pub served: usize,
     pub aim: usize,
     pub refused: usize,
     pub failed: usize,
-    /// Time to a served answer from the first try, ms: median, 99th of a hundred.
-    pub took: (f64, f64),
+    /// Latency of served requests from the first attempt, ms: median, 99th percentile.
+    pub latency_ms: (f64, f64),
 }
 
-/// What sharing slots came to.
+/// Figures on slot sharing.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Loans {
-    /// Between desks, with 28 bytes of IP and UDP each.
-    pub letters: usize,
+pub struct AllocationFigures {
+    /// Messages between proxies; bytes include 28 for the IP and UDP headers of each.
+    pub messages: usize,
     pub bytes: usize,
-    /// The same between zones.
-    pub far_bytes: usize,
+    /// Bytes of messages between zones.
+    pub cross_zone_bytes: usize,
     pub calls: usize,
-    /// From a call to its slot, ms: median, 99th of a hundred.
+    /// Time from requesting a slot to getting it, ms: median, 99th percentile.
     pub waits: (f64, f64),
-    /// Shares in aim: of priority 0 and 1, and of the rest.
+    /// Shares served within the aim: of priorities 0 and 1, and of the rest.
     pub urgent: f64,
     pub others: f64,
-    /// Tries ended with 503; runs of one request that may run once beyond the first; requests that came to nothing.
+    /// Attempts rejected with a guarantee that nothing has run; extra runs of requests that must not be
+    /// repeated; requests neither served nor rejected.
     pub refusals: usize,
     pub doubled: usize,
     pub dropped: usize,
-    /// Turned away by workers.
+    /// Rejected by workers as full.
     pub full: usize,
-    /// Requests, for what is told by the request.
+    /// Requests that had to be served: the base for figures per request.
     pub requests: usize,
 }
 
@@ -86,27 +89,28 @@
     pub length: f64,
     pub rows: Vec<Row>,
     pub spans: Vec<Span>,
-    pub duties: Vec<Held>,
-    pub classes: Vec<Class>,
+    pub lease_periods: Vec<LeasePeriod>,
+    pub route_figures: Vec<RouteFigures>,
     pub findings: Vec<Finding>,
     pub served: f64,
     pub aim: f64,
     pub starts: usize,
-    /// Memory of instances by their time, GB s.
-    pub held: f64,
+    /// Memory of instances over time, GB s.
+    pub memory_gb_s: f64,
     pub stops: usize,
-    /// Of the starts, those of moves.
+    /// Starts made by rebinding moves.
     pub moves: usize,
-    /// Most turned away as full in five seconds, where it counts and anywhere.
+    /// Most rejections as full in five seconds: outside disturbances, and at any time.
     pub limit: (usize, usize),
-    pub brushed: usize,
+    pub brief_hold_rejections: usize,
     pub reused: usize,
     pub gap: f64,
     pub slowest_ack: f64,
-    /// Seconds from the list's word that an instance drains to the last request that a machine in touch sent there.
+    /// Longest time, in seconds, from the list showing that an instance drains to the last request sent
+    /// there by a machine in contact.
     pub last_while_draining: f64,
     pub events: u64,
-    pub loans: Loans,
+    pub allocation: AllocationFigures,
 }
 
 impl Report {
@@ -115,19 +119,19 @@
     }
 
     /// Mean over the seconds of traffic.
-    fn over(&self, of: fn(&Row) -> usize) -> f64 {
+    fn mean_over_seconds(&self, of: fn(&Row) -> usize) -> f64 {
         let rows = self.rows.iter().filter(|row| row.second >= 0 && (row.second as f64) < self.length);
         let (sum, count) = rows.fold((0, 0usize), |(sum, count), row| (sum + of(row), count + 1));
         sum as f64 / count.max(1) as f64
     }
 
-    /// Slots at work, and slots there are.
+    /// Mean number of busy slots.
     pub fn busy(&self) -> f64 {
-        self.over(|row| row.busy)
+        self.mean_over_seconds(|row| row.busy)
     }
 
     pub fn slots(&self) -> f64 {
-        self.over(|row| row.slots)
+        self.mean_over_seconds(|row| row.slots)
     }
 }
 
@@ -147,7 +151,7 @@
                 row.failed,
                 row.full,
                 row.ready,
-                row.there,
+                row.present,
                 row.holder,
                 row.revision,
                 row.happened.join("; "),
@@ -155,39 +159,42 @@
         }
         writeln!(
             f,
-            "served {:.4}, in aim {:.4}, starts {}, stops {}, turned away in 5 s {} ({} anywhere), brushed {}, reused {}, \
-             longest without a holder {:.2} s, slowest acknowledgement {:.2} s, last request {:.2} s after a drain, {} events",
+            "served {:.4}, in aim {:.4}, starts {}, stops {}, turned away in 5 s {} ({} anywhere), \
+             brushed {}, \
+             reused {}, longest without a holder {:.2} s, slowest acknowledgement {:.2} s, \
+             last request {:.2} s after a drain, {} events",
             self.served,
             self.aim,
             self.starts,
             self.stops,
             self.limit.0,
             self.limit.1,
-            self.brushed,
+            self.brief_hold_rejections,
             self.reused,
             self.gap,
             self.slowest_ack,
             self.last_while_draining,
             self.events,
         )?;
-        let loans = &self.loans;
+        let allocation = &self.allocation;
         writeln!(
             f,
-            "loans: urgent in aim {:.4}, others {:.4}, refusals {}, doubled {}, dropped {}, turned away {}, slot after {:.1} ms \
+            "loans: urgent in aim {:.4}, others {:.4}, refusals {}, doubled {}, dropped {}, turned away {}, \
+             slot after {:.1} ms \
              (99 of 100 {:.1}), {:.1} letters and {:.0} bytes a call, {:.0} between zones",
-            loans.urgent,
-            loans.others,
-            loans.refusals,
-            loans.doubled,
-            loans.dropped,
-            loans.full,
-            loans.waits.0,
-            loans.waits.1,
-            loans.letters as f64 / loans.calls.max(1) as f64,
-            loans.bytes as f64 / loans.calls.max(1) as f64,
-            loans.far_bytes as f64 / loans.calls.max(1) as f64,
+            allocation.urgent,
+            allocation.others,
+            allocation.refusals,
+            allocation.doubled,
+            allocation.dropped,
+            allocation.full,
+            allocation.waits.0,
+            allocation.waits.1,
+            allocation.messages as f64 / allocation.calls.max(1) as f64,
+            allocation.bytes as f64 / allocation.calls.max(1) as f64,
+            allocation.cross_zone_bytes as f64 / allocation.calls.max(1) as f64,
         )?;
-        writeln!(f, "memory: {:.0} GB·s, {} starts of moves", self.held, self.moves)?;
+        writeln!(f, "memory: {:.0} GB·s, {} starts of moves", self.memory_gb_s, self.moves)?;
         for finding in self.findings.iter().take(20) {
             writeln!(f, "BROKEN {finding}")?;
         }
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -1,70 +1,70 @@
-//! A scenario, read from text: one line says one thing, `#` begins a remark.
+//! A scenario, parsed from text: one statement per line, `#` starts a comment.
 //!
-//! The place: `title`, `length`, `lead` (seconds; times count from the start of traffic, which comes `lead` after the
-//! machines), `zones NAME:REGION ...`, `edge ZONE N`, `core ZONE N`, `hosts ZONE N memory MB`, `net`, `platform`,
-//! `timers`, `service`, `route`, `rebinding off|plan|holes|all`. What happens: `at SECONDS ...`. What must hold:
-//! `expect ...`. The scenarios in `scenarios/` show all of them.
+//! The setup: `title`, `length`, `lead` (seconds; times count from the start of traffic, which begins
+//! `lead` after the machines), `zones NAME:REGION ...`, `edge ZONE N`, `core ZONE N`, `hosts ZONE N memory
+//! MB`, `net`, `platform`, `timers`, `service`, `route`, `rebinding off|plan|holes|all`. Actions: `at
+//! SECONDS ...`. Expectations: `expect ...`. The files in `scenarios/` show all of them.
 
 use std::cell::RefCell;
 use std::fmt;
 use tindock_stacks::Rebinding;
 
-/// What a run is made for: more does not fit its addresses, or takes too long to wait for.
-const ZONES: usize = 200;
-const EDGES: usize = 200;
-const CORES: usize = 64;
-const HOSTS: usize = 1000;
-const COPIES: usize = 4000;
-const REQUESTS: usize = 1_000_000;
+/// Limits of a run: addresses run out beyond them, or it takes too long.
+const MAX_ZONES: usize = 200;
+const MAX_EDGES: usize = 200;
+const MAX_CORES: usize = 64;
+const MAX_HOSTS: usize = 1000;
+const MAX_COPIES: usize = 4000;
+const MAX_REQUESTS: usize = 1_000_000;
 
-/// What is wrong with a scenario, and where: lines and columns count from 1; 0 where it is about the whole.
+/// An error in a scenario. Lines and columns count from 1; 0 means the whole file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ScenarioError {
     pub line: usize,
     pub column: usize,
-    pub wrong: Wrong,
+    pub kind: ScenarioErrorKind,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wrong {
-    /// No such word here.
+pub enum ScenarioErrorKind {
+    /// Unknown word.
     Unknown(String),
     Missing(&'static str),
     NotANumber(String),
-    /// Nothing in the scenario has this name.
+    /// Name that the scenario does not define.
     NoSuch(String),
     Twice(String),
-    /// Beyond what a run is made for: what, and the most.
+    /// Limit of a run exceeded: what, and the maximum.
     TooMany(&'static str, usize),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (self.line, self.column) {
             (0, _) => {}
             (line, 0) => write!(f, "line {line}: ")?,
             (line, column) => write!(f, "line {line}, column {column}: ")?,
         }
-        self.wrong.fmt(f)
+        self.kind.fmt(f)
     }
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for ScenarioErrorKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Wrong::Unknown(word) => write!(f, "{word}: no such word here"),
-            Wrong::Missing(what) => write!(f, "{what} is missing"),
-            Wrong::NotANumber(word) => write!(f, "{word}: not a number"),
-            Wrong::NoSuch(name) => write!(f, "{name}: nothing here has this name"),
-            Wrong::Twice(name) => write!(f, "{name}: here already"),
-            Wrong::TooMany(what, most) => write!(f, "{what}: at most {most}"),
+            ScenarioErrorKind::Unknown(word) => write!(f, "{word}: unknown word"),
+            ScenarioErrorKind::Missing(what) => write!(f, "{what} is missing"),
+            ScenarioErrorKind::NotANumber(word) => write!(f, "{word}: not a number"),
+            ScenarioErrorKind::NoSuch(name) => write!(f, "{name}: unknown name"),
+            ScenarioErrorKind::Twice(name) => write!(f, "{name}: already defined"),
+            ScenarioErrorKind::TooMany(what, most) => write!(f, "{what}: at most {most}"),
         }
     }
 }
 
-/// Delays in ms one way, loss as a share of packets.
+/// One-way delays in ms, loss as a share of packets.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NetTerms {
+pub struct NetworkSettings {
     pub zone: f64,
     pub cross: f64,
     pub region: f64,
@@ -73,52 +73,61 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlatformTerms {
-    /// Calls for lists a second.
+pub struct PlatformModelSettings {
+    /// List calls per second.
     pub rate: f64,
-    /// Starts and stops a second.
-    pub duty: f64,
-    /// How late lists are, seconds.
+    /// Starts and stops per second.
+    pub call_rate: f64,
+    /// Delay of the lists, seconds.
     pub lag: f64,
-    /// Addresses there are for workers.
+    /// Number of addresses for workers.
     pub addresses: usize,
-    /// A new connection holds a slot so often, for so many ms.
-    pub brush: (f64, f64),
+    /// Probability that a new connection holds a slot, and for how many ms.
+    pub brief_hold: (f64, f64),
 }
 
 /// Bounds of the rules, in seconds unless the name says otherwise.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timers {
+    /// Longest time for which requests may arrive after the list shows a drain.
     pub drain: f64,
+    /// Longest time from an acknowledgement until the configuration is in force everywhere.
     pub convergence: f64,
+    /// Time after a disturbance until a machine counts as in contact again.
     pub contact: f64,
+    /// Time until the platform reuses a freed address.
     pub reuse: f64,
+    /// Time from SIGTERM to SIGKILL.
     pub grace: f64,
+    /// Added to `convergence` for machines out of contact.
     pub stretch: f64,
+    /// Time for which an edge machine may still show an older configuration.
     pub downgrade: f64,
     pub ack: f64,
+    /// Delay of the operator's list of core machines.
     pub seed_lag: f64,
+    /// Retry budget: share of the requests, allowance on top, and window.
     pub budget_ratio: f64,
     pub budget_slack: f64,
     pub budget_window: f64,
-    /// After the machines are back.
+    /// Time allowed for recovery after the machines are back.
     pub recovery: f64,
-    /// A request this old has been read.
+    /// Age at which a request counts as read.
     pub loss_slack: f64,
-    /// Milliseconds that the disk of a core machine takes.
+    /// Disk write time of a core machine, ms.
     pub sync_ms: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceLine {
     pub name: String,
-    /// With more than one, names get a number: `ledger-1` and so on.
+    /// With more than one copy, names get a number: `ledger-1` and so on.
     pub copies: usize,
     pub slots: u32,
     pub memory: u32,
     pub boot: u32,
     pub spread: f64,
-    /// Deviation over mean of instances' run times; 0 where all are alike.
+    /// Coefficient of variation of the instances' speeds; 0 if all are equal.
     pub uneven: f64,
 }
 
@@ -133,26 +142,26 @@
     pub work: f64,
     pub priority: u8,
     pub retries: u8,
-    /// Requests a second over all zones.
+    /// Requests per second over all zones.
     pub rate: f64,
-    /// Of the copies' shares, which fall as 1 / k^skew.
+    /// Exponent of the copies' shares, which fall as 1 / k^skew.
     pub skew: f64,
 }
 
 /// How a machine goes down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Down {
+pub enum Outage {
     /// Its processes are killed: connections are reset.
     Killed,
-    /// Without power: it says nothing any more.
-    Power,
-    /// Without power, and its disk is lost.
-    Wiped,
+    /// It loses power and does not respond at all.
+    PowerLoss,
+    /// It loses power and its disk content.
+    DiskLost,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// New times, nothing else.
+    /// Changes only route timeouts.
     Touch,
     Move {
         route: String,
@@ -166,147 +175,151 @@
     Drop {
         route: String,
     },
-    /// Cannot be valid.
+    /// An invalid configuration.
     Invalid,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lists {
-    /// Shows what was so much earlier.
+pub enum PlatformFault {
+    /// Lists are older by this many seconds.
     Late,
-    /// Takes so long to answer.
+    /// Lists take this many seconds longer.
     Slow,
+    /// Lists are refused.
     Refused,
     /// Starts and stops are refused.
     CallsRefused,
     /// No answer to anything.
     Silent,
-    /// Begun and stopped, and the answer is lost.
+    /// Starts and stops are executed, but their answers are lost.
     Unanswered,
 }
 
-/// What workers do to an answer.
+/// Faults that workers apply to an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spoil {
-    /// Its connection is reset before the first byte.
+pub enum AnswerFault {
+    /// The connection is reset before the first byte.
     Lost,
-    /// The connection ends within it.
+    /// The connection ends within the answer.
     Cut,
-    /// Nothing comes after a part of it, and the connection stays.
+    /// Only a part is sent, and the connection stays open.
     Stalled,
-    /// No answer in the protocol.
+    /// The bytes are not a valid answer.
     Garbled,
     /// A success without a seal.
     Unsealed,
-    /// It is sent once more before the next one on the connection.
+    /// The answer is sent again before the next one on the connection.
     Surplus,
-    /// A 500, or a 503 that does not say that nothing has run.
+    /// A 500, or a 503 without the `Not-Executed` header.
     Failed,
 }
 
-impl Spoil {
-    pub const ALL: [Spoil; 7] = [
-        Spoil::Lost,
-        Spoil::Cut,
-        Spoil::Stalled,
-        Spoil::Garbled,
-        Spoil::Unsealed,
-        Spoil::Surplus,
-        Spoil::Failed,
+impl AnswerFault {
+    pub const ALL: [AnswerFault; 7] = [
+        AnswerFault::Lost,
+        AnswerFault::Cut,
+        AnswerFault::Stalled,
+        AnswerFault::Garbled,
+        AnswerFault::Unsealed,
+        AnswerFault::Surplus,
+        AnswerFault::Failed,
     ];
 
-    pub fn word(self) -> &'static str {
+    pub fn keyword(self) -> &'static str {
         match self {
-            Spoil::Lost => "lost",
-            Spoil::Cut => "cut",
-            Spoil::Stalled => "stalled",
-            Spoil::Garbled => "garbled",
-            Spoil::Unsealed => "unsealed",
-            Spoil::Surplus => "surplus",
-            Spoil::Failed => "failed",
+            AnswerFault::Lost => "lost",
+            AnswerFault::Cut => "cut",
+            AnswerFault::Stalled => "stalled",
+            AnswerFault::Garbled => "garbled",
+            AnswerFault::Unsealed => "unsealed",
+            AnswerFault::Surplus => "surplus",
+            AnswerFault::Failed => "failed",
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum ScenarioAction {
     Kill {
-        who: String,
-        lasts: Option<f64>,
-        how: Down,
+        machines: String,
+        duration: Option<f64>,
+        kind: Outage,
     },
     Freeze {
-        who: String,
-        lasts: f64,
+        machines: String,
+        duration: f64,
     },
-    /// SIGTERM to each in turn, so many seconds apart; started again so long after its end.
+    /// SIGTERM to each machine in turn, `gap` seconds apart; each starts again `duration` seconds after its
+    /// end.
     Roll {
-        who: String,
+        machines: String,
         gap: f64,
-        lasts: f64,
+        duration: f64,
     },
     Cut {
         a: String,
         b: String,
         /// Only what `a` sends to `b` is lost.
         one_way: bool,
-        lasts: f64,
+        duration: f64,
     },
-    Harm {
+    /// Packet loss and delay between two sides.
+    LinkFault {
         a: String,
         b: String,
         loss: f64,
         delay: f64,
-        lasts: f64,
+        duration: f64,
     },
-    /// Of a route or of all, in one zone or in all.
+    /// More requests on one route or all, in one zone or all.
     Burst {
         route: String,
         zone: Option<String>,
-        by: f64,
-        lasts: f64,
+        factor: f64,
+        duration: f64,
     },
     Drain {
         host: String,
     },
     Crash {
         host: String,
-        lasts: f64,
+        duration: f64,
         silent: bool,
     },
     Platform {
-        how: Lists,
-        by: f64,
-        lasts: f64,
+        kind: PlatformFault,
+        seconds: f64,
+        duration: f64,
     },
-    /// Workers run, and spoil so large a share of their answers.
+    /// Workers run the requests but apply a fault to this share of their answers.
     Answers {
-        how: Spoil,
+        kind: AnswerFault,
         share: f64,
-        lasts: f64,
+        duration: f64,
     },
-    /// Sent at first to this machine, if one is named; `then`: whoever acknowledges it loses its disk at once.
+    /// Sent first to the machine in `first`, if set. With `wipe_for`, the machine that acknowledges it
+    /// loses its disk at once.
     Config {
         change: Change,
         first: Option<String>,
         wipe_for: Option<f64>,
         operator: usize,
     },
-    /// A core machine goes for good, and an empty one comes at another address.
+    /// A core machine is removed permanently, and an empty one starts at another address.
     Replace {
-        who: String,
+        machines: String,
         after: f64,
     },
     Disk {
-        who: String,
+        machines: String,
         slow: f64,
         full: bool,
-        lasts: f64,
+        duration: f64,
     },
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Expect {
+pub enum Expectation {
     /// Share of the requests sent between these times (seconds), on this route or all.
     Served {
         least: f64,
@@ -344,7 +357,8 @@
     Recovered {
         within: f64,
     },
-    /// Addresses were in fact given to other services at least so often: shows that the scenario is what it says.
+    /// At least this many addresses went to another service: verifies that the scenario exercises address
+    /// reuse.
     Reused {
         least: usize,
     },
@@ -354,28 +368,28 @@
 pub struct Scenario {
     pub title: String,
     pub length: f64,
-    pub lead: f64,
+    pub warm_up: f64,
     pub zones: Vec<(String, String)>,
     pub edges: Vec<(String, usize)>,
     pub cores: Vec<(String, usize)>,
     pub hosts: Vec<(String, usize, u32)>,
-    pub net: NetTerms,
-    pub platform: PlatformTerms,
+    pub net: NetworkSettings,
+    pub platform: PlatformModelSettings,
     pub timers: Timers,
     pub services: Vec<ServiceLine>,
     pub routes: Vec<RouteLine>,
-    /// What the scaler may move.
+    /// What the autoscaler may move.
     pub rebinding: Rebinding,
-    pub acts: Vec<(f64, Act)>,
-    pub expects: Vec<(usize, Expect)>,
+    pub actions: Vec<(f64, ScenarioAction)>,
+    pub expectations: Vec<(usize, Expectation)>,
 }
 
-/// The words of one line; those that nothing asks for are not meant for it.
+/// The words of one line, with a record of which were read; unread words are errors.
 struct Line<'a> {
     number: usize,
-    /// With their columns.
+    /// Columns and words.
     words: Vec<(usize, &'a str)>,
-    known: RefCell<Vec<bool>>,
+    used: RefCell<Vec<bool>>,
 }
 
 impl<'a> Line<'a> {
@@ -384,85 +398,87 @@
         let column = |word: &str| word.as_ptr() as usize - text.as_ptr() as usize;
         let words: Vec<(usize, &str)> =
             text.split_whitespace().map(|word| (text[..column(word)].chars().count() + 1, word)).collect();
-        let known = RefCell::new(vec![false; words.len()]);
-        Line { number, words, known }
+        let used = RefCell::new(vec![false; words.len()]);
+        Line { number, words, used }
     }
 
-    /// What follows the first `n` words.
+    /// The rest of the line after the first `n` words.
     fn rest(&self, n: usize) -> Line<'a> {
         let words = self.words.get(n..).unwrap_or_default().to_vec();
-        let known = RefCell::new(vec![false; words.len()]);
-        Line { number: self.number, words, known }
+        let used = RefCell::new(vec![false; words.len()]);
+        Line { number: self.number, words, used }
     }
 
-    fn mark(&self, at: usize) {
-        if let Some(known) = self.known.borrow_mut().get_mut(at) {
-            *known = true;
+    fn mark_used(&self, at: usize) {
+        if let Some(used) = self.used.borrow_mut().get_mut(at) {
+            *used = true;
         }
     }
 
-    fn mark_all(&self) {
-        self.known.borrow_mut().fill(true);
+    fn mark_all_used(&self) {
+        self.used.borrow_mut().fill(true);
     }
 
-    /// Words that mean nothing here.
-    fn ends(&self) -> Result<(), Fault> {
-        let known = self.known.borrow();
-        match self.words.iter().zip(known.iter()).find(|(_, known)| !**known) {
-            Some(((column, word), _)) => {
-                Err(Fault { line: self.number, column: *column, wrong: Wrong::Unknown(word.to_string()) })
-            }
+    /// Reports the first word that was not read.
+    fn check_all_used(&self) -> Result<(), ScenarioError> {
+        let used = self.used.borrow();
+        match self.words.iter().zip(used.iter()).find(|(_, used)| !**used) {
+            Some(((column, word), _)) => Err(ScenarioError {
+                line: self.number,
+                column: *column,
+                kind: ScenarioErrorKind::Unknown(word.to_string()),
+            }),
             None => Ok(()),
         }
     }
 
-    /// About the word at this place, or what should follow the last one.
-    fn at<T>(&self, at: usize, wrong: Wrong) -> Result<T, Fault> {
+    /// Error at this word, or at the end of the line if there is no such word.
+    fn error_at<T>(&self, at: usize, kind: ScenarioErrorKind) -> Result<T, ScenarioError> {
         let after = self.words.last().map_or(1, |(column, word)| column + word.chars().count());
         let column = self.words.get(at).map_or(after, |word| word.0);
-        Err(Fault { line: self.number, column, wrong })
+        Err(ScenarioError { line: self.number, column, kind })
     }
 
-    fn word(&self, at: usize, what: &'static str) -> Result<&'a str, Fault> {
-        self.mark(at);
+    fn word(&self, at: usize, what: &'static str) -> Result<&'a str, ScenarioError> {
+        self.mark_used(at);
         match self.words.get(at) {
             Some((_, word)) => Ok(word),
-            None => self.at(at, Wrong::Missing(what)),
+            None => self.error_at(at, ScenarioErrorKind::Missing(what)),
         }
     }
 
-    fn unknown<T>(&self, at: usize) -> Result<T, Fault> {
+    fn unknown<T>(&self, at: usize) -> Result<T, ScenarioError> {
         let word = self.words.get(at).map_or("", |word| word.1);
-        self.at(at, Wrong::Unknown(word.to_string()))
+        self.error_at(at, ScenarioErrorKind::Unknown(word.to_string()))
     }
 
-    fn name(&self, at: usize, what: &'static str) -> Result<String, Fault> {
+    fn name(&self, at: usize, what: &'static str) -> Result<String, ScenarioError> {
         self.word(at, what).map(str::to_string)
     }
 
-    fn number(&self, at: usize, what: &'static str) -> Result<f64, Fault> {
+    fn number(&self, at: usize, what: &'static str) -> Result<f64, ScenarioError> {
         let word = self.word(at, what)?;
         match word.trim_start_matches('x').parse::<f64>() {
             Ok(number) if number.is_finite() && (0.0..=1e9).contains(&number) => Ok(number),
-            _ => self.at(at, Wrong::NotANumber(word.to_string())),
+            _ => self.error_at(at, ScenarioErrorKind::NotANumber(word.to_string())),
         }
     }
 
-    fn bounded(&self, at: usize, what: &'static str, most: usize) -> Result<f64, Fault> {
+    fn bounded(&self, at: usize, what: &'static str, most: usize) -> Result<f64, ScenarioError> {
         let number = self.number(at, what)?;
         if number > most as f64 {
-            return self.at(at, Wrong::TooMany(what, most));
+            return self.error_at(at, ScenarioErrorKind::TooMany(what, most));
         }
         Ok(number)
     }
 
-    fn count(&self, at: usize, what: &'static str, most: usize) -> Result<usize, Fault> {
+    fn count(&self, at: usize, what: &'static str, most: usize) -> Result<usize, ScenarioError> {
         self.bounded(at, what, most).map(|number| number as usize)
     }
 
     fn place(&self, key: &str) -> Option<usize> {
         let at = self.words.iter().skip(1).position(|word| word.1 == key)? + 1;
-        self.mark(at);
+        self.mark_used(at);
         Some(at)
     }
 
@@ -471,22 +487,22 @@
     }
 
     /// The word after a key.
-    fn after(&self, key: &'static str) -> Result<Option<&'a str>, Fault> {
+    fn after(&self, key: &'static str) -> Result<Option<&'a str>, ScenarioError> {
         self.place(key).map(|at| self.word(at + 1, key)).transpose()
     }
 
-    fn value(&self, key: &'static str) -> Result<Option<f64>, Fault> {
+    fn value(&self, key: &'static str) -> Result<Option<f64>, ScenarioError> {
         self.place(key).map(|at| self.number(at + 1, key)).transpose()
     }
 
-    fn or(&self, key: &'static str, otherwise: f64) -> Result<f64, Fault> {
+    fn or(&self, key: &'static str, otherwise: f64) -> Result<f64, ScenarioError> {
         Ok(self.value(key)?.unwrap_or(otherwise))
     }
 
-    fn need(&self, key: &'static str) -> Result<f64, Fault> {
+    fn need(&self, key: &'static str) -> Result<f64, ScenarioError> {
         match self.value(key)? {
             Some(value) => Ok(value),
-            None => self.at(usize::MAX, Wrong::Missing(key)),
+            None => self.error_at(usize::MAX, ScenarioErrorKind::Missing(key)),
         }
     }
 }
@@ -496,13 +512,19 @@
         Scenario {
             title: String::new(),
             length: 20.0,
-            lead: 6.0,
+            warm_up: 6.0,
             zones: Vec::new(),
             edges: Vec::new(),
             cores: Vec::new(),
             hosts: Vec::new(),
-            net: NetTerms { zone: 0.2, cross: 0.5, region: 8.0, client: 1.0, loss: 0.0 },
-            platform: PlatformTerms { rate: 27.0, duty: 150.0, lag: 0.8, addresses: 4000, brush: (0.0, 0.0) },
+            net: NetworkSettings { zone: 0.2, cross: 0.5, region: 8.0, client: 1.0, loss: 0.0 },
+            platform: PlatformModelSettings {
+                rate: 27.0,
+                call_rate: 150.0,
+                lag: 0.8,
+                addresses: 4000,
+                brief_hold: (0.0, 0.0),
+            },
             timers: Timers {
                 drain: 3.0,
                 convergence: 3.0,
@@ -523,14 +545,14 @@
             services: Vec::new(),
             routes: Vec::new(),
             rebinding: Rebinding::Off,
-            acts: Vec::new(),
-            expects: Vec::new(),
+            actions: Vec::new(),
+            expectations: Vec::new(),
         }
     }
 }
 
 impl Scenario {
-    pub fn read(text: &str) -> Result<Scenario, Fault> {
+    pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
         let mut scenario = Scenario::default();
         for (at, line) in text.lines().enumerate() {
             let line = Line::new(at + 1, line);
@@ -538,75 +560,78 @@
                 scenario.line(&line)?;
             }
         }
-        scenario.whole(text)?;
+        scenario.validate(text)?;
         Ok(scenario)
     }
 
-    /// What a scenario cannot be without, names that nothing has, and bounds.
-    fn whole(&self, text: &str) -> Result<(), Fault> {
-        let about = |wrong| Err(Fault { line: 0, column: 0, wrong });
+    /// Checks for missing statements, unknown names and limits.
+    fn validate(&self, text: &str) -> Result<(), ScenarioError> {
+        let about = |kind| Err(ScenarioError { line: 0, column: 0, kind });
         if self.zones.is_empty() {
-            return about(Wrong::Missing("zones"));
+            return about(ScenarioErrorKind::Missing("zones"));
         }
         let total = |counts: &[(String, usize)]| counts.iter().map(|(_, count)| count).sum::<usize>();
         for (what, count, most) in [
-            ("edge", total(&self.edges), EDGES),
-            ("core", total(&self.cores), CORES),
-            ("hosts", self.hosts.iter().map(|hosts| hosts.1).sum(), HOSTS),
+            ("edge", total(&self.edges), MAX_EDGES),
+            ("core", total(&self.cores), MAX_CORES),
+            ("hosts", self.hosts.iter().map(|hosts| hosts.1).sum(), MAX_HOSTS),
         ] {
             match count {
-                0 if what != "hosts" => return about(Wrong::Missing(what)),
-                count if count > most => return about(Wrong::TooMany(what, most)),
+                0 if what != "hosts" => return about(ScenarioErrorKind::Missing(what)),
+                count if count > most => return about(ScenarioErrorKind::TooMany(what, most)),
                 _ => {}
             }
         }
         if self.services.is_empty() {
-            return about(Wrong::Missing("service"));
+            return about(ScenarioErrorKind::Missing("service"));
         }
-        if self.zones.len() > ZONES {
-            return about(Wrong::TooMany("zones", ZONES));
+        if self.zones.len() > MAX_ZONES {
+            return about(ScenarioErrorKind::TooMany("zones", MAX_ZONES));
         }
         let copies: usize = self.services.iter().map(|service| service.copies).sum();
-        if copies > COPIES {
-            return about(Wrong::TooMany("copies of services", COPIES));
+        if copies > MAX_COPIES {
+            return about(ScenarioErrorKind::TooMany("copies of services", MAX_COPIES));
         }
-        if self.requests() > REQUESTS as f64 {
-            return about(Wrong::TooMany("requests in a run", REQUESTS));
+        if self.requests() > MAX_REQUESTS as f64 {
+            return about(ScenarioErrorKind::TooMany("requests in a run", MAX_REQUESTS));
         }
         for (number, line) in text.lines().enumerate() {
             let line = Line::new(number + 1, line);
-            self.names(&line, &line.words.iter().map(|word| word.1).collect::<Vec<_>>())?;
+            self.check_names(&line, &line.words.iter().map(|word| word.1).collect::<Vec<_>>())?;
         }
         Ok(())
     }
 
-    /// Requests that a run will about have.
+    /// Expected number of requests in a run.
     fn requests(&self) -> f64 {
         let of = |route: &str| {
-            let bursts = self.acts.iter().filter_map(|(_, act)| match act {
-                Act::Burst { route: of, by, lasts, .. } if of == "all" || of == route => {
-                    Some(by.max(1.0) * lasts.min(self.length) / self.length.max(0.001))
+            let bursts = self.actions.iter().filter_map(|(_, action)| match action {
+                ScenarioAction::Burst { route: of, factor, duration, .. } if of == "all" || of == route => {
+                    Some(factor.max(1.0) * duration.min(self.length) / self.length.max(0.001))
                 }
                 _ => None,
             });
             1.0 + bursts.sum::<f64>()
         };
-        let added = self.acts.iter().filter_map(|(_, act)| match act {
-            Act::Config { change: Change::Add { rate, .. }, .. } => Some(*rate),
+        let added = self.actions.iter().filter_map(|(_, action)| match action {
+            ScenarioAction::Config { change: Change::Add { rate, .. }, .. } => Some(*rate),
             _ => None,
         });
         let rates = self.routes.iter().map(|route| route.rate * of(&route.name)).sum::<f64>();
         (rates + added.sum::<f64>()) * self.length
     }
 
-    /// Names in one line, each of something that is there.
-    fn names(&self, line: &Line, words: &[&str]) -> Result<(), Fault> {
-        let no_such = |at: usize| line.at(at, Wrong::NoSuch(words[at].to_string()));
+    /// Checks that the names in one line are defined.
+    fn check_names(&self, line: &Line, words: &[&str]) -> Result<(), ScenarioError> {
+        let no_such = |at: usize| line.error_at(at, ScenarioErrorKind::NoSuch(words[at].to_string()));
         let zone = |name: &str| self.zones.iter().any(|(zone, _)| zone == name);
         let service = |name: &str| self.services.iter().any(|service| service.name == name);
         let route = |name: &str| {
-            let added = self.acts.iter().any(|(_, act)| {
-                matches!(act, Act::Config { change: Change::Add { route, .. }, .. } if route == name)
+            let added = self.actions.iter().any(|(_, action)| {
+                matches!(
+                    action,
+                    ScenarioAction::Config { change: Change::Add { route, .. }, .. } if route == name
+                )
             });
             added || self.routes.iter().any(|route| route.name == name)
         };
@@ -645,7 +670,7 @@
         }
     }
 
-    /// Whether each of the words names some machine; who comes only later counts as one.
+    /// Whether each word names a machine; a machine that joins later counts as well.
     fn machine(&self, words: &str) -> bool {
         let numbered = |kind: &str, of: &[(String, usize)]| -> Vec<String> {
             let each = |(zone, count): &(String, usize)| {
@@ -670,30 +695,30 @@
         })
     }
 
-    fn line(&mut self, line: &Line) -> Result<(), Fault> {
+    fn line(&mut self, line: &Line) -> Result<(), ScenarioError> {
         match line.word(0, "a word")? {
             "title" => {
-                line.mark_all();
+                line.mark_all_used();
                 self.title = line.words[1..].iter().map(|word| word.1).collect::<Vec<_>>().join(" ");
             }
             "length" => self.length = line.bounded(1, "seconds", 600)?,
-            "lead" => self.lead = line.bounded(1, "seconds", 60)?,
+            "lead" => self.warm_up = line.bounded(1, "seconds", 60)?,
             "zones" => {
-                line.mark_all();
+                line.mark_all_used();
                 for (at, (_, word)) in line.words.iter().enumerate().skip(1) {
                     let (zone, region) = word.split_once(':').unwrap_or((word, "region"));
                     if self.zones.iter().any(|(name, _)| name == zone) {
-                        return line.at(at, Wrong::Twice(zone.to_string()));
+                        return line.error_at(at, ScenarioErrorKind::Twice(zone.to_string()));
                     }
                     self.zones.push((zone.to_string(), region.to_string()));
                 }
                 self.zones.sort();
             }
-            "edge" => self.edges.push((line.name(1, "zone")?, line.count(2, "how many", EDGES)?)),
-            "core" => self.cores.push((line.name(1, "zone")?, line.count(2, "how many", CORES)?)),
+            "edge" => self.edges.push((line.name(1, "zone")?, line.count(2, "how many", MAX_EDGES)?)),
+            "core" => self.cores.push((line.name(1, "zone")?, line.count(2, "how many", MAX_CORES)?)),
             "hosts" => {
                 let memory = line.need("memory")? as u32;
-                self.hosts.push((line.name(1, "zone")?, line.count(2, "how many", HOSTS)?, memory));
+                self.hosts.push((line.name(1, "zone")?, line.count(2, "how many", MAX_HOSTS)?, memory));
             }
             "net" => {
                 let net = &mut self.net;
@@ -706,11 +731,11 @@
             "platform" => {
                 let platform = &mut self.platform;
                 platform.rate = line.or("rate", platform.rate)?;
-                platform.duty = line.or("duty", platform.duty)?;
+                platform.call_rate = line.or("duty", platform.call_rate)?;
                 platform.lag = line.or("lag", platform.lag)?;
                 platform.addresses =
                     line.or("addresses", platform.addresses as f64)?.clamp(1.0, 60_000.0) as usize;
-                platform.brush = (line.or("brush", 0.0)?, line.or("brush-ms", 5.0)?);
+                platform.brief_hold = (line.or("brush", 0.0)?, line.or("brush-ms", 5.0)?);
             }
             "timers" => {
                 let timers = &mut self.timers;
@@ -743,7 +768,7 @@
                 name: line.name(1, "name")?,
                 service: match line.after("on")? {
                     Some(service) => service.to_string(),
-                    None => return line.at(usize::MAX, Wrong::Missing("on")),
+                    None => return line.error_at(usize::MAX, ScenarioErrorKind::Missing("on")),
                 },
                 once: line.has("once"),
                 aim: line.or("aim", 400.0)? as u32,
@@ -761,86 +786,100 @@
                     "plan" => Rebinding::Plan,
                     "holes" => Rebinding::Holes,
                     "all" => Rebinding::All,
-                    other => return line.at(1, Wrong::Unknown(other.to_string())),
+                    other => return line.error_at(1, ScenarioErrorKind::Unknown(other.to_string())),
                 }
             }
             "at" => {
                 let at = line.number(1, "seconds")?;
                 let rest = line.rest(2);
-                let act = act(&rest)?;
-                rest.ends()?;
-                line.mark_all();
-                self.acts.push((at, act));
+                let action = action(&rest)?;
+                rest.check_all_used()?;
+                line.mark_all_used();
+                self.actions.push((at, action));
             }
             "expect" => {
                 let rest = line.rest(1);
-                let expect = expect(&rest)?;
-                rest.ends()?;
-                line.mark_all();
-                self.expects.push((line.number, expect));
+                let expectation = expect(&rest)?;
+                rest.check_all_used()?;
+                line.mark_all_used();
+                self.expectations.push((line.number, expectation));
             }
             _ => return line.unknown(0),
         }
-        line.ends()
+        line.check_all_used()
     }
 }
 
-fn act(line: &Line) -> Result<Act, Fault> {
-    let who = || line.name(1, "who");
-    let lasts = || line.need("for");
+fn action(line: &Line) -> Result<ScenarioAction, ScenarioError> {
+    let name = || line.name(1, "who");
+    let duration = || line.need("for");
     Ok(match line.word(0, "what happens")? {
-        word @ ("kill" | "wipe") => Act::Kill {
-            who: who()?,
-            lasts: line.value("for")?,
-            how: match word {
-                "wipe" => Down::Wiped,
-                _ if line.has("power") => Down::Power,
-                _ => Down::Killed,
+        word @ ("kill" | "wipe") => ScenarioAction::Kill {
+            machines: name()?,
+            duration: line.value("for")?,
+            kind: match word {
+                "wipe" => Outage::DiskLost,
+                _ if line.has("power") => Outage::PowerLoss,
+                _ => Outage::Killed,
             },
         },
-        "freeze" => Act::Freeze { who: who()?, lasts: lasts()? },
-        "roll" => Act::Roll { who: who()?, gap: line.or("gap", 1.0)?, lasts: line.or("for", 1.0)? },
-        "cut" => Act::Cut {
-            a: who()?,
+        "freeze" => ScenarioAction::Freeze { machines: name()?, duration: duration()? },
+        "roll" => ScenarioAction::Roll {
+            machines: name()?,
+            gap: line.or("gap", 1.0)?,
+            duration: line.or("for", 1.0)?,
+        },
+        "cut" => ScenarioAction::Cut {
+            a: name()?,
             b: line.name(2, "from whom")?,
             one_way: line.has("one-way"),
-            lasts: lasts()?,
+            duration: duration()?,
         },
-        "harm" => Act::Harm {
-            a: who()?,
+        "harm" => ScenarioAction::LinkFault {
+            a: name()?,
             b: line.name(2, "with whom")?,
             loss: line.or("loss", 0.0)?,
             delay: line.or("delay", 0.0)?,
-            lasts: lasts()?,
+            duration: duration()?,
         },
-        "burst" => Act::Burst {
-            route: who()?,
+        "burst" => ScenarioAction::Burst {
+            route: name()?,
             zone: line.after("in")?.map(str::to_string),
-            by: line.number(2, "how much")?,
-            lasts: lasts()?,
+            factor: line.number(2, "how much")?,
+            duration: duration()?,
+        },
+        "drain" => ScenarioAction::Drain { host: name()? },
+        "crash" => ScenarioAction::Crash {
+            host: name()?,
+            duration: line.or("for", 1e6)?,
+            silent: line.has("silent"),
         },
-        "drain" => Act::Drain { host: who()? },
-        "crash" => Act::Crash { host: who()?, lasts: line.or("for", 1e6)?, silent: line.has("silent") },
         word @ ("late" | "slow" | "refuse" | "silence" | "lose") => {
-            let how = match (word, line.word(1, "what")?) {
-                ("late", "list") => Lists::Late,
-                ("slow", "list") => Lists::Slow,
-                ("refuse", "list") => Lists::Refused,
-                ("refuse", "calls") => Lists::CallsRefused,
-                ("lose", "calls") => Lists::Unanswered,
-                ("silence", "platform") => Lists::Silent,
+            let kind = match (word, line.word(1, "what")?) {
+                ("late", "list") => PlatformFault::Late,
+                ("slow", "list") => PlatformFault::Slow,
+                ("refuse", "list") => PlatformFault::Refused,
+                ("refuse", "calls") => PlatformFault::CallsRefused,
+                ("lose", "calls") => PlatformFault::Unanswered,
+                ("silence", "platform") => PlatformFault::Silent,
                 ("lose", "answers") => {
                     let share = line.number(2, "share")?;
-                    return Ok(Act::Answers { how: Spoil::Lost, share, lasts: lasts()? });
+                    return Ok(ScenarioAction::Answers {
+                        kind: AnswerFault::Lost,
+                        share,
+                        duration: duration()?,
+                    });
                 }
                 _ => return line.unknown(1),
             };
-            Act::Platform { how, by: line.or("by", 1.0)?, lasts: lasts()? }
+            ScenarioAction::Platform { kind, seconds: line.or("by", 1.0)?, duration: duration()? }
         }
         "spoil" => {
             let word = line.word(1, "how")?;
-            match Spoil::ALL.into_iter().find(|how| how.word() == word) {
-                Some(how) => Act::Answers { how, share: line.number(2, "share")?, lasts: lasts()? },
+            match AnswerFault::ALL.into_iter().find(|kind| kind.keyword() == word) {
+                Some(kind) => {
+                    ScenarioAction::Answers { kind, share: line.number(2, "share")?, duration: duration()? }
+                }
                 None => return line.unknown(1),
             }
         }
@@ -857,49 +896,52 @@
                 },
                 _ => return line.unknown(1),
             };
-            Act::Config {
+            ScenarioAction::Config {
                 change,
                 first: line.after("to")?.map(str::to_string),
                 wipe_for: line.value("wipe")?,
                 operator: line.or("by", 1.0)? as usize,
             }
         }
-        "replace" => Act::Replace { who: who()?, after: line.or("after", 0.5)? },
-        "disk" => {
-            Act::Disk { who: who()?, slow: line.or("slow", 1.0)?, full: line.has("full"), lasts: lasts()? }
-        }
+        "replace" => ScenarioAction::Replace { machines: name()?, after: line.or("after", 0.5)? },
+        "disk" => ScenarioAction::Disk {
+            machines: name()?,
+            slow: line.or("slow", 1.0)?,
+            full: line.has("full"),
+            duration: duration()?,
+        },
         _ => return line.unknown(0),
     })
 }
 
-fn expect(line: &Line) -> Result<Expect, Fault> {
-    // "served >= 0.97", "limit <= 10": the sign is for the reader.
+fn expect(line: &Line) -> Result<Expectation, ScenarioError> {
+    // The comparison sign in "served >= 0.97" and "limit <= 10" is not parsed.
     let bound = |at: usize| {
-        line.mark(at);
+        line.mark_used(at);
         line.number(at + 1, "a bound")
     };
     let kept = |at: usize, word: &'static str| match line.word(at, word)? {
-        said if said == word => Ok(()),
+        found if found == word => Ok(()),
         _ => line.unknown(at),
     };
     let route = line.after("route")?.map(str::to_string);
     let from = line.or("from", 0.0)?;
     let to = line.or("to", 1e9)?;
     Ok(match line.word(0, "what must hold")? {
-        "served" => Expect::Served { least: bound(1)?, route, from, to },
-        "aim" => Expect::Aim { least: bound(1)?, route, from, to },
-        "limit" if line.has("anytime") => Expect::Limit { most: bound(2)? as usize, anytime: true },
-        "limit" => Expect::Limit { most: bound(1)? as usize, anytime: false },
-        "holder" => Expect::Holder { within: line.need("within")? },
-        "acked" => Expect::Acked { within: line.need("within")? },
-        "recovered" => Expect::Recovered { within: line.need("within")? },
-        "configuration" => kept(1, "kept").map(|()| Expect::Configuration)?,
-        "never" => kept(1, "doubled").map(|()| Expect::Doubled)?,
-        "drain" => kept(1, "kept").map(|()| Expect::Drain)?,
-        "budget" => kept(1, "kept").map(|()| Expect::Budget)?,
-        "starts" => Expect::Starts { most: bound(1)? as usize },
-        "left" => Expect::Left { most: bound(1)? as usize },
-        "reused" => Expect::Reused { least: bound(1)? as usize },
+        "served" => Expectation::Served { least: bound(1)?, route, from, to },
+        "aim" => Expectation::Aim { least: bound(1)?, route, from, to },
+        "limit" if line.has("anytime") => Expectation::Limit { most: bound(2)? as usize, anytime: true },
+        "limit" => Expectation::Limit { most: bound(1)? as usize, anytime: false },
+        "holder" => Expectation::Holder { within: line.need("within")? },
+        "acked" => Expectation::Acked { within: line.need("within")? },
+        "recovered" => Expectation::Recovered { within: line.need("within")? },
+        "configuration" => kept(1, "kept").map(|()| Expectation::Configuration)?,
+        "never" => kept(1, "doubled").map(|()| Expectation::Doubled)?,
+        "drain" => kept(1, "kept").map(|()| Expectation::Drain)?,
+        "budget" => kept(1, "kept").map(|()| Expectation::Budget)?,
+        "starts" => Expectation::Starts { most: bound(1)? as usize },
+        "left" => Expectation::Left { most: bound(1)? as usize },
+        "reused" => Expectation::Reused { least: bound(1)? as usize },
         _ => return line.unknown(0),
     })
 }
--- a/crates/rehearsal/src/setting.rs
+++ b/crates/rehearsal/src/setting.rs
@@ -1,14 +1,14 @@
-//! A setting of a scenario by its name, put into the text: `timers.grace`, `service.dock.slots`,
-//! `edge.a`, `length`.
+//! Sets one setting of a scenario by name in its text: `timers.grace`, `service.dock.slots`, `edge.a`,
+//! `length`.
 
-use crate::scenario::Wrong;
+use crate::scenario::ScenarioErrorKind;
 
-/// The text with this value; what it says then is for [`crate::Scenario::read`] to check.
-pub fn set(text: &str, name: &str, value: &str) -> Result<String, Wrong> {
-    let no_such = || Err(Wrong::NoSuch(name.to_string()));
+/// Returns the text with this value; [`crate::Scenario::read`] validates the result.
+pub fn set(text: &str, name: &str, value: &str) -> Result<String, ScenarioErrorKind> {
+    let no_such = || Err(ScenarioErrorKind::NoSuch(name.to_string()));
     let parts: Vec<&str> = name.split('.').collect();
-    // The words a line begins with, and what the value follows: a key, or a place among the words.
-    let (begins, key, place): (Vec<&str>, Option<&str>, usize) = match parts.as_slice() {
+    // Leading words of the line, and what the value follows: a key, or a position among the words.
+    let (line_start, key, position): (Vec<&str>, Option<&str>, usize) = match parts.as_slice() {
         [word @ ("length" | "lead")] => (vec![*word], None, 1),
         [word @ ("net" | "platform" | "timers"), key] => (vec![*word], Some(*key), 0),
         [word @ ("edge" | "core" | "hosts"), zone] => (vec![*word, *zone], None, 2),
@@ -16,43 +16,45 @@
         _ => return no_such(),
     };
     if value.is_empty() || value.contains(|c: char| c.is_whitespace() || c == '#') {
-        return Err(Wrong::NotANumber(value.to_string()));
+        return Err(ScenarioErrorKind::NotANumber(value.to_string()));
     }
     let mut lines: Vec<String> = text.lines().map(str::to_string).collect();
     let words = |line: &str| -> Vec<String> {
         line.split('#').next().unwrap_or_default().split_whitespace().map(str::to_string).collect()
     };
-    let of: Vec<usize> = (0..lines.len())
-        .filter(|n| words(&lines[*n]).iter().zip(&begins).filter(|(a, b)| a == b).count() == begins.len())
+    let matching: Vec<usize> = (0..lines.len())
+        .filter(|n| {
+            words(&lines[*n]).iter().zip(&line_start).filter(|(a, b)| a == b).count() == line_start.len()
+        })
         .collect();
     let has = |n: &usize| key.is_none_or(|key| words(&lines[*n]).iter().skip(1).any(|word| word == key));
-    let Some(n) = of.iter().copied().find(has).or(of.first().copied()) else {
-        if begins.len() > 1 {
+    let Some(n) = matching.iter().copied().find(has).or(matching.first().copied()) else {
+        if line_start.len() > 1 {
             return no_such();
         }
-        lines.push([begins[0], key.unwrap_or_default(), value].join(" "));
+        lines.push([line_start[0], key.unwrap_or_default(), value].join(" "));
         return Ok(lines.join("\n") + "\n");
     };
-    let mut said = words(&lines[n]);
+    let mut words_of_line = words(&lines[n]);
     let at = match key {
-        Some(key) => match said.iter().skip(1).position(|word| word == key) {
+        Some(key) => match words_of_line.iter().skip(1).position(|word| word == key) {
             Some(at) => at + 2,
             None => {
-                said.push(key.to_string());
-                said.len()
+                words_of_line.push(key.to_string());
+                words_of_line.len()
             }
         },
-        None => place,
+        None => position,
     };
-    match said.get_mut(at) {
+    match words_of_line.get_mut(at) {
         Some(word) => *word = value.to_string(),
-        None => said.push(value.to_string()),
+        None => words_of_line.push(value.to_string()),
     }
-    lines[n] = said.join(" ");
+    lines[n] = words_of_line.join(" ");
     Ok(lines.join("\n") + "\n")
 }
 
-/// Mean, and half the width of its 95 % interval by Student's t; None from a single value.
+/// Mean, and half the width of its 95 % confidence interval by Student's t; None for a single value.
 pub fn mean(values: &[f64]) -> (f64, Option<f64>) {
     const T: [f64; 30] = [
         12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145,
--- a/crates/rehearsal/src/wire.rs
+++ b/crates/rehearsal/src/wire.rs
@@ -1,13 +1,12 @@
-//! HTTP/1.1 as the clients and workers of a run write and read it: strictly, and apart from the system's
-//! own reading, so that
-//! a mistake there shows here.
+//! HTTP/1.1 for the simulated clients and workers. It is strict and independent of the system's own parser,
+//! so that an error there is detected here.
 
-use crate::notes::hash;
+use crate::messages::hash;
 use std::fmt::Write;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The first line.
+    /// Request line or status line.
     pub first: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
@@ -15,11 +14,11 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Read {
-    /// Whole, and so many bytes long.
+    /// A complete message and its length in bytes.
     Whole(Message, usize),
-    /// More would have to come.
+    /// Incomplete so far.
     Part,
-    /// No message in the protocol, whatever comes.
+    /// Not a valid message, whatever follows.
     Bad,
 }
 
@@ -28,7 +27,7 @@
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
     }
 
-    /// Of an answer; 0 where the first line says none.
+    /// Status of an answer; 0 if the first line has none.
     pub fn status(&self) -> u16 {
         let mut words = self.first.split(' ');
         let version = words.next();
@@ -37,7 +36,8 @@
     }
 }
 
-/// The message that the bytes begin with. A length must be stated once, in digits, unless there is no body.
+/// Parses the message at the start of the bytes. Exactly one Content-Length in digits is required, except
+/// for requests without a body.
 pub fn read(bytes: &[u8]) -> Read {
     let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") else {
         let begun = bytes.iter().take(4).all(u8::is_ascii_uppercase);
@@ -91,12 +91,12 @@
     out
 }
 
-/// What a worker vouches for its answer with.
+/// Seal with which a worker confirms its answer.
 pub fn seal(id: &str, body: &[u8]) -> String {
     format!("{:016x}", hash(&format!("{id} {}", String::from_utf8_lossy(body))))
 }
 
-/// Of a try.
+/// Attempt id on the wire.
 pub fn id(attempt: usize) -> String {
     format!("try-{attempt}")
 }
