--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -1,26 +1,26 @@
-//! The world of a run: machines, platform, clients and operators over one queue of events.
+//! State of a run: machines, platform, clients and operators, driven by one event queue.
 
-mod acts;
+mod actions;
 mod clients;
+mod evaluation;
 mod operators;
-mod verdict;
 mod workers;
 
-use crate::baselines::{Ranking, Sharing, Voices};
-use crate::chance::Chance;
+use crate::agent::{self, AgentProcess, ProxyUpdate};
+use crate::baselines::{DemandTotals, Ranking, Sharing};
+use crate::checker::Checker;
 use crate::controller::{self, Controller};
-use crate::desk::{self, Budget, Desk};
-use crate::judge::Judge;
+use crate::injected_defects::InjectedDefect;
+use crate::messages::{hash, PeerMessage, ALLOCATION_PORT, PEER_PORT};
 use crate::net::{Net, Node};
-use crate::notes::{hash, Note, LEND_PORT, PEER_PORT};
 use crate::operator::Plan;
-use crate::page::{self, Page, Told};
-use crate::planted::Planted;
-use crate::platform::{Host, Kind, Platform};
-use crate::report::{Held, Loans, Report, Row, Span};
-use crate::scenario::{Scenario, Spoil};
-use clients::{Client, Open, Stream};
-use operators::Call;
+use crate::platform::{Host, Platform, ServiceModel};
+use crate::proxy::{self, Budget, ProxyProcess};
+use crate::report::{AllocationFigures, LeasePeriod, Report, Row, Span};
+use crate::rng::Rng;
+use crate::scenario::{AnswerFault, Scenario};
+use clients::{Client, ClientAttempt, Stream};
+use operators::OperatorCall;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -28,65 +28,65 @@
 use tindock_gazette::Message;
 use tindock_lifecycle::GracePeriod;
 
-/// Machines' dates at the start, ms: well beyond any life of a process.
-const DATE: u64 = 1_700_000_000_000;
-/// A stream that is held up for so long is broken, and what waits on it is lost.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1500);
-const RETRY: Duration = Duration::from_millis(100);
-/// A platform's answer that takes longer is not waited for.
-const PATIENCE: Duration = Duration::from_millis(1200);
+/// Wall clock of the machines at the start, ms; any value well above process run times.
+const START_DATE_MS: u64 = 1_700_000_000_000;
+/// A stream that is blocked for this long breaks, and the messages waiting on it are lost.
+const STREAM_TIMEOUT: Duration = Duration::from_millis(1500);
+const STREAM_RETRY: Duration = Duration::from_millis(100);
+/// Time to wait for an answer of the platform.
+const PLATFORM_TIMEOUT: Duration = Duration::from_millis(1200);
 
 pub(crate) enum Event {
     Wake(Node, u64),
-    Note {
+    PeerMessage {
         to: Node,
-        life: u64,
+        incarnation: u64,
         from: SocketAddr,
-        note: Note,
+        message: PeerMessage,
     },
     Flush {
         from: Node,
         to: Node,
     },
-    Letter {
+    PeerSampling {
         to: usize,
-        life: u64,
+        incarnation: u64,
         from: IpAddr,
-        letter: Message,
+        message: Message,
     },
-    Lend {
+    AllocationMessage {
         to: usize,
-        life: u64,
+        incarnation: u64,
         from: SocketAddr,
         bytes: Vec<u8>,
     },
     Syn {
         edge: usize,
-        life: u64,
-        hand: u64,
+        incarnation: u64,
+        request_id: u64,
         token: u64,
         instance: String,
         at: SocketAddr,
     },
-    Refused {
+    OwnerRefused {
         edge: usize,
-        life: u64,
+        incarnation: u64,
         owner: SocketAddr,
     },
     Connected {
         edge: usize,
-        life: u64,
-        hand: u64,
+        incarnation: u64,
+        request_id: u64,
         token: u64,
         instance: String,
-        taken: bool,
+        accepted: bool,
     },
-    Arrive {
+    RequestAtWorker {
         edge: usize,
-        life: u64,
-        hand: u64,
+        incarnation: u64,
+        request_id: u64,
         token: u64,
-        line: u64,
+        connection: u64,
         at: SocketAddr,
         bytes: Vec<u8>,
     },
@@ -94,126 +94,126 @@
         instance: usize,
         run: u64,
     },
-    Came {
+    WorkerBytes {
         edge: usize,
-        life: u64,
-        hand: u64,
+        incarnation: u64,
+        request_id: u64,
         token: u64,
         bytes: Vec<u8>,
         closed: bool,
     },
-    Due {
+    RequestTimer {
         edge: usize,
-        life: u64,
-        hand: u64,
+        incarnation: u64,
+        request_id: u64,
         token: u64,
     },
     Hangup {
         at: SocketAddr,
         attempt: usize,
     },
-    Closed {
+    IdleConnectionsClosed {
         edge: usize,
-        life: u64,
+        incarnation: u64,
         instance: String,
     },
     Stored {
         core: usize,
-        life: u64,
+        incarnation: u64,
         disk: u64,
         token: u64,
         what: Box<Stored>,
     },
-    Platform {
+    PlatformCall {
         core: usize,
-        life: u64,
+        incarnation: u64,
         id: u64,
         sent: Duration,
     },
-    Answered {
+    PlatformAnswer {
         core: usize,
-        life: u64,
+        incarnation: u64,
         id: u64,
         answer: Box<controller::Answer>,
     },
     Arrival(usize),
-    Try(usize),
-    AtEdge {
+    Attempt(usize),
+    RequestAtEdge {
         edge: usize,
-        life: u64,
+        incarnation: u64,
         attempt: usize,
     },
-    Back {
+    AnswerToClient {
         attempt: usize,
         bytes: Vec<u8>,
         close: bool,
     },
-    /// The connection of a try ended, or did not come up.
-    Broke {
+    /// The client connection of an attempt ended, or was refused.
+    ConnectionBroken {
         attempt: usize,
     },
-    Unread {
+    UnreadTimeout {
         attempt: usize,
     },
     Deadline(usize),
-    Left {
+    ClientDisconnected {
         edge: usize,
-        life: u64,
+        incarnation: u64,
         attempt: usize,
     },
     Probe,
-    Asks {
+    OperatorCall {
         call: usize,
-        go: u64,
+        sending: u64,
     },
-    AtCore {
+    CallAtController {
         core: usize,
-        life: u64,
+        incarnation: u64,
         call: usize,
-        go: u64,
+        sending: u64,
     },
-    Says {
+    OperatorReply {
         call: usize,
-        go: u64,
+        sending: u64,
         reply: controller::Reply,
         core: usize,
     },
-    Silence {
+    OperatorTimeout {
         call: usize,
-        go: u64,
+        sending: u64,
     },
-    Show,
-    Act(usize),
+    ShowConfiguration,
+    Action(usize),
     Start(Node),
     Thaw(Node),
-    Ends {
+    EdgeShutdown {
         edge: usize,
-        life: u64,
+        incarnation: u64,
     },
-    CoreEnds {
+    CoreShutdown {
         core: usize,
-        life: u64,
+        incarnation: u64,
     },
-    Mend(u64),
-    Calm(Calm),
-    Close(usize),
-    Second,
+    RepairLink(u64),
+    FaultEnds(FaultEnd),
+    CloseInstance(usize),
+    EndOfSecond,
 }
 
-/// A note that waits on a stream: since when, and who says it.
-type Waiting = (Duration, SocketAddr, Note);
+/// A message waiting on a blocked stream: since when, and its sender.
+type Waiting = (Duration, SocketAddr, PeerMessage);
 
-/// What ends with a trouble.
-pub(crate) enum Calm {
-    Burst { route: String, zone: Option<usize>, by: f64 },
+/// Temporary fault or burst that ends.
+pub(crate) enum FaultEnd {
+    Burst { route: String, zone: Option<usize>, factor: f64 },
     Platform,
-    Answers(Spoil, f64),
+    Answers(AnswerFault, f64),
     Disk(usize),
 }
 
-/// Whether a machine is up, and how it went down.
+/// Whether a machine runs, and how it behaves if not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Power {
+pub(crate) enum MachineState {
     On,
     /// Its processes are gone: connections are refused.
     Refuses,
@@ -221,22 +221,23 @@
 }
 
 pub(crate) struct Running {
-    pub(crate) born: Duration,
-    pub(crate) page: Page,
-    pub(crate) desk: Desk,
-    /// SIGTERM has come.
-    pub(crate) leaves: bool,
+    pub(crate) started_at: Duration,
+    pub(crate) agent: AgentProcess,
+    pub(crate) proxy: ProxyProcess,
+    /// Whether SIGTERM was received.
+    pub(crate) leaving: bool,
 }
 
 pub(crate) struct Edge {
     pub(crate) name: String,
     pub(crate) ip: IpAddr,
     pub(crate) zone: usize,
-    pub(crate) up: Power,
-    pub(crate) life: u64,
+    pub(crate) up: MachineState,
+    pub(crate) incarnation: u64,
     pub(crate) running: Option<Running>,
     pub(crate) wake: Option<Duration>,
     pub(crate) frozen: Option<(Duration, Vec<Event>)>,
+    /// Consecutive failed readiness probes.
     pub(crate) misses: u32,
     pub(crate) restarts_after: Option<Duration>,
 }
@@ -245,75 +246,78 @@
     pub(crate) name: String,
     pub(crate) ip: IpAddr,
     pub(crate) zone: usize,
-    pub(crate) up: Power,
-    pub(crate) life: u64,
-    pub(crate) born: Duration,
+    pub(crate) up: MachineState,
+    pub(crate) incarnation: u64,
+    pub(crate) started_at: Duration,
     pub(crate) controller: Option<Controller>,
     pub(crate) wake: Option<Duration>,
     pub(crate) frozen: Option<(Duration, Vec<Event>)>,
     pub(crate) disk: DiskState,
+    /// Counts disk losses, so that writes to a lost disk are discarded.
     pub(crate) disks: u64,
     pub(crate) disk_busy: Duration,
     pub(crate) disk_slow: f64,
     pub(crate) disk_full: bool,
     pub(crate) gone: Option<Duration>,
-    /// In the operator's list from then on.
+    /// When it becomes part of the operator's list.
     pub(crate) listed: Duration,
     pub(crate) began: bool,
     pub(crate) calls: BTreeMap<u64, (u64, controller::Call)>,
     pub(crate) restarts_after: Option<Duration>,
-    /// Since when it leaves, by its own clock.
-    pub(crate) leaves: Option<Duration>,
+    /// When it received SIGTERM, by its process clock.
+    pub(crate) leaving: Option<Duration>,
 }
 
 pub(crate) struct World {
     pub(crate) scenario: Scenario,
-    pub(crate) planted: Option<Planted>,
+    pub(crate) defect: Option<InjectedDefect>,
     sharing: Sharing,
     ranking: Ranking,
-    voices: Voices,
-    pub(crate) loans: Loans,
+    demand_totals: DemandTotals,
+    pub(crate) allocation: AllocationFigures,
     pub(crate) slot_waits: Vec<f64>,
     pub(crate) now: Duration,
     queue: BTreeMap<(Duration, u64), Event>,
     events: u64,
-    pub(crate) chance: Chance,
+    pub(crate) rng: Rng,
     seed: u64,
     pub(crate) net: Net,
     pub(crate) zones: Vec<(String, String)>,
     pub(crate) edges: Vec<Edge>,
     pub(crate) cores: Vec<Core>,
     pub(crate) by_ip: BTreeMap<IpAddr, Node>,
-    held: BTreeMap<(Node, Node), VecDeque<Waiting>>,
+    /// Messages that wait on blocked streams.
+    delayed: BTreeMap<(Node, Node), VecDeque<Waiting>>,
+    /// Arrival time of the last message on each stream.
     arrived: BTreeMap<(Node, Node), Duration>,
-    /// Streams whose way back is cut, and since when.
+    /// Streams whose return path is cut, and since when.
     unacknowledged: BTreeMap<(Node, Node), Duration>,
     pub(crate) platform: Platform,
-    /// How workers spoil answers now, and so large a share of them.
-    pub(crate) spoils: Vec<(Spoil, f64)>,
-    /// Answers that workers send once more, before the next one on a connection.
+    /// Active answer faults with the share of answers they affect.
+    pub(crate) answer_faults: Vec<(AnswerFault, f64)>,
+    /// Answers to be sent again before the next one on a connection.
     pub(crate) surplus: BTreeMap<(usize, u64, u64), Vec<u8>>,
     next: u64,
     pub(crate) clients: Vec<Client>,
     pub(crate) streams: Vec<Stream>,
-    /// Of each request: its client, its work in ms, its last try.
-    pub(crate) asked_by: Vec<(usize, f64, Option<usize>)>,
-    pub(crate) opens: Vec<Open>,
+    /// Per request: its client, its work in ms, its last attempt.
+    pub(crate) request_clients: Vec<(usize, f64, Option<usize>)>,
+    pub(crate) client_attempts: Vec<ClientAttempt>,
     pub(crate) bursts: Vec<(String, Option<usize>, f64)>,
-    pub(crate) calls: Vec<Call>,
+    pub(crate) calls: Vec<OperatorCall>,
     pub(crate) plan: Plan,
-    pub(crate) acker: Option<usize>,
+    pub(crate) last_acker: Option<usize>,
     pub(crate) last_reader: Option<usize>,
-    pub(crate) judge: Judge,
+    pub(crate) checker: Checker,
     pub(crate) rows: Vec<Row>,
     pub(crate) spans: Vec<Span>,
-    pub(crate) duties: Vec<Held>,
-    pub(crate) lead: Duration,
+    pub(crate) lease_periods: Vec<LeasePeriod>,
+    pub(crate) warm_up: Duration,
     pub(crate) length: Duration,
     pub(crate) end: Duration,
 }
 
-/// As the programs do it, with nothing planted.
+/// Runs a scenario with slot allocation, the default ranking and no injected defect.
 pub(crate) fn play(scenario: Scenario, seed: u64, watch: impl FnMut(f64)) -> Report {
     World::new(scenario, seed, None, (Sharing::Loans, crate::Ranking::Limit)).run(watch)
 }
@@ -326,7 +330,7 @@
     pub(crate) fn new(
         scenario: Scenario,
         seed: u64,
-        planted: Option<Planted>,
+        defect: Option<InjectedDefect>,
         (sharing, ranking): (Sharing, Ranking),
     ) -> World {
         let zones = scenario.zones.clone();
@@ -335,53 +339,53 @@
         regions.dedup();
         let region = |zone: usize| regions.iter().position(|r| *r == zones[zone].1).unwrap_or(0);
         let net = Net::new(scenario.net, (0..zones.len()).map(region).collect());
-        let (lead, length) = (secs(scenario.lead), secs(scenario.length));
+        let (warm_up, length) = (secs(scenario.warm_up), secs(scenario.length));
         let timers = scenario.timers;
         let names: Vec<String> = zones.iter().map(|(zone, _)| zone.clone()).collect();
         let platform = Platform::new(scenario.platform, secs(timers.drain), secs(timers.reuse), names);
         let mut world = World {
-            planted,
+            defect,
             sharing,
             ranking,
-            voices: Voices::default(),
-            loans: Loans::default(),
+            demand_totals: DemandTotals::default(),
+            allocation: AllocationFigures::default(),
             slot_waits: Vec::new(),
             now: Duration::ZERO,
             queue: BTreeMap::new(),
             events: 0,
-            chance: Chance::new(seed),
+            rng: Rng::new(seed),
             seed,
             net,
             zones,
             edges: Vec::new(),
             cores: Vec::new(),
             by_ip: BTreeMap::new(),
-            held: BTreeMap::new(),
+            delayed: BTreeMap::new(),
             arrived: BTreeMap::new(),
             unacknowledged: BTreeMap::new(),
             platform,
-            spoils: Vec::new(),
+            answer_faults: Vec::new(),
             surplus: BTreeMap::new(),
             next: 1,
             clients: Vec::new(),
             streams: Vec::new(),
-            asked_by: Vec::new(),
-            opens: Vec::new(),
+            request_clients: Vec::new(),
+            client_attempts: Vec::new(),
             bursts: Vec::new(),
             calls: Vec::new(),
             plan: Plan::new(&scenario),
-            acker: None,
+            last_acker: None,
             last_reader: None,
-            judge: Judge::new(timers, lead),
+            checker: Checker::new(timers, warm_up),
             rows: Vec::new(),
             spans: Vec::new(),
-            duties: Vec::new(),
-            lead,
+            lease_periods: Vec::new(),
+            warm_up,
             length,
-            end: lead + length + secs(timers.contact) + secs(5.0),
+            end: warm_up + length + secs(timers.contact) + secs(5.0),
             scenario,
         };
-        world.found();
+        world.set_up();
         world
     }
 
@@ -389,8 +393,8 @@
         self.zones.iter().position(|(zone, _)| zone == name).unwrap_or(0)
     }
 
-    /// Places all machines and plans the day.
-    fn found(&mut self) {
+    /// Creates all machines and schedules the scenario.
+    fn set_up(&mut self) {
         self.net.place(Node::Platform, 0);
         self.net.place(Node::Operator, 0);
         for zone in 0..self.zones.len() {
@@ -420,34 +424,34 @@
         }
         for service in &self.scenario.services {
             for name in crate::operator::copies(service) {
-                let kind = Kind {
+                let kind = ServiceModel {
                     slots: service.slots,
                     memory: service.memory,
                     boot: service.boot,
                     spread: service.spread,
                     uneven: service.uneven,
                 };
-                self.platform.kinds.insert(name, kind);
+                self.platform.services.insert(name, kind);
             }
         }
         for n in 0..self.cores.len() {
-            self.later(Duration::from_millis(3 * n as u64), Event::Start(Node::Core(n)));
+            self.schedule_in(Duration::from_millis(3 * n as u64), Event::Start(Node::Core(n)));
         }
         for n in 0..self.edges.len() {
-            self.later(Duration::from_millis(5 + 3 * n as u64), Event::Start(Node::Edge(n)));
+            self.schedule_in(Duration::from_millis(5 + 3 * n as u64), Event::Start(Node::Edge(n)));
         }
-        self.later(Duration::from_millis(500), Event::Probe);
+        self.schedule_in(Duration::from_millis(500), Event::Probe);
         self.begin_operators();
         self.begin_clients();
-        for n in 0..self.scenario.acts.len() {
-            let at = self.lead + secs(self.scenario.acts[n].0);
-            self.at(at, Event::Act(n));
+        for n in 0..self.scenario.actions.len() {
+            let at = self.warm_up + secs(self.scenario.actions[n].0);
+            self.schedule_at(at, Event::Action(n));
         }
-        self.at(self.lead + self.length + Duration::from_millis(500), Event::Show);
+        self.schedule_at(self.warm_up + self.length + Duration::from_millis(500), Event::ShowConfiguration);
         for second in 0..=self.end.as_secs() {
-            self.at(Duration::from_secs(second + 1), Event::Second);
+            self.schedule_at(Duration::from_secs(second + 1), Event::EndOfSecond);
         }
-        self.note_core();
+        self.record_core_health();
     }
 
     fn add_edge(&mut self, name: String, zone: usize) {
@@ -459,8 +463,8 @@
             name,
             ip,
             zone,
-            up: Power::Refuses,
-            life: 0,
+            up: MachineState::Refuses,
+            incarnation: 0,
             running: None,
             wake: None,
             frozen: None,
@@ -478,9 +482,9 @@
             name,
             ip,
             zone,
-            up: Power::Refuses,
-            life: 0,
-            born: Duration::ZERO,
+            up: MachineState::Refuses,
+            incarnation: 0,
+            started_at: Duration::ZERO,
             controller: None,
             wake: None,
             frozen: None,
@@ -494,36 +498,36 @@
             began: false,
             calls: BTreeMap::new(),
             restarts_after: None,
-            leaves: None,
+            leaving: None,
         });
         n
     }
 
-    pub(crate) fn at(&mut self, at: Duration, event: Event) {
+    pub(crate) fn schedule_at(&mut self, at: Duration, event: Event) {
         self.events += 1;
         self.queue.insert((at.max(self.now), self.events), event);
     }
 
-    pub(crate) fn later(&mut self, pause: Duration, event: Event) {
-        self.at(self.now + pause, event);
+    pub(crate) fn schedule_in(&mut self, pause: Duration, event: Event) {
+        self.schedule_at(self.now + pause, event);
     }
 
-    pub(crate) fn number(&mut self) -> u64 {
+    pub(crate) fn next_id(&mut self) -> u64 {
         self.next += 1;
         self.next
     }
 
-    /// A line in the table, and a bar that lasts so many seconds.
-    pub(crate) fn tell_span(&mut self, lasts: f64, what: String) {
-        let from = self.judge.at(self.now);
-        let to = from + lasts.min(self.judge.at(self.end) - from);
+    /// Records an event in the table, and a span of `duration` seconds for the time line.
+    pub(crate) fn record_span(&mut self, duration: f64, what: String) {
+        let from = self.checker.seconds(self.now);
+        let to = from + duration.min(self.checker.seconds(self.end) - from);
         self.spans.push(Span { from, to, what: what.clone() });
-        self.tell(what);
+        self.record_event(what);
     }
 
-    /// A line in the table.
-    pub(crate) fn tell(&mut self, what: String) {
-        let second = self.judge.at(self.now).floor() as i64;
+    /// Records an event in the table.
+    pub(crate) fn record_event(&mut self, what: String) {
+        let second = self.checker.seconds(self.now).floor() as i64;
         let row = self.row(second);
         row.happened.push(what);
     }
@@ -536,7 +540,7 @@
         &mut self.rows[at]
     }
 
-    /// To the end; `watch` hears each second how much of it is done.
+    /// Runs to the end; `watch` is called each second with the share that is done.
     pub(crate) fn run(mut self, mut watch: impl FnMut(f64)) -> Report {
         while let Some(((at, _), event)) = self.queue.pop_first() {
             if at > self.end {
@@ -553,32 +557,32 @@
         self.report(seed)
     }
 
-    pub(crate) fn life(&self, node: Node) -> u64 {
+    pub(crate) fn incarnation(&self, node: Node) -> u64 {
         match node {
-            Node::Edge(n) => self.edges.get(n).map_or(0, |edge| edge.life),
-            Node::Core(n) => self.cores.get(n).map_or(0, |core| core.life),
+            Node::Edge(n) => self.edges.get(n).map_or(0, |edge| edge.incarnation),
+            Node::Core(n) => self.cores.get(n).map_or(0, |core| core.incarnation),
             _ => 0,
         }
     }
 
-    /// Whose process an event is for.
+    /// Machine whose process handles an event.
     fn addressee(event: &Event) -> Option<Node> {
         match event {
             Event::Wake(node, _) => Some(*node),
-            Event::Note { to, .. } => Some(*to),
-            Event::Letter { to, .. } | Event::Lend { to, .. } => Some(Node::Edge(*to)),
+            Event::PeerMessage { to, .. } => Some(*to),
+            Event::PeerSampling { to, .. } | Event::AllocationMessage { to, .. } => Some(Node::Edge(*to)),
             Event::Connected { edge, .. }
-            | Event::Came { edge, .. }
-            | Event::Due { edge, .. }
-            | Event::Refused { edge, .. }
-            | Event::Closed { edge, .. }
-            | Event::AtEdge { edge, .. }
-            | Event::Left { edge, .. }
-            | Event::Ends { edge, .. } => Some(Node::Edge(*edge)),
+            | Event::WorkerBytes { edge, .. }
+            | Event::RequestTimer { edge, .. }
+            | Event::OwnerRefused { edge, .. }
+            | Event::IdleConnectionsClosed { edge, .. }
+            | Event::RequestAtEdge { edge, .. }
+            | Event::ClientDisconnected { edge, .. }
+            | Event::EdgeShutdown { edge, .. } => Some(Node::Edge(*edge)),
             Event::Stored { core, .. }
-            | Event::Answered { core, .. }
-            | Event::AtCore { core, .. }
-            | Event::CoreEnds { core, .. } => Some(Node::Core(*core)),
+            | Event::PlatformAnswer { core, .. }
+            | Event::CallAtController { core, .. }
+            | Event::CoreShutdown { core, .. } => Some(Node::Core(*core)),
             _ => None,
         }
     }
@@ -594,132 +598,154 @@
             backlog.push(event);
             return;
         }
-        self.happen(event);
+        self.handle(event);
         match node {
-            Some(Node::Edge(n)) => self.settle_edge(n),
-            Some(Node::Core(n)) => self.settle_core(n),
+            Some(Node::Edge(n)) => self.process_edge(n),
+            Some(Node::Core(n)) => self.process_core(n),
             _ => {}
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Wake(node, life) => self.wake(node, life),
-            Event::Note { to, life, from, note } => self.note(to, life, from, note),
+            Event::Wake(node, incarnation) => self.wake(node, incarnation),
+            Event::PeerMessage { to, incarnation, from, message } => {
+                self.deliver_peer_message(to, incarnation, from, message)
+            }
             Event::Flush { from, to } => self.flush(from, to),
-            Event::Letter { to, life, from, letter } => {
+            Event::PeerSampling { to, incarnation, from, message } => {
                 let now = self.now;
-                if let Some(running) = self.running(to, life) {
-                    let local = now - running.born;
-                    running.page.letter(local, from, &letter);
-                    running.page.tick(local);
+                if let Some(running) = self.running(to, incarnation) {
+                    let local = now - running.started_at;
+                    running.agent.receive_sampling(local, from, &message);
+                    running.agent.tick(local);
                 }
             }
-            Event::Lend { to, life, from, bytes } => {
+            Event::AllocationMessage { to, incarnation, from, bytes } => {
                 let now = self.now;
-                if let Some(running) = self.running(to, life) {
-                    running.desk.hear(now - running.born, from, &bytes);
+                if let Some(running) = self.running(to, incarnation) {
+                    running.proxy.receive(now - running.started_at, from, &bytes);
                 }
             }
-            Event::Syn { edge, life, hand, token, instance, at } => {
-                self.syn(edge, life, hand, token, instance, at)
+            Event::Syn { edge, incarnation, request_id, token, instance, at } => {
+                self.syn(edge, incarnation, request_id, token, instance, at)
             }
-            Event::Connected { edge, life, hand, token, instance, taken } => {
+            Event::Connected { edge, incarnation, request_id, token, instance, accepted } => {
                 let now = self.now;
-                if let Some(running) = self.running(edge, life) {
-                    running.desk.connected(now - running.born, hand, token, &instance, taken);
+                if let Some(running) = self.running(edge, incarnation) {
+                    running.proxy.connected(now - running.started_at, request_id, token, &instance, accepted);
                 }
             }
-            Event::Arrive { edge, life, hand, token, line, at, bytes } => {
-                self.arrive(edge, life, (hand, token, line), at, &bytes)
+            Event::RequestAtWorker { edge, incarnation, request_id, token, connection, at, bytes } => {
+                self.request_at_worker(edge, incarnation, (request_id, token, connection), at, &bytes)
             }
             Event::RunEnd { instance, run } => self.run_end(instance, run),
-            Event::Came { edge, life, hand, token, bytes, closed } => {
+            Event::WorkerBytes { edge, incarnation, request_id, token, bytes, closed } => {
                 let now = self.now;
-                if let Some(running) = self.running(edge, life) {
-                    running.desk.came(now - running.born, hand, token, &bytes, closed);
+                if let Some(running) = self.running(edge, incarnation) {
+                    running.proxy.receive_worker_bytes(
+                        now - running.started_at,
+                        request_id,
+                        token,
+                        &bytes,
+                        closed,
+                    );
                 }
             }
-            Event::Due { edge, life, hand, token } => {
+            Event::RequestTimer { edge, incarnation, request_id, token } => {
                 let now = self.now;
-                if let Some(running) = self.running(edge, life) {
-                    running.desk.over(now - running.born, hand, token);
+                if let Some(running) = self.running(edge, incarnation) {
+                    running.proxy.deadline_reached(now - running.started_at, request_id, token);
                 }
             }
-            Event::Refused { edge, life, owner } => {
+            Event::OwnerRefused { edge, incarnation, owner } => {
                 let now = self.now;
-                if let Some(running) = self.running(edge, life) {
-                    running.desk.refused(now - running.born, owner);
+                if let Some(running) = self.running(edge, incarnation) {
+                    running.proxy.owner_refused(now - running.started_at, owner);
                 }
             }
             Event::Hangup { at, attempt } => self.hangup(at, attempt),
-            Event::Closed { edge, life, instance } => {
-                if let Some(running) = self.running(edge, life) {
-                    running.desk.closed(&instance);
+            Event::IdleConnectionsClosed { edge, incarnation, instance } => {
+                if let Some(running) = self.running(edge, incarnation) {
+                    running.proxy.connections_closed(&instance);
                 }
             }
-            Event::Stored { core, life, disk, token, what } => self.stored(core, life, disk, token, &what),
-            Event::Platform { core, life, id, sent } => self.at_platform(core, life, id, sent),
-            Event::Answered { core, life, id, answer } => self.answered(core, life, id, *answer),
+            Event::Stored { core, incarnation, disk, token, what } => {
+                self.stored(core, incarnation, disk, token, &what)
+            }
+            Event::PlatformCall { core, incarnation, id, sent } => {
+                self.at_platform(core, incarnation, id, sent)
+            }
+            Event::PlatformAnswer { core, incarnation, id, answer } => {
+                self.platform_answered(core, incarnation, id, *answer)
+            }
             Event::Arrival(stream) => self.arrival(stream),
-            Event::Try(request) => self.try_request(request),
-            Event::AtEdge { edge, life, attempt } => self.at_edge(edge, life, attempt),
-            Event::Back { attempt, bytes, close } => self.back(attempt, &bytes, close),
-            Event::Broke { attempt } => self.broke(attempt),
-            Event::Unread { attempt } => self.unread(attempt),
+            Event::Attempt(request) => self.try_request(request),
+            Event::RequestAtEdge { edge, incarnation, attempt } => self.at_edge(edge, incarnation, attempt),
+            Event::AnswerToClient { attempt, bytes, close } => self.receive_answer(attempt, &bytes, close),
+            Event::ConnectionBroken { attempt } => self.connection_broken(attempt),
+            Event::UnreadTimeout { attempt } => self.abandon_unread(attempt),
             Event::Deadline(request) => self.deadline(request),
-            Event::Left { edge, life, attempt } => {
+            Event::ClientDisconnected { edge, incarnation, attempt } => {
                 let now = self.now;
-                if let Some(running) = self.running(edge, life) {
-                    running.desk.left(now - running.born, attempt);
+                if let Some(running) = self.running(edge, incarnation) {
+                    running.proxy.client_disconnected(now - running.started_at, attempt);
                 }
             }
-            Event::Probe => self.probe(),
-            Event::Asks { call, go } => self.asks(call, go),
-            Event::AtCore { core, life, call, go } => self.at_core(core, life, call, go),
-            Event::Says { call, go, reply, core } => self.says(call, go, reply, core),
-            Event::Silence { call, go } => self.silence(call, go),
-            Event::Show => self.show(),
-            Event::Act(n) => self.act(n),
+            Event::Probe => self.probe_readiness(),
+            Event::OperatorCall { call, sending } => self.operator_call(call, sending),
+            Event::CallAtController { core, incarnation, call, sending } => {
+                self.at_core(core, incarnation, call, sending)
+            }
+            Event::OperatorReply { call, sending, reply, core } => {
+                self.operator_reply(call, sending, reply, core)
+            }
+            Event::OperatorTimeout { call, sending } => self.operator_timeout(call, sending),
+            Event::ShowConfiguration => self.request_shown_configuration(),
+            Event::Action(n) => self.act_on(n),
             Event::Start(node) => self.start(node),
             Event::Thaw(node) => self.thaw(node),
-            Event::Ends { edge, life } => self.ends(edge, life),
-            Event::CoreEnds { core, life } => {
-                self.core_ends(core, life);
+            Event::EdgeShutdown { edge, incarnation } => self.shut_down_edge(edge, incarnation),
+            Event::CoreShutdown { core, incarnation } => {
+                self.shut_down_core(core, incarnation);
             }
-            Event::Mend(harm) => {
-                self.net.mend(harm);
-                self.note_core();
+            Event::RepairLink(link_fault) => {
+                self.net.remove_fault(link_fault);
+                self.record_core_health();
             }
-            Event::Calm(calm) => self.calm(calm),
-            Event::Close(instance) => self.close_instance(instance),
-            Event::Second => self.second(),
+            Event::FaultEnds(fault_end) => self.end_fault(fault_end),
+            Event::CloseInstance(instance) => self.close_instance(instance),
+            Event::EndOfSecond => self.record_second(),
         }
     }
 
-    /// The processes of an edge machine, if these are still the ones that were meant.
-    pub(crate) fn running(&mut self, edge: usize, life: u64) -> Option<&mut Running> {
+    /// The processes of an edge machine, if this incarnation still runs.
+    pub(crate) fn running(&mut self, edge: usize, incarnation: u64) -> Option<&mut Running> {
         let edge = self.edges.get_mut(edge)?;
-        (edge.life == life).then_some(edge.running.as_mut()).flatten()
+        (edge.incarnation == incarnation).then_some(edge.running.as_mut()).flatten()
     }
 
-    fn wake(&mut self, node: Node, life: u64) {
+    fn wake(&mut self, node: Node, incarnation: u64) {
         let now = self.now;
         match node {
             Node::Edge(n) => {
-                let Some(edge) = self.edges.get_mut(n).filter(|edge| edge.life == life) else { return };
+                let Some(edge) = self.edges.get_mut(n).filter(|edge| edge.incarnation == incarnation) else {
+                    return;
+                };
                 if edge.wake.is_some_and(|at| at > now) {
                     return;
                 }
                 edge.wake = None;
                 if let Some(running) = &mut edge.running {
-                    let local = now - running.born;
-                    running.page.tick(local);
-                    running.desk.tick(local);
+                    let local = now - running.started_at;
+                    running.agent.tick(local);
+                    running.proxy.tick(local);
                 }
             }
             Node::Core(n) => {
-                let Some(core) = self.cores.get_mut(n).filter(|core| core.life == life) else { return };
+                let Some(core) = self.cores.get_mut(n).filter(|core| core.incarnation == incarnation) else {
+                    return;
+                };
                 if core.wake.is_some_and(|at| at > now) {
                     return;
                 }
@@ -729,189 +755,204 @@
         }
     }
 
-    /// Carries what an edge machine's processes want done, and plans when they wake.
-    pub(crate) fn settle_edge(&mut self, n: usize) {
+    /// Executes the effects queued by an edge machine's processes, and schedules their next wake-up.
+    pub(crate) fn process_edge(&mut self, n: usize) {
         let now = self.now;
         loop {
             let Some(edge) = self.edges.get_mut(n) else { return };
-            let (ip, life) = (edge.ip, edge.life);
+            let (ip, incarnation) = (edge.ip, edge.incarnation);
             let Some(running) = edge.running.as_mut() else { return };
-            let local = now - running.born;
-            if let Some(out) = (!running.page.out.is_empty()).then(|| running.page.out.remove(0)) {
-                match out {
-                    page::Out::Told(told) => match told {
-                        Told::Word(catalogue) => running.desk.word(local, catalogue),
-                        Told::Desks(desks) if self.sharing != Sharing::AllSeeing => {
-                            running.desk.desks(local, &desks)
+            let local = now - running.started_at;
+            if let Some(output) = (!running.agent.out.is_empty()).then(|| running.agent.out.remove(0)) {
+                match output {
+                    agent::Out::ProxyUpdate(update) => match update {
+                        ProxyUpdate::Configuration(catalogue) => {
+                            running.proxy.set_configuration(local, catalogue)
+                        }
+                        ProxyUpdate::Proxies(proxies) if self.sharing != Sharing::AllSeeing => {
+                            running.proxy.set_known_proxies(local, &proxies)
+                        }
+                        ProxyUpdate::Owners(owners) if self.sharing != Sharing::AllSeeing => {
+                            running.proxy.set_owners(local, &owners)
+                        }
+                        ProxyUpdate::Proxies(_) | ProxyUpdate::Owners(_) => {}
+                        ProxyUpdate::Instances { entries, ended } => {
+                            running.proxy.update_instances(local, &entries, &ended)
+                        }
+                        ProxyUpdate::ConfigurationFresh(fresh) => {
+                            running.proxy.set_configuration_fresh(fresh)
                         }
-                        Told::Owners(owners) if self.sharing != Sharing::AllSeeing => {
-                            running.desk.owners(local, &owners)
+                        ProxyUpdate::ControllersReachable(in_touch) => {
+                            running.proxy.set_controllers_reachable(local, in_touch)
                         }
-                        Told::Desks(_) | Told::Owners(_) => {}
-                        Told::Stacks { entries, ended } => running.desk.stacks(local, &entries, &ended),
-                        Told::Fresh(fresh) => running.desk.fresh(fresh),
-                        Told::InTouch(in_touch) => running.desk.contact(local, in_touch),
                     },
-                    page::Out::Note { to, note } => {
+                    agent::Out::PeerMessage { to, message } => {
                         let me = SocketAddr::new(ip, PEER_PORT);
-                        self.send_note(Node::Edge(n), me, to, note);
+                        self.send_peer_message(Node::Edge(n), me, to, message);
                     }
-                    page::Out::Letter { to, letter } => self.send_letter(n, ip, to, letter),
+                    agent::Out::PeerSampling { to, message } => self.send_peer_sampling(n, ip, to, message),
                 }
                 continue;
             }
-            let Some(out) = running.desk.out.pop_front() else { break };
-            match out {
-                desk::Out::Demand(mut demand) => {
-                    if self.sharing.single() {
-                        demand = demand.into_iter().map(|d| self.voices.put(now, n, d)).collect();
+            let Some(output) = running.proxy.out.pop_front() else { break };
+            match output {
+                proxy::Out::Demand(mut demand) => {
+                    if self.sharing.is_single() {
+                        demand = demand.into_iter().map(|d| self.demand_totals.combine(now, n, d)).collect();
                     }
-                    running.page.carry(Note::Demand(demand));
+                    running.agent.forward_to_holder(PeerMessage::Demand(demand));
                 }
-                desk::Out::Slot(wait) => {
-                    if now >= self.lead {
-                        self.loans.calls += 1;
+                proxy::Out::SlotGranted(wait) => {
+                    if now >= self.warm_up {
+                        self.allocation.calls += 1;
                         self.slot_waits.push(wait.as_secs_f64() * 1e3);
                     }
                 }
-                desk::Out::PassedOver(lender) => {
+                proxy::Out::OwnerSuspected(owner) => {
                     let name = edge.name.clone();
-                    self.tell(format!("{name} passes {} over", lender.ip()));
+                    self.record_event(format!("{name} skips owner {}", owner.ip()));
                 }
-                desk::Out::Probe(owner) => self.probe_owner(n, life, owner),
-                desk::Out::Gone(instance) => running.page.carry(Note::Gone(instance)),
-                desk::Out::Ready(instance) => running.page.carry(Note::Ready(instance)),
-                desk::Out::Lend { to, bytes } => self.send_lend(n, ip, to, bytes),
-                desk::Out::Connect { hand, token, instance, at } => {
-                    self.connect(n, life, hand, token, instance, at)
+                proxy::Out::Probe(owner) => self.probe_owner(n, incarnation, owner),
+                proxy::Out::InstanceGone(instance) => {
+                    running.agent.forward_to_holder(PeerMessage::InstanceGone(instance))
                 }
-                desk::Out::Dial { instance, at } => self.connect(n, life, 0, 0, instance, at),
-                desk::Out::Send { hand, token, line, at, bytes } => {
-                    self.send_request(n, life, (hand, token, line), at, bytes)
+                proxy::Out::InstanceReady(instance) => {
+                    running.agent.forward_to_holder(PeerMessage::InstanceReady(instance))
                 }
-                desk::Out::Back { attempt, bytes, close } => self.send_back(n, attempt, bytes, close),
-                desk::Out::Drop { attempt } => self.send_broke(n, attempt),
-                desk::Out::Hangup { attempt, at } => self.send_hangup(n, at, attempt),
-                desk::Out::Due { hand, token, at } => {
-                    let at = running.born + at;
-                    self.at(at, Event::Due { edge: n, life, hand, token });
+                proxy::Out::AllocationMessage { to, bytes } => self.send_allocation_message(n, ip, to, bytes),
+                proxy::Out::Connect { request_id, token, instance, at } => {
+                    self.connect(n, incarnation, request_id, token, instance, at)
+                }
+                proxy::Out::Dial { instance, at } => self.connect(n, incarnation, 0, 0, instance, at),
+                proxy::Out::Send { request_id, token, connection, at, bytes } => {
+                    self.send_request(n, incarnation, (request_id, token, connection), at, bytes)
+                }
+                proxy::Out::Answer { attempt, bytes, close } => self.send_answer(n, attempt, bytes, close),
+                proxy::Out::CloseClient { attempt } => self.send_connection_broken(n, attempt),
+                proxy::Out::Hangup { attempt, at } => self.send_hangup(n, at, attempt),
+                proxy::Out::Timer { request_id, token, at } => {
+                    let at = running.started_at + at;
+                    self.schedule_at(at, Event::RequestTimer { edge: n, incarnation, request_id, token });
                 }
             }
         }
         let Some(edge) = self.edges.get_mut(n) else { return };
         let Some(running) = edge.running.as_mut() else { return };
-        let due = running.born + running.page.next_due().min(running.desk.next_due());
+        let due = running.started_at + running.agent.next_due().min(running.proxy.next_due());
         let due = due.max(now + Duration::from_millis(2));
         if edge.wake.is_none_or(|at| due < at) {
             edge.wake = Some(due);
-            let life = edge.life;
-            self.at(due, Event::Wake(Node::Edge(n), life));
+            let incarnation = edge.incarnation;
+            self.schedule_at(due, Event::Wake(Node::Edge(n), incarnation));
         }
     }
 
-    pub(crate) fn settle_core(&mut self, n: usize) {
+    pub(crate) fn process_core(&mut self, n: usize) {
         let now = self.now;
         let Some(core) = self.cores.get_mut(n) else { return };
-        let (born, ip, life) = (core.born, core.ip, core.life);
+        let (started_at, ip, incarnation) = (core.started_at, core.ip, core.incarnation);
         let Some(controller) = core.controller.as_mut() else { return };
-        let local = now - born;
+        let local = now - started_at;
         controller.control_store.tick(local);
-        controller.carry(local);
-        let outs = std::mem::take(&mut controller.out);
-        let due = born + controller.next_due();
-        for out in outs {
-            match out {
-                controller::Out::Note { to, note } => {
+        controller.process_actions(local);
+        let outputs = std::mem::take(&mut controller.out);
+        let due = started_at + controller.next_due();
+        for output in outputs {
+            match output {
+                controller::Out::PeerMessage { to, message } => {
                     let me = SocketAddr::new(ip, PEER_PORT);
-                    self.send_note(Node::Core(n), me, to, note);
+                    self.send_peer_message(Node::Core(n), me, to, message);
                 }
-                controller::Out::Store { token, what } => self.store(n, life, token, what),
-                controller::Out::Platform { number, call } => self.send_platform(n, life, number, call),
-                controller::Out::Reply { call, reply } => self.send_says(n, call, reply),
+                controller::Out::Store { token, what } => self.store(n, incarnation, token, what),
+                controller::Out::Platform { number, call } => {
+                    self.send_platform(n, incarnation, number, call)
+                }
+                controller::Out::Reply { call, reply } => self.send_operator_reply(n, call, reply),
             }
         }
         let due = due.max(now + Duration::from_millis(2)).min(now + Duration::from_millis(500));
         let Some(core) = self.cores.get_mut(n) else { return };
         if core.wake.is_none_or(|at| due < at) {
             core.wake = Some(due);
-            self.at(due, Event::Wake(Node::Core(n), life));
+            self.schedule_at(due, Event::Wake(Node::Core(n), incarnation));
         }
     }
 
-    fn store(&mut self, n: usize, life: u64, token: u64, what: Stored) {
+    fn store(&mut self, n: usize, incarnation: u64, token: u64, what: Stored) {
         let sync = self.scenario.timers.sync_ms;
         let Some(core) = self.cores.get_mut(n) else { return };
         let takes = secs(sync * core.disk_slow / 1e3);
         core.disk_busy = core.disk_busy.max(self.now) + takes;
         let (at, disk) = (core.disk_busy, core.disks);
-        self.at(at, Event::Stored { core: n, life, disk, token, what: Box::new(what) });
+        self.schedule_at(at, Event::Stored { core: n, incarnation, disk, token, what: Box::new(what) });
     }
 
-    fn stored(&mut self, n: usize, life: u64, disk: u64, token: u64, what: &Stored) {
+    fn stored(&mut self, n: usize, incarnation: u64, disk: u64, token: u64, what: &Stored) {
         let now = self.now;
-        let whole = self.chance.share() < 0.5;
+        let completed = self.rng.unit() < 0.5;
         let Some(core) = self.cores.get_mut(n) else { return };
         if core.disks != disk {
             return;
         }
-        // What was being written when its process went is there or not.
-        let alive = core.life == life && core.controller.is_some();
-        if !alive && (core.controller.is_some() || !whole) {
+        // A write in progress when its process ended is either complete or missing.
+        let alive = core.incarnation == incarnation && core.controller.is_some();
+        if !alive && (core.controller.is_some() || !completed) {
             return;
         }
         let ok = !core.disk_full;
         if ok {
-            keep(&mut core.disk, what);
+            write_to_disk(&mut core.disk, what);
         }
         if let Some(controller) = core.controller.as_mut().filter(|_| alive) {
-            controller.control_store.stored(now - core.born, token, ok);
+            controller.control_store.stored(now - core.started_at, token, ok);
         }
     }
 
-    fn send_note(&mut self, from: Node, me: SocketAddr, to: SocketAddr, note: Note) {
+    fn send_peer_message(&mut self, from: Node, me: SocketAddr, to: SocketAddr, message: PeerMessage) {
         let Some(&node) = self.by_ip.get(&to.ip()) else { return };
         let key = (from, node);
-        if self.held.get(&key).is_some_and(|held| !held.is_empty()) || self.net.cut(from, node) {
-            let held = self.held.entry(key).or_default();
-            if held.is_empty() {
+        if self.delayed.get(&key).is_some_and(|waiting| !waiting.is_empty()) || self.net.cut(from, node) {
+            let waiting = self.delayed.entry(key).or_default();
+            if waiting.is_empty() {
                 self.events += 1;
-                self.queue.insert((self.now + RETRY, self.events), Event::Flush { from, to: node });
+                self.queue.insert((self.now + STREAM_RETRY, self.events), Event::Flush { from, to: node });
             }
-            if held.len() < 256 {
-                held.push_back((self.now, me, note));
+            if waiting.len() < 256 {
+                waiting.push_back((self.now, me, message));
             }
             return;
         }
-        // What arrives is not acknowledged while the way back is cut: after a while the stream ends, and no other begins.
+        // With the return path cut, messages arrive but are not acknowledged: the stream breaks after a
+        // while, and no new one can start.
         if self.net.cut(node, from) {
             let since = *self.unacknowledged.entry(key).or_insert(self.now);
-            if self.now > since + UNACKNOWLEDGED {
+            if self.now > since + STREAM_TIMEOUT {
                 return;
             }
         } else {
             self.unacknowledged.remove(&key);
         }
-        let Some(takes) = self.net.stream(&mut self.chance, from, node) else { return };
-        // One stream: nothing overtakes.
+        let Some(takes) = self.net.stream(&mut self.rng, from, node) else { return };
+        // Messages of one stream stay in order.
         let arrives = self.arrived.entry(key).or_default();
         *arrives = (*arrives).max(self.now + takes);
         let at = *arrives;
-        let life = self.life(node);
-        self.at(at, Event::Note { to: node, life, from: me, note });
+        let incarnation = self.incarnation(node);
+        self.schedule_at(at, Event::PeerMessage { to: node, incarnation, from: me, message });
     }
 
     fn flush(&mut self, from: Node, to: Node) {
-        let Some(held) = self.held.get_mut(&(from, to)) else { return };
-        if held.front().is_some_and(|(since, ..)| *since + UNACKNOWLEDGED < self.now) {
-            held.clear();
+        let Some(waiting) = self.delayed.get_mut(&(from, to)) else { return };
+        if waiting.front().is_some_and(|(since, ..)| *since + STREAM_TIMEOUT < self.now) {
+            waiting.clear();
             return;
         }
         if self.net.cut(from, to) {
-            return self.later(RETRY, Event::Flush { from, to });
+            return self.schedule_in(STREAM_RETRY, Event::Flush { from, to });
         }
-        for (_, me, note) in std::mem::take(held) {
+        for (_, me, message) in std::mem::take(waiting) {
             let port = SocketAddr::new(self.ip(to), PEER_PORT);
-            self.send_note(from, me, port, note);
+            self.send_peer_message(from, me, port, message);
         }
     }
 
@@ -924,121 +965,128 @@
         .unwrap_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED))
     }
 
-    fn note(&mut self, to: Node, life: u64, from: SocketAddr, note: Note) {
-        if self.life(to) != life {
+    fn deliver_peer_message(&mut self, to: Node, incarnation: u64, from: SocketAddr, message: PeerMessage) {
+        if self.incarnation(to) != incarnation {
             return;
         }
         let now = self.now;
         match to {
             Node::Edge(n) => {
-                if let Some(running) = self.running(n, life) {
-                    let local = now - running.born;
-                    running.page.note(local, note);
-                    running.page.tick(local);
+                if let Some(running) = self.running(n, incarnation) {
+                    let local = now - running.started_at;
+                    running.agent.receive(local, message);
+                    running.agent.tick(local);
                 }
             }
             Node::Core(n) => {
                 let Some(core) = self.cores.get_mut(n) else { return };
                 if let Some(controller) = core.controller.as_mut() {
-                    controller.note(now - core.born, from, note);
+                    controller.receive(now - core.started_at, from, message);
                 }
             }
             _ => {}
         }
     }
 
-    fn send_letter(&mut self, n: usize, ip: IpAddr, to: IpAddr, letter: Message) {
+    fn send_peer_sampling(&mut self, n: usize, ip: IpAddr, to: IpAddr, message: Message) {
         let Some(&Node::Edge(other)) = self.by_ip.get(&to) else { return };
-        if let Some(takes) = self.net.datagram(&mut self.chance, Node::Edge(n), Node::Edge(other)) {
-            let life = self.life(Node::Edge(other));
-            self.later(takes, Event::Letter { to: other, life, from: ip, letter });
+        if let Some(takes) = self.net.datagram(&mut self.rng, Node::Edge(n), Node::Edge(other)) {
+            let incarnation = self.incarnation(Node::Edge(other));
+            self.schedule_in(takes, Event::PeerSampling { to: other, incarnation, from: ip, message });
         }
     }
 
-    fn send_lend(&mut self, n: usize, ip: IpAddr, to: SocketAddr, bytes: Vec<u8>) {
+    fn send_allocation_message(&mut self, n: usize, ip: IpAddr, to: SocketAddr, bytes: Vec<u8>) {
         let Some(&Node::Edge(other)) = self.by_ip.get(&to.ip()) else { return };
-        if self.now >= self.lead {
-            self.loans.letters += 1;
-            self.loans.bytes += bytes.len() + 28;
+        if self.now >= self.warm_up {
+            self.allocation.messages += 1;
+            self.allocation.bytes += bytes.len() + 28;
             if self.edges[n].zone != self.edges[other].zone {
-                self.loans.far_bytes += bytes.len() + 28;
+                self.allocation.cross_zone_bytes += bytes.len() + 28;
             }
         }
         if self.sharing == Sharing::AllSeeing {
-            let life = self.life(Node::Edge(other));
-            let from = SocketAddr::new(ip, LEND_PORT);
-            return self.later(Duration::from_micros(1), Event::Lend { to: other, life, from, bytes });
+            let incarnation = self.incarnation(Node::Edge(other));
+            let from = SocketAddr::new(ip, ALLOCATION_PORT);
+            return self.schedule_in(
+                Duration::from_micros(1),
+                Event::AllocationMessage { to: other, incarnation, from, bytes },
+            );
         }
-        if let Some(takes) = self.net.datagram(&mut self.chance, Node::Edge(n), Node::Edge(other)) {
-            let life = self.life(Node::Edge(other));
-            let from = SocketAddr::new(ip, LEND_PORT);
-            self.later(takes, Event::Lend { to: other, life, from, bytes });
+        if let Some(takes) = self.net.datagram(&mut self.rng, Node::Edge(n), Node::Edge(other)) {
+            let incarnation = self.incarnation(Node::Edge(other));
+            let from = SocketAddr::new(ip, ALLOCATION_PORT);
+            self.schedule_in(takes, Event::AllocationMessage { to: other, incarnation, from, bytes });
         }
     }
 
-    /// A machine refuses connections where its processes are gone; one without power, or behind a cut, says nothing.
-    fn probe_owner(&mut self, n: usize, life: u64, owner: SocketAddr) {
+    /// A machine refuses connections while its processes are down; one without power, or behind a cut, does
+    /// not respond.
+    fn probe_owner(&mut self, n: usize, incarnation: u64, owner: SocketAddr) {
         let Some(&Node::Edge(other)) = self.by_ip.get(&owner.ip()) else { return };
         let (from, to) = (Node::Edge(n), Node::Edge(other));
         let cut = self.net.cut(from, to) || self.net.cut(to, from);
-        if cut || self.edges[other].up != Power::Refuses {
+        if cut || self.edges[other].up != MachineState::Refuses {
             return;
         }
         let takes = self.net.delay(from, to) * 2;
-        self.later(takes, Event::Refused { edge: n, life, owner });
+        self.schedule_in(takes, Event::OwnerRefused { edge: n, incarnation, owner });
     }
 
-    fn send_platform(&mut self, n: usize, life: u64, number: u64, call: controller::Call) {
-        let id = self.number();
+    fn send_platform(&mut self, n: usize, incarnation: u64, number: u64, call: controller::Call) {
+        let id = self.next_id();
         if let Some(core) = self.cores.get_mut(n) {
             core.calls.insert(id, (number, call));
         }
         let sent = self.now;
-        if let Some(takes) = self.net.stream(&mut self.chance, Node::Core(n), Node::Platform) {
-            self.later(takes, Event::Platform { core: n, life, id, sent });
+        if let Some(takes) = self.net.stream(&mut self.rng, Node::Core(n), Node::Platform) {
+            self.schedule_in(takes, Event::PlatformCall { core: n, incarnation, id, sent });
         }
-        let answer = Box::new(controller::Answer::Unclear);
-        self.later(PATIENCE, Event::Answered { core: n, life, id, answer });
+        let answer = Box::new(controller::Answer::Unknown);
+        self.schedule_in(PLATFORM_TIMEOUT, Event::PlatformAnswer { core: n, incarnation, id, answer });
     }
 
-    fn at_platform(&mut self, n: usize, life: u64, id: u64, sent: Duration) {
+    fn at_platform(&mut self, n: usize, incarnation: u64, id: u64, sent: Duration) {
         let Some((number, call)) = self.cores.get(n).and_then(|core| core.calls.get(&id)).cloned() else {
             return;
         };
         match call {
             controller::Call::List => {
-                self.judge.reads.push((self.now, number));
+                self.checker.list_reads.push((self.now, number));
                 self.last_reader = Some(n);
-                self.looked(n, number);
+                self.record_list_read(n, number);
             }
             controller::Call::Begin { .. } | controller::Call::Stop { .. } => {
-                self.judge.duty(self.now, sent, number)
+                self.checker.record_platform_call(self.now, sent, number)
             }
-            controller::Call::Hosts | controller::Call::First => {}
+            controller::Call::Hosts | controller::Call::InitialList => {}
         }
         let stopped = match &call {
             controller::Call::Stop { instance, .. } => Some(instance.clone()),
             _ => None,
         };
-        let Some((takes, answer)) = self.platform.call(self.now, &mut self.chance, &call) else { return };
+        let Some((takes, answer)) = self.platform.call(self.now, &mut self.rng, &call) else { return };
         if let Some(instance) = stopped {
-            self.tell_closed(&instance);
+            self.close_idle_connections(&instance);
         }
-        if let Some(way) = self.net.stream(&mut self.chance, Node::Platform, Node::Core(n)) {
-            self.later(takes + way, Event::Answered { core: n, life, id, answer: Box::new(answer) });
+        if let Some(latency) = self.net.stream(&mut self.rng, Node::Platform, Node::Core(n)) {
+            self.schedule_in(
+                takes + latency,
+                Event::PlatformAnswer { core: n, incarnation, id, answer: Box::new(answer) },
+            );
         }
     }
 
-    fn answered(&mut self, n: usize, life: u64, id: u64, answer: controller::Answer) {
+    fn platform_answered(&mut self, n: usize, incarnation: u64, id: u64, answer: controller::Answer) {
         let now = self.now;
-        let Some(core) = self.cores.get_mut(n).filter(|core| core.life == life) else { return };
+        let Some(core) = self.cores.get_mut(n).filter(|core| core.incarnation == incarnation) else { return };
         let Some((number, call)) = core.calls.remove(&id) else { return };
         if let Some(controller) = core.controller.as_mut() {
-            controller.answered(now - core.born, number, &call, answer);
+            controller.platform_answered(now - core.started_at, number, &call, answer);
         }
     }
 
-    /// What a settings file written now has as seeds.
+    /// Seed addresses that a settings file written now would contain.
     fn seeds(&self) -> Vec<SocketAddr> {
         let lag = secs(self.scenario.timers.seed_lag);
         let listed = self
@@ -1050,36 +1098,37 @@
 
     fn start(&mut self, node: Node) {
         let (now, seeds) = (self.now, self.seeds());
-        let chance = self.chance.number();
+        let random = self.rng.next_u64();
         match node {
             Node::Edge(n) => {
                 let timers = self.scenario.timers;
-                let places = self.zones.clone();
+                let zones = self.zones.clone();
                 let Some(edge) = self.edges.get_mut(n) else { return };
-                edge.life += 1;
-                edge.up = Power::On;
+                edge.incarnation += 1;
+                edge.up = MachineState::On;
                 edge.wake = None;
-                let zone = places[edge.zone].0.clone();
-                let seed = chance ^ hash(&edge.name);
-                let life = (seed ^ seed >> 32) as u32 | 1;
+                let zone = zones[edge.zone].0.clone();
+                let seed = random ^ hash(&edge.name);
+                let incarnation = (seed ^ seed >> 32) as u32 | 1;
                 let budget = Budget::new(timers.budget_ratio, timers.budget_slack, timers.budget_window);
-                let mut page = Page::new(page::Terms {
+                let mut agent = AgentProcess::new(agent::AgentSettings {
                     ip: edge.ip,
                     zone: zone.clone(),
-                    places: places.clone(),
+                    zones: zones.clone(),
                     seeds,
                     convergence: secs(timers.convergence),
-                    since: DATE + now.as_millis() as u64,
+                    since: START_DATE_MS + now.as_millis() as u64,
                     seed,
-                    planted: self.planted,
+                    defect: self.defect,
                 });
-                page.serves(Duration::ZERO, life);
-                let plan = (self.planted, self.sharing, self.ranking);
+                agent.set_serving(Duration::ZERO, incarnation);
+                let variant = (self.defect, self.sharing, self.ranking);
                 let grace = GracePeriod::new(secs(timers.grace));
-                let desk = Desk::new(edge.ip, &zone, &places, life, seed, (budget, grace), plan);
-                edge.running = Some(Running { born: now, page, desk, leaves: false });
-                self.see_all();
-                self.settle_edge(n);
+                let proxy =
+                    ProxyProcess::new(edge.ip, &zone, &zones, incarnation, seed, (budget, grace), variant);
+                edge.running = Some(Running { started_at: now, agent, proxy, leaving: false });
+                self.share_membership();
+                self.process_edge(n);
             }
             Node::Core(n) => {
                 let platform = self.scenario.platform;
@@ -1089,83 +1138,83 @@
                 if core.gone.is_some() {
                     return;
                 }
-                core.life += 1;
-                core.up = Power::On;
+                core.incarnation += 1;
+                core.up = MachineState::On;
                 core.wake = None;
-                core.born = now;
+                core.started_at = now;
                 core.calls.clear();
-                core.leaves = None;
+                core.leaving = None;
                 let setup = MemberSettings {
                     me: SocketAddr::new(core.ip, PEER_PORT),
                     seeds,
                     initial: !core.began && core.listed == Duration::ZERO,
-                    seed: chance ^ hash(&core.name),
-                    incarnation: (DATE + now.as_millis() as u64) * 1_000_000 + n as u64,
+                    seed: random ^ hash(&core.name),
+                    incarnation: (START_DATE_MS + now.as_millis() as u64) * 1_000_000 + n as u64,
                 };
                 core.began = true;
-                let terms = controller::Terms {
+                let settings = controller::ControllerSettings {
                     name: core.name.clone(),
                     setup,
-                    stacks: tindock_stacks::PlatformSettings {
+                    platform: tindock_stacks::PlatformSettings {
                         zones,
                         drain: secs(timers.drain),
                         address_reuse: secs(timers.reuse),
-                        call_rate: platform.duty,
+                        call_rate: platform.call_rate,
                         list_lag: secs(platform.lag),
                     },
                     list_rate: platform.rate,
                     rebinding: self.scenario.rebinding,
-                    planted: self.planted,
+                    defect: self.defect,
                 };
-                let disk = match self.planted {
-                    Some(Planted::DisksForgotten) => DiskState::default(),
+                let disk = match self.defect {
+                    Some(InjectedDefect::DisksForgotten) => DiskState::default(),
                     _ => core.disk.clone(),
                 };
-                core.controller = Some(Controller::new(terms, disk));
-                self.settle_core(n);
-                self.note_core();
+                core.controller = Some(Controller::new(settings, disk));
+                self.process_core(n);
+                self.record_core_health();
             }
             _ => {}
         }
     }
 
-    /// With the all-seeing way to share slots each desk knows at once who is there.
-    pub(crate) fn see_all(&mut self) {
+    /// For `Sharing::AllSeeing`: gives every proxy the current membership at once.
+    pub(crate) fn share_membership(&mut self) {
         if self.sharing != Sharing::AllSeeing {
             return;
         }
         let zones = &self.zones;
-        let there = self.edges.iter().filter_map(|edge| {
-            let running = edge.running.as_ref().filter(|running| !running.leaves)?;
+        let serving = self.edges.iter().filter_map(|edge| {
+            let running = edge.running.as_ref().filter(|running| !running.leaving)?;
             let zone = zones.get(edge.zone).map(|zone| zone.0.clone())?;
-            Some((edge.ip, zone, running.desk.life))
+            Some((edge.ip, zone, running.proxy.incarnation))
         });
-        let all: Vec<(IpAddr, String, u32)> = there.collect();
+        let all: Vec<(IpAddr, String, u32)> = serving.collect();
         let now = self.now;
         for n in 0..self.edges.len() {
             if let Some(running) = self.edges[n].running.as_mut() {
-                running.desk.owners(now - running.born, &all);
+                running.proxy.set_owners(now - running.started_at, &all);
             }
         }
     }
 
-    /// Whether more than half of the core runs and is connected, for the judge.
-    pub(crate) fn note_core(&mut self) {
-        let there: Vec<usize> = (0..self.cores.len()).filter(|n| self.cores[*n].gone.is_none()).collect();
+    /// Records for the checker whether a majority of the core runs and is connected.
+    pub(crate) fn record_core_health(&mut self) {
+        let members: Vec<usize> = (0..self.cores.len()).filter(|n| self.cores[*n].gone.is_none()).collect();
         let runs = |n: &usize| self.cores[*n].controller.is_some() && self.cores[*n].frozen.is_none();
         let reaches = |n: usize| {
             let joined = |m: usize| {
                 let (one, other) = (Node::Core(n), Node::Core(m));
                 !self.net.cut(one, other) && !self.net.cut(other, one)
             };
-            let near = there.iter().filter(|m| runs(m) && joined(**m));
-            near.count() * 2 > there.len() && !self.net.cut(Node::Core(n), Node::Platform)
+            let connected = members.iter().filter(|m| runs(m) && joined(**m));
+            connected.count() * 2 > members.len() && !self.net.cut(Node::Core(n), Node::Platform)
         };
-        let moods = &self.platform.moods;
-        let answers = !moods.silent && !moods.refused && moods.slow < 1.0;
-        let well = answers && there.iter().any(|n| runs(n) && reaches(*n));
-        if self.judge.core_well.last().is_none_or(|last| last.1 != well) {
-            self.judge.core_well.push((self.now, well));
+        let faults = &self.platform.faults;
+        let answers = !faults.silent && !faults.lists_refused && faults.slow < 1.0;
+        let healthy = answers && members.iter().any(|n| runs(n) && reaches(*n));
+        if self.checker.core_health.last().is_none_or(|last| last.1 != healthy) {
+            self.checker.core_health.push((self.now, healthy));
         }
     }
 
@@ -1176,17 +1225,17 @@
             _ => None,
         };
         let Some((_, backlog)) = backlog else { return };
-        // It looks at its clock first, then at what has come meanwhile.
-        let life = self.life(node);
+        // After a freeze, overdue timers run before the queued events.
+        let incarnation = self.incarnation(node);
         match node {
             Node::Edge(n) => {
                 self.edges[n].wake = None;
-                self.wake(node, life);
-                self.settle_edge(n);
+                self.wake(node, incarnation);
+                self.process_edge(n);
             }
             Node::Core(n) => {
                 self.cores[n].wake = None;
-                self.settle_core(n);
+                self.process_core(n);
             }
             _ => {}
         }
@@ -1195,37 +1244,37 @@
                 self.dispatch(event);
             }
         }
-        self.note_core();
+        self.record_core_health();
     }
 
-    fn second(&mut self) {
-        let second = self.judge.at(self.now).floor() as i64 - 1;
-        let (ready, there) = (self.platform.ready(self.now), self.platform.there());
-        let holder = self.judge.reads.last().map_or(0, |read| read.1);
-        let acked = self.judge.versions.iter().filter(|v| v.acked.is_some()).map(|v| v.revision).max();
+    fn record_second(&mut self) {
+        let second = self.checker.seconds(self.now).floor() as i64 - 1;
+        let (ready, present) = (self.platform.ready(self.now), self.platform.present());
+        let holder = self.checker.list_reads.last().map_or(0, |read| read.1);
+        let acked = self.checker.versions.iter().filter(|v| v.acked.is_some()).map(|v| v.revision).max();
         let (busy, slots) = self.platform.slots(self.now);
         let row = self.row(second);
-        (row.ready, row.there, row.holder, row.revision) = (ready, there, holder, acked.unwrap_or(0));
+        (row.ready, row.present, row.holder, row.revision) = (ready, present, holder, acked.unwrap_or(0));
         (row.busy, row.slots) = (busy, slots);
     }
 
-    /// A core machine looked at the platform under this number: it holds the duty from its first look
+    /// Records a read of the platform's list: a machine holds the lease from its first read under a number
     /// to its last.
-    fn looked(&mut self, core: usize, number: u64) {
-        let (at, name) = (self.judge.at(self.now), self.cores[core].name.clone());
-        match self.duties.last_mut() {
-            Some(held) if held.who == name && held.number == number => held.to = at,
-            _ => self.duties.push(Held { from: at, to: at, who: name, number }),
+    fn record_list_read(&mut self, core: usize, number: u64) {
+        let (at, name) = (self.checker.seconds(self.now), self.cores[core].name.clone());
+        match self.lease_periods.last_mut() {
+            Some(waiting) if waiting.holder == name && waiting.number == number => waiting.to = at,
+            _ => self.lease_periods.push(LeasePeriod { from: at, to: at, holder: name, number }),
         }
     }
 }
 
-/// The highest of each kind is what a start reads.
-fn keep(disk: &mut DiskState, what: &Stored) {
+/// Applies a write: the highest version of each kind is what a restart reads.
+fn write_to_disk(disk: &mut DiskState, what: &Stored) {
     match what {
-        Stored::Configuration(word) => {
-            if disk.configuration.as_ref().is_none_or(|kept| kept.version() <= word.version()) {
-                disk.configuration = Some(word.clone());
+        Stored::Configuration(configuration) => {
+            if disk.configuration.as_ref().is_none_or(|kept| kept.version() <= configuration.version()) {
+                disk.configuration = Some(configuration.clone());
             }
         }
         Stored::Voters(tables) => {
--- a/crates/rehearsal/src/world/clients.rs
+++ b/crates/rehearsal/src/world/clients.rs
@@ -1,32 +1,30 @@
-//! Clients: requests at a rate, connections to edge machines, further tries as they may.
+//! Clients: requests at a rate, connections to edge machines, and retries.
 
-use super::{secs, Event, Power, World};
-use crate::desk::Request;
-use crate::judge::{Asked, Try};
+use super::{secs, Event, MachineState, World};
+use crate::checker::{AttemptRecord, ClientRequest};
+use crate::messages::hash;
 use crate::net::Node;
-use crate::notes::hash;
+use crate::proxy::Request;
 use crate::wire::{self, Read};
 use std::time::Duration;
 
-/// Clients in each zone.
-const EACH: usize = 24;
-/// Tries of one request.
-const TRIES: usize = 4;
+const CLIENTS_PER_ZONE: usize = 24;
+const MAX_ATTEMPTS: usize = 4;
 const SECOND: Duration = Duration::from_secs(1);
-/// The pause before a try after a broken one.
-const SOON: Duration = Duration::from_millis(30);
+/// Pause before retrying after a broken connection.
+const RETRY_PAUSE: Duration = Duration::from_millis(30);
 
 pub(crate) struct Client {
     zone: usize,
-    /// An open connection: edge machine and the life of its processes.
-    open: Option<(usize, u64)>,
+    /// Open connection: edge machine and incarnation of its processes.
+    connection: Option<(usize, u64)>,
 }
 
-/// Requests of one zone for the routes made from one line of the scenario.
+/// Requests from one zone to the routes of one scenario line.
 pub(crate) struct Stream {
     zone: usize,
     name: String,
-    /// Names of the routes, with the sum of shares up to each.
+    /// Route names, with the cumulative share up to each.
     routes: Vec<(String, f64)>,
     rate: f64,
     once: bool,
@@ -34,29 +32,29 @@
     deadline: u32,
     timeout: u32,
     work: f64,
-    ends: bool,
+    dropped: bool,
 }
 
-/// How a try stands with its client.
+/// State of an attempt at its client.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Open {
+pub(crate) struct ClientAttempt {
     pub(crate) client: usize,
     read: bool,
-    /// Its connection did not come up: nothing was sent.
+    /// The connection was refused: nothing was sent.
     refused: bool,
-    over: bool,
-    seen: bool,
+    finished: bool,
+    seen_by_worker: bool,
     work: f64,
 }
 
 impl World {
     pub(super) fn begin_clients(&mut self) {
         for zone in 0..self.zones.len() {
-            self.clients.extend((0..EACH).map(|_| Client { zone, open: None }));
+            self.clients.extend((0..CLIENTS_PER_ZONE).map(|_| Client { zone, connection: None }));
         }
         let lines: Vec<_> = self.scenario.routes.clone();
         for line in lines {
-            let of: Vec<String> = self
+            let route_names: Vec<String> = self
                 .plan
                 .routes
                 .iter()
@@ -64,13 +62,13 @@
                 .map(|r| r.name.clone())
                 .collect();
             let mut sum = 0.0;
-            let routes: Vec<(String, f64)> = (of.into_iter().enumerate())
+            let routes: Vec<(String, f64)> = (route_names.into_iter().enumerate())
                 .map(|(k, name)| {
                     sum += 1.0 / (k as f64 + 1.0).powf(line.skew);
                     (name, sum)
                 })
                 .collect();
-            self.add_streams(&line, routes, self.lead);
+            self.add_streams(&line, routes, self.warm_up);
         }
     }
 
@@ -80,59 +78,62 @@
         routes: Vec<(String, f64)>,
         from: Duration,
     ) {
-        // Clients live where there are edge machines.
-        let with: Vec<usize> =
+        // Only zones with edge machines have clients.
+        let client_zones: Vec<usize> =
             (0..self.zones.len()).filter(|zone| self.edges.iter().any(|edge| edge.zone == *zone)).collect();
-        for zone in &with {
+        for zone in &client_zones {
             self.streams.push(Stream {
                 zone: *zone,
                 name: line.name.clone(),
                 routes: routes.clone(),
-                rate: line.rate / with.len() as f64,
+                rate: line.rate / client_zones.len() as f64,
                 once: line.once,
                 aim: line.aim,
                 deadline: line.deadline,
                 timeout: line.timeout,
                 work: line.work,
-                ends: false,
+                dropped: false,
             });
             let stream = self.streams.len() - 1;
-            let pause = secs(self.chance.pause(self.streams[stream].rate));
-            self.at(from + pause, Event::Arrival(stream));
+            let pause = secs(self.rng.interval_s(self.streams[stream].rate));
+            self.schedule_at(from + pause, Event::Arrival(stream));
         }
     }
 
-    /// A dropped route is asked for no more than now and then.
+    /// Requests to a dropped route continue at a tenth of the rate.
     pub(super) fn end_streams(&mut self, route: &str) {
-        self.streams.iter_mut().filter(|stream| stream.name == route).for_each(|stream| stream.ends = true);
+        self.streams
+            .iter_mut()
+            .filter(|stream| stream.name == route)
+            .for_each(|stream| stream.dropped = true);
     }
 
     pub(super) fn arrival(&mut self, n: usize) {
-        if self.now >= self.lead + self.length {
+        if self.now >= self.warm_up + self.length {
             return;
         }
         let Some(stream) = self.streams.get(n) else { return };
-        let by: f64 = (self.bursts.iter())
+        let factor: f64 = (self.bursts.iter())
             .filter(|(route, ..)| route == "all" || *route == stream.name)
             .filter(|(_, zone, _)| zone.is_none_or(|zone| zone == stream.zone))
-            .map(|(.., by)| by)
+            .map(|(.., factor)| factor)
             .product();
-        let least = if stream.ends { 0.1 } else { 1.0 };
-        let pause = secs(self.chance.pause(stream.rate * by * least));
+        let dropped_factor = if stream.dropped { 0.1 } else { 1.0 };
+        let pause = secs(self.rng.interval_s(stream.rate * factor * dropped_factor));
         let last = stream.routes.last().map_or(0.0, |route| route.1);
-        let draw = self.chance.share() * last;
-        let at = stream.routes.partition_point(|(_, sum)| *sum <= draw);
+        let sample = self.rng.unit() * last;
+        let at = stream.routes.partition_point(|(_, sum)| *sum <= sample);
         let Some((route, _)) = stream.routes.get(at.min(stream.routes.len().saturating_sub(1))) else {
             return;
         };
         let (zone, once, work) = (stream.zone, stream.once, stream.work);
-        let number = self.judge.asked.len();
+        let number = self.checker.client_requests.len();
         let path = crate::operator::path(route);
-        let asked = Asked {
+        let client_request = ClientRequest {
             sent: self.now,
             route: stream.name.clone(),
             target: format!("{path}?n={number}"),
-            // What must not be repeated is posted; what can be is asked for.
+            // Requests that must not be repeated use POST, the others GET.
             body: if once {
                 format!("{number}: {}", "x".repeat(number % 97)).into_bytes()
             } else {
@@ -145,233 +146,246 @@
             timeout: Duration::from_millis(stream.timeout.into()),
             served: None,
             refused: false,
-            tries: 0,
+            attempts: 0,
         };
-        let end = asked.end;
-        let client = zone * EACH + self.chance.below(EACH);
-        self.judge.asked.push(asked);
-        self.asked_by.push((client, work, None));
-        let request = self.judge.asked.len() - 1;
-        self.at(end, Event::Deadline(request));
+        let end = client_request.end;
+        let client = zone * CLIENTS_PER_ZONE + self.rng.below(CLIENTS_PER_ZONE);
+        self.checker.client_requests.push(client_request);
+        self.request_clients.push((client, work, None));
+        let request = self.checker.client_requests.len() - 1;
+        self.schedule_at(end, Event::Deadline(request));
         self.try_request(request);
-        self.later(pause, Event::Arrival(n));
+        self.schedule_in(pause, Event::Arrival(n));
     }
 
-    /// Edge machines that the platform sends a zone's new connections to.
-    fn doors(&self, zone: usize) -> Vec<usize> {
-        let own: Vec<usize> = (0..self.edges.len()).filter(|n| self.edges[*n].zone == zone).collect();
-        let open = |n: &usize| self.edges[*n].misses < 2;
-        let ready: Vec<usize> = own.iter().copied().filter(open).collect();
+    /// Edge machines to which the platform routes new connections from a zone.
+    fn reachable_edges(&self, zone: usize) -> Vec<usize> {
+        let local: Vec<usize> = (0..self.edges.len()).filter(|n| self.edges[*n].zone == zone).collect();
+        let passes_probe = |n: &usize| self.edges[*n].misses < 2;
+        let ready: Vec<usize> = local.iter().copied().filter(passes_probe).collect();
         if !ready.is_empty() {
-            return if ready.len() * 2 < own.len() { own } else { ready };
+            return if ready.len() * 2 < local.len() { local } else { ready };
         }
-        let elsewhere: Vec<usize> = (0..self.edges.len()).filter(open).collect();
+        let elsewhere: Vec<usize> = (0..self.edges.len()).filter(passes_probe).collect();
         if elsewhere.is_empty() {
-            own
+            local
         } else {
-            let near = |n: &usize| self.net.delay(Node::Clients(zone), Node::Edge(*n));
-            let nearest = elsewhere.iter().map(near).min().unwrap_or_default();
-            elsewhere.into_iter().filter(|n| near(n) == nearest).collect()
+            let distance = |n: &usize| self.net.delay(Node::Clients(zone), Node::Edge(*n));
+            let nearest = elsewhere.iter().map(distance).min().unwrap_or_default();
+            elsewhere.into_iter().filter(|n| distance(n) == nearest).collect()
         }
     }
 
     pub(super) fn try_request(&mut self, n: usize) {
         let now = self.now;
-        let Some(asked) = self.judge.asked.get_mut(n) else { return };
-        if asked.served.is_some() || now >= asked.end {
+        let Some(client_request) = self.checker.client_requests.get_mut(n) else { return };
+        if client_request.served.is_some() || now >= client_request.end {
             return;
         }
-        asked.tries += 1;
-        let (tries, once, left) = (asked.tries, asked.once, asked.end - now);
-        let (client, work, _) = self.asked_by[n];
+        client_request.attempts += 1;
+        let (attempts, once, left) = (client_request.attempts, client_request.once, client_request.end - now);
+        let (client, work, _) = self.request_clients[n];
         let zone = self.clients[client].zone;
-        let open = self.clients[client].open.filter(|_| tries == 1);
-        let open =
-            open.filter(|(edge, life)| self.edges[*edge].life == *life && self.edges[*edge].up == Power::On);
-        let edge = match open {
+        let connection = self.clients[client].connection.filter(|_| attempts == 1);
+        let connection = connection.filter(|(edge, incarnation)| {
+            self.edges[*edge].incarnation == *incarnation && self.edges[*edge].up == MachineState::On
+        });
+        let edge = match connection {
             Some((edge, _)) => edge,
             None => {
-                let doors = self.doors(zone);
-                if doors.is_empty() {
+                let reachable_edges = self.reachable_edges(zone);
+                if reachable_edges.is_empty() {
                     return;
                 }
-                doors[hash(&format!("{client} {n} {tries}")) as usize % doors.len()]
+                reachable_edges[hash(&format!("{client} {n} {attempts}")) as usize % reachable_edges.len()]
             }
         };
-        let attempt = self.judge.tries.len();
-        let life = self.edges[edge].life;
-        self.asked_by[n].2 = Some(attempt);
-        self.judge.tries.push(Try::new(n, edge, life, now));
-        self.opens.push(Open { client, work, ..Open::default() });
-        let patience = if once { SECOND } else { SECOND.min(left / 3) };
-        self.later(patience, Event::Unread { attempt });
-        let Some(takes) = self.net.stream(&mut self.chance, Node::Clients(zone), Node::Edge(edge)) else {
+        let attempt = self.checker.attempts.len();
+        let incarnation = self.edges[edge].incarnation;
+        self.request_clients[n].2 = Some(attempt);
+        self.checker.attempts.push(AttemptRecord::new(n, edge, incarnation, now));
+        self.client_attempts.push(ClientAttempt { client, work, ..ClientAttempt::default() });
+        let read_timeout = if once { SECOND } else { SECOND.min(left / 3) };
+        self.schedule_in(read_timeout, Event::UnreadTimeout { attempt });
+        let Some(takes) = self.net.stream(&mut self.rng, Node::Clients(zone), Node::Edge(edge)) else {
             return;
         };
         match self.edges[edge].up {
-            Power::On => {
-                self.clients[client].open = Some((edge, life));
-                self.later(takes, Event::AtEdge { edge, life, attempt });
+            MachineState::On => {
+                self.clients[client].connection = Some((edge, incarnation));
+                self.schedule_in(takes, Event::RequestAtEdge { edge, incarnation, attempt });
             }
-            Power::Refuses => {
-                self.opens[attempt].refused = true;
-                self.later(takes * 2, Event::Broke { attempt });
+            MachineState::Refuses => {
+                self.client_attempts[attempt].refused = true;
+                self.schedule_in(takes * 2, Event::ConnectionBroken { attempt });
             }
-            Power::Silent => {}
+            MachineState::Silent => {}
         }
     }
 
-    pub(super) fn at_edge(&mut self, edge: usize, life: u64, attempt: usize) {
+    pub(super) fn at_edge(&mut self, edge: usize, incarnation: u64, attempt: usize) {
         let now = self.now;
-        let Some(tried) = self.judge.tries.get(attempt) else { return };
-        let Some(asked) = self.judge.asked.get(tried.request) else { return };
-        if self.opens[attempt].over || now >= asked.end {
+        let Some(record) = self.checker.attempts.get(attempt) else { return };
+        let Some(client_request) = self.checker.client_requests.get(record.request) else { return };
+        if self.client_attempts[attempt].finished || now >= client_request.end {
             return;
         }
         let id = wire::id(attempt);
-        let left = (asked.end - now).as_millis().to_string();
-        let method = if asked.once { "POST" } else { "GET" };
-        let first = format!("{method} {} HTTP/1.1", asked.target);
+        let left = (client_request.end - now).as_millis().to_string();
+        let method = if client_request.once { "POST" } else { "GET" };
+        let first = format!("{method} {} HTTP/1.1", client_request.target);
         let headers = [("Host", crate::HOST), ("Attempt-Id", id.as_str()), ("Deadline-Ms", left.as_str())];
-        let request = Request { attempt, bytes: wire::write(&first, &headers, &asked.body) };
-        let zone = self.clients[self.opens[attempt].client].zone;
-        let way = self.net.delay(Node::Edge(edge), Node::Clients(zone));
-        match self.running(edge, life) {
+        let request = Request { attempt, bytes: wire::write(&first, &headers, &client_request.body) };
+        let zone = self.clients[self.client_attempts[attempt].client].zone;
+        let latency = self.net.delay(Node::Edge(edge), Node::Clients(zone));
+        match self.running(edge, incarnation) {
             Some(running) => {
-                let local = now - running.born;
-                running.desk.request(local, request);
-                self.opens[attempt].read = true;
+                let local = now - running.started_at;
+                running.proxy.request(local, request);
+                self.client_attempts[attempt].read = true;
             }
             None => {
-                self.later(way, Event::Broke { attempt });
+                self.schedule_in(latency, Event::ConnectionBroken { attempt });
             }
         }
     }
 
-    /// An answer of an edge machine on its way to the client.
-    pub(super) fn send_back(&mut self, edge: usize, attempt: usize, bytes: Vec<u8>, close: bool) {
-        let Some(open) = self.opens.get(attempt) else { return };
-        let zone = self.clients[open.client].zone;
-        if let Some(takes) = self.net.stream(&mut self.chance, Node::Edge(edge), Node::Clients(zone)) {
-            self.later(takes, Event::Back { attempt, bytes, close });
+    /// Sends an answer of an edge machine to its client.
+    pub(super) fn send_answer(&mut self, edge: usize, attempt: usize, bytes: Vec<u8>, close: bool) {
+        let Some(state) = self.client_attempts.get(attempt) else { return };
+        let zone = self.clients[state.client].zone;
+        if let Some(takes) = self.net.stream(&mut self.rng, Node::Edge(edge), Node::Clients(zone)) {
+            self.schedule_in(takes, Event::AnswerToClient { attempt, bytes, close });
         }
     }
 
-    /// The same for the end of a connection without one.
-    pub(super) fn send_broke(&mut self, edge: usize, attempt: usize) {
-        let Some(open) = self.opens.get(attempt) else { return };
-        let zone = self.clients[open.client].zone;
-        if let Some(takes) = self.net.stream(&mut self.chance, Node::Edge(edge), Node::Clients(zone)) {
-            self.later(takes, Event::Broke { attempt });
+    /// Reports to the client that its connection ended without an answer.
+    pub(super) fn send_connection_broken(&mut self, edge: usize, attempt: usize) {
+        let Some(state) = self.client_attempts.get(attempt) else { return };
+        let zone = self.clients[state.client].zone;
+        if let Some(takes) = self.net.stream(&mut self.rng, Node::Edge(edge), Node::Clients(zone)) {
+            self.schedule_in(takes, Event::ConnectionBroken { attempt });
         }
     }
 
-    pub(super) fn back(&mut self, attempt: usize, bytes: &[u8], close: bool) {
+    pub(super) fn receive_answer(&mut self, attempt: usize, bytes: &[u8], close: bool) {
         let now = self.now;
-        let Some(open) = self.opens.get_mut(attempt).filter(|open| !open.over) else { return };
-        let client = open.client;
+        let Some(state) = self.client_attempts.get_mut(attempt).filter(|state| !state.finished) else {
+            return;
+        };
+        let client = state.client;
         let (message, used) = match wire::read(bytes) {
             Read::Whole(message, used) => (message, used),
-            Read::Part if close => return self.broke(attempt),
+            Read::Part if close => return self.connection_broken(attempt),
             Read::Part => return,
             Read::Bad => {
-                self.judge.no_answer(now, attempt, "bytes that are no answer");
-                return self.broke(attempt);
+                self.checker.record_malformed_answer(now, attempt, "bytes that are not an answer");
+                return self.connection_broken(attempt);
             }
         };
-        open.over = true;
+        state.finished = true;
         if used < bytes.len() {
-            self.judge.no_answer(now, attempt, "more bytes after its answer");
+            self.checker.record_malformed_answer(now, attempt, "more bytes after its answer");
         }
         let status = message.status();
         let after = message.header("Retry-After").and_then(|after| after.parse::<f64>().ok());
-        self.judge.got(now, attempt, &message);
+        self.checker.record_answer(now, attempt, &message);
         if close || !(200..300).contains(&status) {
-            self.clients[client].open = None;
+            self.clients[client].connection = None;
         }
-        let request = self.judge.tries[attempt].request;
-        let asked = &mut self.judge.asked[request];
-        let left = asked.end.saturating_sub(now);
-        let again = asked.tries < TRIES && !left.is_zero();
+        let request = self.checker.attempts[attempt].request;
+        let client_request = &mut self.checker.client_requests[request];
+        let left = client_request.end.saturating_sub(now);
+        let retry = client_request.attempts < MAX_ATTEMPTS && !left.is_zero();
         match status {
-            200..=299 => asked.served = Some(now),
-            503 | 429 | 408 | 421 if again => {
+            200..=299 => client_request.served = Some(now),
+            503 | 429 | 408 | 421 if retry => {
                 let after = secs(after.unwrap_or(0.1));
-                self.later(after.min(left / 3), Event::Try(request));
+                self.schedule_in(after.min(left / 3), Event::Attempt(request));
             }
-            500.. if again && !asked.once => self.later(SOON, Event::Try(request)),
+            500.. if retry && !client_request.once => self.schedule_in(RETRY_PAUSE, Event::Attempt(request)),
             _ => {}
         }
     }
 
-    /// The connection of a try ended without a whole answer, or did not come up.
-    pub(super) fn broke(&mut self, attempt: usize) {
+    /// The connection of an attempt ended without a complete answer, or was refused.
+    pub(super) fn connection_broken(&mut self, attempt: usize) {
         let now = self.now;
-        let Some(open) = self.opens.get_mut(attempt).filter(|open| !open.over) else { return };
-        open.over = true;
-        let (client, read, refused) = (open.client, open.read, open.refused);
-        self.clients[client].open = None;
-        self.judge.tries[attempt].ended = (!refused).then_some(now);
-        let request = self.judge.tries[attempt].request;
-        let asked = &self.judge.asked[request];
-        if asked.tries < TRIES && now < asked.end && !(read && asked.once) {
-            self.later(SOON, Event::Try(request));
+        let Some(state) = self.client_attempts.get_mut(attempt).filter(|state| !state.finished) else {
+            return;
+        };
+        state.finished = true;
+        let (client, read, refused) = (state.client, state.read, state.refused);
+        self.clients[client].connection = None;
+        self.checker.attempts[attempt].broken_at = (!refused).then_some(now);
+        let request = self.checker.attempts[attempt].request;
+        let client_request = &self.checker.client_requests[request];
+        if client_request.attempts < MAX_ATTEMPTS
+            && now < client_request.end
+            && !(read && client_request.once)
+        {
+            self.schedule_in(RETRY_PAUSE, Event::Attempt(request));
         }
     }
 
-    /// A second has passed since a try went out: one that was not read is abandoned.
-    pub(super) fn unread(&mut self, attempt: usize) {
-        let open = self.opens[attempt];
-        if open.over || open.read {
+    /// Abandons an attempt that was not read within the read timeout.
+    pub(super) fn abandon_unread(&mut self, attempt: usize) {
+        let state = self.client_attempts[attempt];
+        if state.finished || state.read {
             return;
         }
-        let tried = &self.judge.tries[attempt];
-        let (edge, life, request) = (tried.edge, tried.life, tried.request);
-        let connected = self.edges[edge].up == Power::On && self.edges[edge].frozen.is_some();
-        let asked = &self.judge.asked[request];
-        if asked.once && connected {
+        let record = &self.checker.attempts[attempt];
+        let (edge, incarnation, request) = (record.edge, record.incarnation, record.request);
+        let connected = self.edges[edge].up == MachineState::On && self.edges[edge].frozen.is_some();
+        let client_request = &self.checker.client_requests[request];
+        if client_request.once && connected {
             return;
         }
-        self.opens[attempt].over = true;
-        self.clients[open.client].open = None;
-        if asked.tries < TRIES && self.now < asked.end {
-            self.later(Duration::ZERO, Event::Try(request));
+        self.client_attempts[attempt].finished = true;
+        self.clients[state.client].connection = None;
+        if client_request.attempts < MAX_ATTEMPTS && self.now < client_request.end {
+            self.schedule_in(Duration::ZERO, Event::Attempt(request));
         }
-        self.later(Duration::from_millis(1), Event::Left { edge, life, attempt });
+        self.schedule_in(Duration::from_millis(1), Event::ClientDisconnected { edge, incarnation, attempt });
     }
 
     pub(super) fn deadline(&mut self, request: usize) {
-        let still = self.asked_by.get(request).and_then(|by| by.2).filter(|n| !self.opens[*n].over);
-        if let Some(attempt) = still {
-            self.opens[attempt].over = true;
-            let (edge, life) = (self.judge.tries[attempt].edge, self.judge.tries[attempt].life);
-            let zone = self.clients[self.opens[attempt].client].zone;
-            self.clients[self.opens[attempt].client].open = None;
-            if let Some(takes) = self.net.stream(&mut self.chance, Node::Clients(zone), Node::Edge(edge)) {
-                self.later(takes, Event::Left { edge, life, attempt });
+        let unfinished = self
+            .request_clients
+            .get(request)
+            .and_then(|factor| factor.2)
+            .filter(|n| !self.client_attempts[*n].finished);
+        if let Some(attempt) = unfinished {
+            self.client_attempts[attempt].finished = true;
+            let (edge, incarnation) =
+                (self.checker.attempts[attempt].edge, self.checker.attempts[attempt].incarnation);
+            let zone = self.clients[self.client_attempts[attempt].client].zone;
+            self.clients[self.client_attempts[attempt].client].connection = None;
+            if let Some(takes) = self.net.stream(&mut self.rng, Node::Clients(zone), Node::Edge(edge)) {
+                self.schedule_in(takes, Event::ClientDisconnected { edge, incarnation, attempt });
             }
         }
     }
 
-    /// Whether a worker has seen this try before; it has from now on.
-    pub(super) fn tries_seen(&mut self, attempt: usize) -> bool {
-        let Some(open) = self.opens.get_mut(attempt) else { return true };
-        std::mem::replace(&mut open.seen, true)
+    /// Marks the attempt as seen by a worker; returns whether it was before.
+    pub(super) fn mark_seen_by_worker(&mut self, attempt: usize) -> bool {
+        let Some(state) = self.client_attempts.get_mut(attempt) else { return true };
+        std::mem::replace(&mut state.seen_by_worker, true)
     }
 
     pub(super) fn work_of(&self, attempt: usize) -> f64 {
-        self.opens.get(attempt).map_or(10.0, |open| open.work)
+        self.client_attempts.get(attempt).map_or(10.0, |state| state.work)
     }
 
-    /// Each second the platform asks each edge machine whether it is ready.
-    pub(super) fn probe(&mut self) {
+    /// The platform checks the readiness of each edge machine once per second.
+    pub(super) fn probe_readiness(&mut self) {
         for n in 0..self.edges.len() {
             let edge = &mut self.edges[n];
-            let there = edge.up == Power::On && edge.frozen.is_none();
-            let ready = there && edge.running.as_ref().is_some_and(|running| running.desk.ready());
+            let running = edge.up == MachineState::On && edge.frozen.is_none();
+            let ready = running && edge.running.as_ref().is_some_and(|running| running.proxy.ready());
             let reached = !self.net.cut(Node::Clients(edge.zone), Node::Edge(n));
             edge.misses = if ready && reached { 0 } else { edge.misses + 1 };
         }
-        self.later(SECOND, Event::Probe);
+        self.schedule_in(SECOND, Event::Probe);
     }
 }
--- a/crates/rehearsal/src/world/operators.rs
+++ b/crates/rehearsal/src/world/operators.rs
@@ -1,39 +1,40 @@
-//! Operators: they send configurations to core machines until one is acknowledged, and ask for the newest at the end.
+//! Operators: send configurations to core machines until one is acknowledged, and request the newest at the
+//! end.
 
-use super::{secs, Event, Power, World};
+use super::{secs, Event, MachineState, World};
 use crate::controller::Reply;
 use crate::net::Node;
-use crate::scenario::{Change, Down};
+use crate::scenario::{Change, Outage};
 use std::time::Duration;
 
-pub(crate) struct Call {
-    /// The version that is sent; None to be shown the newest.
+pub(crate) struct OperatorCall {
+    /// Version to send; None requests the newest configuration.
     version: Option<usize>,
     first: Option<String>,
     wipe_for: Option<f64>,
-    /// Counts sendings: an answer to an earlier one is heard too, silence is not.
-    go: u64,
-    tries: u32,
+    /// Counts sends. Replies and timeouts of earlier sends are ignored.
+    sending: u64,
+    attempts: u32,
     hops: u32,
     to: Option<usize>,
-    /// Who was asked last: after a failure another one is.
-    asked: Option<usize>,
-    over: bool,
+    /// Machine called last; a retry goes to another one.
+    last_target: Option<usize>,
+    finished: bool,
 }
 
 impl World {
     pub(super) fn begin_operators(&mut self) {
-        let step = 1 + self.chance.below(3) as u64;
+        let step = 1 + self.rng.below(3) as u64;
         let version = self.plan.change(&Change::Touch, step);
-        self.judge.versions.push(version);
+        self.checker.versions.push(version);
         self.call(Some(0), None, None, Duration::from_millis(1500));
     }
 
     pub(super) fn configure(&mut self, change: &Change, first: Option<String>, wipe_for: Option<f64>) {
-        let step = 1 + self.chance.below(4) as u64;
+        let step = 1 + self.rng.below(4) as u64;
         let version = self.plan.change(change, step);
-        self.judge.versions.push(version);
-        let version = self.judge.versions.len() - 1;
+        self.checker.versions.push(version);
+        let version = self.checker.versions.len() - 1;
         self.call(Some(version), first, wipe_for, Duration::ZERO);
         match change {
             Change::Add { route, .. } => {
@@ -54,147 +55,158 @@
         wipe_for: Option<f64>,
         after: Duration,
     ) {
-        self.calls.push(Call {
+        self.calls.push(OperatorCall {
             version,
             first,
             wipe_for,
-            go: 0,
-            tries: 0,
+            sending: 0,
+            attempts: 0,
             hops: 0,
             to: None,
-            asked: None,
-            over: false,
+            last_target: None,
+            finished: false,
         });
-        self.later(after, Event::Asks { call: self.calls.len() - 1, go: 0 });
+        self.schedule_in(after, Event::OperatorCall { call: self.calls.len() - 1, sending: 0 });
     }
 
-    pub(super) fn show(&mut self) {
+    pub(super) fn request_shown_configuration(&mut self) {
         self.call(None, None, None, Duration::ZERO);
     }
 
-    /// Core machines on the operator's list, which lags.
+    /// Core machines on the operator's list, which lags behind changes.
     fn listed(&self) -> Vec<usize> {
         let lag = secs(self.scenario.timers.seed_lag);
-        let there = |n: &usize| {
+        let is_listed = |n: &usize| {
             let core = &self.cores[*n];
             core.listed <= self.now && core.gone.is_none_or(|gone| gone + lag > self.now)
         };
-        (0..self.cores.len()).filter(there).collect()
+        (0..self.cores.len()).filter(is_listed).collect()
     }
 
-    pub(super) fn asks(&mut self, n: usize, go: u64) {
+    pub(super) fn operator_call(&mut self, n: usize, sending: u64) {
         let mut listed = self.listed();
-        let asked = self.calls.get(n).and_then(|call| call.asked);
+        let last_target = self.calls.get(n).and_then(|call| call.last_target);
         if listed.len() > 1 {
-            listed.retain(|core| Some(*core) != asked);
+            listed.retain(|core| Some(*core) != last_target);
         }
-        let draw = self.chance.below(listed.len());
+        let sample = self.rng.below(listed.len());
         let now = self.now;
-        let Some(call) = self.calls.get_mut(n).filter(|call| !call.over && call.go == go) else { return };
+        let Some(call) = self.calls.get_mut(n).filter(|call| !call.finished && call.sending == sending)
+        else {
+            return;
+        };
         let named = call.first.take().and_then(|name| self.cores.iter().position(|core| core.name == name));
-        let Some(to) = call.to.take().or(named).or(listed.get(draw).copied()) else {
-            return self.later(Duration::from_millis(300), Event::Asks { call: n, go });
+        let Some(to) = call.to.take().or(named).or(listed.get(sample).copied()) else {
+            return self.schedule_in(Duration::from_millis(300), Event::OperatorCall { call: n, sending });
         };
-        call.asked = Some(to);
-        call.go += 1;
-        call.tries += 1;
-        let go = call.go;
+        call.last_target = Some(to);
+        call.sending += 1;
+        call.attempts += 1;
+        let sending = call.sending;
         if let Some(version) = call.version {
-            self.judge.versions[version].sent.get_or_insert(now);
+            self.checker.versions[version].sent.get_or_insert(now);
         }
-        self.later(Duration::from_millis(1050), Event::Silence { call: n, go });
-        let Some(takes) = self.net.stream(&mut self.chance, Node::Operator, Node::Core(to)) else { return };
+        self.schedule_in(Duration::from_millis(1050), Event::OperatorTimeout { call: n, sending });
+        let Some(takes) = self.net.stream(&mut self.rng, Node::Operator, Node::Core(to)) else { return };
         match self.cores[to].up {
-            Power::On => {
-                let life = self.cores[to].life;
-                self.later(takes, Event::AtCore { core: to, life, call: n, go });
+            MachineState::On => {
+                let incarnation = self.cores[to].incarnation;
+                self.schedule_in(takes, Event::CallAtController { core: to, incarnation, call: n, sending });
             }
-            Power::Refuses => self.later(takes * 2, Event::Silence { call: n, go }),
-            Power::Silent => {}
+            MachineState::Refuses => self.schedule_in(takes * 2, Event::OperatorTimeout { call: n, sending }),
+            MachineState::Silent => {}
         }
     }
 
-    pub(super) fn at_core(&mut self, core: usize, life: u64, n: usize, go: u64) {
+    pub(super) fn at_core(&mut self, core: usize, incarnation: u64, n: usize, sending: u64) {
         let now = self.now;
         let Some(call) = self.calls.get(n) else { return };
-        let text = call.version.map(|version| self.judge.versions[version].text.clone());
-        let Some(core) = self.cores.get_mut(core).filter(|core| core.life == life) else { return };
-        let local = now - core.born;
+        let text = call.version.map(|version| self.checker.versions[version].text.clone());
+        let Some(core) = self.cores.get_mut(core).filter(|core| core.incarnation == incarnation) else {
+            return;
+        };
+        let local = now - core.started_at;
         let Some(controller) = core.controller.as_mut() else { return };
-        // The number is told back with the answer.
-        let number = (n as u64) << 32 | go;
+        // The call number comes back with the reply.
+        let number = (n as u64) << 32 | sending;
         match text {
             Some(text) => controller.replace(local, number, &text),
             None => controller.show(local, number),
         }
     }
 
-    pub(super) fn send_says(&mut self, core: usize, number: u64, reply: Reply) {
-        let (call, go) = ((number >> 32) as usize, number & 0xffff_ffff);
-        if let Some(takes) = self.net.stream(&mut self.chance, Node::Core(core), Node::Operator) {
-            self.later(takes, Event::Says { call, go, reply, core });
+    pub(super) fn send_operator_reply(&mut self, core: usize, number: u64, reply: Reply) {
+        let (call, sending) = ((number >> 32) as usize, number & 0xffff_ffff);
+        if let Some(takes) = self.net.stream(&mut self.rng, Node::Core(core), Node::Operator) {
+            self.schedule_in(takes, Event::OperatorReply { call, sending, reply, core });
         }
     }
 
-    pub(super) fn says(&mut self, n: usize, go: u64, reply: Reply, core: usize) {
+    pub(super) fn operator_reply(&mut self, n: usize, sending: u64, reply: Reply, core: usize) {
         let now = self.now;
-        let Some(call) = self.calls.get_mut(n).filter(|call| !call.over && call.go == go) else { return };
+        let Some(call) = self.calls.get_mut(n).filter(|call| !call.finished && call.sending == sending)
+        else {
+            return;
+        };
         match reply {
-            Reply::Taken => {
-                call.over = true;
+            Reply::Acknowledged => {
+                call.finished = true;
                 let wipe = call.wipe_for.take();
                 if let Some(version) = call.version {
-                    let version = &mut self.judge.versions[version];
+                    let version = &mut self.checker.versions[version];
                     if version.valid {
                         version.acked = Some(now);
-                        let told = format!("{} acknowledged by {}", version.revision, self.cores[core].name);
-                        self.acker = Some(core);
-                        self.tell(told);
+                        let text = format!("{} acknowledged by {}", version.revision, self.cores[core].name);
+                        self.last_acker = Some(core);
+                        self.record_event(text);
                     } else {
-                        let told = format!("{} is invalid and was acknowledged", version.revision);
-                        self.judge.find(crate::judge::Rule::Config, now, told);
+                        let text = format!("{} is invalid and was acknowledged", version.revision);
+                        self.checker.report(crate::checker::Rule::Config, now, text);
                     }
                 }
-                if let Some(lasts) = wipe {
-                    self.kill(Node::Core(core), Down::Wiped, Some(lasts));
+                if let Some(duration) = wipe {
+                    self.kill(Node::Core(core), Outage::DiskLost, Some(duration));
                 }
             }
-            Reply::Invalid => call.over = true,
+            Reply::Invalid => call.finished = true,
             Reply::Conflict => {
-                call.over = true;
+                call.finished = true;
                 if let Some(version) = call.version {
-                    let revision = self.judge.versions[version].revision;
-                    let told = format!("{revision} was refused for another text, and there is none");
-                    self.judge.find(crate::judge::Rule::Config, now, told);
+                    let revision = self.checker.versions[version].revision;
+                    let text =
+                        format!("{revision} was rejected as a conflict, but no other text was sent under it");
+                    self.checker.report(crate::checker::Rule::Config, now, text);
                 }
             }
-            Reply::Word(text) => {
-                call.over = true;
+            Reply::Configuration(text) => {
+                call.finished = true;
                 if call.version.is_none() {
-                    self.judge.shown = Some(text);
+                    self.checker.shown = Some(text);
                 }
             }
-            Reply::Elsewhere(ip) if call.hops < 2 => {
+            Reply::Redirect(ip) if call.hops < 2 => {
                 call.hops += 1;
                 call.to = self.cores.iter().position(|core| core.ip == ip);
-                self.later(Duration::from_millis(1), Event::Asks { call: n, go });
+                self.schedule_in(Duration::from_millis(1), Event::OperatorCall { call: n, sending });
             }
-            Reply::Elsewhere(_) | Reply::Later | Reply::Nothing => self.again(n),
+            Reply::Redirect(_) | Reply::Unavailable | Reply::Empty => self.retry(n),
         }
     }
 
-    fn again(&mut self, n: usize) {
+    fn retry(&mut self, n: usize) {
         let Some(call) = self.calls.get_mut(n) else { return };
         call.hops = 0;
-        let pause = Duration::from_millis(100 << call.tries.min(4)).min(Duration::from_millis(800));
-        let go = call.go;
-        self.later(pause, Event::Asks { call: n, go });
+        let pause = Duration::from_millis(100 << call.attempts.min(4)).min(Duration::from_millis(800));
+        let sending = call.sending;
+        self.schedule_in(pause, Event::OperatorCall { call: n, sending });
     }
 
-    pub(super) fn silence(&mut self, n: usize, go: u64) {
-        // With `Later` the next sending is planned already: then this is about an older one.
-        let Some(call) = self.calls.get(n).filter(|call| !call.over && call.go == go) else { return };
+    pub(super) fn operator_timeout(&mut self, n: usize, sending: u64) {
+        // If a reply has already scheduled the next send, this timeout belongs to an older one.
+        let Some(call) = self.calls.get(n).filter(|call| !call.finished && call.sending == sending) else {
+            return;
+        };
         let _ = call;
-        self.again(n);
+        self.retry(n);
     }
 }
--- a/crates/rehearsal/tests/scenarios.rs
+++ b/crates/rehearsal/tests/scenarios.rs
@@ -1,11 +1,11 @@
-//! Every scenario, with two seeds each.
+//! Every scenario must hold with two seeds.
 
 use rstest::rstest;
 use std::path::PathBuf;
 use tindock_rehearsal::play;
 
 #[rstest]
-fn holds(
+fn every_rule_and_expectation_holds(
     #[files("scenarios/*.txt")]
     #[files("../../examples/fleet.txt")]
     path: PathBuf,
