--- a/crates/stacks/src/lib.rs
+++ b/crates/autoscaler/src/lib.rs
@@ -25,5 +25,5 @@
 pub use rebind::{Rebinding, RebindingStatus, RunRefusal};
 pub use registry::ChangeSet;
 pub use scaler::Scaler;
-pub use tindock_rebinding as rebinding;
+pub use tindock_instance_migration as instance_migration;
 pub use types::*;
--- a/crates/stacks/src/rebind.rs
+++ b/crates/autoscaler/src/rebind.rs
@@ -4,14 +4,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use tindock_rebinding as moving;
-use tindock_rebinding::{
+use tindock_instance_migration as moving;
+use tindock_instance_migration::{
     Conditions, Fleet, MovePolicy, Mover, Obstacle, Outcome, Plan, Progress, Resources, Separation,
     ServiceNeed,
 };
-use tindock_rebinding::{FleetView, InstanceView, Serving};
+use tindock_instance_migration::{FleetView, InstanceView, Serving};
 
-pub(crate) use tindock_rebinding::StartOutcome;
+pub(crate) use tindock_instance_migration::StartOutcome;
 
 use crate::capacity::HostCapacity;
 use crate::registry::{InstanceRecord, Registry};
--- a/crates/stacks/tests/placement.rs
+++ b/crates/autoscaler/tests/placement.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_stacks::{
+use tindock_autoscaler::{
     Demand, Entry, Host, InstanceState, ListedInstance, Order, PlatformSettings, Scaler, Service, StartResult,
 };
 
--- a/crates/stacks/tests/simulation.rs
+++ b/crates/autoscaler/tests/simulation.rs
@@ -6,7 +6,7 @@
 
 use oorandom::Rand64;
 use rstest::rstest;
-use tindock_stacks::*;
+use tindock_autoscaler::*;
 
 const STEP: u64 = 10;
 const LAG: u64 = 800;
@@ -974,7 +974,7 @@
     let (plan, may) = w.scaler.rebinding_plan(now).unwrap();
     assert_eq!((plan.before.unplaced_starts, plan.after.unplaced_starts, may), (1, 0, Ok(())));
     w.scaler.rebinding_pause(now, true, false).unwrap();
-    assert_eq!(w.scaler.rebinding_run(now), Err(RunRefusal::Blocked(rebinding::Obstacle::Paused)));
+    assert_eq!(w.scaler.rebinding_run(now), Err(RunRefusal::Blocked(instance_migration::Obstacle::Paused)));
     assert!(w.scaler.rebinding_status(now).paused);
     w.scaler.rebinding_pause(now, false, false).unwrap();
     assert_eq!(w.scaler.rebinding_run(now), Ok(plan.moves.len()));
@@ -987,7 +987,9 @@
     w.scaler.rebinding_pause(now, true, true).unwrap();
     w.run(25_000);
     let status = w.scaler.rebinding_status(ms(w.t));
-    assert!(status.moves.is_empty() && status.finished.iter().all(|e| e.2 == rebinding::Outcome::Undone));
+    assert!(
+        status.moves.is_empty() && status.finished.iter().all(|e| e.2 == instance_migration::Outcome::Undone)
+    );
     assert_urgent_services_running(&w);
 }
 
--- a/crates/control-process-tests/src/configuration.rs
+++ b/crates/control-process-tests/src/configuration.rs
@@ -1,8 +1,8 @@
 //! Configurations as an operator sends them.
 
 use crate::history::Version;
-use tindock_standins::demo::{classes, functions, routes};
-use tindock_standins::operator::configuration;
+use tindock_mock_services::demo::{classes, functions, routes};
+use tindock_mock_services::operator::configuration;
 
 /// The host of all routes.
 pub const HOST: &str = "dispatch.example";
--- a/crates/controller/src/convert.rs
+++ b/crates/controller/src/convert.rs
@@ -2,9 +2,9 @@
 //! messages.
 
 use std::time::Duration;
-use tindock_catalogue::Catalogue;
-use tindock_circulation::{InstanceUpdate, Listed};
-use tindock_stacks::{self as autoscaler, Entry, InstanceState, Service};
+use tindock_autoscaler::{self as autoscaler, Entry, InstanceState, Service};
+use tindock_configuration::Catalogue;
+use tindock_instance_distribution::{InstanceUpdate, Listed};
 
 /// The services of the configuration as the autoscaler needs them.
 pub fn services(configuration: &Catalogue) -> Vec<Service> {
--- a/crates/controller/src/lease_holder.rs
+++ b/crates/controller/src/lease_holder.rs
@@ -5,9 +5,9 @@
 use crate::proxies::Proxies;
 use std::collections::HashSet;
 use std::time::Duration;
-use tindock_catalogue::Catalogue;
-use tindock_circulation::{InstanceUpdate, Listed, Mark, Proxy, Replica, Source};
-use tindock_stacks::{self as autoscaler, Entry, Host, Order, Rebinding, Scaler};
+use tindock_autoscaler::{self as autoscaler, Entry, Host, Order, Rebinding, Scaler};
+use tindock_configuration::Catalogue;
+use tindock_instance_distribution::{InstanceUpdate, Listed, Mark, Proxy, Replica, Source};
 
 /// The platform's list may not contain instances younger than this (ms) yet.
 pub const UNLISTED_MS: u32 = 8000;
--- a/crates/controller/src/proxies.rs
+++ b/crates/controller/src/proxies.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use std::time::Duration;
-use tindock_circulation::{Mark, Owners, Proxy};
+use tindock_instance_distribution::{Mark, Owners, Proxy};
 
 /// Without a previous holder's list, the first list waits until no new agent has appeared for this long:
 /// after a restart of the whole system all agents appear within a few tenths of a second, and nothing is
--- a/crates/controller/tests/proxies.rs
+++ b/crates/controller/tests/proxies.rs
@@ -2,8 +2,8 @@
 
 use std::net::IpAddr;
 use std::time::Duration;
-use tindock_circulation::{Mark, Owners, Proxy};
 use tindock_controller::Proxies;
+use tindock_instance_distribution::{Mark, Owners, Proxy};
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
--- a/crates/folio/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -5,7 +5,7 @@
 //! 9112, 11.2). Heads are parsed by `httparse`, with an additional check for strict CRLF line ends.
 //!
 //! ```
-//! use tindock_folio::{request_head, Body, Read};
+//! use tindock_http1::{request_head, Body, Read};
 //!
 //! let buf = b"POST /a HTTP/1.1\r\nHost: h.example\r\nContent-Length: 2\r\n\r\nhi";
 //! let Read::Done { value: head, used } = request_head(buf, 16_384) else { panic!() };
--- a/crates/folio/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -1,7 +1,7 @@
 //! Requests, answers and bodies: complete, truncated at every byte, ambiguous, and with changed bytes.
 
 use rstest::rstest;
-use tindock_folio::*;
+use tindock_http1::*;
 
 const MAX: usize = 16_384;
 
--- a/crates/circulation/tests/distribution.rs
+++ b/crates/instance-distribution/tests/distribution.rs
@@ -7,7 +7,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
-use tindock_circulation::{
+use tindock_instance_distribution::{
     Applied, InstanceUpdate, Listed, Mark, Relay, Replica, Source, MAX_LAG, MIN_INTERVAL,
 };
 
--- a/crates/rebinding/examples/ways.rs
+++ b/crates/instance-migration/examples/ways.rs
@@ -1,10 +1,12 @@
 //! Benchmark of the three planning strategies on random fleets: packing, number of moves, time.
 //!
-//!     cargo run --release -p tindock-rebinding --example ways
+//!     cargo run --release -p tindock-instance-migration --example ways
 
 use std::time::Instant;
 
-use tindock_rebinding::{best_known, check, lower_bound, plan_with, sample_fleet, PlanSettings, Strategy};
+use tindock_instance_migration::{
+    best_known, check, lower_bound, plan_with, sample_fleet, PlanSettings, Strategy,
+};
 
 fn main() {
     println!(
--- a/crates/rebinding/tests/mover.rs
+++ b/crates/instance-migration/tests/mover.rs
@@ -7,7 +7,7 @@
 
 use oorandom::Rand32;
 use rstest::rstest;
-use tindock_rebinding::*;
+use tindock_instance_migration::*;
 
 const TICK: u64 = 100;
 const LAG: u64 = 500;
--- a/crates/rebinding/tests/planner.rs
+++ b/crates/instance-migration/tests/planner.rs
@@ -1,7 +1,7 @@
 //! Properties of plans for random fleets, and defective plans that `check` must detect.
 
 use rstest::rstest;
-use tindock_rebinding::*;
+use tindock_instance_migration::*;
 
 fn settings(seed: u64) -> PlanSettings {
     PlanSettings {
--- a/crates/rebinding/tests/policy.rs
+++ b/crates/instance-migration/tests/policy.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tindock_rebinding::*;
+use tindock_instance_migration::*;
 
 #[test]
 fn run_is_refused_under_load_too_soon_or_without_saving() {
--- a/crates/standins/tests/platform.rs
+++ b/crates/mock-services/tests/platform.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
-use tindock_standins::ledger::Ledger;
-use tindock_standins::loopback::Net;
-use tindock_standins::platform::{Function, Host, InjectedFault, Options, Platform};
-use tindock_standins::wire::{call, request, Response};
+use tindock_mock_services::ledger::Ledger;
+use tindock_mock_services::loopback::Net;
+use tindock_mock_services::platform::{Function, Host, InjectedFault, Options, Platform};
+use tindock_mock_services::wire::{call, request, Response};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
--- a/crates/gazette/tests/incarnations.rs
+++ b/crates/peer-sampling/tests/incarnations.rs
@@ -3,7 +3,7 @@
 
 use std::net::IpAddr;
 use std::time::Duration;
-use tindock_gazette::{Message, PeerSampler, ROUND};
+use tindock_peer_sampling::{Message, PeerSampler, ROUND};
 
 fn ip(n: u8) -> IpAddr {
     IpAddr::from([10, 0, 0, n])
--- a/crates/accord/examples/orders.rs
+++ b/crates/policy-consensus/examples/orders.rs
@@ -1,9 +1,9 @@
 //! Explores the protocol at length: every order of events from the named start states to a depth, and random
 //! runs.
 //!
-//!     cargo run --release -p tindock-accord --example orders -- depth 9 2000000
-//!     cargo run --release -p tindock-accord --example orders -- runs 5 10000
-//!     cargo run --release -p tindock-accord --example orders -- seed 5 23
+//!     cargo run --release -p tindock-policy-consensus --example orders -- depth 9 2000000
+//!     cargo run --release -p tindock-policy-consensus --example orders -- runs 5 10000
+//!     cargo run --release -p tindock-policy-consensus --example orders -- seed 5 23
 //!
 //! The last one prints each step. Counts go to standard output; a violation, with the steps that led to it,
 //! goes to standard error, with exit code 1.
--- a/crates/accord/examples/ways.rs
+++ b/crates/policy-consensus/examples/ways.rs
@@ -1,6 +1,6 @@
 //! Compares four ways to distribute a policy to all members of a group, under the same faults:
 //!
-//!     cargo run --release -p tindock-accord --example ways
+//!     cargo run --release -p tindock-policy-consensus --example ways
 //!
 //! Each model covers only what distinguishes them: whose answers are required to proceed, what a member does
 //! that receives nothing, and which messages are sent. The method that was built is measured elsewhere with
--- a/crates/accord/src/checking.rs
+++ b/crates/policy-consensus/src/checking.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
-use tindock_accord::{
+use tindock_policy_consensus::{
     Ballot, CheckedProposal, Chosen, Digest, DurableState, Id, Member, Members, Message, Outcome,
     ServiceStatus, Timing,
 };
--- a/crates/accord/src/exploration_tests.rs
+++ b/crates/policy-consensus/src/exploration_tests.rs
@@ -2,8 +2,10 @@
 
 use crate::defects::{Defect, INJECTED};
 use std::time::Duration;
-use tindock_accord::checking::{digest, members, start_states, Budget, Exploration, Host, Run, MS, TIMING};
-use tindock_accord::{
+use tindock_policy_consensus::checking::{
+    digest, members, start_states, Budget, Exploration, Host, Run, MS, TIMING,
+};
+use tindock_policy_consensus::{
     Ballot, CheckedProposal, Chosen, Digest, DurableState, Id, Member, Message, Outcome, Reason,
     ServiceStatus,
 };
--- a/crates/accord/src/lib.rs
+++ b/crates/policy-consensus/src/lib.rs
@@ -7,7 +7,7 @@
 //! The guarantees are listed in `docs/design/accord.md`.
 
 #[cfg(test)]
-extern crate self as tindock_accord;
+extern crate self as tindock_policy_consensus;
 
 #[cfg(test)]
 mod checking;
--- a/crates/sheet/tests/settings.rs
+++ b/crates/policy-settings/tests/settings.rs
@@ -2,7 +2,7 @@
 //! value.
 
 use serde_json::{json, Value};
-use tindock_sheet::from_json;
+use tindock_policy_settings::from_json;
 
 fn settings(change: impl Fn(&mut Value)) -> Value {
     let mut settings = json!({
--- a/crates/scale-run/src/autoscaler.rs
+++ b/crates/scale-run/src/autoscaler.rs
@@ -6,7 +6,7 @@
 use crate::usage::{own_memory, timed};
 use crate::{Size, ZONES};
 use std::time::Duration;
-use tindock_stacks::{Demand, Host, ListedInstance, PlatformSettings, Scaler, Service};
+use tindock_autoscaler::{Demand, Host, ListedInstance, PlatformSettings, Scaler, Service};
 
 /// Virtual time that the figures are taken over.
 const LENGTH: Duration = Duration::from_secs(5);
--- a/crates/scale-run/src/cold.rs
+++ b/crates/scale-run/src/cold.rs
@@ -10,11 +10,11 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tindock_standins::clients::{Class, Clients, Outcome, ProxyAddress, ProxySelector};
-use tindock_standins::ledger::Ledger;
-use tindock_standins::loopback::Net;
-use tindock_standins::operator::Operator;
-use tindock_standins::platform::{Function, Host, Options, Platform};
+use tindock_mock_services::clients::{Class, Clients, Outcome, ProxyAddress, ProxySelector};
+use tindock_mock_services::ledger::Ledger;
+use tindock_mock_services::loopback::Net;
+use tindock_mock_services::operator::Operator;
+use tindock_mock_services::platform::{Function, Host, Options, Platform};
 use tokio::time::sleep;
 
 const CONTROLLERS: usize = 3;
--- a/crates/scale-run/src/configuration.rs
+++ b/crates/scale-run/src/configuration.rs
@@ -4,11 +4,11 @@
 use crate::usage::{own_memory, timed};
 use crate::Size;
 use std::time::Duration;
-use tindock_catalogue::{Catalogue, Finder};
-use tindock_house::messages::PeerMessage;
-use tindock_house::transport::frame;
-use tindock_standins::operator::{configuration, Route};
-use tindock_standins::platform::Function;
+use tindock_configuration::{Catalogue, Finder};
+use tindock_mock_services::operator::{configuration, Route};
+use tindock_mock_services::platform::Function;
+use tindock_system_processes::messages::PeerMessage;
+use tindock_system_processes::transport::frame;
 
 /// What every function of these runs is like: rare, small, and quick to start.
 pub fn function(number: usize) -> Function {
--- a/crates/scale-run/src/distribution.rs
+++ b/crates/scale-run/src/distribution.rs
@@ -6,9 +6,9 @@
 use crate::Size;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use tindock_circulation::{InstanceUpdate, Listed, Mark, Relay, Replica};
-use tindock_house::messages::PeerMessage;
-use tindock_house::transport::frame;
+use tindock_instance_distribution::{InstanceUpdate, Listed, Mark, Relay, Replica};
+use tindock_system_processes::messages::PeerMessage;
+use tindock_system_processes::transport::frame;
 
 /// Changes that are told one after the other.
 const PIECES: u64 = 40;
--- a/crates/scale-run/src/live.rs
+++ b/crates/scale-run/src/live.rs
@@ -14,11 +14,11 @@
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use tindock_house::settings::Settings;
-use tindock_standins::ledger::Ledger;
-use tindock_standins::loopback::Net;
-use tindock_standins::operator::Operator;
-use tindock_standins::platform::{Host, Options, Platform};
+use tindock_mock_services::ledger::Ledger;
+use tindock_mock_services::loopback::Net;
+use tindock_mock_services::operator::Operator;
+use tindock_mock_services::platform::{Host, Options, Platform};
+use tindock_system_processes::settings::Settings;
 use tokio::time::sleep;
 
 /// All hollow proxies are to have the first configuration within this.
--- a/crates/scale-run/src/main.rs
+++ b/crates/scale-run/src/main.rs
@@ -138,7 +138,7 @@
 }
 
 fn on_runtime(run: impl Future<Output = Result<Vec<Figure>, String>>) -> Result<Vec<Figure>, String> {
-    tindock_house::ring::install("scale-run", spdlog::Level::Error);
+    tindock_system_processes::ring::install("scale-run", spdlog::Level::Error);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(|why| why.to_string())?.block_on(ended_by_signal(run))
 }
--- a/crates/scale-run/src/peer_sampling.rs
+++ b/crates/scale-run/src/peer_sampling.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
-use tindock_gazette::{Message, PeerSampler};
+use tindock_peer_sampling::{Message, PeerSampler};
 
 /// What UDP and IP add to a datagram.
 const DATAGRAM_HEADERS: usize = 28;
--- a/crates/scale-run/src/processes.rs
+++ b/crates/scale-run/src/processes.rs
@@ -7,7 +7,7 @@
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStdin, Command, Stdio};
-use tindock_standins::loopback::Net;
+use tindock_mock_services::loopback::Net;
 
 /// Ports of a played deployment, the same on all machines.
 #[derive(Debug, Clone, Copy)]
--- a/crates/scale-run/src/slots.rs
+++ b/crates/scale-run/src/slots.rs
@@ -8,8 +8,8 @@
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use tindock_lending::messages::{kind, Ended};
-use tindock_lending::{Action, Allocator, Entry, Function, Member};
+use tindock_slot_allocation::messages::{kind, Ended};
+use tindock_slot_allocation::{Action, Allocator, Entry, Function, Member};
 
 /// What UDP and IP add to a datagram.
 const DATAGRAM_HEADERS: usize = 28;
--- a/crates/scale-run/tests/tiny.rs
+++ b/crates/scale-run/tests/tiny.rs
@@ -4,12 +4,12 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::sync::Arc;
 use std::time::Duration;
-use tindock_house::settings::Settings;
 use tindock_scale_run::hollow::{locked, Demands, Proxy, Shared};
 use tindock_scale_run::processes::{Deployment, Ports, Role};
 use tindock_scale_run::report::{lines, value, Figure};
 use tindock_scale_run::sockets::{between, counts, read, Socket, Traffic};
 use tindock_scale_run::{autoscaler, configuration, distribution, peer_sampling, slots, Size, TARGET};
+use tindock_system_processes::settings::Settings;
 
 const SMALL: usize = 8;
 
@@ -99,9 +99,9 @@
 /// A hollow proxy notes what an agent tells it, whichever revisions it was not told of.
 #[tokio::test]
 async fn a_hollow_proxy_notes_what_it_is_told() {
-    use tindock_catalogue::Catalogue;
-    use tindock_house::messages::{AgentMessage, ProxyMessage};
-    use tindock_house::transport::{frame, read_frame};
+    use tindock_configuration::Catalogue;
+    use tindock_system_processes::messages::{AgentMessage, ProxyMessage};
+    use tindock_system_processes::transport::{frame, read_frame};
     use tokio::io::AsyncWriteExt;
 
     let agent = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("an address");
--- a/crates/berth/src/platform.rs
+++ b/crates/scheduler-config/src/platform.rs
@@ -73,7 +73,7 @@
 /// Parses the file's text.
 pub fn read(text: &str, process: &Process) -> Result<SchedulerConfig, String> {
     let doc: Doc = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let mut settings = tindock_sheet::from_json(&doc.settings)?;
+    let mut settings = tindock_policy_settings::from_json(&doc.settings)?;
     // The platform passes no addresses of other schedulers, so they cannot exchange messages.
     settings.members = 0;
     let mut names = Names {
@@ -108,8 +108,8 @@
         names,
         known,
         resource_limits,
-        connect_timeout: tindock_sheet::duration(&doc.settings, "/caps/dial_timeout_s")?,
-        idle_timeout: tindock_sheet::duration(&doc.settings, "/caps/keepalive_s")?,
+        connect_timeout: tindock_policy_settings::duration(&doc.settings, "/caps/dial_timeout_s")?,
+        idle_timeout: tindock_policy_settings::duration(&doc.settings, "/caps/keepalive_s")?,
         log: LogSettings::default(),
         keys: keys(text, &doc.settings)?,
         digest: digest(text),
--- a/crates/berth/tests/installation.rs
+++ b/crates/scheduler-config/tests/installation.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 use tindock::types::{Discovery, Effect, Group};
-use tindock_berth::{installation, Layers, SchedulerConfig, ShownValue, Source};
+use tindock_scheduler_config::{installation, Layers, SchedulerConfig, ShownValue, Source};
 
 const GOOD: &str = "\
 listen = \"127.0.0.1:7000\"
@@ -200,11 +200,11 @@
 #[test]
 fn example_files_are_valid() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/tindock.toml");
-    let config = tindock_berth::from_file(&path, &Layers::default()).expect("a configuration");
+    let config = tindock_scheduler_config::from_file(&path, &Layers::default()).expect("a configuration");
     assert_eq!(config.names.workloads, ["resize", "charge"]);
     let old = path.with_file_name("config.json");
     assert_eq!(
-        tindock_berth::from_file(&old, &Layers::default()).expect("JSON").names.workloads,
+        tindock_scheduler_config::from_file(&old, &Layers::default()).expect("JSON").names.workloads,
         config.names.workloads
     );
 }
--- a/crates/trial/examples/policies.rs
+++ b/crates/scheduler-test-kit/examples/policies.rs
@@ -1,15 +1,15 @@
 //! Measures with real processes how long a policy takes to be in force, which share of tasks clients lose
 //! meanwhile, and the load of an idle group:
 //!
-//!     cargo build --release && cargo run --release -p tindock-trial --example policies [SCHEDULERS...]
+//!     cargo build --release && cargo run --release -p tindock-scheduler-test-kit --example policies [SCHEDULERS...]
 //!
 //! The default group sizes are 3, 5 and 20. Tables are printed to standard output. The lease is 1.5 s
-//! (`tindock_trial::group::LEASE`), the wait for members that do not respond 0.5 s.
+//! (`tindock_scheduler_test_kit::group::LEASE`), the wait for members that do not respond 0.5 s.
 
 use std::time::{Duration, Instant};
-use tindock_trial::fleet::{until, Fleet};
-use tindock_trial::group::Group;
-use tindock_trial::mocks::TaskEnd;
+use tindock_scheduler_test_kit::fleet::{until, Fleet};
+use tindock_scheduler_test_kit::group::Group;
+use tindock_scheduler_test_kit::mocks::TaskEnd;
 
 const IDLE_TIME: Duration = Duration::from_secs(10);
 
--- a/crates/scheduler/benches/applying.rs
+++ b/crates/scheduler/benches/applying.rs
@@ -7,13 +7,13 @@
 use std::time::{Duration, Instant};
 use tindock::policy::Policy;
 use tindock::types::{Effect, PolicySettings, Workload};
-use tindock_berth::Names;
 use tindock_inventory::{read, Columns, Entry, Host, InputFormat};
 use tindock_scheduler::clock::Clock;
 use tindock_scheduler::exchange::Exchange;
 use tindock_scheduler::list::inventory_watch::{FileEntry, InventoryEvent};
 use tindock_scheduler::list::worker_list::WorkerList;
 use tindock_scheduler::workload_table::WorkloadTable;
+use tindock_scheduler_config::Names;
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, LocalSet};
 
--- a/crates/scheduler/src/accord/commands.rs
+++ b/crates/scheduler/src/accord/commands.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use tindock_berth::digest;
+use tindock_scheduler_config::digest;
 
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/scheduler/src/accord/mod.rs
+++ b/crates/scheduler/src/accord/mod.rs
@@ -1,7 +1,8 @@
 //! A member of a group of schedulers that agrees on one policy by consensus. The protocol is in
-//! `tindock_accord`; this module does its input and output: [`store`] is the durable storage, [`text`] the
-//! text of a proposal, [`policy`] applies it over the local configuration, and [`commands`] is the operators'
-//! command line. Without `[accord]` in the configuration it is off and has no folder, socket or timer.
+//! `tindock_policy_consensus`; this module does its input and output: [`store`] is the durable storage,
+//! [`text`] the text of a proposal, [`policy`] applies it over the local configuration, and [`commands`] is
+//! the operators' command line. Without `[accord]` in the configuration it is off and has no folder, socket
+//! or timer.
 
 pub mod commands;
 mod operations;
@@ -20,11 +21,11 @@
 use text::ProposalText;
 
 pub use operations::Change;
-use tindock_accord::{
+use tindock_policy_consensus::{
     CheckedProposal, Digest, DurableState, Frame, Id, Member, Payload, ServiceStatus, TextFetcher, Timing,
     MAX_FRAME_BYTES, PIECE_BYTES,
 };
-use tindock_berth::AgreementSettings as AccordSettings;
+use tindock_scheduler_config::AgreementSettings as AccordSettings;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
@@ -593,7 +594,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use tindock_accord::Ballot;
+    use tindock_policy_consensus::Ballot;
 
     /// Guards against a voter that cannot restart: it may have fenced a ballot for a proposal whose text it
     /// never received. Randomized runs that killed such a voter found this.
--- a/crates/scheduler/src/accord/operations.rs
+++ b/crates/scheduler/src/accord/operations.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use tindock_accord::{Digest, Frame, Id, Outcome, Payload, Reason, MAX_TEXT_BYTES};
+use tindock_policy_consensus::{Digest, Frame, Id, Outcome, Payload, Reason, MAX_TEXT_BYTES};
 
 /// A change that an operator proposes.
 pub enum Change {
@@ -266,7 +266,7 @@
         }
         let state = self.state.borrow();
         let state = state.as_ref().ok_or("another process of this name has its place")?;
-        let entry = |chosen: &tindock_accord::Chosen| {
+        let entry = |chosen: &tindock_policy_consensus::Chosen| {
             let text = ProposalText::parse(&state.store.text(chosen.digest)?).ok()?;
             let (by, at_ms, what) = (text.by, text.at_ms, text.what);
             Some(Entry { number: chosen.number, digest: chosen.digest.to_string(), by, at_ms, what })
--- a/crates/scheduler/src/accord/policy.rs
+++ b/crates/scheduler/src/accord/policy.rs
@@ -3,8 +3,8 @@
 
 use crate::accord::text::ProposalText;
 use std::path::{Path, PathBuf};
-use tindock_berth::merging::merge_settings;
-use tindock_berth::{parse, Layers, SchedulerConfig};
+use tindock_scheduler_config::merging::merge_settings;
+use tindock_scheduler_config::{parse, Layers, SchedulerConfig};
 
 /// The configuration at `path` with the policy of a proposal text.
 pub fn with_policy(path: &Path, layers: &Layers, text: &ProposalText) -> Result<SchedulerConfig, String> {
--- a/crates/scheduler/src/accord/store.rs
+++ b/crates/scheduler/src/accord/store.rs
@@ -9,7 +9,7 @@
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use tindock_accord::{Digest, DurableState};
+use tindock_policy_consensus::{Digest, DurableState};
 
 const STATE: &str = "state";
 const LOCK: &str = "lock";
--- a/crates/scheduler/src/accord/text.rs
+++ b/crates/scheduler/src/accord/text.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_accord::{Id, Members};
+use tindock_policy_consensus::{Id, Members};
 
 const VERSION: u32 = 1;
 
--- a/crates/scheduler/src/cli.rs
+++ b/crates/scheduler/src/cli.rs
@@ -1,11 +1,11 @@
 //! The command line and the commands that do not serve.
 
 use crate::accord::commands::PolicyCommand;
-use crate::berth::{self, open, InventorySettings, Layers, Problem, ShownValue};
 use crate::list::inventory_files;
 use crate::list::inventory_watch::accept_file;
 use crate::operators::calls;
 use crate::rollout::RolloutCommand;
+use crate::scheduler_config::{self, open, InventorySettings, Layers, Problem, ShownValue};
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -177,7 +177,8 @@
 
 impl Overrides {
     pub fn layers(&self) -> Layers {
-        let (variables, flags) = (berth::installation::variables(), self.set.iter().cloned().collect());
+        let (variables, flags) =
+            (scheduler_config::installation::variables(), self.set.iter().cloned().collect());
         Layers { variables, flags }
     }
 }
--- a/crates/scheduler/src/exchange.rs
+++ b/crates/scheduler/src/exchange.rs
@@ -20,10 +20,10 @@
 use std::time::Duration;
 use tindock::policy::Policy;
 use tindock::types::{Condition, Decision, PolicySettings};
-use tindock_berth::listing::{Entry, Listing};
-use tindock_berth::Names;
-use tindock_roster::suspicion::Suspicion;
-use tindock_words::{Address, WorkerNames};
+use tindock_peer_messages::{Address, WorkerNames};
+use tindock_scheduler_config::listing::{Entry, Listing};
+use tindock_scheduler_config::Names;
+use tindock_worker_list::suspicion::Suspicion;
 use tokio::sync::{mpsc, oneshot, Notify};
 
 /// A task as submitted by a client.
--- a/crates/scheduler/src/keep/mod.rs
+++ b/crates/scheduler/src/keep/mod.rs
@@ -18,9 +18,9 @@
 use std::sync::mpsc::{self, Receiver};
 use std::time::{Duration, Instant};
 use store::{Programs, SchedulerState};
-use tindock_berth::keeper::{KeeperConfig, KeptScheduler};
 use tindock_rollout::supervisor::{Order, ProcessStatus, State, Supervisor, Upgrade};
 use tindock_rollout::Lease;
+use tindock_scheduler_config::keeper::{KeeperConfig, KeptScheduler};
 
 /// Interval at which processes that have exited are noticed and restarted.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -45,7 +45,7 @@
 
 /// Supervises the schedulers until the process ends; an error only if it could not start.
 pub fn run(path: &Path, log: &Logger) -> Result<(), Vec<String>> {
-    let keeper = tindock_berth::keeper::open(path)?;
+    let keeper = tindock_scheduler_config::keeper::open(path)?;
     let single = |why: String| vec![why];
     let lock = store::lock_folder(&keeper.folder).map_err(single)?;
     let (sender, requests) = mpsc::sync_channel(control::QUEUE_CAPACITY);
--- a/crates/scheduler/src/keep/processes.rs
+++ b/crates/scheduler/src/keep/processes.rs
@@ -9,8 +9,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
-use tindock_berth::keeper::KeptScheduler;
 use tindock_rollout::supervisor::ProcessStatus;
+use tindock_scheduler_config::keeper::KeptScheduler;
 
 /// A scheduler answers in milliseconds; a slower one counts as not ready.
 const READY_TIMEOUT: Duration = Duration::from_millis(300);
--- a/crates/scheduler/src/keep/store.rs
+++ b/crates/scheduler/src/keep/store.rs
@@ -7,8 +7,8 @@
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use tindock_berth::{digest, digest_of};
 use tindock_rollout::supervisor::Program;
+use tindock_scheduler_config::{digest, digest_of};
 
 const VERSION: u32 = 1;
 
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -4,8 +4,8 @@
 //! `accord` is its membership of a group that agrees on a policy. `rollout` and `keep` are processes of their
 //! own.
 
-pub use tindock_berth as berth;
-pub use tindock_berth::listing;
+pub use tindock_scheduler_config as scheduler_config;
+pub use tindock_scheduler_config::listing;
 
 pub mod accord;
 pub mod cli;
--- a/crates/scheduler/src/list/inventory_watch.rs
+++ b/crates/scheduler/src/list/inventory_watch.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use tindock_berth::{InventorySettings, Problem};
 use tindock_inventory::{diff, write, Change, Columns, Entry, Inventory, OutputFormat, State};
-use tindock_roster::guard::{Guard, Snapshot, Verdict};
+use tindock_scheduler_config::{InventorySettings, Problem};
+use tindock_worker_list::guard::{Guard, Snapshot, Verdict};
 use tokio::sync::mpsc::Sender;
 
 /// How often the files are polled. Two equal polls mean that writing has ended, which is seen within 0.4 s.
--- a/crates/scheduler/src/list/mod.rs
+++ b/crates/scheduler/src/list/mod.rs
@@ -1,4 +1,4 @@
-//! The list of workers from discovery, files and health checks; the decisions are in `crates/roster`.
+//! The list of workers from discovery, files and health checks; the decisions are in `crates/worker-list`.
 
 pub mod connector;
 pub mod discovery;
--- a/crates/scheduler/src/list/probing.rs
+++ b/crates/scheduler/src/list/probing.rs
@@ -1,9 +1,9 @@
 //! Health checks of the workers named in files: `GET` on the configured path, one connection for each check;
 //! any status from 200 to 299 is healthy.
 
-use crate::berth::HealthCheckSettings;
 use crate::list::connector::Connector;
 use crate::list::worker_list::WorkerList;
+use crate::scheduler_config::HealthCheckSettings;
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::client::conn::http1;
--- a/crates/scheduler/src/list/worker_list.rs
+++ b/crates/scheduler/src/list/worker_list.rs
@@ -8,11 +8,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tindock::types::Condition;
-use tindock_berth::listing::{self, Entry, Listing};
-use tindock_berth::Names;
 use tindock_inventory::State;
-use tindock_roster::health::HealthChecker;
-use tindock_roster::merge::WorkerListMerge;
+use tindock_scheduler_config::listing::{self, Entry, Listing};
+use tindock_scheduler_config::Names;
+use tindock_worker_list::health::HealthChecker;
+use tindock_worker_list::merge::WorkerListMerge;
 use tokio::sync::{mpsc, Notify};
 
 /// Entries passed to the exchange at once: few enough that no task waits for a long list.
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -9,10 +9,10 @@
 use std::sync::mpsc;
 use std::time::Duration;
 use tindock_scheduler::accord;
-use tindock_scheduler::berth::{self, Layers, Level, LogSettings};
 use tindock_scheduler::cli::{self, Cli, Command, LogFormat, LogLevel};
 use tindock_scheduler::keep;
 use tindock_scheduler::rollout::{self, CommandError};
+use tindock_scheduler::scheduler_config::{self, Layers, Level, LogSettings};
 use tindock_scheduler::start;
 use tindock_soak::command::Verdict;
 
@@ -53,7 +53,7 @@
 }
 
 fn run(path: PathBuf, layers: Layers, override_log: impl Fn(&mut LogSettings)) -> Result<(), String> {
-    let mut config = berth::from_file(&path, &layers)?;
+    let mut config = scheduler_config::from_file(&path, &layers)?;
     override_log(&mut config.log);
     let (log, guard) = logger(config.log);
     let ended = start::run(config, path, layers, &log);
@@ -72,19 +72,19 @@
     let one_line = |why: String| vec![format!("tindock: {}", why.replace('\n', " "))];
     let named = || std::env::var_os("GW_CONFIG").map(PathBuf::from).ok_or("GW_CONFIG names no configuration");
     let command_line = Cli::command()
-        .subcommands(tindock_house::cli::commands())
-        .subcommand(tindock_standins::command())
+        .subcommands(tindock_system_processes::cli::commands())
+        .subcommand(tindock_mock_services::command())
         .subcommand(tindock_soak::command::command())
-        .subcommand(tindock_rehearsal::command());
+        .subcommand(tindock_simulation::command());
     let matches = command_line.get_matches();
     // The commands of the whole system are built alongside those of the scheduler.
     if let Some((name, given)) =
-        matches.subcommand().filter(|(name, _)| tindock_house::cli::is_system_command(name))
+        matches.subcommand().filter(|(name, _)| tindock_system_processes::cli::is_system_command(name))
     {
-        return Ok(tindock_house::cli::run(name, given).map_err(one_line)?);
+        return Ok(tindock_system_processes::cli::run(name, given).map_err(one_line)?);
     }
     if let Some(("demo", given)) = matches.subcommand() {
-        return Ok(tindock_standins::run(given).map_err(one_line)?);
+        return Ok(tindock_mock_services::run(given).map_err(one_line)?);
     }
     if let Some(("soak", given)) = matches.subcommand() {
         let run = tindock_soak::command::run(given);
@@ -96,7 +96,7 @@
         };
     }
     if let Some(("play", given)) = matches.subcommand() {
-        let run = tindock_rehearsal::run(given).map_err(one_line)?;
+        let run = tindock_simulation::run(given).map_err(one_line)?;
         if run.held {
             return Ok(run.text);
         }
--- a/crates/scheduler/src/operators/management.rs
+++ b/crates/scheduler/src/operators/management.rs
@@ -145,7 +145,7 @@
         count: &str,
     ) -> Result<String, String> {
         self.group()?;
-        let max_bytes = tindock_accord::MAX_TEXT_BYTES;
+        let max_bytes = tindock_policy_consensus::MAX_TEXT_BYTES;
         let count: usize = count
             .parse()
             .ok()
@@ -158,7 +158,7 @@
         let received = policy.len();
         policy.resize(count, 0);
         let read = timeout(CALLER_TIMEOUT, stream.read_exact(&mut policy[received..])).await;
-        if !matches!(read, Ok(Ok(_))) || tindock_berth::digest(&policy) != digest {
+        if !matches!(read, Ok(Ok(_))) || tindock_scheduler_config::digest(&policy) != digest {
             return Err("the policy is incomplete".into());
         }
         let policy = String::from_utf8(policy).map_err(|_| "a policy that is no UTF-8")?;
--- a/crates/scheduler/src/operators/reload.rs
+++ b/crates/scheduler/src/operators/reload.rs
@@ -4,12 +4,12 @@
 
 use crate::accord::text::ProposalText;
 use crate::accord::{policy, PolicyHandler};
-use crate::berth::{self, Layers, SchedulerConfig};
 use crate::clients::listener::ClientListener;
 use crate::exchange::Exchange;
 use crate::list::worker_list::WorkerList;
 use crate::operators::telemetry::Telemetry;
 use crate::operators::version::Version;
+use crate::scheduler_config::{self, Layers, SchedulerConfig};
 use crate::succession::shutdown::Shutdown;
 use slog::{info, warn, Logger};
 use std::cell::RefCell;
@@ -102,7 +102,7 @@
 
     /// Reads the file; where a group has decided a policy, with that policy applied.
     fn read(&self) -> Result<SchedulerConfig, String> {
-        let local = berth::from_file(&self.path, &self.layers)?;
+        let local = scheduler_config::from_file(&self.path, &self.layers)?;
         let policy = self.group.as_ref().and_then(|group| Some((group, group.policy.borrow().clone()?)));
         let Some((group, text)) = policy else { return Ok(local) };
         if policy::fingerprint(&local) != group.initial {
--- a/crates/scheduler/src/operators/version.rs
+++ b/crates/scheduler/src/operators/version.rs
@@ -95,7 +95,7 @@
             let (sender, receiver) = mpsc::channel();
             let read = move || {
                 // Through the process's own link: the file at its path may have been replaced.
-                let digest = File::open("/proc/self/exe").and_then(tindock_berth::digest_of);
+                let digest = File::open("/proc/self/exe").and_then(tindock_scheduler_config::digest_of);
                 let _ = sender.send(digest.unwrap_or_default());
             };
             if std::thread::Builder::new().name("digest".into()).spawn(read).is_ok() {
--- a/crates/scheduler/src/peers/outbox.rs
+++ b/crates/scheduler/src/peers/outbox.rs
@@ -2,7 +2,7 @@
 
 use std::net::{IpAddr, SocketAddr};
 use tindock::types::Decision;
-use tindock_words::{self as words, Address};
+use tindock_peer_messages::{self as peer_messages, Address};
 
 /// A message and the scheduler it is for; none: for all.
 pub type Message = (Option<usize>, Vec<u8>);
@@ -17,18 +17,21 @@
 /// Collects the announcements made at one time; those on usage share messages.
 #[derive(Default)]
 pub struct Outbox {
-    usage: words::Announcements,
+    usage: peer_messages::Announcements,
     messages: Vec<Message>,
 }
 
 impl Outbox {
-    pub fn push(&mut self, decision: &Decision, names: &words::WorkerNames) {
+    pub fn push(&mut self, decision: &Decision, names: &peer_messages::WorkerNames) {
         match *decision {
             Decision::Grant { to, worker, slots } => {
-                let message = names.address(worker).map(|at| (Some(to), words::grant(at, slots).to_vec()));
+                let message =
+                    names.address(worker).map(|at| (Some(to), peer_messages::grant(at, slots).to_vec()));
                 self.messages.extend(message);
             }
-            Decision::RequestSlots { to } => self.messages.push((Some(to), words::slot_request().to_vec())),
+            Decision::RequestSlots { to } => {
+                self.messages.push((Some(to), peer_messages::slot_request().to_vec()))
+            }
             Decision::Announce { worker, slots } => self.usage.add(names.short_id(worker), slots),
             _ => {}
         }
--- a/crates/scheduler/src/peers/socket.rs
+++ b/crates/scheduler/src/peers/socket.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tindock_berth::PeerAddresses;
-use tindock_words::{self as words, PeerMessage, MAX_MESSAGE_BYTES};
+use tindock_peer_messages::{self as peer_messages, PeerMessage, MAX_MESSAGE_BYTES};
+use tindock_scheduler_config::PeerAddresses;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
@@ -54,7 +54,7 @@
                     let Ok((length, from)) = received else { continue };
                     let position = positions.get(&from).copied()
                         .filter(|&position| position != self.addresses.position);
-                    match position.zip(words::decode(&bytes[..length])) {
+                    match position.zip(peer_messages::decode(&bytes[..length])) {
                         Some((position, message)) => self.dispatch(position, message),
                         None => dropped += 1,
                     }
--- a/crates/scheduler/src/rollout/coordinator.rs
+++ b/crates/scheduler/src/rollout/coordinator.rs
@@ -6,18 +6,18 @@
 use super::record::{self, History, MemberDigests, Record, Step};
 use super::remote::{self, Reply, SchedulerInfo, Snapshot};
 use super::CommandError;
-use crate::berth::{self, Layers};
 use crate::cli::LogFormat;
 use crate::operators::calls::map_parallel;
+use crate::scheduler_config::{self, Layers};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use tindock_berth::plan::{Change, Plan, PlannedScheduler};
-use tindock_berth::{digest, digest_of, merging};
 use tindock_rollout::{
     planning, Observation, Order, Outcome, Reason, Rollout, SettingsVersion, State, TaskTotals,
 };
+use tindock_scheduler_config::plan::{Change, Plan, PlannedScheduler};
+use tindock_scheduler_config::{digest, digest_of, merging};
 
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Leases last fifteen seconds: a few lost renewals are tolerated.
@@ -81,7 +81,7 @@
         let path = &scheduler.configuration;
         let texts = read(path).and_then(|old| {
             let new = merging::merge_settings(path, &old, settings, &next).map_err(|why| vec![why])?;
-            berth::parse(path, &new, &Layers::default())?;
+            scheduler_config::parse(path, &new, &Layers::default())?;
             Ok((old, new))
         });
         match texts {
--- a/crates/scheduler/src/rollout/files.rs
+++ b/crates/scheduler/src/rollout/files.rs
@@ -7,7 +7,7 @@
 use std::io::ErrorKind;
 use std::path::Path;
 use std::time::Duration;
-use tindock_berth::digest;
+use tindock_scheduler_config::digest;
 
 /// A lock is held for the time of one write; a process that holds it for longer hangs.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/scheduler/src/rollout/mod.rs
+++ b/crates/scheduler/src/rollout/mod.rs
@@ -71,8 +71,9 @@
 /// Runs one of the commands. Returns its final output, or why it failed.
 pub fn command(command: &RolloutCommand) -> Result<String, CommandError> {
     use coordinator::{Coordinator, Mode};
-    let open =
-        |path: &PathBuf| tindock_berth::plan::open(path).map_err(|lines| CommandError { code: 2, lines });
+    let open = |path: &PathBuf| {
+        tindock_scheduler_config::plan::open(path).map_err(|lines| CommandError { code: 2, lines })
+    };
     match command {
         RolloutCommand::Check { plan } => coordinator::check(&open(plan)?),
         RolloutCommand::Run { plan, log_format } => {
--- a/crates/scheduler/src/rollout/remote.rs
+++ b/crates/scheduler/src/rollout/remote.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
-use tindock_berth::plan::{Endpoint, PlannedScheduler};
 use tindock_rollout::TaskTotals;
+use tindock_scheduler_config::plan::{Endpoint, PlannedScheduler};
 
 /// Time for the answer to a query.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/scheduler/src/start.rs
+++ b/crates/scheduler/src/start.rs
@@ -1,7 +1,6 @@
 //! Builds the parts and runs them on one thread until the scheduler is stopped.
 
 use crate::accord::{policy, GroupMember, OpenedFolder};
-use crate::berth::{self, Layers, SchedulerConfig};
 use crate::clients::listener::ClientListener;
 use crate::clients::requests::BodyBudget;
 use crate::clock::Clock;
@@ -17,6 +16,7 @@
 use crate::operators::telemetry::Telemetry;
 use crate::operators::version::Version;
 use crate::peers::socket::{self, PeerSocket};
+use crate::scheduler_config::{self, Layers, SchedulerConfig};
 use crate::succession::draining;
 use crate::succession::handover::{self, Handover};
 use crate::succession::link::Link;
@@ -30,8 +30,8 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use tindock::policy::Policy;
-use tindock_roster::health::{HealthChecker, HealthSettings};
-use tindock_roster::list_client::{ListClient, Service, LONG_WAIT};
+use tindock_worker_list::health::{HealthChecker, HealthSettings};
+use tindock_worker_list::list_client::{ListClient, Service, LONG_WAIT};
 use tokio::net::{TcpListener, TcpSocket, UdpSocket, UnixStream};
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::{mpsc, watch, Notify};
@@ -103,8 +103,11 @@
         group.policy = RefCell::new(Some(text.clone()));
         match policy::with_policy(&path, &layers, text) {
             Ok(applied) => {
-                config =
-                    berth::SchedulerConfig { agreement: config.agreement, known: config.known, ..applied }
+                config = scheduler_config::SchedulerConfig {
+                    agreement: config.agreement,
+                    known: config.known,
+                    ..applied
+                }
             }
             // It cannot serve as a member of the group, and reports that for as long as it runs.
             Err(why) => warn!(log, "this process cannot read the policy in force: {why}"),
--- a/crates/scheduler/src/succession/handover_state.rs
+++ b/crates/scheduler/src/succession/handover_state.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use tindock::policy::Policy;
 use tindock::state::{MachineKind, Model, RunTimes, WorkerState};
-use tindock_berth::listing::{Entry, ListingDoc};
-use tindock_berth::Names;
+use tindock_scheduler_config::listing::{Entry, ListingDoc};
+use tindock_scheduler_config::Names;
 
 pub const VERSION: u32 = 1;
 
--- a/crates/scheduler/src/workload_table.rs
+++ b/crates/scheduler/src/workload_table.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tindock::types::{PolicySettings, Workload};
-use tindock_berth::Names;
+use tindock_scheduler_config::Names;
 
 /// The names that a request may use. Workloads are indexed by row; a row without a name accepts no tasks.
 #[derive(Clone, Debug, Default)]
--- a/crates/scheduler/tests/accord_runs.rs
+++ b/crates/scheduler/tests/accord_runs.rs
@@ -6,8 +6,8 @@
 use std::process::Child;
 use std::thread::sleep;
 use std::time::Duration;
-use tindock_trial::group::{exit_and_output, Group};
-use tindock_trial::relays::LinkState;
+use tindock_scheduler_test_kit::group::{exit_and_output, Group};
+use tindock_scheduler_test_kit::relays::LinkState;
 
 /// Concurrent test threads, each with its own group.
 const GROUPS: u64 = 4;
--- a/crates/scheduler/tests/accords.rs
+++ b/crates/scheduler/tests/accords.rs
@@ -3,11 +3,11 @@
 
 use std::fs;
 use std::time::{Duration, Instant};
-use tindock_trial::checks::service;
-use tindock_trial::fleet::until;
-use tindock_trial::group::{exit_and_output, Group, MAX_OVERLAP};
-use tindock_trial::mocks::TaskEnd;
-use tindock_trial::relays::LinkState;
+use tindock_scheduler_test_kit::checks::service;
+use tindock_scheduler_test_kit::fleet::until;
+use tindock_scheduler_test_kit::group::{exit_and_output, Group, MAX_OVERLAP};
+use tindock_scheduler_test_kit::mocks::TaskEnd;
+use tindock_scheduler_test_kit::relays::LinkState;
 
 fn founded(name: &str, schedulers: usize) -> Group {
     Group::start_with_policy(name, schedulers, |_| String::new())
@@ -158,7 +158,7 @@
     group.until_in_force(2, &[4]);
     group.until_finished(2, 4);
     // Its clients had tasks in its queue when it was suspended; one may have been accepted just before.
-    let late = |t: &tindock_trial::mocks::TaskRecord| {
+    let late = |t: &tindock_scheduler_test_kit::mocks::TaskRecord| {
         t.to == 4 && t.end == TaskEnd::Finished && t.sent > stopped + Duration::from_millis(100)
     };
     assert!(!group.records(1).iter().any(late));
--- a/crates/scheduler/tests/changeover.rs
+++ b/crates/scheduler/tests/changeover.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use tindock_trial::mocks::{list_entry, Agent, Worker};
-use tindock_trial::peers::*;
+use tindock_scheduler_test_kit::mocks::{list_entry, Agent, Worker};
+use tindock_scheduler_test_kit::peers::*;
 
 const SLOTS: usize = 2;
 const TASK_DURATION: Duration = Duration::from_millis(20);
--- a/crates/scheduler/tests/control_contact.rs
+++ b/crates/scheduler/tests/control_contact.rs
@@ -8,10 +8,10 @@
     replace, replace_request, show, show_request, Connection, Replaced, Shown,
 };
 use tindock_control_process_tests::{sized, POLL};
-use tindock_standins::clients::Class;
-use tindock_standins::demo::classes;
-use tindock_standins::fleet::Role;
-use tindock_standins::platform::InjectedFault;
+use tindock_mock_services::clients::Class;
+use tindock_mock_services::demo::classes;
+use tindock_mock_services::fleet::Role;
+use tindock_mock_services::platform::InjectedFault;
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
@@ -270,7 +270,7 @@
 }
 
 /// Requests that keep the autoscaler busy until they are aborted.
-async fn load(clients: std::sync::Arc<tindock_standins::clients::Clients>) {
+async fn load(clients: std::sync::Arc<tindock_mock_services::clients::Clients>) {
     let classes: Vec<Class> = classes().into_iter().filter(|class| class.repeatable).collect();
     let mut open = JoinSet::new();
     for number in 0.. {
--- a/crates/scheduler/tests/control_leaving.rs
+++ b/crates/scheduler/tests/control_leaving.rs
@@ -4,7 +4,7 @@
 use tindock_control_process_tests::cluster::{Cluster, Size};
 use tindock_control_process_tests::configuration::text;
 use tindock_control_process_tests::operator::{replace, show, Replaced, Shown};
-use tindock_standins::fleet::Role;
+use tindock_mock_services::fleet::Role;
 use tokio::time::{sleep, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_tindock");
--- a/crates/scheduler/tests/decoding.rs
+++ b/crates/scheduler/tests/decoding.rs
@@ -1,9 +1,9 @@
 //! Decoding of what comes from outside, and counting of the bytes that go out.
 
 use insta::assert_snapshot;
-use tindock_scheduler::berth::Names;
 use tindock_scheduler::clients::head_scanner::HeadScanner;
 use tindock_scheduler::listing;
+use tindock_scheduler::scheduler_config::Names;
 use tindock_scheduler::workers::load_reports;
 use tindock_scheduler::workers::write_progress::WriteProgress;
 
--- a/crates/scheduler/tests/installations.rs
+++ b/crates/scheduler/tests/installations.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use tindock_trial::peers::*;
+use tindock_scheduler_test_kit::peers::*;
 
 fn tindock(args: &[&str], folder: &Path) -> (i32, String, String) {
     let command = Command::new(program()).args(args).current_dir(folder).output();
--- a/crates/scheduler/tests/inventory_watch.rs
+++ b/crates/scheduler/tests/inventory_watch.rs
@@ -6,9 +6,9 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
-use tindock_berth::InventorySettings;
 use tindock_inventory::{Columns, InputFormat};
 use tindock_scheduler::list::inventory_watch::{accept_file, InventoryEvent, InventoryWatch};
+use tindock_scheduler_config::InventorySettings;
 
 struct Fixture {
     folder: PathBuf,
--- a/crates/scheduler/tests/keeps.rs
+++ b/crates/scheduler/tests/keeps.rs
@@ -3,9 +3,9 @@
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
-use tindock_berth::{digest, digest_of};
-use tindock_trial::fleet::{rollout, until, Fleet, Keeper};
-use tindock_trial::peers::{program, try_call};
+use tindock_scheduler_config::{digest, digest_of};
+use tindock_scheduler_test_kit::fleet::{rollout, until, Fleet, Keeper};
+use tindock_scheduler_test_kit::peers::{program, try_call};
 
 /// Writes a program of another digest: a shell script that runs `first`, then the real program.
 fn wrapper_program(folder: &Path, name: &str, first: &str) {
--- a/crates/scheduler/tests/kills.rs
+++ b/crates/scheduler/tests/kills.rs
@@ -5,9 +5,9 @@
 use oorandom::Rand32;
 use std::fs;
 use std::time::Duration;
-use tindock_berth::digest;
-use tindock_trial::fleet::{rollout, settings, until, Coordinator, Fleet};
-use tindock_trial::relays::Fault;
+use tindock_scheduler_config::digest;
+use tindock_scheduler_test_kit::fleet::{rollout, settings, until, Coordinator, Fleet};
+use tindock_scheduler_test_kit::relays::Fault;
 
 /// Concurrent test threads, each with its own fleet.
 const FLEETS: u64 = 5;
--- a/crates/scheduler/tests/operators.rs
+++ b/crates/scheduler/tests/operators.rs
@@ -2,7 +2,7 @@
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
-use tindock_trial::peers::*;
+use tindock_scheduler_test_kit::peers::*;
 
 /// A scheduler with an operators' address, its workers, and a discovery service that never responds.
 fn start(name: &str, workers: usize) -> (Scheduler, SocketAddr, Vec<TcpListener>, TcpListener) {
--- a/crates/scheduler/tests/owners.rs
+++ b/crates/scheduler/tests/owners.rs
@@ -5,9 +5,9 @@
 use tindock_control_process_tests::cluster::{until, Cluster, Edge, Fault, Size, WITHIN};
 use tindock_control_process_tests::configuration::text;
 use tindock_control_process_tests::sized;
-use tindock_standins::clients::{Class, Outcome};
-use tindock_standins::demo::classes;
-use tindock_standins::fleet::Role;
+use tindock_mock_services::clients::{Class, Outcome};
+use tindock_mock_services::demo::classes;
+use tindock_mock_services::fleet::Role;
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
--- a/crates/scheduler/tests/platform.rs
+++ b/crates/scheduler/tests/platform.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::process::{Command, Stdio};
-use tindock_trial::peers::*;
+use tindock_scheduler_test_kit::peers::*;
 
 /// Inodes of the sockets in a table under /proc/net whose row satisfies the condition.
 fn sockets(table: &str, inode: usize, wanted: impl Fn(&[&str]) -> bool) -> BTreeSet<String> {
--- a/crates/scheduler/tests/rollouts.rs
+++ b/crates/scheduler/tests/rollouts.rs
@@ -5,11 +5,11 @@
 use std::io::{Read, Write};
 use std::path::Path;
 use std::time::{Duration, Instant};
-use tindock_berth::digest;
-use tindock_trial::checks::{least_service, service};
-use tindock_trial::fleet::{rollout, settings, until, Coordinator, Fleet};
-use tindock_trial::peers::{listener, serve_each};
-use tindock_trial::relays::Fault;
+use tindock_scheduler_config::digest;
+use tindock_scheduler_test_kit::checks::{least_service, service};
+use tindock_scheduler_test_kit::fleet::{rollout, settings, until, Coordinator, Fleet};
+use tindock_scheduler_test_kit::peers::{listener, serve_each};
+use tindock_scheduler_test_kit::relays::Fault;
 
 /// New settings without an effect on clients.
 fn harmless() -> String {
@@ -28,7 +28,7 @@
 }
 
 fn status(plan: &Path) -> serde_json::Value {
-    let mut command = std::process::Command::new(tindock_trial::peers::program());
+    let mut command = std::process::Command::new(tindock_scheduler_test_kit::peers::program());
     let ran = command.args(["rollout", "status", "--format", "json"]).arg(plan).output().expect("a command");
     serde_json::from_slice(&[ran.stdout, ran.stderr].concat()).expect("JSON")
 }
@@ -275,7 +275,7 @@
     let plan = fleet.plan("still", &harmless(), "undo-within = \"20s\"");
     let run = Coordinator::start("run", &plan);
     until("the first is changed", || recorded(&plan, r#""outcome":"done""#));
-    let out = tindock_trial::peers::call(fleet.nodes[0].management, b"exclude w1\n");
+    let out = tindock_scheduler_test_kit::peers::call(fleet.nodes[0].management, b"exclude w1\n");
     assert_eq!(out, "done\n");
     fleet.nodes[0].signal("-STOP");
     until("the run turns", || recorded(&plan, r#""step":"undo""#));
@@ -283,7 +283,7 @@
     let (code, output) = run.end();
     assert!(code == Some(1) && output.contains("n0 gives no answer"), "{code:?} {output}");
     assert_eq!(fleet.in_force(), digests(&fleet, "still", "old"));
-    let figures = tindock_trial::peers::call(fleet.nodes[0].management, b"telemetry\n");
+    let figures = tindock_scheduler_test_kit::peers::call(fleet.nodes[0].management, b"telemetry\n");
     assert!(figures.contains(r#""workers_excluded":1"#), "{figures}");
     assert_eq!(fleet.violations(), [""; 0]);
 }
--- a/crates/scheduler/tests/sockets.rs
+++ b/crates/scheduler/tests/sockets.rs
@@ -3,7 +3,7 @@
 
 use std::net::TcpListener;
 use std::process::Output;
-use tindock_trial::peers::*;
+use tindock_scheduler_test_kit::peers::*;
 
 /// A scheduler with one worker and a discovery service that never responds.
 fn one_worker(name: &str) -> (Scheduler, TcpListener, TcpListener) {
--- a/crates/scheduler/tests/system.rs
+++ b/crates/scheduler/tests/system.rs
@@ -1,9 +1,9 @@
 //! The whole system's programs as processes over loopback, among stand-ins for the platform, the operator and clients.
 
 use std::time::Duration;
-use tindock_standins::clients::{Class, Outcome};
-use tindock_standins::demo::{classes, Testbed};
-use tindock_standins::fleet::Role;
+use tindock_mock_services::clients::{Class, Outcome};
+use tindock_mock_services::demo::{classes, Testbed};
+use tindock_mock_services::fleet::Role;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
--- a/crates/scheduler/tests/upgrades.rs
+++ b/crates/scheduler/tests/upgrades.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use tindock_trial::peers::*;
+use tindock_scheduler_test_kit::peers::*;
 
 /// A worker that accepts each task, reports to the scheduler's address that it is done, and counts the tasks
 /// it ran.
--- a/crates/simhost/src/frame.rs
+++ b/crates/simhost/src/frame.rs
@@ -5,7 +5,7 @@
 use std::io::{self, Write};
 use std::ops::Range;
 use std::time::Duration;
-use tindock_sheet::checked_duration;
+use tindock_policy_settings::checked_duration;
 
 const RECORD_BYTES: usize = 24;
 
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use tindock::policy::Policy;
 use tindock::types::{Condition, Decision, Discovery, Ending, Site};
-use tindock_roster::list_client::{ListClient, Service, Step};
-use tindock_words::{self as words, Announcements, PeerMessage, WorkerNames};
+use tindock_peer_messages::{self as peer_messages, Announcements, PeerMessage, WorkerNames};
+use tindock_worker_list::list_client::{ListClient, Service, Step};
 
 const BATCH_HEADER_BYTES: usize = 20;
 const EVENT_BYTES: usize = 56;
@@ -196,7 +196,7 @@
 
     /// A message of a peer. Invalid ones are dropped: a scheduler knows only workers on its own list.
     fn peer_message(&mut self, from: usize, bytes: &[u8]) {
-        match words::decode(bytes).filter(|_| from != self.position) {
+        match peer_messages::decode(bytes).filter(|_| from != self.position) {
             Some(PeerMessage::SlotRequest) => self.policy.slots_requested(from),
             Some(PeerMessage::Grant(address, slots)) => {
                 if let Some(&worker) = self.workers.get(&address) {
@@ -256,9 +256,9 @@
                     reply.record(reply_code::CANCEL).u64(self.task_ids[task]).raw(&[assignment as u8]);
                 }
                 Decision::Grant { to, worker, slots } => {
-                    reply.message(to as u32, &words::grant(self.addresses[worker], slots));
+                    reply.message(to as u32, &peer_messages::grant(self.addresses[worker], slots));
                 }
-                Decision::RequestSlots { to } => reply.message(to as u32, &words::slot_request()),
+                Decision::RequestSlots { to } => reply.message(to as u32, &peer_messages::slot_request()),
                 Decision::Announce { worker, slots } => {
                     self.announcements.add(self.names.short_id(worker), slots);
                 }
@@ -314,7 +314,8 @@
         let number = current.ok_or_else(|| InputError::new(at, "event before any About".into()))?;
         if code == event::START {
             let text = frame.tail_text(at + 10)?;
-            let settings = tindock_sheet::parse(text).map_err(|reason| InputError::new(at + 10, reason))?;
+            let settings =
+                tindock_policy_settings::parse(text).map_err(|reason| InputError::new(at + 10, reason))?;
             let seed = frame.u64(at + 2)?;
             let list_client = match settings.discovery {
                 Discovery::Pushed => None,
--- a/crates/rehearsal/examples/play.rs
+++ b/crates/simulation/examples/play.rs
@@ -1,7 +1,7 @@
 //! Runs scenarios and prints a report of each: `play FILE... [--seed N] [--plant NAME] [--sharing NAME]`.
 
 use std::process::ExitCode;
-use tindock_rehearsal::{play_sharing, InjectedDefect, Sharing};
+use tindock_simulation::{play_sharing, InjectedDefect, Sharing};
 
 fn defect_by_name(name: &str) -> Option<InjectedDefect> {
     InjectedDefect::ALL.into_iter().find(|defect| format!("{defect:?}") == name)
--- a/crates/rehearsal/examples/ranking.rs
+++ b/crates/simulation/examples/ranking.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
-use tindock_rehearsal::{play_ranking, Ranking, Report};
+use tindock_simulation::{play_ranking, Ranking, Report};
 
 type Figure = (&'static str, fn(&Report) -> f64);
 
--- a/crates/rehearsal/src/agent.rs
+++ b/crates/simulation/src/agent.rs
@@ -6,9 +6,9 @@
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
-use tindock_catalogue::Catalogue;
-use tindock_circulation::{Applied, Replica};
-use tindock_gazette::{Message, PeerSampler};
+use tindock_configuration::Catalogue;
+use tindock_instance_distribution::{Applied, Replica};
+use tindock_peer_sampling::{Message, PeerSampler};
 
 const PULL_INTERVAL: Duration = Duration::from_millis(700);
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
--- a/crates/rehearsal/src/baselines.rs
+++ b/crates/simulation/src/baselines.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use std::time::Duration;
-use tindock_lending::selection::{self, Energy, IndexInputs, Score};
-use tindock_stacks::Demand;
+use tindock_autoscaler::Demand;
+use tindock_slot_allocation::selection::{self, Energy, IndexInputs, Score};
 
 /// How proxies share the slots of instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/rehearsal/src/controller.rs
+++ b/crates/simulation/src/controller.rs
@@ -8,13 +8,13 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
-use tindock_catalogue::Catalogue;
-use tindock_circulation::{Applied, Relay};
+use tindock_autoscaler as autoscaler;
+use tindock_configuration::Catalogue;
 use tindock_control_store::{Action, ControlStore, DiskState, MemberSettings, Outcome, Stored};
 use tindock_controller::{
     list_interval, platform_instances, services, Agents, LeaseHolder, LeaseSettings, PauseDetector,
 };
-use tindock_stacks as autoscaler;
+use tindock_instance_distribution::{Applied, Relay};
 
 const INITIAL_LIST_INTERVAL: Duration = Duration::from_millis(400);
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(1000);
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,11 +1,11 @@
 //! Simulator: runs the decision components of the whole system together on simulated time.
 //!
-//! Edge machines (`tindock_gazette`, `tindock_lending`) and core machines (`tindock_control_store`,
-//! `tindock_stacks`) are assembled as in the system processes, whose I/O code is mirrored here in reduced
-//! form ([`agent`], [`proxy`], [`controller`]). Around them are models of the platform with its workers, of
-//! clients, operators and network links, all written from the published protocol. A scenario, a small text
-//! file, states what happens and what must hold. All random numbers come from one seed, so a run can be
-//! repeated exactly.
+//! Edge machines (`tindock_peer_sampling`, `tindock_slot_allocation`) and core machines
+//! (`tindock_control_store`, `tindock_autoscaler`) are assembled as in the system processes, whose I/O code
+//! is mirrored here in reduced form ([`agent`], [`proxy`], [`controller`]). Around them are models of the
+//! platform with its workers, of clients, operators and network links, all written from the published
+//! protocol. A scenario, a small text file, states what happens and what must hold. All random numbers come
+//! from one seed, so a run can be repeated exactly.
 //!
 //! [`play`] runs a scenario ([`command`] is `tindock play`). Its [`Report`] has a table by second and the
 //! findings of the checker, which sees only what clients, workers, operators and the platform can see.
--- a/crates/rehearsal/src/messages.rs
+++ b/crates/simulation/src/messages.rs
@@ -2,10 +2,10 @@
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
-use tindock_catalogue::Catalogue;
-pub use tindock_circulation::{InstanceUpdate, Listed, Mark, Owners, Proxy};
+use tindock_autoscaler as autoscaler;
+use tindock_configuration::Catalogue;
 use tindock_control_store::Envelope;
-use tindock_stacks as autoscaler;
+pub use tindock_instance_distribution::{InstanceUpdate, Listed, Mark, Owners, Proxy};
 
 pub const PEER_PORT: u16 = 7300;
 pub const ALLOCATION_PORT: u16 = 7301;
--- a/crates/rehearsal/src/platform.rs
+++ b/crates/simulation/src/platform.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use tindock_stacks as autoscaler;
+use tindock_autoscaler as autoscaler;
 
 /// Time for which a crashed worker stays in the list.
 const CRASHED_LISTED_FOR: Duration = Duration::from_secs(2);
--- a/crates/rehearsal/src/proxy.rs
+++ b/crates/simulation/src/proxy.rs
@@ -1,5 +1,5 @@
 //! Proxy process model: takes a request from route lookup to its one answer, over slots granted by
-//! `tindock_lending`. It mirrors the proxy of the system processes.
+//! `tindock_slot_allocation`. It mirrors the proxy of the system processes.
 
 use crate::baselines::{Ranking, Sharing};
 use crate::injected_defects::InjectedDefect;
@@ -8,15 +8,15 @@
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
-use tindock_catalogue::{Catalogue, Finder, RouteKind};
-use tindock_folio::{
+use tindock_autoscaler::Demand;
+use tindock_configuration::{Catalogue, Finder, RouteKind};
+use tindock_http1::{
     answer_head, request_head, write_answer, write_local_answer, write_request, AnswerHead, Body, Framing,
     Read, RequestHead,
 };
-use tindock_lending::messages::{kind, Ended, Kind};
-use tindock_lending::{Action, Allocator, Entry, Function, LoadReport, Member};
 use tindock_lifecycle::{GracePeriod, Lifecycle, Phase, RunTimes};
-use tindock_stacks::Demand;
+use tindock_slot_allocation::messages::{kind, Ended, Kind};
+use tindock_slot_allocation::{Action, Allocator, Entry, Function, LoadReport, Member};
 
 const BUSY_TICK: Duration = Duration::from_millis(25);
 const IDLE_TICK: Duration = Duration::from_millis(100);
@@ -893,7 +893,9 @@
         match body.push(&bytes[at..]) {
             Read::Done { used, .. } => at += used,
             Read::Invalid(_) => return Some(lost()),
-            Read::Partial if closed && (body.end_of_input() || defect == Some(InjectedDefect::CutIsWhole)) => {
+            Read::Partial
+                if closed && (body.end_of_input() || defect == Some(InjectedDefect::CutIsWhole)) =>
+            {
                 at = bytes.len();
             }
             Read::Partial => return more,
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -7,7 +7,7 @@
 
 use std::cell::RefCell;
 use std::fmt;
-use tindock_stacks::Rebinding;
+use tindock_autoscaler::Rebinding;
 
 /// Limits of a run: addresses run out beyond them, or it takes too long.
 const MAX_ZONES: usize = 200;
--- a/crates/rehearsal/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -25,8 +25,8 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 use tindock_control_store::{DiskState, MemberSettings, Stored};
-use tindock_gazette::Message;
 use tindock_lifecycle::GracePeriod;
+use tindock_peer_sampling::Message;
 
 /// Wall clock of the machines at the start, ms; any value well above process run times.
 const START_DATE_MS: u64 = 1_700_000_000_000;
@@ -1155,7 +1155,7 @@
                 let settings = controller::ControllerSettings {
                     name: core.name.clone(),
                     setup,
-                    platform: tindock_stacks::PlatformSettings {
+                    platform: tindock_autoscaler::PlatformSettings {
                         zones,
                         drain: secs(timers.drain),
                         address_reuse: secs(timers.reuse),
--- a/crates/rehearsal/tests/injected_defects.rs
+++ b/crates/simulation/tests/injected_defects.rs
@@ -2,7 +2,7 @@
 //! rule for the same seed without the defect.
 
 use rstest::rstest;
-use tindock_rehearsal::{play, InjectedDefect, Rule};
+use tindock_simulation::{play, InjectedDefect, Rule};
 
 const SETUP: &str = "
     zones a:west b:west
--- a/crates/rehearsal/tests/play_command.rs
+++ b/crates/simulation/tests/play_command.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use std::path::{Path, PathBuf};
-use tindock_rehearsal::{command, run, PlayOutcome, Scenario, LIST};
+use tindock_simulation::{command, run, PlayOutcome, Scenario, LIST};
 
 fn run_play(args: &[&str]) -> Result<PlayOutcome, String> {
     run(&command().try_get_matches_from([&["play"], args].concat()).unwrap())
--- a/crates/rehearsal/tests/rebinding.rs
+++ b/crates/simulation/tests/rebinding.rs
@@ -2,7 +2,7 @@
 //! without slowing urgent ones.
 
 use rstest::rstest;
-use tindock_rehearsal::{play, Report, Rule};
+use tindock_simulation::{play, Report, Rule};
 
 const SCENARIO: &str = include_str!("../scenarios/repack.txt");
 
--- a/crates/rehearsal/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use std::path::PathBuf;
-use tindock_rehearsal::play;
+use tindock_simulation::play;
 
 #[rstest]
 fn every_rule_and_expectation_holds(
--- a/crates/rehearsal/tests/slot_sharing.rs
+++ b/crates/simulation/tests/slot_sharing.rs
@@ -1,7 +1,7 @@
 //! Slot allocation compared with other ways of sharing slots, as documented in docs/design/loans.md.
 
 use rstest::rstest;
-use tindock_rehearsal::{play_sharing, Report, Rule, Sharing};
+use tindock_simulation::{play_sharing, Report, Rule, Sharing};
 
 const RUSH: &str = include_str!("../scenarios/rush.txt");
 const FULL: &str = include_str!("../scenarios/burst-full.txt");
--- a/crates/lending/tests/disputes.rs
+++ b/crates/slot-allocation/tests/disputes.rs
@@ -4,10 +4,10 @@
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_lending::defects::{Defect, INJECTED};
-use tindock_lending::messages::kind;
-use tindock_lending::owners::weight;
-use tindock_lending::{Action, Allocator, Entry, Function, Member};
+use tindock_slot_allocation::defects::{Defect, INJECTED};
+use tindock_slot_allocation::messages::kind;
+use tindock_slot_allocation::owners::weight;
+use tindock_slot_allocation::{Action, Allocator, Entry, Function, Member};
 
 const MS: Duration = Duration::from_millis(1);
 const HERE: &str = "here";
--- a/crates/lending/tests/harness/mod.rs
+++ b/crates/slot-allocation/tests/harness/mod.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use tindock_lending::messages::{kind, Datagram, Ended, Kind, Message};
-use tindock_lending::{Action, Allocator, Entry, Function, Member};
+use tindock_slot_allocation::messages::{kind, Datagram, Ended, Kind, Message};
+use tindock_slot_allocation::{Action, Allocator, Entry, Function, Member};
 
 const MS: Duration = Duration::from_millis(1);
 /// A grant outlives its call by the owner's grace and a sweep; clocks differ by 1%.
@@ -894,7 +894,9 @@
     }
 
     fn send(&mut self, who: usize, to: SocketAddr, bytes: Vec<u8>) {
-        self.log(|| format!("  {who} to {to}: {:?}", tindock_lending::messages::Datagram::decode(&bytes)));
+        self.log(|| {
+            format!("  {who} to {to}: {:?}", tindock_slot_allocation::messages::Datagram::decode(&bytes))
+        });
         self.check_grants(&bytes);
         let Some(&other) = self.by_at.get(&to) else { return };
         self.out.bytes += bytes.len() + 28;
@@ -1210,7 +1212,7 @@
             };
             let local_time = self.now.saturating_sub(host.started_at).mul_f64(1.0 + host.clock_rate);
             for pool in allocator.pools() {
-                let key = |w: &tindock_lending::pool::SlotRequest| (w.late, w.priority, w.aim);
+                let key = |w: &tindock_slot_allocation::pool::SlotRequest| (w.late, w.priority, w.aim);
                 if pool.queue.windows(2).any(|pair| key(&pair[0]) > key(&pair[1])) {
                     found.push((Rule::ServiceOrder, format!("the queue of {who} is out of order")));
                 }
--- a/crates/lending/tests/injected_defects.rs
+++ b/crates/slot-allocation/tests/injected_defects.rs
@@ -5,7 +5,7 @@
 
 use harness::{simulate, Class, Rule};
 use rstest::rstest;
-use tindock_lending::defects::{Defect, INJECTED};
+use tindock_slot_allocation::defects::{Defect, INJECTED};
 
 #[rstest]
 #[case(Defect::OneTooMany, Class::Quiet, Rule::Slots)]
--- a/crates/lending/tests/reachability.rs
+++ b/crates/slot-allocation/tests/reachability.rs
@@ -4,9 +4,9 @@
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_lending::defects::{Defect, INJECTED};
-use tindock_lending::messages::{kind, Datagram, Ended, Message};
-use tindock_lending::{Action, Allocator, Entry, Function, Member};
+use tindock_slot_allocation::defects::{Defect, INJECTED};
+use tindock_slot_allocation::messages::{kind, Datagram, Ended, Message};
+use tindock_slot_allocation::{Action, Allocator, Entry, Function, Member};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/crates/lending/tests/resetting_partition.rs
+++ b/crates/slot-allocation/tests/resetting_partition.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_lending::defects::{Defect, INJECTED};
-use tindock_lending::messages::{kind, Ended};
-use tindock_lending::{Action, Allocator, Entry, Function, Member};
+use tindock_slot_allocation::defects::{Defect, INJECTED};
+use tindock_slot_allocation::messages::{kind, Ended};
+use tindock_slot_allocation::{Action, Allocator, Entry, Function, Member};
 
 const MS: Duration = Duration::from_millis(1);
 const ZONES: u8 = 4;
--- a/crates/lending/tests/selection.rs
+++ b/crates/slot-allocation/tests/selection.rs
@@ -3,10 +3,10 @@
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_lending::messages::{kind, Ended};
-use tindock_lending::pool::{Function, InstanceLedger, SlotPool, SlotRequest, Verdict};
-use tindock_lending::selection::{index, Energy, IndexInputs, OFF_AFTER};
-use tindock_lending::Entry;
+use tindock_slot_allocation::messages::{kind, Ended};
+use tindock_slot_allocation::pool::{Function, InstanceLedger, SlotPool, SlotRequest, Verdict};
+use tindock_slot_allocation::selection::{index, Energy, IndexInputs, OFF_AFTER};
+use tindock_slot_allocation::Entry;
 use Energy::{Busy, Off, Setup};
 
 const RUN: u64 = 100;
@@ -286,7 +286,7 @@
 #[rstest]
 fn observed_starts_refine_delta() {
     let slow = IndexInputs { n: 0, energy: Off, lambda: 3.0, mu: 2.0, delta: 1.0, instances: 1 };
-    let mut boots = tindock_lending::selection::BootTimes::default();
+    let mut boots = tindock_slot_allocation::selection::BootTimes::default();
     assert!((boots.delta(ms(1000)) - slow.delta).abs() < 1e-9);
     (0..40).for_each(|_| boots.observe(ms(250), ms(1000)));
     assert!((boots.delta(ms(1000)) - 4.0).abs() < 0.01);
--- a/crates/soak/src/command.rs
+++ b/crates/soak/src/command.rs
@@ -11,7 +11,7 @@
 use clap::{value_parser, Arg, ArgAction, ArgMatches, Command};
 use std::fmt;
 use std::path::{Path, PathBuf};
-use tindock_standins::demo;
+use tindock_mock_services::demo;
 use tokio::signal::unix::{signal, SignalKind};
 
 /// The most scenarios that `--shrink` plays.
--- a/crates/soak/src/connection.rs
+++ b/crates/soak/src/connection.rs
@@ -3,10 +3,10 @@
 
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_standins::clients::Class;
-use tindock_standins::ledger::{Ledger, SentAttempt};
-use tindock_standins::wire::{read_response, request, ReadError, Response};
-use tindock_standins::workers::request_digest;
+use tindock_mock_services::clients::Class;
+use tindock_mock_services::ledger::{Ledger, SentAttempt};
+use tindock_mock_services::wire::{read_response, request, ReadError, Response};
+use tindock_mock_services::workers::request_digest;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
--- a/crates/soak/src/gauges.rs
+++ b/crates/soak/src/gauges.rs
@@ -4,7 +4,7 @@
 use crate::rules::{crosses_close, worst_full};
 use crate::scenario::ActionKind;
 use std::time::Duration;
-use tindock_standins::fleet::Role;
+use tindock_mock_services::fleet::Role;
 
 /// A figure; the greater it is, the closer the soak came to a violation.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -7,9 +7,9 @@
 use oorandom::Rand64;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use tindock_standins::clients::{Class, ProxySelector};
-use tindock_standins::ledger::Ledger;
-use tindock_standins::wire::hash;
+use tindock_mock_services::clients::{Class, ProxySelector};
+use tindock_mock_services::ledger::Ledger;
+use tindock_mock_services::wire::hash;
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, Instant};
 
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -6,11 +6,11 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
-use tindock_standins::clients::{Class, ProxySelector};
-use tindock_standins::demo::{self, routes, Fault, Testbed, TestbedConfig};
-use tindock_standins::fleet::Role;
-use tindock_standins::operator::{configuration, Operator};
-use tindock_standins::platform::{InjectedFault, Platform};
+use tindock_mock_services::clients::{Class, ProxySelector};
+use tindock_mock_services::demo::{self, routes, Fault, Testbed, TestbedConfig};
+use tindock_mock_services::fleet::Role;
+use tindock_mock_services::operator::{configuration, Operator};
+use tindock_mock_services::platform::{InjectedFault, Platform};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, Instant};
 
@@ -214,7 +214,7 @@
 }
 
 fn exits(testbed: &Testbed, start: Instant) -> Vec<ProcessExit> {
-    let of = |end: tindock_standins::fleet::ProcessExit| ProcessExit {
+    let of = |end: tindock_mock_services::fleet::ProcessExit| ProcessExit {
         machine: end.machine,
         role: end.role,
         at: end.at.saturating_duration_since(start),
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -4,8 +4,8 @@
 use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_standins::fleet::Role;
-use tindock_standins::ledger::Finding;
+use tindock_mock_services::fleet::Role;
+use tindock_mock_services::ledger::Finding;
 
 /// How one attempt of a request ended, as its client observed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/soak/src/rules.rs
+++ b/crates/soak/src/rules.rs
@@ -4,7 +4,7 @@
 use crate::scenario::{ActionKind, Scenario};
 use std::fmt;
 use std::time::Duration;
-use tindock_standins::fleet::Role;
+use tindock_mock_services::fleet::Role;
 
 /// For this long after an unplanned fault, lost requests are permitted (`contact_ms` in the settings of the
 /// mock deployment).
--- a/crates/soak/tests/rules.rs
+++ b/crates/soak/tests/rules.rs
@@ -4,6 +4,8 @@
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::Duration;
+use tindock_mock_services::fleet::Role;
+use tindock_mock_services::ledger::Finding;
 use tindock_soak::gauges::{gauges, NAMES};
 use tindock_soak::record::{
     Attempt, AttemptEnd, Change, ExecutedAction, FullCount, ProcessExit, ProxyMachine, Record,
@@ -11,8 +13,6 @@
 use tindock_soak::report::Report;
 use tindock_soak::rules::{find_violations, Rule};
 use tindock_soak::scenario::{Action, ActionKind, Scenario};
-use tindock_standins::fleet::Role;
-use tindock_standins::ledger::Finding;
 
 const PROXY: &str = "edge-1";
 
--- a/crates/house/examples/proxy_cost.rs
+++ b/crates/system-processes/examples/proxy_cost.rs
@@ -1,6 +1,6 @@
 //! CPU time of a proxy per request: of each part in memory, and in total over loopback sockets.
 //!
-//!     cargo build --locked --profile system -p tindock-house --example proxy_cost
+//!     cargo build --locked --profile system -p tindock-system-processes --example proxy_cost
 //!     taskset -c 2 target/system/examples/proxy_cost parts
 //!     target/system/examples/proxy_cost sockets
 
@@ -8,16 +8,16 @@
 use std::io::{Read as _, Write as _};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
-use tindock_catalogue::{Catalogue, Finder};
-use tindock_folio::{
+use tindock_configuration::{Catalogue, Finder};
+use tindock_http1::{
     answer_head, request_head, write_answer, write_request, AnswerHead, Body, Framing, Read, RequestHead,
 };
-use tindock_house::budget::Budget;
-use tindock_house::messages::{AgentMessage, Listed, ProxyInfo};
-use tindock_house::settings::Settings;
-use tindock_house::transport::frame;
-use tindock_lending::messages::{kind, Ended};
-use tindock_lending::{Action, Allocator, Entry, Function, Member};
+use tindock_slot_allocation::messages::{kind, Ended};
+use tindock_slot_allocation::{Action, Allocator, Entry, Function, Member};
+use tindock_system_processes::budget::Budget;
+use tindock_system_processes::messages::{AgentMessage, Listed, ProxyInfo};
+use tindock_system_processes::settings::Settings;
+use tindock_system_processes::transport::frame;
 
 const SERVICES: usize = 160;
 const INSTANCES: usize = 10;
@@ -176,7 +176,7 @@
     });
     row(&format!("besides requests, every 25 ms: timers of {SERVICES} functions"), swept);
     let report = time(20, || {
-        black_box(tindock_house::slot_report::slot_report(now, "n", "a", 1, &slots).to_json());
+        black_box(tindock_system_processes::slot_report::slot_report(now, "n", "a", 1, &slots).to_json());
     });
     row(&format!("on an operator's request: slot report of {} instances", SERVICES * INSTANCES), report);
 }
@@ -250,7 +250,7 @@
         let settings = Settings::read(&settings).expect("valid settings");
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         tokio::task::LocalSet::new()
-            .block_on(&runtime, tindock_house::proxy::run(settings))
+            .block_on(&runtime, tindock_system_processes::proxy::run(settings))
             .expect("a proxy");
     });
     let task = task_receiver.recv().expect("the proxy's thread");
--- a/crates/house/src/budget.rs
+++ b/crates/system-processes/src/budget.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
-use tindock_lending::messages::Kind;
+use tindock_slot_allocation::messages::Kind;
 
 /// The window is counted in so many parts. A part that is only partly in the window counts fully for retries
 /// and not at all for requests, so that the limit holds for every span of the window's length.
--- a/crates/house/src/cli.rs
+++ b/crates/system-processes/src/cli.rs
@@ -4,7 +4,7 @@
 use crate::{agent, controller, proxy, rebinding, run_on_one_thread, slot_report, status};
 use clap::{Arg, ArgMatches, Command};
 use std::path::Path;
-use tindock_catalogue::Catalogue;
+use tindock_configuration::Catalogue;
 
 /// Whether this is the name of one of these commands.
 pub fn is_system_command(name: &str) -> bool {
--- a/crates/house/src/controller/agents.rs
+++ b/crates/system-processes/src/controller/agents.rs
@@ -7,9 +7,9 @@
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
-use tindock_circulation::{Applied, InstanceUpdate};
+use tindock_autoscaler as autoscaler;
 use tindock_controller::platform_instances;
-use tindock_stacks as autoscaler;
+use tindock_instance_distribution::{Applied, InstanceUpdate};
 
 /// How often the lease holder is informed which version of the instances this process has.
 pub const FOLLOW_INTERVAL: Duration = Duration::from_millis(1000);
--- a/crates/house/src/controller/calls.rs
+++ b/crates/system-processes/src/controller/calls.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_catalogue::Catalogue;
+use tindock_configuration::Catalogue;
 use tindock_control_store::{digest, Outcome};
 use tokio::sync::oneshot;
 
--- a/crates/house/src/controller/lease_duties.rs
+++ b/crates/system-processes/src/controller/lease_duties.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
+use tindock_autoscaler::{self as autoscaler, Order, StartResult};
 use tindock_controller::{list_interval, LeaseHolder, LeaseSettings};
-use tindock_stacks::{self as autoscaler, Order, StartResult};
 use tokio::sync::mpsc;
 
 const STATUS_NO_CAPACITY: u16 = 409;
--- a/crates/house/src/controller/log_lines.rs
+++ b/crates/system-processes/src/controller/log_lines.rs
@@ -5,7 +5,7 @@
 use spdlog::{info, warn};
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_stacks::StartResult;
+use tindock_autoscaler::StartResult;
 
 /// Conditions are checked this often.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/house/src/controller/mod.rs
+++ b/crates/system-processes/src/controller/mod.rs
@@ -1,7 +1,7 @@
 //! The controller, on a core machine: replicates the operator's configuration to disk together with the other
 //! controllers, votes on the leadership lease and sends agents the configuration in force; while it holds the
-//! lease it runs the autoscaler. This module does the I/O; `control_store`, `tindock_controller` and `stacks`
-//! decide.
+//! lease it runs the autoscaler. This module does the I/O; `control_store`, `tindock_controller` and
+//! `autoscaler` decide.
 //!
 //! - `calls`: operators' calls, from their receipt to their answer;
 //! - `agents`: messages to agents;
@@ -29,13 +29,13 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use tindock_catalogue::Catalogue;
-use tindock_circulation::Relay;
+use tindock_autoscaler as autoscaler;
+use tindock_configuration::Catalogue;
 use tindock_control_store::files::Folder;
 use tindock_control_store::{Action, ControlStore, MemberSettings, Stored};
 use tindock_controller::{Agents, PauseDetector, DISTRUST_AFTER_PAUSE};
+use tindock_instance_distribution::Relay;
 use tindock_lifecycle::{GracePeriod, Lifecycle, Phase, Terminated};
-use tindock_stacks as autoscaler;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
--- a/crates/house/src/controller/platform_lists.rs
+++ b/crates/system-processes/src/controller/platform_lists.rs
@@ -1,7 +1,7 @@
 //! The platform's lists in the form of the autoscaler.
 
 use crate::platform::{self, CallError, Platform};
-use tindock_stacks::{Host, ListedInstance};
+use tindock_autoscaler::{Host, ListedInstance};
 
 /// Protects against a list whose pages never end.
 const MAX_PAGES: usize = 1000;
--- a/crates/house/src/messages.rs
+++ b/crates/system-processes/src/messages.rs
@@ -3,10 +3,10 @@
 
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
-use tindock_catalogue::{Catalogue, Change};
-pub use tindock_circulation::Listed;
-use tindock_circulation::{InstanceUpdate, Mark, Owners, Proxy};
+use tindock_configuration::{Catalogue, Change};
 use tindock_control_store::Envelope;
+pub use tindock_instance_distribution::Listed;
+use tindock_instance_distribution::{InstanceUpdate, Mark, Owners, Proxy};
 
 /// Between agents and controllers, and between controllers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
--- a/crates/house/src/operator/mod.rs
+++ b/crates/system-processes/src/operator/mod.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tindock_folio::{request_head, Body, Read, RequestHead};
+use tindock_http1::{request_head, Body, Read, RequestHead};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
--- a/crates/house/src/platform.rs
+++ b/crates/system-processes/src/platform.rs
@@ -8,7 +8,7 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_folio::{answer_head, Body, Read};
+use tindock_http1::{answer_head, Body, Read};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -90,7 +90,7 @@
         // The error is false if nothing was received: the platform may just have closed the idle connection.
         stream.write_all(request).await.map_err(|_| false)?;
         let mut buf = Vec::with_capacity(4096);
-        let mut body: Option<(tindock_folio::AnswerHead, Body)> = None;
+        let mut body: Option<(tindock_http1::AnswerHead, Body)> = None;
         loop {
             let got = stream.read_buf(&mut buf).await.map_err(|_| !buf.is_empty())?;
             if body.is_none() {
--- a/crates/house/src/readiness.rs
+++ b/crates/system-processes/src/readiness.rs
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
-use tindock_folio::{request_head, write_local_answer, Read};
+use tindock_http1::{request_head, write_local_answer, Read};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::time::timeout;
--- a/crates/house/src/rebinding.rs
+++ b/crates/system-processes/src/rebinding.rs
@@ -12,8 +12,8 @@
 use std::io::{Read as _, Write as _};
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::time::Duration;
-use tindock_folio::{answer_head, Body, Read};
-use tindock_stacks::{Rebinding, RunRefusal, Scaler};
+use tindock_autoscaler::{Rebinding, RunRefusal, Scaler};
+use tindock_http1::{answer_head, Body, Read};
 
 /// A controller answers sooner, or not at all.
 const CALL_TIMEOUT: Duration = Duration::from_secs(8);
@@ -197,7 +197,7 @@
     }
 }
 
-fn fleet_figures(f: &tindock_stacks::rebinding::FleetMetrics) -> FleetFigures {
+fn fleet_figures(f: &tindock_autoscaler::instance_migration::FleetMetrics) -> FleetFigures {
     FleetFigures {
         exposed: f.exposed,
         colocated: f.colocated,
@@ -208,7 +208,7 @@
     }
 }
 
-fn plan_answer(plan: tindock_stacks::rebinding::Plan, blocked_by: Option<String>) -> PlanAnswer {
+fn plan_answer(plan: tindock_autoscaler::instance_migration::Plan, blocked_by: Option<String>) -> PlanAnswer {
     let moves = plan.moves.into_iter().map(|m| PlannedMove {
         instance: m.instance,
         function: m.function,
@@ -230,7 +230,7 @@
     }
 }
 
-fn status_answer(node: &str, status: tindock_stacks::RebindingStatus) -> StatusAnswer {
+fn status_answer(node: &str, status: tindock_autoscaler::RebindingStatus) -> StatusAnswer {
     let moves = status.moves.into_iter().map(|p| MoveStatus {
         instance: p.instance,
         new: p.new,
--- a/crates/house/src/slot_report.rs
+++ b/crates/system-processes/src/slot_report.rs
@@ -9,9 +9,9 @@
 use nanoserde::{DeJson, SerJson};
 use std::fmt::Write as _;
 use std::time::Duration;
-use tindock_folio::RequestHead;
-use tindock_lending::pool::{InstanceLedger, SlotPool};
-use tindock_lending::Allocator;
+use tindock_http1::RequestHead;
+use tindock_slot_allocation::pool::{InstanceLedger, SlotPool};
+use tindock_slot_allocation::Allocator;
 
 pub const PATH: &str = "/v1/loans";
 /// Bounds of the report, to protect the proxy's one thread and the reader if there are many instances:
@@ -139,8 +139,8 @@
     let mut remote: Vec<_> = allocator.capacities().collect();
     remote.sort_by_key(|(kind, at, capacity)| (std::cmp::Reverse(capacity.received), *kind, *at));
     let more_remote = truncate(&mut remote, MAX_REMOTE_CAPACITIES);
-    let capacity =
-        |(kind, at, capacity): (u32, std::net::SocketAddr, &tindock_lending::Capacity)| RemoteCapacity {
+    let capacity = |(kind, at, capacity): (u32, std::net::SocketAddr, &tindock_slot_allocation::Capacity)| {
+        RemoteCapacity {
             // A function may be missing from this proxy's configuration.
             function: allocator.name(kind).map_or_else(|| format!("#{kind:08x}"), str::to_string),
             allocator: at.to_string(),
@@ -149,7 +149,8 @@
             waiting: capacity.waiting.into(),
             run_ms: capacity.run.into(),
             age_ms: now.saturating_sub(capacity.received).as_millis() as u64,
-        };
+        }
+    };
     let mut remote: Vec<RemoteCapacity> = remote.into_iter().map(capacity).collect();
     remote.sort_by(|a, b| (&a.function, &a.allocator).cmp(&(&b.function, &b.allocator)));
     let mut passed_over: Vec<_> = allocator.suspects().collect();
--- a/crates/house/src/work.rs
+++ b/crates/system-processes/src/work.rs
@@ -1,7 +1,7 @@
 //! How long workers take for requests, by route.
 
 use std::time::Duration;
-use tindock_catalogue::Route;
+use tindock_configuration::Route;
 
 /// Identifies a route independently of the revision of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/house/src/workers.rs
+++ b/crates/system-processes/src/workers.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tindock_folio::{write_request, RequestHead};
-use tindock_lending::messages::Ended;
+use tindock_http1::{write_request, RequestHead};
+use tindock_slot_allocation::messages::Ended;
 use tindock_upstream::{
     Attempt, Connection, Exchange, InFlight, Pool, Reply, SendPermit, Step, Verdict, WorkerAnswer,
 };
--- a/crates/house/tests/platform.rs
+++ b/crates/system-processes/tests/platform.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_house::platform::Platform;
+use tindock_system_processes::platform::Platform;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
--- a/crates/house/tests/rebinding.rs
+++ b/crates/system-processes/tests/rebinding.rs
@@ -4,10 +4,10 @@
 use rstest::rstest;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
-use tindock_house::operator::{serve, Call};
-use tindock_house::rebinding::{answer, command, run, RebindingCall};
-use tindock_house::settings::{RebindingMode, Settings};
-use tindock_stacks as autoscaler;
+use tindock_autoscaler as autoscaler;
+use tindock_system_processes::operator::{serve, Call};
+use tindock_system_processes::rebinding::{answer, command, run, RebindingCall};
+use tindock_system_processes::settings::{RebindingMode, Settings};
 use tokio::net::TcpListener;
 
 const SETTINGS: &str = "node_name = \"core-1\"\nip_address = \"10.0.0.1\"\nzone = \"a\"\nregion = \"r\"\n\
--- a/crates/house/tests/slot_report.rs
+++ b/crates/system-processes/tests/slot_report.rs
@@ -5,15 +5,15 @@
 use std::future::Future;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use tindock_catalogue::Catalogue;
-use tindock_house::messages::{AgentMessage, Listed, ProxyInfo, ProxyMessage};
-use tindock_house::settings::Settings;
-use tindock_house::slot_report::{
+use tindock_configuration::Catalogue;
+use tindock_slot_allocation::messages::{kind, Datagram, Message};
+use tindock_slot_allocation::{Allocator, Entry, Function, Member};
+use tindock_system_processes::messages::{AgentMessage, Listed, ProxyInfo, ProxyMessage};
+use tindock_system_processes::settings::Settings;
+use tindock_system_processes::slot_report::{
     command, run, slot_report, SlotReport, MAX_FUNCTIONS, MAX_INSTANCES, MAX_REMOTE_CAPACITIES,
 };
-use tindock_house::transport::{frame, read_frame};
-use tindock_lending::messages::{kind, Datagram, Message};
-use tindock_lending::{Allocator, Entry, Function, Member};
+use tindock_system_processes::transport::{frame, read_frame};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
@@ -52,7 +52,7 @@
         port - 2
     );
     let settings = Settings::read(&settings).unwrap();
-    tokio::task::spawn_local(async move { tindock_house::proxy::run(settings).await.unwrap() });
+    tokio::task::spawn_local(async move { tindock_system_processes::proxy::run(settings).await.unwrap() });
     let agent = listener.accept().await.unwrap().0;
     (listener, agent, SocketAddr::new(loopback(3), port), port)
 }
--- a/crates/house/tests/status.rs
+++ b/crates/system-processes/tests/status.rs
@@ -3,8 +3,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use tindock_house::settings::Settings;
-use tindock_house::status::{command, run, ControlStatus};
+use tindock_system_processes::settings::Settings;
+use tindock_system_processes::status::{command, run, ControlStatus};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -31,7 +31,7 @@
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             let program = async {
                 tokio::select! {
-                    ended = tindock_house::controller::run(settings) => panic!("{ended:?}"),
+                    ended = tindock_system_processes::controller::run(settings) => panic!("{ended:?}"),
                     _ = stopped => {}
                 }
             };
@@ -162,8 +162,9 @@
     let taken = call(at[0], "POST", "Replace", &configuration(7)).await;
     assert!(taken.starts_with("HTTP/1.1 200 ") && taken.contains("\"revision\":7"), "{taken}");
     assert!(taken.contains("\"superseded\":false"), "{taken}");
-    let digest =
-        tindock_house::operator::digest_text(tindock_control_store::digest(configuration(7).as_bytes()));
+    let digest = tindock_system_processes::operator::digest_text(tindock_control_store::digest(
+        configuration(7).as_bytes(),
+    ));
     assert!(taken.contains(&digest), "{taken}");
     for at in &at {
         let reported =
@@ -228,7 +229,7 @@
 
 #[test]
 fn mode_and_conflict_answer_are_read_from_the_settings() {
-    use tindock_house::settings::{ConfigMode, ConflictAnswer};
+    use tindock_system_processes::settings::{ConfigMode, ConflictAnswer};
     let base = "node_name = \"core-1\"\nip_address = \"10.0.0.1\"\nzone = \"a\"\nregion = \"r\"\n\
                 ephemeral_ports = [7300, 7310]\n";
     let read = |more: &str| Settings::read(&format!("{base}{more}"));
--- a/crates/house/tests/stream_header.rs
+++ b/crates/system-processes/tests/stream_header.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 use std::time::Duration;
-use tindock_house::stream_header::{StreamHeader, PROTOCOL_VERSION};
-use tindock_house::transport::{frame, listen};
+use tindock_system_processes::stream_header::{StreamHeader, PROTOCOL_VERSION};
+use tindock_system_processes::transport::{frame, listen};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
--- a/crates/house/tests/worker_answers.rs
+++ b/crates/system-processes/tests/worker_answers.rs
@@ -7,11 +7,11 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
-use tindock_catalogue::Catalogue;
-use tindock_folio::{answer_head, request_head, AnswerHead, Body, Framing, Read};
-use tindock_house::messages::{AgentMessage, Listed, ProxyInfo};
-use tindock_house::settings::Settings;
-use tindock_house::transport::frame;
+use tindock_configuration::Catalogue;
+use tindock_http1::{answer_head, request_head, AnswerHead, Body, Framing, Read};
+use tindock_system_processes::messages::{AgentMessage, Listed, ProxyInfo};
+use tindock_system_processes::settings::Settings;
+use tindock_system_processes::transport::frame;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -96,7 +96,7 @@
         port - 2
     );
     let settings = Settings::read(&settings).unwrap();
-    tokio::task::spawn_local(async move { tindock_house::proxy::run(settings).await.unwrap() });
+    tokio::task::spawn_local(async move { tindock_system_processes::proxy::run(settings).await.unwrap() });
     let listener = TcpListener::bind((loopback(1), 0)).await.unwrap();
     let at = listener.local_addr().unwrap();
     let (ran, arrivals) = (RequestIds::default(), RequestIds::default());
--- a/crates/upstream/src/exchange.rs
+++ b/crates/upstream/src/exchange.rs
@@ -7,7 +7,7 @@
 use crate::defects::{injected, Defect};
 use crate::pool::Connection;
 use std::time::Duration;
-use tindock_folio::{answer_head, AnswerHead, Body, Framing, Read};
+use tindock_http1::{answer_head, AnswerHead, Body, Framing, Read};
 
 /// The largest head and body of an answer; larger ones cannot be forwarded.
 const MAX_HEAD_BYTES: usize = 64 << 10;
--- a/crates/upstream/tests/model/mod.rs
+++ b/crates/upstream/tests/model/mod.rs
@@ -8,7 +8,7 @@
 use oorandom::Rand64;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
-use tindock_folio::{
+use tindock_http1::{
     answer_head, request_head, write_answer, write_request, Body, Framing, Read, RequestHead,
 };
 use tindock_upstream::{
--- a/crates/roster/tests/list_client.rs
+++ b/crates/worker-list/tests/list_client.rs
@@ -4,7 +4,7 @@
 use insta::assert_snapshot;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use tindock_roster::list_client::{ListClient, Service, Step, Verdict, LONG_WAIT, SHORT_WAIT};
+use tindock_worker_list::list_client::{ListClient, Service, Step, Verdict, LONG_WAIT, SHORT_WAIT};
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
--- a/crates/roster/tests/lists.rs
+++ b/crates/worker-list/tests/lists.rs
@@ -3,11 +3,11 @@
 use insta::assert_snapshot;
 use std::time::Duration;
 use tindock::types::Condition::{self, Draining, Gone, Ready};
-use tindock_roster::guard::{Guard, Snapshot, Verdict};
-use tindock_roster::health::{
+use tindock_worker_list::guard::{Guard, Snapshot, Verdict};
+use tindock_worker_list::health::{
     HealthChecker, HealthSettings, State, MAX_CHECKS_PER_SECOND, MAX_CONCURRENT_CHECKS,
 };
-use tindock_roster::merge::WorkerListMerge;
+use tindock_worker_list::merge::WorkerListMerge;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
--- a/crates/roster/tests/suspicion.rs
+++ b/crates/worker-list/tests/suspicion.rs
@@ -1,7 +1,7 @@
 //! Exclusion of workers while the list is stale.
 
 use std::time::Duration;
-use tindock_roster::suspicion::Suspicion;
+use tindock_worker_list::suspicion::Suspicion;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
