--- a/crates/fault-matrix/src/error.rs
+++ b/crates/fault-matrix/src/error.rs
@@ -1,16 +1,16 @@
-//! What can go wrong in this tool, each told in one line.
+//! Errors of this tool, each displayed on one line.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// A failure of the tool itself; a day that breaks a rule is a result, not an error.
+/// A failure of the tool itself; a scenario that breaks a rule is a result, not an error.
 #[derive(Debug, PartialEq)]
 pub enum Error {
     /// A file could not be read or written.
     File { path: PathBuf, cause: String },
-    /// A list of kinds, a site file or a day file does not say what it should.
+    /// A list of kinds, a site file or a scenario file has invalid content.
     Content { source: String, cause: String },
-    /// The options ask for something that does not exist.
+    /// An option names something that does not exist.
     Option(String),
     /// The bench could not be started.
     Bench(String),
--- a/crates/fault-matrix/src/kinds.rs
+++ b/crates/fault-matrix/src/kinds.rs
@@ -1,12 +1,12 @@
-//! The list of kinds: which faults exist, their variants, and the ranges that their figures are drawn from.
+//! The list of kinds: which faults exist, their variants, and the ranges of their parameters.
 
 use crate::error::Error;
 use serde::Deserialize;
 
-/// The list that comes with the tool.
+/// The list built into the tool.
 pub const DEFAULT_LIST: &str = include_str!("../kinds.toml");
 
-/// Where the bench wants an entry of a kind.
+/// The section of a scenario file that holds entries of a kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Part {
@@ -20,9 +20,9 @@
 pub struct Kind {
     pub name: String,
     pub part: Part,
-    /// Variants; the empty text is the one without a name.
+    /// Variants, written as `how` in scenario files; the empty string is the unnamed one.
     pub hows: Vec<String>,
-    /// Variants of machines whose loss is counted.
+    /// Variants for core machines, those whose loss is counted.
     #[serde(default)]
     pub core_hows: Vec<String>,
     pub count: Option<[u32; 2]>,
@@ -30,15 +30,15 @@
     pub x: Option<[f64; 2]>,
     pub for_s: Option<[f64; 2]>,
     pub gap_s: Option<[f64; 2]>,
-    /// Strikes one class of requests, which has to be named.
+    /// Affects one class of requests, which has to be named.
     #[serde(default)]
     pub needs_class: bool,
-    /// Drawn only for a deployment whose own troubles name it.
+    /// Used only for deployments whose `troubles` list names it.
     #[serde(default)]
     pub listed_only: bool,
 }
 
-/// A fault that closes a day.
+/// A fault at the end of a scenario.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClosingKind {
@@ -51,11 +51,11 @@
 pub struct Variant {
     pub kind: Kind,
     pub how: String,
-    /// On machines whose loss is counted.
+    /// On core machines, those whose loss is counted.
     pub on_core: bool,
 }
 
-/// All kinds that days are drawn from.
+/// All kinds that scenarios are generated from.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KindList {
@@ -66,7 +66,7 @@
 }
 
 impl KindList {
-    /// Reads a list; `source` is what an error names.
+    /// Parses a list; errors name `source`.
     pub fn parse(text: &str, source: &str) -> Result<KindList, Error> {
         let list: KindList = toml::from_str(text).map_err(|cause| Error::content(source, cause))?;
         list.check().map_err(|cause| Error::content(source, cause))?;
@@ -91,7 +91,7 @@
         self.kinds.iter().find(|kind| kind.name == name)
     }
 
-    /// Every kind in every variant, of the kinds for which `allowed` holds.
+    /// All variants of the kinds for which `allowed` holds.
     pub fn variants(&self, allowed: impl Fn(&Kind) -> bool) -> Vec<Variant> {
         self.kinds.iter().filter(|kind| allowed(kind)).flat_map(Kind::variants).collect()
     }
@@ -114,26 +114,26 @@
             return Err(format!("{}: no variant", self.name));
         }
         for range in [self.share, self.x, self.for_s, self.gap_s].into_iter().flatten() {
-            let proper =
+            let valid =
                 range[0].is_finite() && range[1].is_finite() && 0.0 <= range[0] && range[0] <= range[1];
-            if !proper {
+            if !valid {
                 return Err(format!("{}: {range:?} is not a range", self.name));
             }
         }
         match self.count {
-            Some([least, most]) if least > most => Err(format!("{}: count is not a range", self.name)),
+            Some([min, max]) if min > max => Err(format!("{}: count is not a range", self.name)),
             _ => Ok(()),
         }
     }
 }
 
-/// Names go into day files between quotes and into file names, so they hold nothing else.
+/// Names are written into scenario files between quotes and into file names, which limits their characters.
 fn check_names(name: &str, hows: &[String]) -> Result<(), String> {
-    let proper = |text: &str| text.chars().all(|c| c.is_ascii_lowercase() || c == '_' || c == ' ');
-    if name.is_empty() || name.contains(' ') || !proper(name) {
+    let valid = |text: &str| text.chars().all(|c| c.is_ascii_lowercase() || c == '_' || c == ' ');
+    if name.is_empty() || name.contains(' ') || !valid(name) {
         return Err(format!("{name:?} is not a name"));
     }
-    match hows.iter().find(|how| !proper(how)) {
+    match hows.iter().find(|how| !valid(how)) {
         Some(how) => Err(format!("{name}: {how:?} is not a variant")),
         None => Ok(()),
     }
--- a/crates/fault-matrix/src/main.rs
+++ b/crates/fault-matrix/src/main.rs
@@ -3,9 +3,9 @@
 use std::process::ExitCode;
 use tindock_fault_matrix::command;
 
-/// Something went wrong in the tool itself.
+/// Exit code: the tool itself failed.
 const FAILED: u8 = 1;
-/// Days were played and one of them broke.
+/// Exit code: a scenario failed or could not be run.
 const BROKEN: u8 = 3;
 
 fn main() -> ExitCode {
--- a/crates/fault-matrix/src/play.rs
+++ b/crates/fault-matrix/src/runner.rs
@@ -1,8 +1,8 @@
-//! Plays day files on the bench, a few at a time, and keeps what each gave.
+//! Runs scenario files on the bench, several in parallel, and stores the results of each.
 
 use crate::error::Error;
 use crate::site::Site;
-use crate::verdict::{Gauges, Report, Verdict};
+use crate::verdict::{Margins, Report, Verdict};
 use std::fs::File;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -10,84 +10,88 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// How often a run is asked whether it has ended.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which a run is polled for its exit.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How days are played.
-pub struct Play {
+/// How scenarios are run.
+pub struct Runner {
     pub bench: PathBuf,
     pub site: PathBuf,
-    /// Day, report and output of each run are kept here, in a folder of the deployment's name.
+    /// Scenario, report and output of each run are stored here, in a folder of the deployment's name.
     pub results: PathBuf,
-    /// Runs side by side.
+    /// Number of parallel runs.
     pub jobs: usize,
-    /// A run that takes longer is ended.
+    /// A run that takes longer is killed.
     pub limit: Duration,
     pub no_cpu: bool,
-    /// For the bench's journal.
+    /// Reason, recorded in the bench's journal.
     pub why: String,
 }
 
-/// A day and what came of it.
-pub struct Played {
+/// A scenario and its result.
+pub struct Outcome {
     pub name: String,
     pub verdict: Verdict,
-    /// Where the bench gave a report.
-    pub gauges: Option<Gauges>,
+    /// Present if the bench wrote a report.
+    pub margins: Option<Margins>,
 }
 
 /// The files of one run.
 struct Files {
     name: String,
-    day: PathBuf,
+    scenario: PathBuf,
     report: PathBuf,
     output: PathBuf,
 }
 
-impl Play {
-    /// Plays all days; `tell` hears of each as it ends. The result is in the order of the days.
-    pub fn all(&self, days: &[PathBuf], tell: impl Fn(&Played) + Sync) -> Result<Vec<Played>, Error> {
+impl Runner {
+    /// Runs all scenarios; `on_outcome` is called as each ends. The result is in the order of the scenarios.
+    pub fn run_all(
+        &self,
+        scenarios: &[PathBuf],
+        on_outcome: impl Fn(&Outcome) + Sync,
+    ) -> Result<Vec<Outcome>, Error> {
         let site = Site::read(&self.site)?;
         let folder = self.results.join(&site.name);
         std::fs::create_dir_all(&folder).map_err(|cause| Error::file(&folder, cause))?;
         let next = AtomicUsize::new(0);
         let ended = Mutex::new(Vec::new());
         std::thread::scope(|scope| {
-            for _ in 0..self.jobs.clamp(1, days.len().max(1)) {
-                scope.spawn(|| self.work(days, &folder, &next, &ended, &tell));
+            for _ in 0..self.jobs.clamp(1, scenarios.len().max(1)) {
+                scope.spawn(|| self.run_worker(scenarios, &folder, &next, &ended, &on_outcome));
             }
         });
         let mut ended = ended.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
         ended.sort_by_key(|(index, _)| *index);
-        ended.into_iter().map(|(_, played)| played).collect()
+        ended.into_iter().map(|(_, outcome)| outcome).collect()
     }
 
-    /// Takes one day after the other until none is left.
-    fn work(
+    /// Runs one scenario after the other until none is left.
+    fn run_worker(
         &self,
-        days: &[PathBuf],
+        scenarios: &[PathBuf],
         folder: &Path,
         next: &AtomicUsize,
-        ended: &Mutex<Vec<(usize, Result<Played, Error>)>>,
-        tell: &(impl Fn(&Played) + Sync),
+        ended: &Mutex<Vec<(usize, Result<Outcome, Error>)>>,
+        on_outcome: &(impl Fn(&Outcome) + Sync),
     ) {
         loop {
             let index = next.fetch_add(1, Ordering::Relaxed);
-            let Some(day) = days.get(index) else { return };
-            let played = self.one(day, folder);
-            if let Ok(played) = &played {
-                tell(played);
+            let Some(scenario) = scenarios.get(index) else { return };
+            let outcome = self.run_one(scenario, folder);
+            if let Ok(outcome) = &outcome {
+                on_outcome(outcome);
             }
-            ended.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push((index, played));
+            ended.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push((index, outcome));
         }
     }
 
-    fn one(&self, day: &Path, folder: &Path) -> Result<Played, Error> {
-        let files = Files::of(day, folder)?;
-        if files.day != day {
-            std::fs::copy(day, &files.day).map_err(|cause| Error::file(day, cause))?;
+    fn run_one(&self, scenario: &Path, folder: &Path) -> Result<Outcome, Error> {
+        let files = Files::of(scenario, folder)?;
+        if files.scenario != scenario {
+            std::fs::copy(scenario, &files.scenario).map_err(|cause| Error::file(scenario, cause))?;
         }
-        // A report of an earlier run would be taken for that of a run that gave none.
+        // Without this, the report of an earlier run would pass for that of a run that wrote none.
         if files.report.exists() {
             std::fs::remove_file(&files.report).map_err(|cause| Error::file(&files.report, cause))?;
         }
@@ -97,13 +101,13 @@
             Some(_) if files.report.exists() => Some(Report::read(&files.report)?),
             _ => None,
         };
-        let gauges = report.as_ref().map(Gauges::of);
+        let margins = report.as_ref().map(Margins::of);
         let verdict = match (ended, report) {
             (_, Some(report)) => Verdict::of(report),
-            (Some(status), None) => Verdict::NotPlayed(format!("{status}, {}", last_line(&files.output))),
-            (None, None) => Verdict::NotPlayed(format!("longer than {} s", self.limit.as_secs())),
+            (Some(status), None) => Verdict::NotRun(format!("{status}, {}", last_line(&files.output))),
+            (None, None) => Verdict::NotRun(format!("longer than {} s", self.limit.as_secs())),
         };
-        Ok(Played { name: files.name, verdict, gauges })
+        Ok(Outcome { name: files.name, verdict, margins })
     }
 
     fn start(&self, files: &Files) -> Result<Child, Error> {
@@ -113,7 +117,7 @@
         command
             .arg("run")
             .arg(&self.site)
-            .arg(&files.day)
+            .arg(&files.scenario)
             .args(["--jobs", "1", "--report"])
             .arg(&files.report);
         if self.no_cpu {
@@ -124,29 +128,30 @@
         command.spawn().map_err(|cause| Error::Bench(format!("{}: {cause}", self.bench.display())))
     }
 
-    /// Waits for a run; none if it took too long and was ended.
+    /// Waits for a run; `None` if it exceeded the limit and was killed.
     fn wait(&self, mut child: Child) -> Result<Option<std::process::ExitStatus>, Error> {
         let failed = |cause: std::io::Error| Error::Bench(format!("waiting for a run: {cause}"));
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             if let Some(status) = child.try_wait().map_err(failed)? {
                 return Ok(Some(status));
             }
-            if begun.elapsed() >= self.limit {
+            if started.elapsed() >= self.limit {
                 child.kill().and_then(|()| child.wait()).map_err(failed)?;
                 return Ok(None);
             }
-            std::thread::sleep(LOOK_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
 impl Files {
-    fn of(day: &Path, folder: &Path) -> Result<Files, Error> {
-        let name = day.file_stem().and_then(|stem| stem.to_str());
-        let name = name.ok_or_else(|| Error::file(day, "is not the name of a day file"))?.to_string();
+    fn of(scenario: &Path, folder: &Path) -> Result<Files, Error> {
+        let name = scenario.file_stem().and_then(|stem| stem.to_str());
+        let name =
+            name.ok_or_else(|| Error::file(scenario, "is not the name of a scenario file"))?.to_string();
         let file = |ending: &str| folder.join(format!("{name}.{ending}"));
-        Ok(Files { day: file("toml"), report: file("json"), output: file("out"), name })
+        Ok(Files { scenario: file("toml"), report: file("json"), output: file("out"), name })
     }
 }
 
@@ -155,8 +160,8 @@
     text.lines().rev().find(|line| !line.trim().is_empty()).unwrap_or("no output").to_string()
 }
 
-/// Day files: those named, and those in the folders named, in order.
-pub fn day_files(paths: &[PathBuf]) -> Result<Vec<PathBuf>, Error> {
+/// Scenario files: the named ones, and those in the named folders, in order.
+pub fn scenario_files(paths: &[PathBuf]) -> Result<Vec<PathBuf>, Error> {
     let mut files = Vec::new();
     for path in paths {
         if path.is_dir() {
@@ -168,7 +173,7 @@
     Ok(files)
 }
 
-/// The files of a folder with this ending, by name.
+/// The files of a folder with this extension, sorted by name.
 pub fn files_ending(folder: &Path, ending: &str) -> Result<Vec<PathBuf>, Error> {
     let entries = std::fs::read_dir(folder).map_err(|cause| Error::file(folder, cause))?;
     let mut files = Vec::new();
--- a/crates/fault-matrix/src/day.rs
+++ b/crates/fault-matrix/src/scenario.rs
@@ -1,11 +1,11 @@
-//! A day: its entries, the fault that closes it, and its text as a day file of the bench.
+//! A scenario: its entries, its closing fault, and its text in the bench's file format.
 
-use crate::draw::{hundredths, Draw};
 use crate::kinds::{ClosingKind, Kind, Part, Variant};
+use crate::rng::{round_to_hundredths, SeededRng};
 use crate::site::Site;
 use std::fmt::Write as _;
 
-/// No entry begins earlier than this, nor reaches later than this before the end of traffic.
+/// Least time between the start of traffic and an entry, and between an entry's end and the end of traffic.
 pub const MARGIN_S: f64 = 1.0;
 /// Seconds that machines are down in a closing fault.
 const DOWN_S: [f64; 2] = [0.5, 1.6];
@@ -17,17 +17,22 @@
     pub kind: String,
     /// Seconds from the start of traffic.
     pub at: f64,
+    /// Variant; empty for the unnamed one.
     pub how: String,
+    /// On core machines, those whose loss is counted.
     pub on_core: bool,
     pub count: Option<u32>,
     pub share: Option<f64>,
+    /// Parameter whose meaning depends on the kind.
     pub x: Option<f64>,
+    /// Duration.
     pub for_s: Option<f64>,
+    /// Time between two steps.
     pub gap_s: Option<f64>,
     pub class: Option<String>,
 }
 
-/// The fault that closes a day.
+/// The fault at the end of a scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Closing {
     pub kind: String,
@@ -35,9 +40,9 @@
     pub down_s: f64,
 }
 
-/// A day of the bench.
+/// A scenario of the bench (`[[day]]` in its files).
 #[derive(Debug, Clone, PartialEq)]
-pub struct Day {
+pub struct Scenario {
     pub name: String,
     pub seed: u32,
     pub length_s: f64,
@@ -47,12 +52,11 @@
 }
 
 impl Entry {
-    /// An entry of a variant with figures from the ranges of its kind, at the start of the day.
-    pub fn draw(variant: &Variant, site: &Site, draw: &mut Draw) -> Entry {
+    /// An entry of a variant at the start of the scenario, with parameters sampled from its kind's ranges.
+    pub fn sample(variant: &Variant, site: &Site, rng: &mut SeededRng) -> Entry {
         let Kind { name, part, count, share, x, for_s, gap_s, needs_class, .. } = &variant.kind;
-        let class =
-            if *needs_class { draw.pick(&site.classes).map(|class| class.name.clone()) } else { None };
-        // A machine whose loss is counted is struck by itself: more would be lost than a site tolerates.
+        let class = if *needs_class { rng.pick(&site.classes).map(|class| class.name.clone()) } else { None };
+        // Core machines are hit one at a time: losing several at once exceeds what a site tolerates.
         let (count, share) = if variant.on_core { (Some([1, 1]), &None) } else { (*count, share) };
         Entry {
             part: *part,
@@ -60,26 +64,26 @@
             at: MARGIN_S,
             how: variant.how.clone(),
             on_core: variant.on_core,
-            count: count.map(|bounds| draw.whole(bounds)),
-            share: share.map(|bounds| draw.between(bounds)),
-            x: x.map(|bounds| draw.between(bounds)),
-            for_s: for_s.map(|bounds| draw.between(bounds)),
-            gap_s: gap_s.map(|bounds| draw.between(bounds)),
+            count: count.map(|bounds| rng.integer(bounds)),
+            share: share.map(|bounds| rng.between(bounds)),
+            x: x.map(|bounds| rng.between(bounds)),
+            for_s: for_s.map(|bounds| rng.between(bounds)),
+            gap_s: gap_s.map(|bounds| rng.between(bounds)),
             class,
         }
     }
 
     /// A planned change of the configuration.
     pub fn change(how: &str, at: f64) -> Entry {
-        Entry::bare(Part::Plan, "config_change", how, at)
+        Entry::with_defaults(Part::Plan, "config_change", how, at)
     }
 
-    /// An entry without figures; the bench has defaults for them.
-    pub fn bare(part: Part, kind: &str, how: &str, at: f64) -> Entry {
+    /// An entry without parameters; the bench has defaults for them.
+    pub fn with_defaults(part: Part, kind: &str, how: &str, at: f64) -> Entry {
         Entry {
             part,
             kind: kind.into(),
-            at: hundredths(at),
+            at: round_to_hundredths(at),
             how: how.into(),
             on_core: false,
             count: None,
@@ -92,28 +96,28 @@
     }
 
     pub fn at(mut self, at: f64) -> Entry {
-        self.at = hundredths(at);
+        self.at = round_to_hundredths(at);
         self
     }
 
-    pub fn lasting(mut self, for_s: f64) -> Entry {
-        self.for_s = Some(hundredths(for_s));
+    pub fn with_duration(mut self, for_s: f64) -> Entry {
+        self.for_s = Some(round_to_hundredths(for_s));
         self
     }
 
     pub fn with_x(mut self, x: f64) -> Entry {
-        self.x = Some(hundredths(x));
+        self.x = Some(round_to_hundredths(x));
         self
     }
 
     pub fn with_share(mut self, share: f64) -> Entry {
-        self.share = Some(hundredths(share));
+        self.share = Some(round_to_hundredths(share));
         self
     }
 
     pub fn repeated(mut self, count: u32, gap_s: f64) -> Entry {
         self.count = Some(count);
-        self.gap_s = Some(hundredths(gap_s));
+        self.gap_s = Some(round_to_hundredths(gap_s));
         self
     }
 
@@ -124,8 +128,8 @@
         self
     }
 
-    /// Seconds that it takes, as far as its own figures tell.
-    pub fn reach_s(&self) -> f64 {
+    /// Duration in seconds, as far as the entry's own parameters determine it.
+    pub fn duration_s(&self) -> f64 {
         let steps = match (self.count, self.gap_s) {
             (Some(count), Some(gap_s)) => f64::from(count) * gap_s,
             (None, Some(gap_s)) => gap_s,
@@ -134,7 +138,7 @@
         self.for_s.unwrap_or(0.0).max(steps)
     }
 
-    /// Kind and variant in one text, as tables and names of days show them.
+    /// Kind and variant in one string, as tables and scenario names show them.
     pub fn label(&self) -> String {
         let on = if self.on_core { " core" } else { "" };
         let how = if self.how.is_empty() { String::new() } else { format!(" {}", self.how) };
@@ -162,8 +166,8 @@
 
 impl Closing {
     /// A closing fault of this kind, in this variant.
-    pub fn draw(kind: &ClosingKind, how: &str, draw: &mut Draw) -> Closing {
-        Closing { kind: kind.name.clone(), how: how.into(), down_s: draw.between(DOWN_S) }
+    pub fn sample(kind: &ClosingKind, how: &str, rng: &mut SeededRng) -> Closing {
+        Closing { kind: kind.name.clone(), how: how.into(), down_s: rng.between(DOWN_S) }
     }
 
     pub fn label(&self) -> String {
@@ -177,26 +181,26 @@
     }
 }
 
-impl Day {
-    /// A day without entries, of the deployment's length or longer.
-    pub fn empty(name: String, site: &Site, least_s: f64, draw: &mut Draw) -> Day {
-        let (length_s, floor) = (site.length_s.max(least_s), site.floor());
-        Day { name, seed: draw.seed(), length_s, floor, closing: None, entries: Vec::new() }
+impl Scenario {
+    /// A scenario without entries, of the deployment's length or longer.
+    pub fn empty(name: String, site: &Site, min_length_s: f64, rng: &mut SeededRng) -> Scenario {
+        let (length_s, floor) = (site.length_s.max(min_length_s), site.floor());
+        Scenario { name, seed: rng.seed(), length_s, floor, closing: None, entries: Vec::new() }
     }
 
-    /// Puts an entry into the day, moved and shortened as far as needed to lie inside it.
+    /// Adds an entry, moved and shortened as far as needed to lie inside the scenario.
     pub fn push(&mut self, mut entry: Entry) {
-        let room_s = self.length_s - 2.0 * MARGIN_S;
+        let available_s = self.length_s - 2.0 * MARGIN_S;
         if let Some(for_s) = entry.for_s {
-            entry.for_s = Some(for_s.min(room_s));
+            entry.for_s = Some(for_s.min(available_s));
         }
         if let (Some(count), Some(gap_s)) = (entry.count, entry.gap_s) {
-            if f64::from(count) * gap_s > room_s {
-                entry.count = Some((room_s / gap_s) as u32);
+            if f64::from(count) * gap_s > available_s {
+                entry.count = Some((available_s / gap_s) as u32);
             }
         }
-        let latest = (self.length_s - MARGIN_S - entry.reach_s()).max(MARGIN_S);
-        // Rounded down, so that it doesn't reach over the end by a hundredth.
+        let latest = (self.length_s - MARGIN_S - entry.duration_s()).max(MARGIN_S);
+        // Rounded down: rounding to nearest could exceed the end by a hundredth.
         entry.at = (entry.at.clamp(MARGIN_S, latest) * 100.0).floor() / 100.0;
         self.entries.push(entry);
     }
@@ -210,7 +214,7 @@
         labels
     }
 
-    /// The day as a file of the bench.
+    /// The scenario in the bench's file format.
     pub fn text(&self) -> String {
         let mut text = format!("[[day]]\nname = {:?}\nseed = {}\n", self.name, self.seed);
         let _ = writeln!(text, "length_s = {:?}", self.length_s);
--- a/crates/fault-matrix/src/sets.rs
+++ b/crates/fault-matrix/src/sets.rs
@@ -1,45 +1,45 @@
-//! Sets of days: every kind singly, in pairs, repeated, packed into few days, and the worst days.
+//! Sets of scenarios: every kind alone, in pairs, repeated, packed into few scenarios, and the worst cases.
 
-use crate::day::{Closing, Day, Entry, MARGIN_S};
-use crate::draw::Draw;
 use crate::kinds::{Kind, KindList, Variant};
 use crate::mixed;
 use crate::restarts;
+use crate::rng::SeededRng;
+use crate::scenario::{Closing, Entry, Scenario, MARGIN_S};
 use crate::site::Site;
 use crate::worst;
 
-/// Share of the days that end with a closing fault, where the set doesn't say.
-const CLOSED: f64 = 0.6;
-/// Changes of the configuration that any day begins and ends with.
+/// Probability that a scenario ends with a closing fault, where the set has no rule of its own.
+const CLOSING_PROBABILITY: f64 = 0.6;
+/// Times of the first change (from the start) and of the last (before the end) that every scenario has.
 const FIRST_CHANGE_S: [f64; 2] = [1.5, 3.5];
 const LAST_CHANGE_S: [f64; 2] = [2.0, 5.0];
-/// How often a kind comes in a day that repeats it.
+/// How often a kind occurs in a scenario that repeats it.
 const REPEATS: [u32; 2] = [3, 5];
-/// Different variants in a day that holds several.
-const PACKED: usize = 5;
-/// Days in a compact set, of which every second one is a worst day.
-const COMPACT_DAYS: usize = 40;
+/// Variants in a packed scenario.
+const VARIANTS_PER_PACKED_SCENARIO: usize = 5;
+/// Default size of a compact set, half of which are worst cases.
+const COMPACT_SCENARIOS: usize = 40;
 
-/// What days are asked for.
+/// The sets of scenarios that can be generated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Set {
-    /// Each kind in each variant, and each closing, in a day of its own.
+    /// Each kind in each variant, and each closing, in a scenario of its own.
     Singles,
     /// Two kinds whose times overlap.
     Pairs,
-    /// One kind several times within a day, in variants that change.
+    /// One kind several times within a scenario, in different variants.
     Repeats,
-    /// All variants, several to a day.
+    /// All variants, several per scenario.
     Packed,
-    /// The worst days.
+    /// Worst cases, aimed at the control plane and at responses.
     Worst,
-    /// Worst days and packed ones by turns: a few days that hold as much as they can.
+    /// Alternating worst and packed scenarios: wide coverage in few runs.
     Compact,
-    /// Several troubles of any kind at any hour, beside hosts that drain.
+    /// Several faults of any kind at random times, while hosts drain.
     Mixed,
-    /// Long days of hundreds of changes, beside proxies and hosts that come and go.
+    /// Long scenarios of hundreds of changes, while proxies and hosts join and leave.
     Long,
-    /// Rounds of restarts that overlap, beside hundreds of changes and hardly any trouble.
+    /// Overlapping rounds of restarts, with hundreds of changes and at most one unplanned fault.
     Restarts,
 }
 
@@ -75,76 +75,76 @@
     }
 }
 
-/// What days are drawn from.
+/// What scenarios are generated from.
 pub struct Source<'a> {
     pub kinds: &'a KindList,
     pub site: &'a Site,
     pub seed: u64,
 }
 
-/// The days of a set, at most `most` of them; the same source gives the same days.
-pub fn days(source: &Source, set: Set, most: Option<usize>) -> Vec<Day> {
-    let mut days = match set {
+/// The scenarios of a set, at most `max` of them; the same source gives the same scenarios.
+pub fn scenarios(source: &Source, set: Set, max: Option<usize>) -> Vec<Scenario> {
+    let mut scenarios = match set {
         Set::Singles => singles(source),
         Set::Pairs => pairs(source),
         Set::Repeats => repeats(source),
         Set::Packed => packed(source),
-        Set::Worst => worst::days(source, most.unwrap_or(worst::DAYS)),
-        Set::Compact => compact(source, most.unwrap_or(COMPACT_DAYS)),
-        Set::Mixed => mixed::mixed(source, most.unwrap_or(mixed::MIXED_DAYS)),
-        Set::Long => mixed::long(source, most.unwrap_or(mixed::LONG_DAYS)),
-        Set::Restarts => restarts::restarts(source, most.unwrap_or(restarts::RESTART_DAYS)),
+        Set::Worst => worst::scenarios(source, max.unwrap_or(worst::SCENARIOS)),
+        Set::Compact => compact(source, max.unwrap_or(COMPACT_SCENARIOS)),
+        Set::Mixed => mixed::mixed(source, max.unwrap_or(mixed::MIXED_SCENARIOS)),
+        Set::Long => mixed::long(source, max.unwrap_or(mixed::LONG_SCENARIOS)),
+        Set::Restarts => restarts::restarts(source, max.unwrap_or(restarts::RESTART_SCENARIOS)),
     };
-    days.truncate(most.unwrap_or(usize::MAX));
-    days
+    scenarios.truncate(max.unwrap_or(usize::MAX));
+    scenarios
 }
 
 impl Source<'_> {
-    /// Chance for the day of this name.
-    pub fn chance(&self, name: &str) -> Draw {
-        Draw::new(self.seed, name)
+    /// The generator for the scenario of this name.
+    pub fn rng(&self, name: &str) -> SeededRng {
+        SeededRng::new(self.seed, name)
     }
 
-    /// Kinds that the deployment may meet.
+    /// Kinds that apply to the deployment.
     pub fn allowed(&self) -> Vec<&Kind> {
         self.kinds.kinds.iter().filter(|kind| self.site.allows(kind)).collect()
     }
 
-    /// Those kinds in all of their variants.
+    /// All variants of the kinds that apply to the deployment.
     pub fn variants(&self) -> Vec<Variant> {
         self.kinds.variants(|kind| self.site.allows(kind))
     }
 
-    /// An entry of any variant.
-    pub fn entry(&self, variant: &Variant, draw: &mut Draw) -> Entry {
-        Entry::draw(variant, self.site, draw)
+    /// An entry of this variant with sampled parameters.
+    pub fn entry(&self, variant: &Variant, rng: &mut SeededRng) -> Entry {
+        Entry::sample(variant, self.site, rng)
     }
 
-    /// Any of the closing faults.
-    pub fn closing(&self, draw: &mut Draw) -> Option<Closing> {
-        let kind = draw.pick(&self.kinds.closings)?.clone();
-        let how = draw.pick(&kind.hows)?.clone();
-        Some(Closing::draw(&kind, &how, draw))
+    /// A random closing fault.
+    pub fn closing(&self, rng: &mut SeededRng) -> Option<Closing> {
+        let kind = rng.pick(&self.kinds.closings)?.clone();
+        let how = rng.pick(&kind.hows)?.clone();
+        Some(Closing::sample(&kind, &how, rng))
     }
 
-    /// A day with a change of the configuration near its start and one near its end.
-    pub fn day(&self, name: String, draw: &mut Draw) -> Day {
-        self.long_day(name, 0.0, draw)
+    /// A scenario with a configuration change near its start and one near its end.
+    pub fn scenario(&self, name: String, rng: &mut SeededRng) -> Scenario {
+        self.long_scenario(name, 0.0, rng)
     }
 
-    /// Such a day, at least so long.
-    pub fn long_day(&self, name: String, least_s: f64, draw: &mut Draw) -> Day {
-        let mut day = Day::empty(name, self.site, least_s, draw);
-        day.push(Entry::change("idle", draw.between(FIRST_CHANGE_S)));
-        let last = day.length_s - draw.between(LAST_CHANGE_S);
-        day.push(Entry::change("timeout", last));
-        day
+    /// The same, at least `min_length_s` long.
+    pub fn long_scenario(&self, name: String, min_length_s: f64, rng: &mut SeededRng) -> Scenario {
+        let mut scenario = Scenario::empty(name, self.site, min_length_s, rng);
+        scenario.push(Entry::change("idle", rng.between(FIRST_CHANGE_S)));
+        let last = scenario.length_s - rng.between(LAST_CHANGE_S);
+        scenario.push(Entry::change("timeout", last));
+        scenario
     }
 }
 
-/// A moment of the day, well before its end.
-pub fn moment(day: &Day, draw: &mut Draw) -> f64 {
-    draw.between([4.0 * MARGIN_S, (day.length_s - 8.0).max(5.0 * MARGIN_S)])
+/// A random time well before the end of a scenario.
+pub fn random_time(scenario: &Scenario, rng: &mut SeededRng) -> f64 {
+    rng.between([4.0 * MARGIN_S, (scenario.length_s - 8.0).max(5.0 * MARGIN_S)])
 }
 
 fn single_name(variant: &Variant) -> String {
@@ -154,132 +154,132 @@
     format!("single-{}{on}{how}", variant.kind.name)
 }
 
-fn singles(source: &Source) -> Vec<Day> {
-    let mut days = Vec::new();
+fn singles(source: &Source) -> Vec<Scenario> {
+    let mut scenarios = Vec::new();
     for variant in source.variants() {
         let name = single_name(&variant);
-        let mut draw = source.chance(&name);
-        let mut day = source.day(name, &mut draw);
-        let at = moment(&day, &mut draw);
-        day.push(source.entry(&variant, &mut draw).at(at));
-        if draw.chance(CLOSED) {
-            day.closing = source.closing(&mut draw);
+        let mut rng = source.rng(&name);
+        let mut scenario = source.scenario(name, &mut rng);
+        let at = random_time(&scenario, &mut rng);
+        scenario.push(source.entry(&variant, &mut rng).at(at));
+        if rng.with_probability(CLOSING_PROBABILITY) {
+            scenario.closing = source.closing(&mut rng);
         }
-        days.push(day);
+        scenarios.push(scenario);
     }
     for closing in &source.kinds.closings {
         for how in &closing.hows {
             let name =
                 format!("single-closing-{}-{}", closing.name, if how.is_empty() { "plain" } else { how });
-            let mut draw = source.chance(&name);
-            let mut day = source.day(name, &mut draw);
-            day.closing = Some(Closing::draw(closing, how, &mut draw));
-            days.push(day);
+            let mut rng = source.rng(&name);
+            let mut scenario = source.scenario(name, &mut rng);
+            scenario.closing = Some(Closing::sample(closing, how, &mut rng));
+            scenarios.push(scenario);
         }
     }
-    days
+    scenarios
 }
 
-/// Every pair of kinds, in an order by chance; the second begins while the first lasts, or just after it.
-fn pairs(source: &Source) -> Vec<Day> {
+/// Every pair of kinds, in random order; the later one begins while the earlier lasts, or just after it.
+fn pairs(source: &Source) -> Vec<Scenario> {
     let kinds = source.allowed();
     let mut chosen: Vec<(&Kind, &Kind)> = Vec::new();
     for (index, first) in kinds.iter().enumerate() {
         chosen.extend(kinds[index + 1..].iter().map(|second| (*first, *second)));
     }
-    source.chance("pairs").shuffle(&mut chosen);
+    source.rng("pairs").shuffle(&mut chosen);
     chosen.into_iter().map(|(first, second)| pair(source, first, second)).collect()
 }
 
-fn pair(source: &Source, first: &Kind, second: &Kind) -> Day {
+fn pair(source: &Source, first: &Kind, second: &Kind) -> Scenario {
     let name = format!("pair-{}-{}", first.name, second.name);
-    let mut draw = source.chance(&name);
-    let mut day = source.day(name, &mut draw);
-    let mut both = [any_of(source, first, &mut draw), any_of(source, second, &mut draw)];
-    draw.shuffle(&mut both);
+    let mut rng = source.rng(&name);
+    let mut scenario = source.scenario(name, &mut rng);
+    let mut both = [entry_of_kind(source, first, &mut rng), entry_of_kind(source, second, &mut rng)];
+    rng.shuffle(&mut both);
     let [earlier, later] = both;
-    let at = moment(&day, &mut draw);
-    let apart = draw.between([0.0, earlier.reach_s() + MARGIN_S]);
-    day.push(earlier.at(at));
-    day.push(later.at(at + apart));
-    if draw.chance(CLOSED) {
-        day.closing = source.closing(&mut draw);
+    let at = random_time(&scenario, &mut rng);
+    let offset_s = rng.between([0.0, earlier.duration_s() + MARGIN_S]);
+    scenario.push(earlier.at(at));
+    scenario.push(later.at(at + offset_s));
+    if rng.with_probability(CLOSING_PROBABILITY) {
+        scenario.closing = source.closing(&mut rng);
     }
-    day
+    scenario
 }
 
-/// An entry of a kind, in any of its variants.
-pub fn any_of(source: &Source, kind: &Kind, draw: &mut Draw) -> Entry {
+/// An entry of a kind in a random variant.
+pub fn entry_of_kind(source: &Source, kind: &Kind, rng: &mut SeededRng) -> Entry {
     let variants = kind.variants();
-    let chosen = draw.pick(&variants).unwrap_or(&variants[0]);
-    source.entry(chosen, draw)
+    let chosen = rng.pick(&variants).unwrap_or(&variants[0]);
+    source.entry(chosen, rng)
 }
 
-fn repeats(source: &Source) -> Vec<Day> {
+fn repeats(source: &Source) -> Vec<Scenario> {
     source.allowed().into_iter().map(|kind| repeated(source, kind)).collect()
 }
 
-fn repeated(source: &Source, kind: &Kind) -> Day {
+fn repeated(source: &Source, kind: &Kind) -> Scenario {
     let name = format!("repeat-{}", kind.name);
-    let mut draw = source.chance(&name);
-    let mut day = source.day(name, &mut draw);
+    let mut rng = source.rng(&name);
+    let mut scenario = source.scenario(name, &mut rng);
     let mut variants = kind.variants();
-    draw.shuffle(&mut variants);
-    for variant in variants.iter().cycle().take(draw.whole(REPEATS) as usize) {
-        let at = moment(&day, &mut draw);
-        day.push(source.entry(variant, &mut draw).at(at));
+    rng.shuffle(&mut variants);
+    for variant in variants.iter().cycle().take(rng.integer(REPEATS) as usize) {
+        let at = random_time(&scenario, &mut rng);
+        scenario.push(source.entry(variant, &mut rng).at(at));
     }
-    if draw.chance(CLOSED) {
-        day.closing = source.closing(&mut draw);
+    if rng.with_probability(CLOSING_PROBABILITY) {
+        scenario.closing = source.closing(&mut rng);
     }
-    day
+    scenario
 }
 
-/// All variants in an order by chance, several to a day, each day with another closing fault.
-fn packed(source: &Source) -> Vec<Day> {
+/// All variants in random order, several per scenario; the closing faults rotate.
+fn packed(source: &Source) -> Vec<Scenario> {
     let mut variants = source.variants();
-    source.chance("packed").shuffle(&mut variants);
+    source.rng("packed").shuffle(&mut variants);
     let closings: Vec<(&str, &str)> = source
         .kinds
         .closings
         .iter()
         .flat_map(|kind| kind.hows.iter().map(|how| (&*kind.name, &**how)))
         .collect();
-    let mut days = Vec::new();
-    for (index, group) in variants.chunks(PACKED).enumerate() {
+    let mut scenarios = Vec::new();
+    for (index, group) in variants.chunks(VARIANTS_PER_PACKED_SCENARIO).enumerate() {
         let name = format!("packed-{:02}", index + 1);
-        let mut draw = source.chance(&name);
-        let mut day = source.day(name, &mut draw);
+        let mut rng = source.rng(&name);
+        let mut scenario = source.scenario(name, &mut rng);
         for variant in group {
-            let at = moment(&day, &mut draw);
-            day.push(source.entry(variant, &mut draw).at(at));
+            let at = random_time(&scenario, &mut rng);
+            scenario.push(source.entry(variant, &mut rng).at(at));
         }
         let (kind, how) = closings[index % closings.len()];
-        day.closing = source
+        scenario.closing = source
             .kinds
             .closings
             .iter()
             .find(|closing| closing.name == kind)
-            .map(|closing| Closing::draw(closing, how, &mut draw));
-        days.push(day);
+            .map(|closing| Closing::sample(closing, how, &mut rng));
+        scenarios.push(scenario);
     }
-    days
+    scenarios
 }
 
-/// Packed days and worst ones by turns; where one sort ends, more of the other.
-fn compact(source: &Source, most: usize) -> Vec<Day> {
+/// Alternating worst and packed scenarios; when one list is exhausted, the rest come from the other.
+fn compact(source: &Source, max: usize) -> Vec<Scenario> {
     let packed = packed(source);
-    let worst_days = most.saturating_sub(packed.len()).max(most / 2);
-    let mut worst = worst::days(source, worst_days).into_iter();
+    let worst_scenarios = max.saturating_sub(packed.len()).max(max / 2);
+    let mut worst = worst::scenarios(source, worst_scenarios).into_iter();
     let mut packed = packed.into_iter();
-    let mut days = Vec::new();
-    while days.len() < most {
-        let before = days.len();
-        days.extend(worst.next());
-        days.extend(packed.next());
-        if days.len() == before {
+    let mut scenarios = Vec::new();
+    while scenarios.len() < max {
+        let before = scenarios.len();
+        scenarios.extend(worst.next());
+        scenarios.extend(packed.next());
+        if scenarios.len() == before {
             break;
         }
     }
-    days
+    scenarios
 }
--- a/crates/fault-matrix/src/site.rs
+++ b/crates/fault-matrix/src/site.rs
@@ -1,4 +1,4 @@
-//! What a site file tells about a deployment, as far as days are drawn from it.
+//! The parts of a site file (the description of a deployment) that scenarios are generated from.
 
 use crate::error::Error;
 use crate::kinds::Kind;
@@ -9,18 +9,18 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Site {
     pub name: String,
-    /// Seconds of traffic in a day.
+    /// Seconds of traffic in a scenario.
     pub length_s: f64,
     pub tolerate: Tolerate,
     #[serde(default)]
     pub classes: Vec<Class>,
     #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<KnownFault>,
     #[serde(default, rename = "day")]
-    pub days: Vec<StandardDay>,
+    pub scenarios: Vec<StandardScenario>,
 }
 
-/// How many machines whose loss is counted may be lost at once.
+/// How many core machines (those whose loss is counted) may be lost at once.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Tolerate {
     #[serde(default)]
@@ -33,19 +33,19 @@
     pub name: String,
 }
 
-/// A trouble that the deployment is known for.
+/// A fault that the deployment is known to meet.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Trouble {
+pub struct KnownFault {
     pub kind: String,
 }
 
-/// A day of the site file; only what it asks of the worth earned is read.
+/// A standard scenario of the site file; only its goal is read.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct StandardDay {
+pub struct StandardScenario {
     pub goal: Option<Goal>,
 }
 
-/// The least share of the worth owed that has to be earned.
+/// The least share of the achievable worth (the bench's score) that has to be reached.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 pub struct Goal {
     pub floor: f64,
@@ -58,11 +58,11 @@
         Site::parse(&text, &path.display().to_string())
     }
 
-    /// Reads the text of a site file; `source` is what an error names.
+    /// Parses a site file; errors name `source`.
     pub fn parse(text: &str, source: &str) -> Result<Site, Error> {
         let site: Site = toml::from_str(text).map_err(|cause| Error::content(source, cause))?;
-        let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-        if site.name.is_empty() || !site.name.chars().all(plain) {
+        let allowed_char = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+        if site.name.is_empty() || !site.name.chars().all(allowed_char) {
             return Err(Error::content(source, format!("{:?} is not a name", site.name)));
         }
         if !(site.length_s.is_finite() && site.length_s > 0.0) {
@@ -71,13 +71,13 @@
         Ok(site)
     }
 
-    /// Whether a kind may be drawn here.
+    /// Whether a kind applies to this deployment.
     pub fn allows(&self, kind: &Kind) -> bool {
-        !kind.listed_only || self.troubles.iter().any(|trouble| trouble.kind == kind.name)
+        !kind.listed_only || self.troubles.iter().any(|fault| fault.kind == kind.name)
     }
 
-    /// The least that any standard day asks for, which days of our own are held to as well.
+    /// The lowest goal of the standard scenarios; it applies to generated scenarios as well.
     pub fn floor(&self) -> Option<f64> {
-        self.days.iter().filter_map(|day| day.goal).map(|goal| goal.floor).reduce(f64::min)
+        self.scenarios.iter().filter_map(|scenario| scenario.goal).map(|goal| goal.floor).reduce(f64::min)
     }
 }
--- a/crates/fault-matrix/src/verdict.rs
+++ b/crates/fault-matrix/src/verdict.rs
@@ -1,5 +1,5 @@
-//! What came of a day that was played: read from the bench's report.
-// Code that nanoserde's derive writes for a field that may be missing.
+//! The verdict on a scenario that was run, read from the bench's report.
+// nanoserde's derive generates such code for optional fields.
 #![allow(clippy::question_mark)]
 
 use crate::error::Error;
@@ -8,73 +8,73 @@
 use std::path::Path;
 use std::str::Chars;
 
-/// The part of a report that tells whether a day was kept.
+/// The parts of a report that decide whether a scenario passed.
 #[derive(Debug, Clone, PartialEq, DeJson)]
 pub struct Report {
-    /// Worth, with prices.
+    /// The score of the scenario, after deductions for cost.
     #[nserde(rename = "G")]
     pub worth: f64,
-    /// A process that ended, or another reason for which the day counts nothing.
+    /// A process that ended, or another reason why the scenario is void.
     pub fault: Option<String>,
-    /// What the day lacks to pass the gate.
+    /// Requirements of the gate (the bench's pass threshold) that were not met.
     #[nserde(default)]
     pub short: Vec<String>,
     /// Names of the rules that were broken.
     #[nserde(default)]
     pub breaks: RuleNames,
-    /// What happened in the day.
+    /// What happened in the scenario.
     #[nserde(default)]
     pub events: Vec<Event>,
-    /// What the instances of each service got.
+    /// Figures of each service's instances.
     #[nserde(default)]
     pub services: Vec<Service>,
     #[nserde(default)]
     pub times: Times,
 }
 
-/// A service, as its instances saw the day.
+/// A service's requests as counted by its instances.
 #[derive(Debug, Clone, PartialEq, DeJson)]
 pub struct Service {
     pub name: String,
-    /// Requests that its instances turned away; LIMIT counts those of full ones.
+    /// Requests rejected by its instances; the rule LIMIT counts those rejected by full ones.
     #[nserde(default)]
     pub not_run: u64,
 }
 
-/// Times of the day, in ms.
+/// Times measured in the scenario, in ms.
 #[derive(Debug, Clone, Default, PartialEq, DeJson)]
 pub struct Times {
-    /// From the word that an instance leaves to the last request that reached it: the middle one and the longest.
+    /// From the leave notice of an instance to the last request that reached it: median and maximum.
     #[nserde(rename = "leaving in force")]
     pub last_after_leaving: Option<Vec<f64>>,
 }
 
-/// How near a day came to breaking LIMIT and DRAIN. The rules say yes or no; these say how far away a no was.
+/// How near a scenario came to breaking the rules LIMIT and DRAIN, which themselves only give yes or no.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Gauges {
-    /// Requests turned away by instances of the service that turned most away.
-    pub turned_away: u64,
-    /// The longest time from the word that an instance leaves to the last request that reached it, in ms.
+pub struct Margins {
+    /// Requests rejected by the instances of the service that rejected most.
+    pub rejected: u64,
+    /// The longest time from an instance's leave notice to the last request that reached it, in ms.
     pub last_after_leaving_ms: f64,
 }
 
-/// A fault or piece of planned work that came to pass.
+/// A fault or piece of planned work that took place.
 #[derive(Debug, Clone, PartialEq, DeJson)]
 pub struct Event {
     /// Kind, and variant in brackets.
     pub kind: String,
-    /// What it struck, if it strikes anything by name.
+    /// Its target, for kinds that have one.
     #[nserde(default)]
     pub what: String,
 }
 
-/// Kinds that strike nothing by name.
+/// Kinds without a named target.
 const WITHOUT_TARGET: [&str; 7] =
     ["ack_lost", "bad_config", "big_config", "config_change", "config_race", "config_storm", "retry_abuse"];
 
 impl Event {
-    /// Whether anything was struck: an entry that found all of its machines lost already strikes none.
-    pub fn struck(&self) -> bool {
+    /// Whether anything was hit: an entry whose machines are all lost already has no effect.
+    pub fn hit_target(&self) -> bool {
         !self.what.is_empty() || WITHOUT_TARGET.contains(&self.kind_name().as_str())
     }
 
@@ -108,19 +108,19 @@
     }
 }
 
-/// What came of a day.
+/// The verdict on a scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
-    /// All rules kept and the gate passed.
-    Kept { worth: f64 },
+    /// No rule broken, and the gate passed.
+    Passed { worth: f64 },
     /// Rules broken, by name.
-    Broken { worth: f64, rules: Vec<String> },
-    /// A process ended, or the bench says why else the day counts nothing.
+    RulesBroken { worth: f64, rules: Vec<String> },
+    /// A process ended, or the bench gave another reason why the scenario is void.
     Fault(String),
     /// No rule broken, but the gate is not passed.
-    Short { worth: f64, lacks: Vec<String> },
-    /// The bench gave no report: the day was not judged.
-    NotPlayed(String),
+    GateMissed { worth: f64, unmet: Vec<String> },
+    /// The bench wrote no report: there is no verdict.
+    NotRun(String),
 }
 
 impl Report {
@@ -131,23 +131,20 @@
     }
 }
 
-impl Gauges {
-    pub fn of(report: &Report) -> Gauges {
+impl Margins {
+    pub fn of(report: &Report) -> Margins {
         let times = report.times.last_after_leaving.iter().flatten();
-        Gauges {
-            turned_away: report.services.iter().map(|service| service.not_run).max().unwrap_or(0),
+        Margins {
+            rejected: report.services.iter().map(|service| service.not_run).max().unwrap_or(0),
             last_after_leaving_ms: times.copied().fold(0.0, f64::max),
         }
     }
 }
 
-impl fmt::Display for Gauges {
+impl fmt::Display for Margins {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        let Gauges { turned_away, last_after_leaving_ms } = self;
-        write!(
-            out,
-            "{turned_away} turned away, the last {last_after_leaving_ms:.0} ms after a word of leaving"
-        )
+        let Margins { rejected, last_after_leaving_ms } = self;
+        write!(out, "{rejected} turned away, the last {last_after_leaving_ms:.0} ms after the leave notice")
     }
 }
 
@@ -156,30 +153,30 @@
     pub fn of(report: Report) -> Verdict {
         let Report { worth, fault, short, breaks, .. } = report;
         if !breaks.0.is_empty() {
-            return Verdict::Broken { worth, rules: breaks.0 };
+            return Verdict::RulesBroken { worth, rules: breaks.0 };
         }
         match fault {
             Some(fault) => Verdict::Fault(fault),
-            None if !short.is_empty() => Verdict::Short { worth, lacks: short },
-            None => Verdict::Kept { worth },
+            None if !short.is_empty() => Verdict::GateMissed { worth, unmet: short },
+            None => Verdict::Passed { worth },
         }
     }
 
-    /// Whether the day was played and something is wrong with it.
-    pub fn is_bad(&self) -> bool {
-        matches!(self, Verdict::Broken { .. } | Verdict::Fault(_) | Verdict::Short { .. })
+    /// Whether the scenario was run and failed.
+    pub fn is_failure(&self) -> bool {
+        matches!(self, Verdict::RulesBroken { .. } | Verdict::Fault(_) | Verdict::GateMissed { .. })
     }
 
-    pub fn was_played(&self) -> bool {
-        !matches!(self, Verdict::NotPlayed(_))
+    pub fn was_run(&self) -> bool {
+        !matches!(self, Verdict::NotRun(_))
     }
 
     pub fn worth(&self) -> Option<f64> {
         match self {
-            Verdict::Kept { worth } | Verdict::Broken { worth, .. } | Verdict::Short { worth, .. } => {
-                Some(*worth)
-            }
-            Verdict::Fault(_) | Verdict::NotPlayed(_) => None,
+            Verdict::Passed { worth }
+            | Verdict::RulesBroken { worth, .. }
+            | Verdict::GateMissed { worth, .. } => Some(*worth),
+            Verdict::Fault(_) | Verdict::NotRun(_) => None,
         }
     }
 }
@@ -187,11 +184,15 @@
 impl fmt::Display for Verdict {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Verdict::Kept { worth } => write!(out, "kept, worth {worth:.3}"),
-            Verdict::Broken { worth, rules } => write!(out, "BROKEN {}, worth {worth:.3}", rules.join(" ")),
+            Verdict::Passed { worth } => write!(out, "kept, worth {worth:.3}"),
+            Verdict::RulesBroken { worth, rules } => {
+                write!(out, "BROKEN {}, worth {worth:.3}", rules.join(" "))
+            }
             Verdict::Fault(fault) => write!(out, "FAULT {fault}"),
-            Verdict::Short { worth, lacks } => write!(out, "GATE {}, worth {worth:.3}", lacks.join("; ")),
-            Verdict::NotPlayed(why) => write!(out, "not played: {why}"),
+            Verdict::GateMissed { worth, unmet } => {
+                write!(out, "GATE {}, worth {worth:.3}", unmet.join("; "))
+            }
+            Verdict::NotRun(why) => write!(out, "not played: {why}"),
         }
     }
 }
