--- a/crates/control-process-tests/src/cluster.rs
+++ b/crates/control-process-tests/src/cluster.rs
@@ -1,8 +1,8 @@
 //! Controllers as processes, with the stand-in for the platform beside them; agents and proxies where they are wanted.
 
 use crate::configuration::{text, variant_path, HOST};
-use crate::operator::{replace, show, show_within, Replaced, Shown};
-use crate::{CONTACT, POLL};
+use crate::operator::{replace, show, show_within, ReplaceAnswer, ShowAnswer};
+use crate::{CONTACT_TIMEOUT, POLL_INTERVAL};
 use std::fmt;
 use std::future::Future;
 use std::io;
@@ -25,7 +25,7 @@
 const HOSTS: usize = 6;
 const HOST_MEMORY_MB: u32 = 4096;
 /// For anything that is to happen at all; what must happen sooner is asserted by the test itself.
-pub const WITHIN: Duration = Duration::from_secs(20);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How many processes there are.
 #[derive(Debug, Clone, Copy)]
@@ -37,7 +37,7 @@
 
 /// Why there is no cluster, or something did not come about.
 #[derive(Debug)]
-pub enum Fault {
+pub enum ClusterError {
     Address(io::Error),
     Folder(PathBuf, io::Error),
     Fleet(fleet::Fault),
@@ -47,52 +47,52 @@
     TimedOut(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ClusterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Address(why) => write!(f, "no free addresses under 127.0.0.0/8: {why}"),
-            Fault::Folder(path, why) => write!(f, "{}: {why}", path.display()),
-            Fault::Fleet(why) => write!(f, "{why}"),
-            Fault::Platform(why) => write!(f, "the platform's stand-in: {why}"),
-            Fault::Connection(why) => write!(f, "a connection to a controller: {why}"),
-            Fault::TimedOut(what) => write!(f, "not in time: {what}"),
+            ClusterError::Address(why) => write!(f, "no free addresses under 127.0.0.0/8: {why}"),
+            ClusterError::Folder(path, why) => write!(f, "{}: {why}", path.display()),
+            ClusterError::Fleet(why) => write!(f, "{why}"),
+            ClusterError::Platform(why) => write!(f, "the platform's stand-in: {why}"),
+            ClusterError::Connection(why) => write!(f, "a connection to a controller: {why}"),
+            ClusterError::TimedOut(what) => write!(f, "not in time: {what}"),
         }
     }
 }
 
-impl From<fleet::Fault> for Fault {
-    fn from(why: fleet::Fault) -> Fault {
-        Fault::Fleet(why)
+impl From<fleet::Fault> for ClusterError {
+    fn from(why: fleet::Fault) -> ClusterError {
+        ClusterError::Fleet(why)
     }
 }
 
-impl From<platform::Fault> for Fault {
-    fn from(why: platform::Fault) -> Fault {
-        Fault::Platform(why)
+impl From<platform::Fault> for ClusterError {
+    fn from(why: platform::Fault) -> ClusterError {
+        ClusterError::Platform(why)
     }
 }
 
-impl From<io::Error> for Fault {
-    fn from(why: io::Error) -> Fault {
-        Fault::Connection(why)
+impl From<io::Error> for ClusterError {
+    fn from(why: io::Error) -> ClusterError {
+        ClusterError::Connection(why)
     }
 }
 
 /// Looks again until there is something, or `within` is over.
-pub async fn until<T, F: Future<Output = Option<T>>>(
+pub async fn wait_until<T, F: Future<Output = Option<T>>>(
     what: &str,
     within: Duration,
     mut look: impl FnMut() -> F,
-) -> Result<T, Fault> {
+) -> Result<T, ClusterError> {
     let end = Instant::now() + within;
     loop {
         if let Some(found) = look().await {
             return Ok(found);
         }
         if Instant::now() > end {
-            return Err(Fault::TimedOut(what.to_string()));
+            return Err(ClusterError::TimedOut(what.to_string()));
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -107,7 +107,7 @@
 const PATIENCE_AT_A_START: Duration = Duration::from_secs(1);
 
 /// Connections that wait in a queue until this is dropped.
-pub struct FullQueue {
+pub struct FullAcceptQueue {
     _connections: Vec<TcpStream>,
 }
 
@@ -160,10 +160,10 @@
 
 impl Cluster {
     /// Starts the processes with empty disks and waits until revision 1 is confirmed.
-    pub async fn start(program: &str, size: Size) -> Result<Cluster, Fault> {
+    pub async fn start(program: &str, size: Size) -> Result<Cluster, ClusterError> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let seed = std::process::id() + (NEXT.fetch_add(1, Ordering::Relaxed) << 16);
-        let net = Net::free(seed).map_err(Fault::Address)?;
+        let net = Net::free(seed).map_err(ClusterError::Address)?;
         let zones: Vec<String> = ZONES.iter().map(|zone| zone.to_string()).collect();
         let host = |n: usize| Host {
             name: format!("w-{}", n + 1),
@@ -176,7 +176,7 @@
         let plan = Plan {
             program: program.into(),
             folder: demo::folder_under(std::env::temp_dir())
-                .map_err(|(path, why)| Fault::Folder(path, why))?,
+                .map_err(|(path, why)| ClusterError::Folder(path, why))?,
             zones,
             edges: size.edges,
             cores: size.controllers,
@@ -193,35 +193,35 @@
         let fleet = Fleet::start(plan, net, provider)?;
         let names = fleet.machines(Role::Archive);
         let cluster = Cluster { fleet, platform, ledger, names };
-        cluster.confirm(&[0], &text(1, 0)).await?;
+        cluster.submit_confirmed(&[0], &text(1, 0)).await?;
         Ok(cluster)
     }
 
     /// The address at which operators reach a controller.
-    pub fn at(&self, controller: usize) -> SocketAddr {
+    pub fn address(&self, controller: usize) -> SocketAddr {
         self.fleet.controller(&self.names[controller]).expect("a controller of this cluster")
     }
 
     /// The controller that runs on this machine.
-    pub fn on(&self, machine: &str) -> Option<usize> {
+    pub fn controller_on(&self, machine: &str) -> Option<usize> {
         self.names.iter().position(|name| name == machine)
     }
 
     /// SIGKILL; returns when it has ended.
-    pub async fn kill(&self, controller: usize) -> Result<(), Fault> {
+    pub async fn kill(&self, controller: usize) -> Result<(), ClusterError> {
         self.fleet.kill(&self.names[controller], Role::Archive);
         self.ended(controller).await
     }
 
     /// SIGTERM; returns when it has ended by itself.
-    pub async fn terminate(&self, controller: usize) -> Result<(), Fault> {
+    pub async fn terminate(&self, controller: usize) -> Result<(), ClusterError> {
         self.fleet.term(&self.names[controller], Role::Archive);
         self.ended(controller).await
     }
 
-    async fn ended(&self, controller: usize) -> Result<(), Fault> {
+    async fn ended(&self, controller: usize) -> Result<(), ClusterError> {
         let name = &self.names[controller];
-        until(&format!("{name} ends"), WITHIN, || async {
+        wait_until(&format!("{name} ends"), STEP_TIMEOUT, || async {
             (!self.fleet.runs(name, Role::Archive)).then_some(())
         })
         .await
@@ -239,29 +239,30 @@
 
     /// Fills the queue of new connections of a frozen controller: as long as it is frozen nobody else can connect to it,
     /// so it hears nothing of those that are started meanwhile. (Open connections would deliver when it wakes.)
-    pub async fn fill_queue(&self, controller: usize) -> Result<FullQueue, Fault> {
+    pub async fn fill_accept_queue(&self, controller: usize) -> Result<FullAcceptQueue, ClusterError> {
         let at = self.fleet.peer_port(&self.names[controller]).expect("a controller of this cluster");
         let mut connections = Vec::new();
         while connections.len() < LONGEST_QUEUE {
             match timeout(QUEUE_IS_FULL, TcpStream::connect(at)).await {
                 Ok(connection) => connections.push(connection?),
-                Err(_) => return Ok(FullQueue { _connections: connections }),
+                Err(_) => return Ok(FullAcceptQueue { _connections: connections }),
             }
         }
-        Err(Fault::TimedOut(format!("the queue of {at} is not full with {LONGEST_QUEUE} connections")))
+        Err(ClusterError::TimedOut(format!("the queue of {at} is not full with {LONGEST_QUEUE} connections")))
     }
 
     /// Freezes a controller and starts all others anew while nobody can connect to it: when it wakes, it has heard nothing
     /// of what they did since, not even late. Returns when they show a text again.
-    pub async fn falls_behind(&self, controller: usize) -> Result<FullQueue, Fault> {
+    pub async fn make_stale(&self, controller: usize) -> Result<FullAcceptQueue, ClusterError> {
         self.freeze(controller);
-        let queue = self.fill_queue(controller).await?;
+        let queue = self.fill_accept_queue(controller).await?;
         let others = (0..self.names.len()).filter(|other| *other != controller);
         for other in others {
             self.kill(other).await?;
             self.restart(other)?;
-            until("a controller that starts anew shows a text", WITHIN, || async {
-                matches!(show_within(self.at(other), PATIENCE_AT_A_START).await, Shown::Text(_)).then_some(())
+            wait_until("a controller that starts anew shows a text", STEP_TIMEOUT, || async {
+                matches!(show_within(self.address(other), PATIENCE_AT_A_START).await, ShowAnswer::Text(_))
+                    .then_some(())
             })
             .await?;
         }
@@ -269,60 +270,60 @@
     }
 
     /// Starts a controller that has ended, with its disk as it is.
-    pub fn restart(&self, controller: usize) -> Result<(), Fault> {
+    pub fn restart(&self, controller: usize) -> Result<(), ClusterError> {
         assert!(self.fleet.start_again(&self.names[controller], Role::Archive)?, "{controller} has ended");
         Ok(())
     }
 
     /// The same with an empty disk.
-    pub fn restart_empty(&self, controller: usize) -> Result<(), Fault> {
+    pub fn restart_empty(&self, controller: usize) -> Result<(), ClusterError> {
         self.fleet.empty_disk(&self.names[controller])?;
         self.restart(controller)
     }
 
     /// Takes a controller that has ended away for good and starts an empty one at another address: its number.
-    pub fn replace_by_new(&mut self, controller: usize) -> Result<usize, Fault> {
+    pub fn replace_by_new(&mut self, controller: usize) -> Result<usize, ClusterError> {
         self.fleet.remove(&self.names[controller]);
         self.names.push(self.fleet.add_core()?);
         Ok(self.names.len() - 1)
     }
 
     /// Sends a text to these controllers in turn until one gives a clear answer.
-    pub async fn order(&self, controllers: &[usize], text: &str) -> Result<Replaced, Fault> {
+    pub async fn submit(&self, controllers: &[usize], text: &str) -> Result<ReplaceAnswer, ClusterError> {
         let mut turn = 0;
-        until("a clear answer to an order", WITHIN, || {
-            let at = self.at(controllers[turn % controllers.len()]);
+        wait_until("a clear answer to an order", STEP_TIMEOUT, || {
+            let at = self.address(controllers[turn % controllers.len()]);
             turn += 1;
-            async move { Some(replace(at, text).await).filter(Replaced::is_clear) }
+            async move { Some(replace(at, text).await).filter(ReplaceAnswer::is_definitive) }
         })
         .await
     }
 
     /// The same; any answer but a confirmation is a failed test.
-    pub async fn confirm(&self, controllers: &[usize], text: &str) -> Result<(), Fault> {
-        let answer = self.order(controllers, text).await?;
-        assert_eq!(answer, Replaced::Confirmed, "to an order that nothing stands against");
+    pub async fn submit_confirmed(&self, controllers: &[usize], text: &str) -> Result<(), ClusterError> {
+        let answer = self.submit(controllers, text).await?;
+        assert_eq!(answer, ReplaceAnswer::Confirmed, "to an order that nothing stands against");
         Ok(())
     }
 
     /// The text that a controller shows as soon as it shows one; it has as long as operators go on asking.
-    pub async fn shown_by(&self, controller: usize) -> Result<String, Fault> {
-        let (at, end) = (self.at(controller), Instant::now() + CONTACT);
+    pub async fn shown_by(&self, controller: usize) -> Result<String, ClusterError> {
+        let (at, end) = (self.address(controller), Instant::now() + CONTACT_TIMEOUT);
         loop {
             match show(at).await {
-                Shown::Text(text) => return Ok(text),
+                ShowAnswer::Text(text) => return Ok(text),
                 answer if Instant::now() > end => {
                     let name = &self.names[controller];
                     let what = format!("{name} shows no text, its last answer is {answer:?}");
-                    return Err(Fault::TimedOut(format!("{what}\n{}", self.story())));
+                    return Err(ClusterError::TimedOut(format!("{what}\n{}", self.diagnostics())));
                 }
-                _ => sleep(POLL).await,
+                _ => sleep(POLL_INTERVAL).await,
             }
         }
     }
 
     /// What was done to the processes, and what the controllers have logged: for a test that failed.
-    pub fn story(&self) -> String {
+    pub fn diagnostics(&self) -> String {
         let now = Instant::now();
         let mut lines = Vec::new();
         for (at, what) in self.fleet.happened() {
@@ -337,7 +338,7 @@
     }
 
     /// Asserts that each of these controllers shows this text, and nothing else before it.
-    pub async fn all_show(&self, controllers: &[usize], text: &str) -> Result<(), Fault> {
+    pub async fn assert_all_show(&self, controllers: &[usize], text: &str) -> Result<(), ClusterError> {
         for &controller in controllers {
             assert_eq!(self.shown_by(controller).await?, text, "shown by {}", self.names[controller]);
         }
@@ -352,10 +353,10 @@
     }
 
     /// SIGKILL to the agent and the proxy of a machine; returns when both have ended.
-    pub async fn kill_edge(&self, edge: &Edge) -> Result<(), Fault> {
+    pub async fn kill_edge(&self, edge: &Edge) -> Result<(), ClusterError> {
         for role in EDGE_ROLES {
             self.fleet.kill(&edge.machine, role);
-            until(&format!("{} ends", edge.machine), WITHIN, || async {
+            wait_until(&format!("{} ends", edge.machine), STEP_TIMEOUT, || async {
                 (!self.fleet.runs(&edge.machine, role)).then_some(())
             })
             .await?;
@@ -364,7 +365,7 @@
     }
 
     /// Starts both again.
-    pub fn restart_edge(&self, edge: &Edge) -> Result<(), Fault> {
+    pub fn restart_edge(&self, edge: &Edge) -> Result<(), ClusterError> {
         for role in EDGE_ROLES {
             assert!(self.fleet.start_again(&edge.machine, role)?, "{} has ended", edge.machine);
         }
--- a/crates/control-process-tests/src/history.rs
+++ b/crates/control-process-tests/src/history.rs
@@ -3,7 +3,7 @@
 //! Times are those of the operators' machine; a call has an instant at which it began and one at which its answer was
 //! read. Source of the idea: Herlihy and Wing, "Linearizability" (1990), for a register that only moves up.
 
-use crate::operator::Replaced;
+use crate::operator::ReplaceAnswer;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
@@ -17,16 +17,16 @@
 
 /// An order and its answer.
 #[derive(Debug, Clone)]
-pub struct Ordered {
+pub struct Submission {
     pub began: Duration,
     pub ended: Duration,
     pub version: Version,
-    pub answer: Replaced,
+    pub answer: ReplaceAnswer,
 }
 
 /// A text that was shown.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
+pub struct Observation {
     pub began: Duration,
     pub ended: Duration,
     pub version: Version,
@@ -34,14 +34,14 @@
 
 /// What a [`Violation`] is, without its versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum ViolationKind {
     TwoConfirmed,
     TwoShown,
-    AnotherShown,
-    WentBack,
-    ConfirmedOvertaken,
+    ShownNotConfirmed,
+    StaleShown,
+    StaleConfirmed,
     ConflictInForce,
-    Refused,
+    Rejected,
 }
 
 /// Something that must not have happened.
@@ -52,27 +52,27 @@
     /// Two texts were shown under one revision.
     TwoShown(Version, Version),
     /// One text was confirmed, another one shown under its revision.
-    AnotherShown { confirmed: Version, shown: Version },
+    ShownNotConfirmed { confirmed: Version, shown: Version },
     /// What an operator was told of this version's end by one call was not so at a later one.
-    WentBack { known: Version, later: Version },
+    StaleShown { known: Version, later: Version },
     /// Confirmed as in force after a higher one was.
-    ConfirmedOvertaken { known: Version, later: Version },
+    StaleConfirmed { known: Version, later: Version },
     /// In conflict with a text in force, and in force itself.
     ConflictInForce(Version),
     /// A valid order was refused.
-    Refused(Version, Replaced),
+    Rejected(Version, ReplaceAnswer),
 }
 
 impl Violation {
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> ViolationKind {
         match self {
-            Violation::TwoConfirmed(..) => Kind::TwoConfirmed,
-            Violation::TwoShown(..) => Kind::TwoShown,
-            Violation::AnotherShown { .. } => Kind::AnotherShown,
-            Violation::WentBack { .. } => Kind::WentBack,
-            Violation::ConfirmedOvertaken { .. } => Kind::ConfirmedOvertaken,
-            Violation::ConflictInForce(_) => Kind::ConflictInForce,
-            Violation::Refused(..) => Kind::Refused,
+            Violation::TwoConfirmed(..) => ViolationKind::TwoConfirmed,
+            Violation::TwoShown(..) => ViolationKind::TwoShown,
+            Violation::ShownNotConfirmed { .. } => ViolationKind::ShownNotConfirmed,
+            Violation::StaleShown { .. } => ViolationKind::StaleShown,
+            Violation::StaleConfirmed { .. } => ViolationKind::StaleConfirmed,
+            Violation::ConflictInForce(_) => ViolationKind::ConflictInForce,
+            Violation::Rejected(..) => ViolationKind::Rejected,
         }
     }
 }
@@ -82,23 +82,23 @@
         match self {
             Violation::TwoConfirmed(one, other) => write!(f, "both confirmed: {one:?}, {other:?}"),
             Violation::TwoShown(one, other) => write!(f, "both shown: {one:?}, {other:?}"),
-            Violation::AnotherShown { confirmed, shown } => {
+            Violation::ShownNotConfirmed { confirmed, shown } => {
                 write!(f, "{shown:?} shown, {confirmed:?} confirmed")
             }
-            Violation::WentBack { known, later } => write!(f, "{later:?} shown after {known:?}"),
-            Violation::ConfirmedOvertaken { known, later } => {
+            Violation::StaleShown { known, later } => write!(f, "{later:?} shown after {known:?}"),
+            Violation::StaleConfirmed { known, later } => {
                 write!(f, "{later:?} confirmed after {known:?} was in force")
             }
             Violation::ConflictInForce(version) => write!(f, "{version:?} in conflict, and in force"),
-            Violation::Refused(version, answer) => write!(f, "{version:?} refused: {answer:?}"),
+            Violation::Rejected(version, answer) => write!(f, "{version:?} refused: {answer:?}"),
         }
     }
 }
 
 #[derive(Debug, Clone, Default)]
 pub struct History {
-    pub orders: Vec<Ordered>,
-    pub seen: Vec<Seen>,
+    pub submissions: Vec<Submission>,
+    pub observations: Vec<Observation>,
 }
 
 impl History {
@@ -111,32 +111,35 @@
     }
 
     /// Versions that were stated to be in force, with the times of the calls that said so.
-    fn stated(&self) -> Vec<Seen> {
-        let confirmed = self.orders.iter().filter(|order| order.answer == Replaced::Confirmed);
-        let confirmed =
-            confirmed.map(|order| Seen { began: order.began, ended: order.ended, version: order.version });
-        confirmed.chain(self.seen.iter().copied()).collect()
+    fn stated(&self) -> Vec<Observation> {
+        let confirmed = self.submissions.iter().filter(|order| order.answer == ReplaceAnswer::Confirmed);
+        let confirmed = confirmed.map(|order| Observation {
+            began: order.began,
+            ended: order.ended,
+            version: order.version,
+        });
+        confirmed.chain(self.observations.iter().copied()).collect()
     }
 
-    fn confirmed(&self) -> impl Iterator<Item = &Ordered> {
-        self.orders.iter().filter(|order| order.answer == Replaced::Confirmed)
+    fn confirmed(&self) -> impl Iterator<Item = &Submission> {
+        self.submissions.iter().filter(|order| order.answer == ReplaceAnswer::Confirmed)
     }
 
     fn two_texts(&self) -> Vec<Violation> {
         let confirmed = VersionsOfRevision::new(self.confirmed().map(|order| order.version));
-        let shown = VersionsOfRevision::new(self.seen.iter().map(|seen| seen.version));
+        let shown = VersionsOfRevision::new(self.observations.iter().map(|seen| seen.version));
         let mut violations = Vec::new();
         violations.extend(confirmed.pairs().map(|(one, other)| Violation::TwoConfirmed(one, other)));
         violations.extend(shown.pairs().map(|(one, other)| Violation::TwoShown(one, other)));
         for (revision, confirmed) in &confirmed.0 {
             for &shown in shown.0.get(revision).into_iter().flatten() {
                 if !confirmed.contains(&shown) {
-                    violations.push(Violation::AnotherShown { confirmed: confirmed[0], shown });
+                    violations.push(Violation::ShownNotConfirmed { confirmed: confirmed[0], shown });
                 }
             }
         }
-        let conflicts = |order: &&Ordered| matches!(order.answer, Replaced::Conflict { .. });
-        for Ordered { version, .. } in self.orders.iter().filter(conflicts) {
+        let conflicts = |order: &&Submission| matches!(order.answer, ReplaceAnswer::Conflict { .. });
+        for Submission { version, .. } in self.submissions.iter().filter(conflicts) {
             if confirmed.has(version) || shown.has(version) {
                 violations.push(Violation::ConflictInForce(*version));
             }
@@ -153,24 +156,26 @@
             earlier.map(|call| call.version).max_by_key(|version| version.revision)
         };
         let mut violations = Vec::new();
-        for seen in &self.seen {
+        for seen in &self.observations {
             if let Some(known) = before(seen.began).filter(|known| known.revision > seen.version.revision) {
-                violations.push(Violation::WentBack { known, later: seen.version });
+                violations.push(Violation::StaleShown { known, later: seen.version });
             }
         }
         for order in self.confirmed() {
             let later = order.version;
             if let Some(known) = before(order.began).filter(|known| known.revision > later.revision) {
-                violations.push(Violation::ConfirmedOvertaken { known, later });
+                violations.push(Violation::StaleConfirmed { known, later });
             }
         }
         violations
     }
 
     fn refused(&self) -> Vec<Violation> {
-        let refused = |answer: &Replaced| matches!(answer, Replaced::Invalid(_) | Replaced::Unexpected(..));
-        let refused = self.orders.iter().filter(|order| refused(&order.answer));
-        refused.map(|order| Violation::Refused(order.version, order.answer.clone())).collect()
+        let refused = |answer: &ReplaceAnswer| {
+            matches!(answer, ReplaceAnswer::Invalid(_) | ReplaceAnswer::Unexpected(..))
+        };
+        let refused = self.submissions.iter().filter(|order| refused(&order.answer));
+        refused.map(|order| Violation::Rejected(order.version, order.answer.clone())).collect()
     }
 }
 
--- a/crates/control-process-tests/src/lib.rs
+++ b/crates/control-process-tests/src/lib.rs
@@ -8,11 +8,11 @@
 //!
 //! The tests are `crates/scheduler/tests/control_*.rs`, because cargo gives the path of a program only to tests of the
 //! program's own package. They use the command line, the settings file, the operators' HTTP interface and the platform's
-//! stand-in, nothing of the system's inside. Each has a short form for CI and a long one, chosen by [`LONG`].
+//! stand-in, nothing of the system's inside. Each has a short form for CI and a long one, chosen by [`LONG_TESTS_VARIABLE`].
 //!
 //! The links between controllers cannot be cut one by one here: a controller is known to the others by the address it
 //! listens on, so no relay fits between two of them. A cut is a frozen process (silent, its connections open), one that
-//! has ended (its port refuses), or a frozen one whose queue of new connections is full ([`cluster::FullQueue`]: it
+//! has ended (its port refuses), or a frozen one whose queue of new connections is full ([`cluster::FullAcceptQueue`]: it
 //! wakes without having heard what the others did). One-way cuts between running controllers are left to the simulation.
 
 pub mod cluster;
@@ -23,11 +23,11 @@
 use std::time::Duration;
 
 /// Set to anything: tests run their long form.
-pub const LONG: &str = "TINDOCK_CONTROL_LONG";
+pub const LONG_TESTS_VARIABLE: &str = "TINDOCK_CONTROL_LONG";
 
-/// One of two sizes of a test: `short` in CI, `long` where [`LONG`] is set.
-pub fn sized<T>(short: T, long: T) -> T {
-    if std::env::var_os(LONG).is_some() {
+/// One of two sizes of a test: `short` in CI, `long` where [`LONG_TESTS_VARIABLE`] is set.
+pub fn short_or_long<T>(short: T, long: T) -> T {
+    if std::env::var_os(LONG_TESTS_VARIABLE).is_some() {
         long
     } else {
         short
@@ -38,7 +38,7 @@
 pub const SYNC_TIME: Duration = Duration::from_secs(4);
 
 /// Operators ask for the newest text for at least so long (`contact_ms` of the settings).
-pub const CONTACT: Duration = Duration::from_secs(5);
+pub const CONTACT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Between two looks at a condition that is waited for.
-pub const POLL: Duration = Duration::from_millis(25);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(25);
--- a/crates/control-process-tests/src/operator.rs
+++ b/crates/control-process-tests/src/operator.rs
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 /// Longer than a controller may take for any answer.
-pub const PATIENCE: Duration = Duration::from_secs(8);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 
 const REPLACE: &str = "/v1/Configuration.Replace";
 const SHOW: &str = "/v1/Configuration.Show";
@@ -19,7 +19,7 @@
 
 /// The answer to `Configuration.Replace`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Replaced {
+pub enum ReplaceAnswer {
     /// This text is in force under its revision.
     Confirmed,
     /// Taken note of; this higher revision is in force, or another text that is named.
@@ -38,7 +38,7 @@
 
 /// The answer to `Configuration.Show`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Shown {
+pub enum ShowAnswer {
     Text(String),
     /// No majority in touch, or nothing taken yet; to be asked again.
     Unclear {
@@ -48,42 +48,45 @@
     Unanswered,
 }
 
-impl Replaced {
+impl ReplaceAnswer {
     /// Told that the order is over: confirmed, overtaken, or in conflict.
-    pub fn is_clear(&self) -> bool {
-        !matches!(self, Replaced::Unclear { .. } | Replaced::Unanswered)
+    pub fn is_definitive(&self) -> bool {
+        !matches!(self, ReplaceAnswer::Unclear { .. } | ReplaceAnswer::Unanswered)
     }
 
     /// Not told that the order was wrong or lost: what an order sent again may be answered.
     pub fn is_acknowledged_or_unclear(&self) -> bool {
-        matches!(self, Replaced::Confirmed | Replaced::Superseded { .. } | Replaced::Unclear { .. })
+        matches!(
+            self,
+            ReplaceAnswer::Confirmed | ReplaceAnswer::Superseded { .. } | ReplaceAnswer::Unclear { .. }
+        )
     }
 }
 
-impl From<Option<Answer>> for Replaced {
-    fn from(answer: Option<Answer>) -> Replaced {
-        let Some(answer) = answer else { return Replaced::Unanswered };
+impl From<Option<Answer>> for ReplaceAnswer {
+    fn from(answer: Option<Answer>) -> ReplaceAnswer {
+        let Some(answer) = answer else { return ReplaceAnswer::Unanswered };
         let body = String::from_utf8_lossy(&answer.body).into_owned();
         let in_force: InForce = DeJson::deserialize_json(&body).unwrap_or_default();
         match answer.status {
-            200 if in_force.superseded => Replaced::Superseded { revision: in_force.revision() },
-            200 => Replaced::Confirmed,
-            409 => Replaced::Conflict { revision: in_force.revision() },
-            503 => Replaced::Unclear { retry_after: answer.headers.retry_after() },
-            400 => Replaced::Invalid(body),
-            status => Replaced::Unexpected(status, body),
+            200 if in_force.superseded => ReplaceAnswer::Superseded { revision: in_force.revision() },
+            200 => ReplaceAnswer::Confirmed,
+            409 => ReplaceAnswer::Conflict { revision: in_force.revision() },
+            503 => ReplaceAnswer::Unclear { retry_after: answer.headers.retry_after() },
+            400 => ReplaceAnswer::Invalid(body),
+            status => ReplaceAnswer::Unexpected(status, body),
         }
     }
 }
 
-impl From<Option<Answer>> for Shown {
-    fn from(answer: Option<Answer>) -> Shown {
-        let Some(answer) = answer else { return Shown::Unanswered };
+impl From<Option<Answer>> for ShowAnswer {
+    fn from(answer: Option<Answer>) -> ShowAnswer {
+        let Some(answer) = answer else { return ShowAnswer::Unanswered };
         let body = String::from_utf8_lossy(&answer.body).into_owned();
         match answer.status {
-            200 => Shown::Text(body),
-            503 => Shown::Unclear { retry_after: answer.headers.retry_after() },
-            status => Shown::Unexpected(status, body),
+            200 => ShowAnswer::Text(body),
+            503 => ShowAnswer::Unclear { retry_after: answer.headers.retry_after() },
+            status => ShowAnswer::Unexpected(status, body),
         }
     }
 }
@@ -105,22 +108,22 @@
 }
 
 /// Sends a text once, following redirects.
-pub async fn replace(at: SocketAddr, text: &str) -> Replaced {
-    replace_within(at, text, PATIENCE).await
+pub async fn replace(at: SocketAddr, text: &str) -> ReplaceAnswer {
+    replace_within(at, text, CALL_TIMEOUT).await
 }
 
 /// The same, given up after `patience` at each controller.
-pub async fn replace_within(at: SocketAddr, text: &str, patience: Duration) -> Replaced {
+pub async fn replace_within(at: SocketAddr, text: &str, patience: Duration) -> ReplaceAnswer {
     follow(at, patience, "POST", REPLACE, &[JSON], text).await.1.into()
 }
 
 /// Asks for the newest text once, following redirects.
-pub async fn show(at: SocketAddr) -> Shown {
-    show_within(at, PATIENCE).await
+pub async fn show(at: SocketAddr) -> ShowAnswer {
+    show_within(at, CALL_TIMEOUT).await
 }
 
 /// The same, given up after `patience` at each controller.
-pub async fn show_within(at: SocketAddr, patience: Duration) -> Shown {
+pub async fn show_within(at: SocketAddr, patience: Duration) -> ShowAnswer {
     follow(at, patience, "GET", SHOW, &[], "").await.1.into()
 }
 
@@ -142,23 +145,26 @@
 
 impl Connection {
     pub async fn open(at: SocketAddr) -> io::Result<Connection> {
-        let stream = timeout(PATIENCE, TcpStream::connect(at)).await??;
+        let stream = timeout(CALL_TIMEOUT, TcpStream::connect(at)).await??;
         stream.set_nodelay(true)?;
         Ok(Connection { stream, buffer: Vec::new() })
     }
 
     pub async fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
-        timeout(PATIENCE, self.stream.write_all(bytes)).await?
+        timeout(CALL_TIMEOUT, self.stream.write_all(bytes)).await?
     }
 
     /// The next answer, to a call of this method; none if no whole one comes in time.
     pub async fn answer(&mut self, method: &str) -> Option<Answer> {
-        timeout(PATIENCE, read_answer(&mut self.stream, &mut self.buffer, method)).await.ok()?.ok()
+        timeout(CALL_TIMEOUT, read_answer(&mut self.stream, &mut self.buffer, method)).await.ok()?.ok()
     }
 
     /// Whether the other side has ended the connection without a word.
-    pub async fn ends_silently(&mut self) -> bool {
-        matches!(timeout(PATIENCE, read_answer(&mut self.stream, &mut self.buffer, "POST")).await, Ok(Err(_)))
+    pub async fn closes_without_answer(&mut self) -> bool {
+        matches!(
+            timeout(CALL_TIMEOUT, read_answer(&mut self.stream, &mut self.buffer, "POST")).await,
+            Ok(Err(_))
+        )
     }
 
     /// Ends the sending side; the controller reads an end of the stream.
--- a/crates/scheduler/tests/control_edges.rs
+++ b/crates/scheduler/tests/control_edges.rs
@@ -2,10 +2,10 @@
 //! start while no controller is there.
 
 use std::time::Duration;
-use tindock_control_process_tests::cluster::{until, Cluster, Edge, Fault, Size, WITHIN};
+use tindock_control_process_tests::cluster::{wait_until, Cluster, ClusterError, Edge, Size, STEP_TIMEOUT};
 use tindock_control_process_tests::configuration::text;
-use tindock_control_process_tests::operator::{replace, Replaced};
-use tindock_control_process_tests::{sized, CONTACT, POLL};
+use tindock_control_process_tests::operator::{replace, ReplaceAnswer};
+use tindock_control_process_tests::{short_or_long, CONTACT_TIMEOUT, POLL_INTERVAL};
 use tokio::time::{sleep, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_tindock");
@@ -45,24 +45,24 @@
             }
             return Err(said.join("; "));
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Two operators race; whatever becomes of it, all proxies end with one text.
-async fn races(races: u64) -> Result<(), Fault> {
+async fn races(races: u64) -> Result<(), ClusterError> {
     let cluster = Cluster::start(PROGRAM, SIZE).await?;
     let edges = cluster.edges();
-    all_serve_only(&edges, 0, &[1, 2], WITHIN).await.map_err(Fault::TimedOut)?;
+    all_serve_only(&edges, 0, &[1, 2], STEP_TIMEOUT).await.map_err(ClusterError::TimedOut)?;
     let mut findings = Vec::new();
     for race in 0..races {
         let revision = 2 + race;
         let texts = [text(revision, 1), text(revision, 2)];
         let (one, other) = ((race % 3) as usize, ((race + 1) % 3) as usize);
-        tokio::join!(replace(cluster.at(one), &texts[0]), replace(cluster.at(other), &texts[1]));
+        tokio::join!(replace(cluster.address(one), &texts[0]), replace(cluster.address(other), &texts[1]));
         // Whichever is in force: an order is clear, and one of the two is confirmed.
-        let confirmed = match cluster.order(&[0, 1, 2], &texts[0]).await? {
-            Replaced::Confirmed => 1,
+        let confirmed = match cluster.submit(&[0, 1, 2], &texts[0]).await? {
+            ReplaceAnswer::Confirmed => 1,
             _ => 2,
         };
         if let Err(said) = all_serve_only(&edges, confirmed, &[0, 3 - confirmed], CONVERGENCE * 2).await {
@@ -75,34 +75,35 @@
 
 #[tokio::test]
 async fn all_proxies_serve_the_confirmed_one_of_two_texts_under_one_revision() {
-    races(sized(4, 40)).await.unwrap_or_else(|fault| panic!("{fault}"));
+    races(short_or_long(4, 40)).await.unwrap_or_else(|fault| panic!("{fault}"));
 }
 
 /// An agent and a proxy start while no controller is there: the proxy wants no connections and knows no route.
-async fn starts_cut_off() -> Result<(), Fault> {
+async fn starts_cut_off() -> Result<(), ClusterError> {
     let cluster = Cluster::start(PROGRAM, SIZE).await?;
     let edge = cluster.edges().remove(0);
-    until("the proxy is ready", WITHIN, || async { edge.is_ready().await.then_some(()) }).await?;
+    wait_until("the proxy is ready", STEP_TIMEOUT, || async { edge.is_ready().await.then_some(()) }).await?;
     for controller in 0..3 {
         cluster.kill(controller).await?;
     }
     cluster.kill_edge(&edge).await?;
     cluster.restart_edge(&edge)?;
     let answered = || async { edge.status_of(0).await };
-    let mut statuses = vec![until("the proxy answers", WITHIN, answered).await?];
-    let end = Instant::now() + sized(Duration::from_secs(2), Duration::from_secs(20));
+    let mut statuses = vec![wait_until("the proxy answers", STEP_TIMEOUT, answered).await?];
+    let end = Instant::now() + short_or_long(Duration::from_secs(2), Duration::from_secs(20));
     while Instant::now() < end {
         assert!(!edge.is_ready().await, "ready without a configuration");
         statuses.extend(edge.status_of(0).await);
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
     // Neither a route nor the absence of one is known.
     assert!(statuses.iter().all(|status| *status == 503), "answered without a configuration: {statuses:?}");
     for controller in 0..3 {
         cluster.restart(controller)?;
     }
-    until("the proxy is ready again", WITHIN, || async { edge.is_ready().await.then_some(()) }).await?;
-    all_serve_only(&[edge], 0, &[1], WITHIN).await.map_err(Fault::TimedOut)
+    wait_until("the proxy is ready again", STEP_TIMEOUT, || async { edge.is_ready().await.then_some(()) })
+        .await?;
+    all_serve_only(&[edge], 0, &[1], STEP_TIMEOUT).await.map_err(ClusterError::TimedOut)
 }
 
 #[tokio::test]
@@ -112,18 +113,20 @@
 
 /// An agent and its proxy are frozen through changes: after they wake they come to the newest text in time, and never go
 /// back.
-async fn frozen_through_changes() -> Result<(), Fault> {
+async fn frozen_through_changes() -> Result<(), ClusterError> {
     let cluster = Cluster::start(PROGRAM, SIZE).await?;
     let edge = cluster.edges().remove(0);
-    all_serve_only(std::slice::from_ref(&edge), 0, &[1], WITHIN).await.map_err(Fault::TimedOut)?;
+    all_serve_only(std::slice::from_ref(&edge), 0, &[1], STEP_TIMEOUT)
+        .await
+        .map_err(ClusterError::TimedOut)?;
     cluster.freeze_edge(&edge);
     let frozen = Instant::now();
-    let length = sized(Duration::from_secs(3), Duration::from_secs(20));
+    let length = short_or_long(Duration::from_secs(3), Duration::from_secs(20));
     let mut newest = 0;
     while newest < 3 || frozen.elapsed() < length {
         newest += 1;
-        cluster.confirm(&[0, 1, 2], &text(1 + u64::from(newest), newest)).await?;
-        sleep(POLL * 4).await;
+        cluster.submit_confirmed(&[0, 1, 2], &text(1 + u64::from(newest), newest)).await?;
+        sleep(POLL_INTERVAL * 4).await;
     }
     cluster.resume_edge(&edge);
     let resumed = Instant::now();
@@ -136,13 +139,16 @@
                 break;
             }
         }
-        assert!(resumed.elapsed() < CONTACT + CONVERGENCE, "variant {last} is in force, not {newest}");
-        sleep(POLL).await;
+        assert!(
+            resumed.elapsed() < CONTACT_TIMEOUT + CONVERGENCE,
+            "variant {last} is in force, not {newest}"
+        );
+        sleep(POLL_INTERVAL).await;
     }
     let end = Instant::now() + CONVERGENCE;
     while Instant::now() < end {
         assert_eq!(edge.status_of(0).await, Some(404), "a route of the first text is back");
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
@@ -155,26 +161,28 @@
 /// Whether an agent that starts with nobody to ask but a controller without a majority is handed something: what its
 /// proxy says, as soon as it says anything but that it knows nothing.
 async fn handed_out(edge: &Edge) -> Option<(bool, Option<u16>)> {
-    let end = Instant::now() + sized(Duration::from_secs(3), Duration::from_secs(20));
+    let end = Instant::now() + short_or_long(Duration::from_secs(3), Duration::from_secs(20));
     while Instant::now() < end {
         let said = (edge.is_ready().await, edge.status_of(0).await);
         if !matches!(said, (false, None | Some(503))) {
             return Some(said);
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
     None
 }
 
 /// A controller wakes alone with an old text, and an agent starts that has nobody else to ask: it is handed nothing.
-async fn starts_beside_one_that_wakes() -> Result<(), Fault> {
+async fn starts_beside_one_that_wakes() -> Result<(), ClusterError> {
     let cluster = Cluster::start(PROGRAM, SIZE).await?;
     let edge = cluster.edges().remove(0);
-    all_serve_only(std::slice::from_ref(&edge), 0, &[1, 2], WITHIN).await.map_err(Fault::TimedOut)?;
+    all_serve_only(std::slice::from_ref(&edge), 0, &[1, 2], STEP_TIMEOUT)
+        .await
+        .map_err(ClusterError::TimedOut)?;
     let frozen = Instant::now();
-    let queue = cluster.falls_behind(2).await?;
-    cluster.confirm(&[0, 1], &text(2, 1)).await?;
-    cluster.confirm(&[0, 1], &text(3, 2)).await?;
+    let queue = cluster.make_stale(2).await?;
+    cluster.submit_confirmed(&[0, 1], &text(2, 1)).await?;
+    cluster.submit_confirmed(&[0, 1], &text(3, 2)).await?;
     cluster.kill_edge(&edge).await?;
     // Sooner it may take itself for in touch: its text is no older then than contact may be.
     sleep(KNOWN_ALONE.saturating_sub(frozen.elapsed())).await;
@@ -183,11 +191,11 @@
     drop(queue);
     cluster.resume(2);
     cluster.restart_edge(&edge)?;
-    until("the proxy answers", WITHIN, || async { edge.status_of(0).await }).await?;
+    wait_until("the proxy answers", STEP_TIMEOUT, || async { edge.status_of(0).await }).await?;
     let said = handed_out(&edge).await;
     cluster.resume(0);
     cluster.resume(1);
-    all_serve_only(&[edge], 2, &[0, 1], WITHIN).await.map_err(Fault::TimedOut)?;
+    all_serve_only(&[edge], 2, &[0, 1], STEP_TIMEOUT).await.map_err(ClusterError::TimedOut)?;
     assert_eq!(said, None, "ready, and the status of a route that was removed");
     Ok(())
 }
@@ -198,23 +206,25 @@
 }
 
 /// The same with a controller that starts alone, with an old text on its disk.
-async fn starts_beside_one_that_starts() -> Result<(), Fault> {
+async fn starts_beside_one_that_starts() -> Result<(), ClusterError> {
     let cluster = Cluster::start(PROGRAM, SIZE).await?;
     let edge = cluster.edges().remove(0);
-    all_serve_only(std::slice::from_ref(&edge), 0, &[1, 2], WITHIN).await.map_err(Fault::TimedOut)?;
+    all_serve_only(std::slice::from_ref(&edge), 0, &[1, 2], STEP_TIMEOUT)
+        .await
+        .map_err(ClusterError::TimedOut)?;
     cluster.kill(2).await?;
-    cluster.confirm(&[0, 1], &text(2, 1)).await?;
-    cluster.confirm(&[0, 1], &text(3, 2)).await?;
+    cluster.submit_confirmed(&[0, 1], &text(2, 1)).await?;
+    cluster.submit_confirmed(&[0, 1], &text(3, 2)).await?;
     cluster.kill_edge(&edge).await?;
     cluster.kill(0).await?;
     cluster.kill(1).await?;
     cluster.restart(2)?;
     cluster.restart_edge(&edge)?;
-    until("the proxy answers", WITHIN, || async { edge.status_of(0).await }).await?;
+    wait_until("the proxy answers", STEP_TIMEOUT, || async { edge.status_of(0).await }).await?;
     let said = handed_out(&edge).await;
     cluster.restart(0)?;
     cluster.restart(1)?;
-    all_serve_only(&[edge], 2, &[0, 1], WITHIN).await.map_err(Fault::TimedOut)?;
+    all_serve_only(&[edge], 2, &[0, 1], STEP_TIMEOUT).await.map_err(ClusterError::TimedOut)?;
     assert_eq!(said, None, "ready, and the status of a route that was removed");
     Ok(())
 }
--- a/crates/scheduler/tests/control_hunt.rs
+++ b/crates/scheduler/tests/control_hunt.rs
@@ -6,11 +6,11 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use tindock_control_process_tests::cluster::{Cluster, Fault, Size};
+use tindock_control_process_tests::cluster::{Cluster, ClusterError, Size};
 use tindock_control_process_tests::configuration::{text, version_of};
-use tindock_control_process_tests::history::{History, Kind, Ordered, Seen, Version};
-use tindock_control_process_tests::operator::{replace_within, show_within, Shown};
-use tindock_control_process_tests::{sized, POLL, SYNC_TIME};
+use tindock_control_process_tests::history::{History, Observation, Submission, Version, ViolationKind};
+use tindock_control_process_tests::operator::{replace_within, show_within, ShowAnswer};
+use tindock_control_process_tests::{short_or_long, POLL_INTERVAL, SYNC_TIME};
 use tokio::time::{sleep, sleep_until, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_tindock");
@@ -47,29 +47,29 @@
                 _ => version.revision,
             };
             self.highest.set(self.highest.get().max(version.revision));
-            let (at, began) = (self.cluster.at(self.any(&mut chance)), self.began.elapsed());
+            let (at, began) = (self.cluster.address(self.any(&mut chance)), self.began.elapsed());
             let answer =
                 replace_within(at, &text(version.revision, version.variant), OPERATORS_PATIENCE).await;
             let ended = self.began.elapsed();
-            self.history.borrow_mut().orders.push(Ordered { began, ended, version, answer });
+            self.history.borrow_mut().submissions.push(Submission { began, ended, version, answer });
             sleep(Duration::from_millis(chance.rand_range(1..60))).await;
         }
     }
 
     async fn look(&self, mut chance: Rand64) {
         while !self.is_over() {
-            let (at, began) = (self.cluster.at(self.any(&mut chance)), self.began.elapsed());
-            if let Shown::Text(text) = show_within(at, OPERATORS_PATIENCE).await {
+            let (at, began) = (self.cluster.address(self.any(&mut chance)), self.began.elapsed());
+            if let ShowAnswer::Text(text) = show_within(at, OPERATORS_PATIENCE).await {
                 let version = version_of(&text).expect("a text that was sent");
                 let ended = self.began.elapsed();
-                self.history.borrow_mut().seen.push(Seen { began, ended, version });
+                self.history.borrow_mut().observations.push(Observation { began, ended, version });
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     /// One trouble after the other, in an order by chance. Disks are lost one at a time, with all others there for the documented time.
-    async fn trouble(&self, mut chance: Rand64) -> Result<(), Fault> {
+    async fn trouble(&self, mut chance: Rand64) -> Result<(), ClusterError> {
         while !self.is_over() {
             let victim = self.any(&mut chance);
             let other = (victim + 1) % self.controllers as usize;
@@ -87,7 +87,7 @@
                 }
                 6 => {
                     // One wakes alone, and has heard nothing of what the others did.
-                    let queue = self.cluster.falls_behind(victim).await?;
+                    let queue = self.cluster.make_stale(victim).await?;
                     sleep(length).await;
                     drop(queue);
                     let others = (0..self.controllers as usize).filter(|other| *other != victim);
@@ -126,7 +126,7 @@
     }
 }
 
-async fn hunt(controllers: usize, seed: u64) -> Result<(), Fault> {
+async fn hunt(controllers: usize, seed: u64) -> Result<(), ClusterError> {
     let cluster = Cluster::start(PROGRAM, Size { controllers, edges: 0 }).await?;
     let began = Instant::now();
     let hunt = Hunt {
@@ -135,7 +135,7 @@
         history: RefCell::default(),
         highest: Cell::new(2),
         began,
-        over: began + sized(Duration::from_secs(12), Duration::from_secs(300)),
+        over: began + short_or_long(Duration::from_secs(12), Duration::from_secs(300)),
     };
     let chance = |part: u128| Rand64::new(u128::from(seed) << 8 | part);
     let (_, _, _, _, troubled) = tokio::join!(
@@ -148,11 +148,12 @@
     troubled?;
     let all: Vec<usize> = (0..controllers).collect();
     let last = Version { revision: hunt.highest.get() + 1, variant: 0 };
-    hunt.cluster.confirm(&all, &text(last.revision, last.variant)).await?;
-    hunt.cluster.all_show(&all, &text(last.revision, last.variant)).await?;
+    hunt.cluster.submit_confirmed(&all, &text(last.revision, last.variant)).await?;
+    hunt.cluster.assert_all_show(&all, &text(last.revision, last.variant)).await?;
     let history = hunt.history.borrow();
-    let (violations, orders, seen) = (history.violations(), history.orders.len(), history.seen.len());
-    let mut kinds: BTreeMap<Kind, (usize, String)> = BTreeMap::new();
+    let (violations, orders, seen) =
+        (history.violations(), history.submissions.len(), history.observations.len());
+    let mut kinds: BTreeMap<ViolationKind, (usize, String)> = BTreeMap::new();
     for violation in &violations {
         kinds.entry(violation.kind()).or_insert((0, violation.to_string())).0 += 1;
     }
--- a/crates/scheduler/tests/control_leaving.rs
+++ b/crates/scheduler/tests/control_leaving.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use tindock_control_process_tests::cluster::{Cluster, Size};
 use tindock_control_process_tests::configuration::text;
-use tindock_control_process_tests::operator::{replace, show, Replaced, Shown};
+use tindock_control_process_tests::operator::{replace, show, ReplaceAnswer, ShowAnswer};
 use tindock_standins::fleet::Role;
 use tokio::time::{sleep, Instant};
 
@@ -18,7 +18,7 @@
 async fn a_leaving_controller_answers_the_calls_in_hand_and_refuses_new_ones_at_once() {
     let cluster = Cluster::start(PROGRAM, SIZE).await.unwrap_or_else(|fault| panic!("{fault}"));
     let machines = cluster.fleet.machines(Role::Archive);
-    let leaving = cluster.at(0);
+    let leaving = cluster.address(0);
     // Nothing that it is asked can be decided any more.
     for machine in &machines[1..] {
         assert!(cluster.fleet.freeze(machine, Role::Archive));
@@ -37,8 +37,8 @@
         cluster.fleet.resume(machine, Role::Archive);
     }
 
-    assert!(matches!(in_hand, Replaced::Unclear { .. }), "{in_hand:?}\n{log}");
-    assert!(matches!(late_order, Replaced::Unclear { .. }), "{late_order:?}\n{log}");
-    assert!(matches!(late_look, Shown::Unclear { .. }), "{late_look:?}\n{log}");
+    assert!(matches!(in_hand, ReplaceAnswer::Unclear { .. }), "{in_hand:?}\n{log}");
+    assert!(matches!(late_order, ReplaceAnswer::Unclear { .. }), "{late_order:?}\n{log}");
+    assert!(matches!(late_look, ShowAnswer::Unclear { .. }), "{late_look:?}\n{log}");
     assert!(late_took < AT_ONCE, "{late_took:?}\n{log}");
 }
--- a/crates/scheduler/tests/control_voters.rs
+++ b/crates/scheduler/tests/control_voters.rs
@@ -1,10 +1,10 @@
 //! Changes of who votes among real controllers: replaced ones, emptied ones, ones that leave by plan, and the loss of a
 //! second one as soon as the documented time has passed.
 
-use tindock_control_process_tests::cluster::{until, Cluster, Fault, Size, WITHIN};
+use tindock_control_process_tests::cluster::{wait_until, Cluster, ClusterError, Size, STEP_TIMEOUT};
 use tindock_control_process_tests::configuration::text;
-use tindock_control_process_tests::operator::{show, Shown};
-use tindock_control_process_tests::{sized, SYNC_TIME};
+use tindock_control_process_tests::operator::{show, ShowAnswer};
+use tindock_control_process_tests::{short_or_long, SYNC_TIME};
 use tokio::time::{sleep_until, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_tindock");
@@ -18,10 +18,10 @@
 }
 
 /// One controller is replaced by an empty one at another address; a second one is lost when the first counts again.
-async fn replaced_then_a_second_lost(controllers: usize, goes: Goes) -> Result<(), Fault> {
+async fn replaced_then_a_second_lost(controllers: usize, goes: Goes) -> Result<(), ClusterError> {
     let mut cluster = Cluster::start(PROGRAM, Size { controllers, edges: 0 }).await?;
     let order = text(2, 0);
-    cluster.confirm(&[0], &order).await?;
+    cluster.submit_confirmed(&[0], &order).await?;
     match goes {
         Goes::Killed => cluster.kill(0).await?,
         Goes::ByPlan => cluster.terminate(0).await?,
@@ -30,10 +30,10 @@
     sleep_until(Instant::now() + SYNC_TIME).await;
     cluster.kill(1).await?;
     let left: Vec<usize> = (2..controllers).chain([new]).collect();
-    cluster.all_show(&left, &order).await?;
+    cluster.assert_all_show(&left, &order).await?;
     let next = text(3, 0);
-    cluster.confirm(&left, &next).await?;
-    cluster.all_show(&left, &next).await
+    cluster.submit_confirmed(&left, &next).await?;
+    cluster.assert_all_show(&left, &next).await
 }
 
 #[tokio::test]
@@ -52,26 +52,26 @@
 }
 
 /// All controllers are replaced, one after the other, with an order in each step: no copy is left from the beginning.
-async fn all_replaced(steps: u64) -> Result<(), Fault> {
+async fn all_replaced(steps: u64) -> Result<(), ClusterError> {
     let mut cluster = Cluster::start(PROGRAM, Size { controllers: 3, edges: 0 }).await?;
     let mut members = vec![0, 1, 2];
     for step in 0..steps {
         let order = text(2 + step, 0);
         let oldest = members.remove(0);
-        cluster.confirm(&[oldest], &order).await?;
+        cluster.submit_confirmed(&[oldest], &order).await?;
         cluster.kill(oldest).await?;
         members.push(cluster.replace_by_new(oldest)?);
         sleep_until(Instant::now() + SYNC_TIME).await;
-        cluster.all_show(&members, &order).await?;
+        cluster.assert_all_show(&members, &order).await?;
     }
     // The copies are counted: any one may be missing.
     let newest = text(1 + steps, 0);
-    for &lost in &members[..sized(1, 3)] {
+    for &lost in &members[..short_or_long(1, 3)] {
         cluster.kill(lost).await?;
         let left: Vec<usize> = members.iter().copied().filter(|member| *member != lost).collect();
-        cluster.all_show(&left, &newest).await?;
+        cluster.assert_all_show(&left, &newest).await?;
         cluster.restart(lost)?;
-        cluster.all_show(&[lost], &newest).await?;
+        cluster.assert_all_show(&[lost], &newest).await?;
         sleep_until(Instant::now() + SYNC_TIME).await;
     }
     Ok(())
@@ -79,20 +79,20 @@
 
 #[tokio::test]
 async fn all_are_replaced_one_after_the_other() {
-    all_replaced(sized(3, 9)).await.unwrap_or_else(|fault| panic!("{fault}"));
+    all_replaced(short_or_long(3, 9)).await.unwrap_or_else(|fault| panic!("{fault}"));
 }
 
 /// The disks are lost, one after the other; the text goes from hand to hand.
-async fn all_emptied(steps: usize) -> Result<(), Fault> {
+async fn all_emptied(steps: usize) -> Result<(), ClusterError> {
     let cluster = Cluster::start(PROGRAM, Size { controllers: 3, edges: 0 }).await?;
     let order = text(2, 0);
-    cluster.confirm(&[0], &order).await?;
+    cluster.submit_confirmed(&[0], &order).await?;
     for step in 0..steps {
         let lost = step % 3;
         cluster.kill(lost).await?;
         cluster.restart_empty(lost)?;
         sleep_until(Instant::now() + SYNC_TIME).await;
-        cluster.all_show(&[0, 1, 2], &order).await?;
+        cluster.assert_all_show(&[0, 1, 2], &order).await?;
     }
     for controller in 0..3 {
         cluster.kill(controller).await?;
@@ -100,40 +100,40 @@
     for controller in 0..3 {
         cluster.restart(controller)?;
     }
-    cluster.all_show(&[0, 1, 2], &order).await
+    cluster.assert_all_show(&[0, 1, 2], &order).await
 }
 
 #[tokio::test]
 async fn all_disks_are_lost_one_after_the_other() {
-    all_emptied(sized(3, 9)).await.unwrap_or_else(|fault| panic!("{fault}"));
+    all_emptied(short_or_long(3, 9)).await.unwrap_or_else(|fault| panic!("{fault}"));
 }
 
 /// A controller leaves with SIGTERM right after it has confirmed, another one is killed at once: too much to go on, and
 /// nothing old is handed out meanwhile.
-async fn leaves_and_another_is_killed() -> Result<(), Fault> {
+async fn leaves_and_another_is_killed() -> Result<(), ClusterError> {
     let cluster = Cluster::start(PROGRAM, Size { controllers: 3, edges: 0 }).await?;
     let order = text(2, 0);
-    cluster.confirm(&[0], &order).await?;
+    cluster.submit_confirmed(&[0], &order).await?;
     cluster.terminate(0).await?;
     cluster.kill(1).await?;
-    let left = cluster.at(2);
-    until("the one that is left says that it is alone", WITHIN, || async {
+    let left = cluster.address(2);
+    wait_until("the one that is left says that it is alone", STEP_TIMEOUT, || async {
         match show(left).await {
             // As long as the two others were there.
-            Shown::Text(text) => {
+            ShowAnswer::Text(text) => {
                 assert_eq!(text, order, "an old text is handed out");
                 None
             }
-            Shown::Unclear { .. } => Some(()),
-            Shown::Unexpected(..) | Shown::Unanswered => None,
+            ShowAnswer::Unclear { .. } => Some(()),
+            ShowAnswer::Unexpected(..) | ShowAnswer::Unanswered => None,
         }
     })
     .await?;
     cluster.restart(1)?;
-    cluster.all_show(&[1, 2], &order).await?;
-    cluster.confirm(&[2], &text(3, 0)).await?;
+    cluster.assert_all_show(&[1, 2], &order).await?;
+    cluster.submit_confirmed(&[2], &text(3, 0)).await?;
     cluster.restart(0)?;
-    cluster.all_show(&[0, 1, 2], &text(3, 0)).await
+    cluster.assert_all_show(&[0, 1, 2], &text(3, 0)).await
 }
 
 #[tokio::test]
@@ -142,10 +142,10 @@
 }
 
 /// All are killed at once, with few and with many of them.
-async fn all_killed(controllers: usize) -> Result<(), Fault> {
+async fn all_killed(controllers: usize) -> Result<(), ClusterError> {
     let cluster = Cluster::start(PROGRAM, Size { controllers, edges: 0 }).await?;
     let order = text(2, 0);
-    cluster.confirm(&[controllers - 1], &order).await?;
+    cluster.submit_confirmed(&[controllers - 1], &order).await?;
     for controller in 0..controllers {
         cluster.kill(controller).await?;
     }
@@ -153,14 +153,14 @@
         cluster.restart(controller)?;
     }
     for controller in 0..controllers {
-        cluster.all_show(&[controller], &order).await?;
+        cluster.assert_all_show(&[controller], &order).await?;
     }
-    cluster.confirm(&[0], &text(3, 0)).await
+    cluster.submit_confirmed(&[0], &text(3, 0)).await
 }
 
 #[tokio::test]
 async fn one_two_and_four_controllers_keep_their_text_when_all_are_killed() {
-    for controllers in sized(vec![1, 2, 4], (1..=9).collect()) {
+    for controllers in short_or_long(vec![1, 2, 4], (1..=9).collect()) {
         all_killed(controllers).await.unwrap_or_else(|fault| panic!("{controllers}: {fault}"));
     }
 }
--- a/crates/scheduler/tests/owners.rs
+++ b/crates/scheduler/tests/owners.rs
@@ -2,9 +2,9 @@
 //! no instance is ever given more than it has room for.
 
 use std::time::Duration;
-use tindock_control_process_tests::cluster::{until, Cluster, Edge, Fault, Size, WITHIN};
+use tindock_control_process_tests::cluster::{wait_until, Cluster, ClusterError, Edge, Size, STEP_TIMEOUT};
 use tindock_control_process_tests::configuration::text;
-use tindock_control_process_tests::sized;
+use tindock_control_process_tests::short_or_long;
 use tindock_standins::clients::{Class, Outcome};
 use tindock_standins::demo::classes;
 use tindock_standins::fleet::Role;
@@ -42,10 +42,10 @@
     (all.len(), all.iter().filter(|served| **served).count())
 }
 
-async fn changes(cluster: &Cluster, end: Instant) -> Result<(), Fault> {
+async fn changes(cluster: &Cluster, end: Instant) -> Result<(), ClusterError> {
     let mut revision = 2;
     while Instant::now() < end {
-        cluster.order(&[0, 1, 2], &text(revision, (revision % 3) as u32)).await?;
+        cluster.submit(&[0, 1, 2], &text(revision, (revision % 3) as u32)).await?;
         revision += 1;
         sleep(CHANGE_INTERVAL).await;
     }
@@ -53,19 +53,19 @@
 }
 
 /// SIGTERM to the agent and the proxy, and a new start of both once they have ended.
-async fn restart(cluster: &Cluster, edge: &Edge) -> Result<(), Fault> {
+async fn restart(cluster: &Cluster, edge: &Edge) -> Result<(), ClusterError> {
     for role in [Role::Page, Role::Desk] {
         assert!(cluster.fleet.term(&edge.machine, role), "{} runs", edge.machine);
     }
     for role in [Role::Page, Role::Desk] {
         let ended = || async { (!cluster.fleet.runs(&edge.machine, role)).then_some(()) };
-        until(&format!("{} ends", edge.machine), WITHIN, ended).await?;
+        wait_until(&format!("{} ends", edge.machine), STEP_TIMEOUT, ended).await?;
     }
     cluster.restart_edge(edge)
 }
 
 /// Each proxy in turn is restarted, and the one after it frozen for a while.
-async fn steps(cluster: &Cluster, end: Instant) -> Result<(), Fault> {
+async fn steps(cluster: &Cluster, end: Instant) -> Result<(), ClusterError> {
     let edges = cluster.edges();
     for turn in 0.. {
         if Instant::now() >= end {
@@ -82,12 +82,13 @@
     Ok(())
 }
 
-async fn plays() -> Result<(), Fault> {
+async fn plays() -> Result<(), ClusterError> {
     let cluster = Cluster::start(PROGRAM, SIZE).await?;
     for edge in cluster.edges() {
-        until("the proxies are ready", WITHIN, || async { edge.is_ready().await.then_some(()) }).await?;
+        wait_until("the proxies are ready", STEP_TIMEOUT, || async { edge.is_ready().await.then_some(()) })
+            .await?;
     }
-    let end = Instant::now() + sized(Duration::from_secs(10), Duration::from_secs(120));
+    let end = Instant::now() + short_or_long(Duration::from_secs(10), Duration::from_secs(120));
     let ((asked, served), changed, stepped) =
         tokio::join!(load(&cluster, end), changes(&cluster, end), steps(&cluster, end));
     changed?;
@@ -95,9 +96,9 @@
     let findings = cluster.ledger.findings();
     let full = cluster.platform.counts().full;
     println!("{asked} asked, {served} served, {full} turned away as full");
-    assert_eq!(findings, [], "{}", cluster.story());
-    assert_eq!(full, 0, "turned away as full: {}", cluster.story());
-    assert!(served * 10 >= asked * 8, "{served} of {asked} served: {}", cluster.story());
+    assert_eq!(findings, [], "{}", cluster.diagnostics());
+    assert_eq!(full, 0, "turned away as full: {}", cluster.diagnostics());
+    assert!(served * 10 >= asked * 8, "{served} of {asked} served: {}", cluster.diagnostics());
     Ok(())
 }
 
