--- a/crates/control-process-tests/src/cluster.rs
+++ b/crates/control-process-tests/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Controllers as processes, with the stand-in for the platform beside them; agents and proxies where they are wanted.
+//! Controllers as processes, with the mock platform; agents and proxies on request.
 
 use crate::configuration::{text, variant_path, HOST};
 use crate::operator::{replace, show, show_within, ReplaceAnswer, ShowAnswer};
@@ -24,10 +24,10 @@
 const ZONES: [&str; 3] = ["north", "east", "west"];
 const HOSTS: usize = 6;
 const HOST_MEMORY_MB: u32 = 4096;
-/// For anything that is to happen at all; what must happen sooner is asserted by the test itself.
+/// Upper bound for any expected event; tighter deadlines are asserted by the tests themselves.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How many processes there are.
+/// Number of processes.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
     pub controllers: usize,
@@ -35,7 +35,7 @@
     pub edges: usize,
 }
 
-/// Why there is no cluster, or something did not come about.
+/// Failure to start the cluster, or to reach an expected state.
 #[derive(Debug)]
 pub enum ClusterError {
     Address(io::Error),
@@ -43,50 +43,50 @@
     Fleet(fleet::Fault),
     Platform(platform::Fault),
     Connection(io::Error),
-    /// What was waited for.
+    /// Describes the expected event.
     TimedOut(String),
 }
 
 impl fmt::Display for ClusterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ClusterError::Address(why) => write!(f, "no free addresses under 127.0.0.0/8: {why}"),
-            ClusterError::Folder(path, why) => write!(f, "{}: {why}", path.display()),
-            ClusterError::Fleet(why) => write!(f, "{why}"),
-            ClusterError::Platform(why) => write!(f, "the platform's stand-in: {why}"),
-            ClusterError::Connection(why) => write!(f, "a connection to a controller: {why}"),
-            ClusterError::TimedOut(what) => write!(f, "not in time: {what}"),
+            ClusterError::Address(cause) => write!(f, "no free addresses under 127.0.0.0/8: {cause}"),
+            ClusterError::Folder(path, cause) => write!(f, "{}: {cause}", path.display()),
+            ClusterError::Fleet(cause) => write!(f, "{cause}"),
+            ClusterError::Platform(cause) => write!(f, "the mock platform: {cause}"),
+            ClusterError::Connection(cause) => write!(f, "a connection to a controller: {cause}"),
+            ClusterError::TimedOut(what) => write!(f, "timed out: {what}"),
         }
     }
 }
 
 impl From<fleet::Fault> for ClusterError {
-    fn from(why: fleet::Fault) -> ClusterError {
-        ClusterError::Fleet(why)
+    fn from(cause: fleet::Fault) -> ClusterError {
+        ClusterError::Fleet(cause)
     }
 }
 
 impl From<platform::Fault> for ClusterError {
-    fn from(why: platform::Fault) -> ClusterError {
-        ClusterError::Platform(why)
+    fn from(cause: platform::Fault) -> ClusterError {
+        ClusterError::Platform(cause)
     }
 }
 
 impl From<io::Error> for ClusterError {
-    fn from(why: io::Error) -> ClusterError {
-        ClusterError::Connection(why)
+    fn from(cause: io::Error) -> ClusterError {
+        ClusterError::Connection(cause)
     }
 }
 
-/// Looks again until there is something, or `within` is over.
+/// Polls until there is a result, or `within` has passed.
 pub async fn wait_until<T, F: Future<Output = Option<T>>>(
     what: &str,
     within: Duration,
-    mut look: impl FnMut() -> F,
+    mut poll: impl FnMut() -> F,
 ) -> Result<T, ClusterError> {
     let end = Instant::now() + within;
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = poll().await {
             return Ok(found);
         }
         if Instant::now() > end {
@@ -96,49 +96,49 @@
     }
 }
 
-/// Lines of a controller's log that are told where a test fails.
-const LOG_LINES: usize = 20;
-/// No queue of new connections is longer, in a usual system.
-const LONGEST_QUEUE: usize = 5000;
-/// A connection over loopback that takes so long finds a full queue.
-const QUEUE_IS_FULL: Duration = Duration::from_millis(300);
+/// Last lines of a controller's log that are included in the diagnostics of a failed test.
+const DIAGNOSTIC_LOG_LINES: usize = 20;
+/// No usual system has a longer accept queue.
+const MAX_QUEUE_LENGTH: usize = 5000;
+/// A loopback connection that takes this long has met a full accept queue.
+const FULL_QUEUE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A controller that starts may have nobody to answer it yet.
-const PATIENCE_AT_A_START: Duration = Duration::from_secs(1);
+/// Short, since a starting controller may not reach any other yet.
+const STARTUP_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Connections that wait in a queue until this is dropped.
+/// Connections that occupy an accept queue until this is dropped.
 pub struct FullAcceptQueue {
     _connections: Vec<TcpStream>,
 }
 
-const EDGE_ROLES: [Role; 2] = [Role::Page, Role::Desk];
-/// A proxy answers a probe within this.
-const PROBE: Duration = Duration::from_secs(2);
+const EDGE_PROCESSES: [Role; 2] = [Role::Page, Role::Desk];
+/// A proxy answers a probe within this time.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A machine with an agent and a proxy.
 #[derive(Debug, Clone)]
 pub struct Edge {
     pub machine: String,
-    door: Door,
+    endpoints: Door,
 }
 
 impl Edge {
-    /// Whether the proxy wants connections.
+    /// Whether the proxy's readiness probe succeeds.
     pub async fn is_ready(&self) -> bool {
-        ready(self.door.readiness).await
+        ready(self.endpoints.readiness).await
     }
 
-    /// The status that the proxy answers to a request on the route that only this variant of a text has.
+    /// The status of the proxy's response on the route that only this variant of a configuration has.
     pub async fn status_of(&self, variant: u32) -> Option<u16> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let id = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
         let target = format!("{}probe", variant_path(variant));
         let headers = [("Host", HOST), ("Attempt-Id", &id), ("Deadline-Ms", "1500")];
         let bytes = request("GET", &target, &headers, b"");
-        call(self.door.data_plane, PROBE, &bytes, "GET").await.map(|answer| answer.status)
+        call(self.endpoints.data_plane, PROBE_TIMEOUT, &bytes, "GET").await.map(|answer| answer.status)
     }
 
-    /// Whether the proxy has this variant in force, and none of the others.
+    /// Whether the proxy serves this variant and none of the others.
     pub async fn serves_only(&self, variant: u32, others: &[u32]) -> bool {
         for &other in others {
             if self.status_of(other).await != Some(404) {
@@ -149,12 +149,12 @@
     }
 }
 
-/// The processes; all end when this is dropped.
+/// The processes; all are ended when this is dropped.
 pub struct Cluster {
     pub fleet: Fleet,
     pub platform: Platform,
     pub ledger: Ledger,
-    /// Names of the controllers' machines, those that were replaced too.
+    /// Names of the controllers' machines, including replaced ones.
     names: Vec<String>,
 }
 
@@ -176,7 +176,7 @@
         let plan = Plan {
             program: program.into(),
             folder: demo::folder_under(std::env::temp_dir())
-                .map_err(|(path, why)| ClusterError::Folder(path, why))?,
+                .map_err(|(path, cause)| ClusterError::Folder(path, cause))?,
             zones,
             edges: size.edges,
             cores: size.controllers,
@@ -197,7 +197,7 @@
         Ok(cluster)
     }
 
-    /// The address at which operators reach a controller.
+    /// The operator address of a controller.
     pub fn address(&self, controller: usize) -> SocketAddr {
         self.fleet.controller(&self.names[controller]).expect("a controller of this cluster")
     }
@@ -207,19 +207,19 @@
         self.names.iter().position(|name| name == machine)
     }
 
-    /// SIGKILL; returns when it has ended.
+    /// Sends SIGKILL; returns when the controller has ended.
     pub async fn kill(&self, controller: usize) -> Result<(), ClusterError> {
         self.fleet.kill(&self.names[controller], Role::Archive);
-        self.ended(controller).await
+        self.wait_for_end(controller).await
     }
 
-    /// SIGTERM; returns when it has ended by itself.
+    /// Sends SIGTERM; returns when the controller has ended by itself.
     pub async fn terminate(&self, controller: usize) -> Result<(), ClusterError> {
         self.fleet.term(&self.names[controller], Role::Archive);
-        self.ended(controller).await
+        self.wait_for_end(controller).await
     }
 
-    async fn ended(&self, controller: usize) -> Result<(), ClusterError> {
+    async fn wait_for_end(&self, controller: usize) -> Result<(), ClusterError> {
         let name = &self.names[controller];
         wait_until(&format!("{name} ends"), STEP_TIMEOUT, || async {
             (!self.fleet.runs(name, Role::Archive)).then_some(())
@@ -227,32 +227,35 @@
         .await
     }
 
-    /// SIGSTOP: silent, its connections open.
+    /// Sends SIGSTOP: the controller is silent, its connections stay open.
     pub fn freeze(&self, controller: usize) {
         assert!(self.fleet.freeze(&self.names[controller], Role::Archive), "{controller} runs");
     }
 
-    /// SIGCONT.
+    /// Sends SIGCONT.
     pub fn resume(&self, controller: usize) {
         assert!(self.fleet.resume(&self.names[controller], Role::Archive), "{controller} runs");
     }
 
-    /// Fills the queue of new connections of a frozen controller: as long as it is frozen nobody else can connect to it,
-    /// so it hears nothing of those that are started meanwhile. (Open connections would deliver when it wakes.)
+    /// Fills the accept queue of a frozen controller: nobody else can connect to it until it resumes, so it
+    /// receives nothing from controllers started meanwhile. (Data on open connections would be delivered when
+    /// it resumes.)
     pub async fn fill_accept_queue(&self, controller: usize) -> Result<FullAcceptQueue, ClusterError> {
         let at = self.fleet.peer_port(&self.names[controller]).expect("a controller of this cluster");
         let mut connections = Vec::new();
-        while connections.len() < LONGEST_QUEUE {
-            match timeout(QUEUE_IS_FULL, TcpStream::connect(at)).await {
+        while connections.len() < MAX_QUEUE_LENGTH {
+            match timeout(FULL_QUEUE_TIMEOUT, TcpStream::connect(at)).await {
                 Ok(connection) => connections.push(connection?),
                 Err(_) => return Ok(FullAcceptQueue { _connections: connections }),
             }
         }
-        Err(ClusterError::TimedOut(format!("the queue of {at} is not full with {LONGEST_QUEUE} connections")))
+        Err(ClusterError::TimedOut(format!(
+            "the accept queue of {at} is not full after {MAX_QUEUE_LENGTH} connections"
+        )))
     }
 
-    /// Freezes a controller and starts all others anew while nobody can connect to it: when it wakes, it has heard nothing
-    /// of what they did since, not even late. Returns when they show a text again.
+    /// Freezes a controller and restarts all others while nobody can connect to it: when it resumes, it has
+    /// no message of what they did since, not even a late one. Returns when the others show a text again.
     pub async fn make_stale(&self, controller: usize) -> Result<FullAcceptQueue, ClusterError> {
         self.freeze(controller);
         let queue = self.fill_accept_queue(controller).await?;
@@ -260,8 +263,8 @@
         for other in others {
             self.kill(other).await?;
             self.restart(other)?;
-            wait_until("a controller that starts anew shows a text", STEP_TIMEOUT, || async {
-                matches!(show_within(self.address(other), PATIENCE_AT_A_START).await, ShowAnswer::Text(_))
+            wait_until("a restarted controller shows a text", STEP_TIMEOUT, || async {
+                matches!(show_within(self.address(other), STARTUP_CALL_TIMEOUT).await, ShowAnswer::Text(_))
                     .then_some(())
             })
             .await?;
@@ -269,7 +272,7 @@
         Ok(queue)
     }
 
-    /// Starts a controller that has ended, with its disk as it is.
+    /// Restarts a controller that has ended, with its disk unchanged.
     pub fn restart(&self, controller: usize) -> Result<(), ClusterError> {
         assert!(self.fleet.start_again(&self.names[controller], Role::Archive)?, "{controller} has ended");
         Ok(())
@@ -281,32 +284,32 @@
         self.restart(controller)
     }
 
-    /// Takes a controller that has ended away for good and starts an empty one at another address: its number.
+    /// Removes a controller that has ended and starts an empty one at another address; returns its number.
     pub fn replace_by_new(&mut self, controller: usize) -> Result<usize, ClusterError> {
         self.fleet.remove(&self.names[controller]);
         self.names.push(self.fleet.add_core()?);
         Ok(self.names.len() - 1)
     }
 
-    /// Sends a text to these controllers in turn until one gives a clear answer.
+    /// Sends a text to these controllers in turn until one gives a definitive answer.
     pub async fn submit(&self, controllers: &[usize], text: &str) -> Result<ReplaceAnswer, ClusterError> {
-        let mut turn = 0;
-        wait_until("a clear answer to an order", STEP_TIMEOUT, || {
-            let at = self.address(controllers[turn % controllers.len()]);
-            turn += 1;
+        let mut attempt = 0;
+        wait_until("a definitive answer to an update", STEP_TIMEOUT, || {
+            let at = self.address(controllers[attempt % controllers.len()]);
+            attempt += 1;
             async move { Some(replace(at, text).await).filter(ReplaceAnswer::is_definitive) }
         })
         .await
     }
 
-    /// The same; any answer but a confirmation is a failed test.
+    /// The same; panics unless the answer is a confirmation.
     pub async fn submit_confirmed(&self, controllers: &[usize], text: &str) -> Result<(), ClusterError> {
         let answer = self.submit(controllers, text).await?;
-        assert_eq!(answer, ReplaceAnswer::Confirmed, "to an order that nothing stands against");
+        assert_eq!(answer, ReplaceAnswer::Confirmed, "to an update without competitors");
         Ok(())
     }
 
-    /// The text that a controller shows as soon as it shows one; it has as long as operators go on asking.
+    /// The first text that a controller shows within the time for which operators retry.
     pub async fn shown_by(&self, controller: usize) -> Result<String, ClusterError> {
         let (at, end) = (self.address(controller), Instant::now() + CONTACT_TIMEOUT);
         loop {
@@ -322,7 +325,7 @@
         }
     }
 
-    /// What was done to the processes, and what the controllers have logged: for a test that failed.
+    /// The actions on the processes and the ends of the controllers' logs, for the message of a failed test.
     pub fn diagnostics(&self) -> String {
         let now = Instant::now();
         let mut lines = Vec::new();
@@ -331,13 +334,13 @@
         }
         for name in &self.names {
             let log = self.fleet.log(name, Role::Archive);
-            let from = log.lines().count().saturating_sub(LOG_LINES);
+            let from = log.lines().count().saturating_sub(DIAGNOSTIC_LOG_LINES);
             lines.extend(log.lines().skip(from).map(|line| format!("{name}: {line}")));
         }
         lines.join("\n")
     }
 
-    /// Asserts that each of these controllers shows this text, and nothing else before it.
+    /// Asserts that the first text that each of these controllers shows is this one.
     pub async fn assert_all_show(&self, controllers: &[usize], text: &str) -> Result<(), ClusterError> {
         for &controller in controllers {
             assert_eq!(self.shown_by(controller).await?, text, "shown by {}", self.names[controller]);
@@ -348,13 +351,13 @@
     /// Machines that have an agent and a proxy.
     pub fn edges(&self) -> Vec<Edge> {
         let machines = self.fleet.machines(Role::Desk);
-        let edge = |(machine, door): (String, Door)| Edge { machine, door };
+        let edge = |(machine, endpoints): (String, Door)| Edge { machine, endpoints };
         machines.into_iter().zip(self.fleet.doors()).map(edge).collect()
     }
 
-    /// SIGKILL to the agent and the proxy of a machine; returns when both have ended.
+    /// Sends SIGKILL to the agent and the proxy of a machine; returns when both have ended.
     pub async fn kill_edge(&self, edge: &Edge) -> Result<(), ClusterError> {
-        for role in EDGE_ROLES {
+        for role in EDGE_PROCESSES {
             self.fleet.kill(&edge.machine, role);
             wait_until(&format!("{} ends", edge.machine), STEP_TIMEOUT, || async {
                 (!self.fleet.runs(&edge.machine, role)).then_some(())
@@ -366,27 +369,27 @@
 
     /// Starts both again.
     pub fn restart_edge(&self, edge: &Edge) -> Result<(), ClusterError> {
-        for role in EDGE_ROLES {
+        for role in EDGE_PROCESSES {
             assert!(self.fleet.start_again(&edge.machine, role)?, "{} has ended", edge.machine);
         }
         Ok(())
     }
 
-    /// SIGSTOP to both.
+    /// Sends SIGSTOP to both.
     pub fn freeze_edge(&self, edge: &Edge) {
-        for role in EDGE_ROLES {
+        for role in EDGE_PROCESSES {
             assert!(self.fleet.freeze(&edge.machine, role), "{} runs", edge.machine);
         }
     }
 
-    /// SIGCONT to both.
+    /// Sends SIGCONT to both.
     pub fn resume_edge(&self, edge: &Edge) {
-        for role in EDGE_ROLES {
+        for role in EDGE_PROCESSES {
             assert!(self.fleet.resume(&edge.machine, role), "{} runs", edge.machine);
         }
     }
 
-    /// Clients that come in at the proxies.
+    /// Clients of the proxies.
     pub fn clients(&self, users: usize, seed: u64) -> Arc<Clients> {
         let zones: Vec<String> = ZONES.iter().map(|zone| zone.to_string()).collect();
         Clients::new(Entry::new(self.fleet.doors()), self.ledger.clone(), &zones, users, seed)
--- a/crates/control-process-tests/src/configuration.rs
+++ b/crates/control-process-tests/src/configuration.rs
@@ -7,12 +7,13 @@
 /// The host of all routes.
 pub const HOST: &str = "dispatch.example";
 
-/// The path of a route that only texts of this variant have: shows from outside which one a proxy has in force.
+/// The path of a route that only texts of this variant have; a request to it shows which variant a proxy
+/// serves.
 pub fn variant_path(variant: u32) -> String {
     format!("/variant-{variant}/")
 }
 
-/// The text of a revision. Texts with different variants differ under one revision, and each is valid.
+/// The configuration text of a revision. Variants of one revision differ, and each is valid.
 pub fn text(revision: u64, variant: u32) -> String {
     let mut routes = routes(&classes());
     let mut marker = routes[0].clone();
@@ -22,7 +23,7 @@
     configuration(revision, &routes, &functions())
 }
 
-/// Which version a text is; none if no operator of these tests can have sent it.
+/// The version of a text; none if no operator of these tests can have sent it.
 pub fn version_of(shown: &str) -> Option<Version> {
     let revision = number_after(shown, "\"revision\":")?;
     let variant = u32::try_from(number_after(shown, "\"variant-")?).ok()?;
@@ -35,7 +36,7 @@
     rest[..digits].parse().ok()
 }
 
-/// A text that is read whole and refused: its routes name services that do not exist.
+/// A well-formed text that must be rejected: its routes name services that do not exist.
 pub fn invalid_text(revision: u64) -> String {
     configuration(revision, &routes(&classes()), &[])
 }
--- a/crates/control-process-tests/src/history.rs
+++ b/crates/control-process-tests/src/history.rs
@@ -1,21 +1,22 @@
-//! What several operators sent and were told while things went wrong, and what must hold of it.
+//! The updates and answers of several operators during faults, and the check of their consistency.
 //!
-//! Times are those of the operators' machine; a call has an instant at which it began and one at which its answer was
-//! read. Source of the idea: Herlihy and Wing, "Linearizability" (1990), for a register that only moves up.
+//! Times are those of the operators' machine; a call has a time at which it began and one at which its answer
+//! was read. The check follows Herlihy and Wing, "Linearizability" (1990), for a register whose value only
+//! increases.
 
 use crate::operator::ReplaceAnswer;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
 
-/// A text by its revision and its variant.
+/// A text, identified by its revision and its variant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Version {
     pub revision: u64,
     pub variant: u32,
 }
 
-/// An order and its answer.
+/// An update and its answer.
 #[derive(Debug, Clone)]
 pub struct Submission {
     pub began: Duration,
@@ -24,7 +25,7 @@
     pub answer: ReplaceAnswer,
 }
 
-/// A text that was shown.
+/// A text shown by a controller.
 #[derive(Debug, Clone, Copy)]
 pub struct Observation {
     pub began: Duration,
@@ -32,7 +33,7 @@
     pub version: Version,
 }
 
-/// What a [`Violation`] is, without its versions.
+/// The kind of a [`Violation`], without its versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ViolationKind {
     TwoConfirmed,
@@ -44,22 +45,22 @@
     Rejected,
 }
 
-/// Something that must not have happened.
+/// An inconsistency in a history.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
     /// Two texts were confirmed under one revision.
     TwoConfirmed(Version, Version),
     /// Two texts were shown under one revision.
     TwoShown(Version, Version),
-    /// One text was confirmed, another one shown under its revision.
+    /// One text was confirmed, and another one shown under its revision.
     ShownNotConfirmed { confirmed: Version, shown: Version },
-    /// What an operator was told of this version's end by one call was not so at a later one.
+    /// A call that began later was shown an older version.
     StaleShown { known: Version, later: Version },
-    /// Confirmed as in force after a higher one was.
+    /// A version was confirmed after a higher one was in force.
     StaleConfirmed { known: Version, later: Version },
-    /// In conflict with a text in force, and in force itself.
+    /// A version was in force, and also answered as in conflict with the text in force.
     ConflictInForce(Version),
-    /// A valid order was refused.
+    /// A valid update was rejected.
     Rejected(Version, ReplaceAnswer),
 }
 
@@ -90,7 +91,7 @@
                 write!(f, "{later:?} confirmed after {known:?} was in force")
             }
             Violation::ConflictInForce(version) => write!(f, "{version:?} in conflict, and in force"),
-            Violation::Rejected(version, answer) => write!(f, "{version:?} refused: {answer:?}"),
+            Violation::Rejected(version, answer) => write!(f, "{version:?} rejected: {answer:?}"),
         }
     }
 }
@@ -102,32 +103,33 @@
 }
 
 impl History {
-    /// Everything that must not have happened, in no particular order.
+    /// All violations, in no particular order.
     pub fn violations(&self) -> Vec<Violation> {
-        let mut violations = self.two_texts();
-        violations.extend(self.went_back());
-        violations.extend(self.refused());
+        let mut violations = self.conflicting_texts();
+        violations.extend(self.stale_versions());
+        violations.extend(self.rejected());
         violations
     }
 
-    /// Versions that were stated to be in force, with the times of the calls that said so.
-    fn stated(&self) -> Vec<Observation> {
-        let confirmed = self.submissions.iter().filter(|order| order.answer == ReplaceAnswer::Confirmed);
-        let confirmed = confirmed.map(|order| Observation {
-            began: order.began,
-            ended: order.ended,
-            version: order.version,
+    /// Versions reported as in force, with the times of the calls that reported them.
+    fn reported(&self) -> Vec<Observation> {
+        let confirmed =
+            self.submissions.iter().filter(|submission| submission.answer == ReplaceAnswer::Confirmed);
+        let confirmed = confirmed.map(|submission| Observation {
+            began: submission.began,
+            ended: submission.ended,
+            version: submission.version,
         });
         confirmed.chain(self.observations.iter().copied()).collect()
     }
 
     fn confirmed(&self) -> impl Iterator<Item = &Submission> {
-        self.submissions.iter().filter(|order| order.answer == ReplaceAnswer::Confirmed)
+        self.submissions.iter().filter(|submission| submission.answer == ReplaceAnswer::Confirmed)
     }
 
-    fn two_texts(&self) -> Vec<Violation> {
-        let confirmed = VersionsOfRevision::new(self.confirmed().map(|order| order.version));
-        let shown = VersionsOfRevision::new(self.observations.iter().map(|seen| seen.version));
+    fn conflicting_texts(&self) -> Vec<Violation> {
+        let confirmed = VersionsOfRevision::new(self.confirmed().map(|submission| submission.version));
+        let shown = VersionsOfRevision::new(self.observations.iter().map(|observation| observation.version));
         let mut violations = Vec::new();
         violations.extend(confirmed.pairs().map(|(one, other)| Violation::TwoConfirmed(one, other)));
         violations.extend(shown.pairs().map(|(one, other)| Violation::TwoShown(one, other)));
@@ -138,7 +140,8 @@
                 }
             }
         }
-        let conflicts = |order: &&Submission| matches!(order.answer, ReplaceAnswer::Conflict { .. });
+        let conflicts =
+            |submission: &&Submission| matches!(submission.answer, ReplaceAnswer::Conflict { .. });
         for Submission { version, .. } in self.submissions.iter().filter(conflicts) {
             if confirmed.has(version) || shown.has(version) {
                 violations.push(Violation::ConflictInForce(*version));
@@ -147,39 +150,43 @@
         violations
     }
 
-    /// A call that began after another one's answer must not tell of an older version.
-    fn went_back(&self) -> Vec<Violation> {
-        let mut stated = self.stated();
-        stated.sort_by_key(|call| call.ended);
+    /// A call that began after another one's answer must not report an older version.
+    fn stale_versions(&self) -> Vec<Violation> {
+        let mut reported = self.reported();
+        reported.sort_by_key(|call| call.ended);
         let before = |began: Duration| {
-            let earlier = stated.iter().take_while(|call| call.ended < began);
+            let earlier = reported.iter().take_while(|call| call.ended < began);
             earlier.map(|call| call.version).max_by_key(|version| version.revision)
         };
         let mut violations = Vec::new();
-        for seen in &self.observations {
-            if let Some(known) = before(seen.began).filter(|known| known.revision > seen.version.revision) {
-                violations.push(Violation::StaleShown { known, later: seen.version });
+        for observation in &self.observations {
+            if let Some(known) =
+                before(observation.began).filter(|known| known.revision > observation.version.revision)
+            {
+                violations.push(Violation::StaleShown { known, later: observation.version });
             }
         }
-        for order in self.confirmed() {
-            let later = order.version;
-            if let Some(known) = before(order.began).filter(|known| known.revision > later.revision) {
+        for submission in self.confirmed() {
+            let later = submission.version;
+            if let Some(known) = before(submission.began).filter(|known| known.revision > later.revision) {
                 violations.push(Violation::StaleConfirmed { known, later });
             }
         }
         violations
     }
 
-    fn refused(&self) -> Vec<Violation> {
-        let refused = |answer: &ReplaceAnswer| {
+    fn rejected(&self) -> Vec<Violation> {
+        let rejected = |answer: &ReplaceAnswer| {
             matches!(answer, ReplaceAnswer::Invalid(_) | ReplaceAnswer::Unexpected(..))
         };
-        let refused = self.submissions.iter().filter(|order| refused(&order.answer));
-        refused.map(|order| Violation::Rejected(order.version, order.answer.clone())).collect()
+        let rejected = self.submissions.iter().filter(|submission| rejected(&submission.answer));
+        rejected
+            .map(|submission| Violation::Rejected(submission.version, submission.answer.clone()))
+            .collect()
     }
 }
 
-/// The different versions of each revision, in the order in which they came.
+/// The distinct versions of each revision, in order of appearance.
 struct VersionsOfRevision(BTreeMap<u64, Vec<Version>>);
 
 impl VersionsOfRevision {
@@ -198,7 +205,7 @@
         self.0.get(&version.revision).is_some_and(|known| known.contains(version))
     }
 
-    /// The first version of a revision with each other one.
+    /// Pairs of the first version of a revision with each other one.
     fn pairs(&self) -> impl Iterator<Item = (Version, Version)> + '_ {
         self.0.values().flat_map(|known| known.iter().skip(1).map(|other| (known[0], *other)))
     }
--- a/crates/control-process-tests/src/lib.rs
+++ b/crates/control-process-tests/src/lib.rs
@@ -1,19 +1,21 @@
-//! A control plane of real controller processes on loopback, for tests of what must hold whatever happens to them.
+//! A control plane of real controller processes on loopback, for tests of its guarantees under faults.
 //!
-//! - [`cluster`]: starts the controllers (with agents and proxies where a test wants them), kills, freezes, stops,
-//!   restarts and replaces them, and empties their disks;
-//! - [`operator`]: single calls of an operator with typed answers, and connections that a test breaks as it likes;
-//! - [`configuration`]: texts that differ under one revision;
-//! - [`history`]: what operators were told over time, and what must hold of it.
+//! - [`cluster`]: starts the controllers (with agents and proxies where a test wants them), kills, freezes,
+//!   stops, restarts and replaces them, and empties their disks;
+//! - [`operator`]: single calls of an operator with typed answers, and connections that a test can break;
+//! - [`configuration`]: configuration texts, also different ones with the same revision;
+//! - [`history`]: the answers that operators got over time, and the check of their consistency.
 //!
-//! The tests are `crates/scheduler/tests/control_*.rs`, because cargo gives the path of a program only to tests of the
-//! program's own package. They use the command line, the settings file, the operators' HTTP interface and the platform's
-//! stand-in, nothing of the system's inside. Each has a short form for CI and a long one, chosen by [`LONG_TESTS_VARIABLE`].
+//! The tests are `crates/scheduler/tests/control_*.rs`, because cargo gives the path of a program only to
+//! tests of the program's own package. They use the command line, the settings file, the operators' HTTP
+//! interface and the mock platform, no internals. Each has a short form for CI and a long one
+//! ([`LONG_TESTS_VARIABLE`]).
 //!
-//! The links between controllers cannot be cut one by one here: a controller is known to the others by the address it
-//! listens on, so no relay fits between two of them. A cut is a frozen process (silent, its connections open), one that
-//! has ended (its port refuses), or a frozen one whose queue of new connections is full ([`cluster::FullAcceptQueue`]: it
-//! wakes without having heard what the others did). One-way cuts between running controllers are left to the simulation.
+//! Single links between controllers cannot be cut here: controllers know each other by the address they
+//! listen on, so no relay fits between two of them. A cut is simulated by a frozen process (silent, its
+//! connections open), an ended one (its port refuses connections), or a frozen one whose accept queue is full
+//! ([`cluster::FullAcceptQueue`]: it resumes without messages that the others sent meanwhile). One-way cuts
+//! between running controllers are covered by the simulation.
 
 pub mod cluster;
 pub mod configuration;
@@ -22,10 +24,10 @@
 
 use std::time::Duration;
 
-/// Set to anything: tests run their long form.
+/// Environment variable; if set to any value, tests run their long form.
 pub const LONG_TESTS_VARIABLE: &str = "TINDOCK_CONTROL_LONG";
 
-/// One of two sizes of a test: `short` in CI, `long` where [`LONG_TESTS_VARIABLE`] is set.
+/// Selects a test's size: `short` in CI, `long` where [`LONG_TESTS_VARIABLE`] is set.
 pub fn short_or_long<T>(short: T, long: T) -> T {
     if std::env::var_os(LONG_TESTS_VARIABLE).is_some() {
         long
@@ -34,11 +36,11 @@
     }
 }
 
-/// A machine counts as lost for so long after it has returned (`sync_time_s` of the settings).
+/// A machine counts as lost for this long after its return (`sync_time_s` of the settings).
 pub const SYNC_TIME: Duration = Duration::from_secs(4);
 
-/// Operators ask for the newest text for at least so long (`contact_ms` of the settings).
+/// Operators retry a query of the newest text for at least this long (`contact_ms` of the settings).
 pub const CONTACT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Between two looks at a condition that is waited for.
+/// Interval between two checks of a condition that is waited for.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(25);
--- a/crates/control-process-tests/src/operator.rs
+++ b/crates/control-process-tests/src/operator.rs
@@ -1,4 +1,4 @@
-//! Single calls of an operator, with the answers as types, and connections that a test breaks as it likes.
+//! Single calls of an operator with typed answers, and connections that a test can break.
 
 use nanoserde::DeJson;
 use std::io;
@@ -22,17 +22,17 @@
 pub enum ReplaceAnswer {
     /// This text is in force under its revision.
     Confirmed,
-    /// Taken note of; this higher revision is in force, or another text that is named.
+    /// Accepted, but the named higher revision or another text is in force.
     Superseded { revision: Option<u64> },
     /// Another text is in force under the revision.
     Conflict { revision: Option<u64> },
-    /// It may or may not come into force; to be sent again.
+    /// The outcome is unknown; the call has to be retried.
     Unclear { retry_after: Option<Duration> },
-    /// Not a configuration.
+    /// The text is not a valid configuration.
     Invalid(String),
     /// Any other status.
     Unexpected(u16, String),
-    /// No whole answer in time.
+    /// No complete answer in time.
     Unanswered,
 }
 
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ShowAnswer {
     Text(String),
-    /// No majority in touch, or nothing taken yet; to be asked again.
+    /// No contact to a majority, or no text accepted yet; the call has to be retried.
     Unclear {
         retry_after: Option<Duration>,
     },
@@ -49,12 +49,12 @@
 }
 
 impl ReplaceAnswer {
-    /// Told that the order is over: confirmed, overtaken, or in conflict.
+    /// Whether the update needs no retry: it was confirmed, superseded, in conflict, or rejected.
     pub fn is_definitive(&self) -> bool {
         !matches!(self, ReplaceAnswer::Unclear { .. } | ReplaceAnswer::Unanswered)
     }
 
-    /// Not told that the order was wrong or lost: what an order sent again may be answered.
+    /// Whether this is an allowed answer to a repeated update: neither a conflict nor a rejection.
     pub fn is_acknowledged_or_unclear(&self) -> bool {
         matches!(
             self,
@@ -91,12 +91,12 @@
     }
 }
 
-/// What an answer to `Replace` says of the text in force; other fields are ignored.
+/// The fields of an answer to `Replace` that describe the text in force; others are ignored.
 #[derive(Debug, Default, DeJson)]
 struct InForce {
     #[nserde(default)]
     superseded: bool,
-    /// 0 where it is not told.
+    /// 0 if absent.
     #[nserde(default)]
     revision: u64,
 }
@@ -112,27 +112,27 @@
     replace_within(at, text, CALL_TIMEOUT).await
 }
 
-/// The same, given up after `patience` at each controller.
-pub async fn replace_within(at: SocketAddr, text: &str, patience: Duration) -> ReplaceAnswer {
-    follow(at, patience, "POST", REPLACE, &[JSON], text).await.1.into()
+/// The same, with a time limit for each controller.
+pub async fn replace_within(at: SocketAddr, text: &str, call_timeout: Duration) -> ReplaceAnswer {
+    follow(at, call_timeout, "POST", REPLACE, &[JSON], text).await.1.into()
 }
 
-/// Asks for the newest text once, following redirects.
+/// Queries the newest text once, following redirects.
 pub async fn show(at: SocketAddr) -> ShowAnswer {
     show_within(at, CALL_TIMEOUT).await
 }
 
-/// The same, given up after `patience` at each controller.
-pub async fn show_within(at: SocketAddr, patience: Duration) -> ShowAnswer {
-    follow(at, patience, "GET", SHOW, &[], "").await.1.into()
+/// The same, with a time limit for each controller.
+pub async fn show_within(at: SocketAddr, call_timeout: Duration) -> ShowAnswer {
+    follow(at, call_timeout, "GET", SHOW, &[], "").await.1.into()
 }
 
-/// The bytes of a call that sends a text.
+/// The request bytes of a `Replace` call.
 pub fn replace_request(text: &str) -> Vec<u8> {
     request("POST", REPLACE, &[("Host", "controller"), JSON], text.as_bytes())
 }
 
-/// The bytes of a call that asks for the newest text.
+/// The request bytes of a `Show` call.
 pub fn show_request() -> Vec<u8> {
     request("GET", SHOW, &[("Host", "controller")], b"")
 }
@@ -154,12 +154,12 @@
         timeout(CALL_TIMEOUT, self.stream.write_all(bytes)).await?
     }
 
-    /// The next answer, to a call of this method; none if no whole one comes in time.
+    /// The next answer, to a call of this method; none if no complete one arrives in time.
     pub async fn answer(&mut self, method: &str) -> Option<Answer> {
         timeout(CALL_TIMEOUT, read_answer(&mut self.stream, &mut self.buffer, method)).await.ok()?.ok()
     }
 
-    /// Whether the other side has ended the connection without a word.
+    /// Whether the controller has closed the connection without an answer.
     pub async fn closes_without_answer(&mut self) -> bool {
         matches!(
             timeout(CALL_TIMEOUT, read_answer(&mut self.stream, &mut self.buffer, "POST")).await,
@@ -167,12 +167,12 @@
         )
     }
 
-    /// Ends the sending side; the controller reads an end of the stream.
+    /// Shuts down the sending side; the controller reads an end of the stream.
     pub async fn end(&mut self) -> io::Result<()> {
         self.stream.shutdown().await
     }
 
-    /// Ends the connection with a reset, whatever is under way.
+    /// Resets the connection, whatever is in flight.
     pub fn reset(self) -> io::Result<()> {
         socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO))
     }
