--- a/crates/scale-run/src/autoscaler.rs
+++ b/crates/scale-run/src/autoscaler.rs
@@ -1,5 +1,5 @@
-//! The autoscaler of whoever holds the lease: what a pass over all functions, a reading of the platform's list and a
-//! word of demand cost, and how much memory it holds.
+//! The autoscaler of the lease holder: cost of a pass over all functions, of reading the platform's list and
+//! of a demand report, and its memory.
 
 use crate::distribution::instance;
 use crate::report::Figure;
@@ -8,16 +8,16 @@
 use std::time::Duration;
 use tindock_stacks::{Demand, Host, ListedInstance, PlatformSettings, Scaler, Service};
 
-/// Virtual time that the figures are taken over.
+/// Virtual time of the measurement.
 const LENGTH: Duration = Duration::from_secs(5);
 const STEP: Duration = Duration::from_millis(50);
-/// The controller reads the list this often, and the worker machines half as often.
-const LIST: Duration = Duration::from_millis(500);
-/// One function in so many is told of in each step.
-const TOLD_OF: usize = 20;
+/// Interval at which the controller reads the list of instances and of worker machines.
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
+/// Each step reports the demand of one in this many functions.
+const REPORT_STRIDE: usize = 20;
 const HOSTS: usize = 500;
 
-fn terms() -> PlatformSettings {
+fn platform_settings() -> PlatformSettings {
     PlatformSettings {
         zones: ZONES.iter().map(|(zone, region)| (zone.to_string(), region.to_string())).collect(),
         drain: Duration::from_secs(3),
@@ -61,7 +61,7 @@
     }
 }
 
-/// A word of demand: enough to keep the instances there are.
+/// A demand report that keeps the current number of instances.
 fn demand(function: usize, size: Size) -> Demand {
     let busy = 2.0 * size.instances as f32 / size.functions as f32 / ZONES.len() as f32;
     Demand {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Plays a holder of the lease that is told of all functions in turn.
+/// Simulates a lease holder that receives demand reports of all functions in turn.
 pub fn run(size: Size) -> Vec<Figure> {
     let memory = own_memory();
     let services: Vec<Service> = (0..size.functions).map(service).collect();
@@ -85,44 +85,44 @@
     let list: Vec<ListedInstance> = (0..size.instances).map(|number| listed(number, size)).collect();
     let inputs = own_memory() - memory;
     let mut now = Duration::ZERO;
-    let mut scaler = Scaler::new(terms(), 1, 1, now);
-    let (_, configuring) = timed(|| scaler.update_services(now, &services));
+    let mut scaler = Scaler::new(platform_settings(), 1, 1, now);
+    let (_, configure_time) = timed(|| scaler.update_services(now, &services));
     scaler.inherit(now, &[], &[], 1);
-    let (mut listing, mut lists, mut passing, mut telling, mut told, mut orders) =
+    let (mut list_time, mut lists, mut planning_time, mut report_time, mut reported, mut actions) =
         (Duration::ZERO, 0u32, Duration::ZERO, Duration::ZERO, 0u32, 0u32);
-    let mut turn = 0;
+    let mut step = 0;
     while now < LENGTH {
-        if now.as_millis().is_multiple_of(LIST.as_millis()) {
-            listing += timed(|| scaler.update_instances(now, &list)).1;
+        if now.as_millis().is_multiple_of(LIST_INTERVAL.as_millis()) {
+            list_time += timed(|| scaler.update_instances(now, &list)).1;
             scaler.update_hosts(now, &hosts);
             lists += 1;
         }
-        let words: Vec<Demand> =
-            (turn % TOLD_OF..size.functions).step_by(TOLD_OF).map(|n| demand(n, size)).collect();
-        told += words.len() as u32;
-        telling += timed(|| words.into_iter().for_each(|word| scaler.update_demand(now, word))).1;
-        passing += timed(|| {
+        let reports: Vec<Demand> =
+            (step % REPORT_STRIDE..size.functions).step_by(REPORT_STRIDE).map(|n| demand(n, size)).collect();
+        reported += reports.len() as u32;
+        report_time += timed(|| reports.into_iter().for_each(|report| scaler.update_demand(now, report))).1;
+        planning_time += timed(|| {
             while scaler.next(now).is_some() {
-                orders += 1;
+                actions += 1;
             }
         })
         .1;
-        turn += 1;
+        step += 1;
         now += STEP;
     }
-    let held = own_memory() - memory - inputs;
-    let (news, gathering) = timed(|| scaler.changes_since(0));
+    let memory_used = own_memory() - memory - inputs;
+    let (update, gather_time) = timed(|| scaler.changes_since(0));
     let ms = |span: Duration| span.as_secs_f64() * 1e3;
     vec![
         Figure::new("functions", size.functions as f64, ""),
-        Figure::new("instances", news.entries.len() as f64, ""),
-        Figure::new("takes a configuration", ms(configuring), "ms"),
-        Figure::new("reads the platform's list once", ms(listing) / f64::from(lists), "ms"),
-        Figure::new("takes a word of demand", ms(telling) * 1e3 / f64::from(told), "us"),
-        Figure::new("plans, a second", ms(passing) / LENGTH.as_secs_f64(), "ms/s"),
-        Figure::new("plans, a word of demand", ms(passing) * 1e3 / f64::from(told), "us"),
-        Figure::new("orders to the platform", f64::from(orders) / LENGTH.as_secs_f64(), "/s"),
-        Figure::new("gathers the whole list", ms(gathering), "ms"),
-        Figure::new("memory", held, "MiB"),
+        Figure::new("instances", update.entries.len() as f64, ""),
+        Figure::new("takes a configuration", ms(configure_time), "ms"),
+        Figure::new("reads the platform's list once", ms(list_time) / f64::from(lists), "ms"),
+        Figure::new("takes a word of demand", ms(report_time) * 1e3 / f64::from(reported), "us"),
+        Figure::new("plans, a second", ms(planning_time) / LENGTH.as_secs_f64(), "ms/s"),
+        Figure::new("plans, a word of demand", ms(planning_time) * 1e3 / f64::from(reported), "us"),
+        Figure::new("orders to the platform", f64::from(actions) / LENGTH.as_secs_f64(), "/s"),
+        Figure::new("gathers the whole list", ms(gather_time), "ms"),
+        Figure::new("memory", memory_used, "MiB"),
     ]
 }
--- a/crates/scale-run/src/cold.rs
+++ b/crates/scale-run/src/cold.rs
@@ -1,6 +1,6 @@
-//! Cold starts: real controllers, agents and proxies, and calls of functions that have no instance, one after the other.
-//! Each call is taken apart at what the platform sees: until the start is asked for, the start itself, and from there until
-//! the client has its answer.
+//! Cold starts: real controllers, agents and proxies, and successive calls of functions that have no
+//! instance. Each call's latency is broken down by the platform's events: until the start is requested, the
+//! start itself, and from there until the client has its response.
 
 use crate::configuration;
 use crate::processes::{Deployment, Ports, Processes, Role};
@@ -18,41 +18,41 @@
 use tokio::time::sleep;
 
 const CONTROLLERS: usize = 3;
-/// The first function is called until it is served.
-const COMING_UP: Duration = Duration::from_secs(30);
+/// Time limit for the system to come up and serve the first function.
+const STARTUP_LIMIT: Duration = Duration::from_secs(30);
 const DEADLINE: Duration = Duration::from_secs(8);
-/// How often the platform is looked at while a call is under way.
-const LOOK: Duration = Duration::from_millis(1);
-/// Between two calls.
-const BETWEEN: Duration = Duration::from_millis(137);
+/// Interval at which the platform is polled during a call.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Pause between two calls.
+const PAUSE: Duration = Duration::from_millis(137);
 const HOST_MEMORY: u32 = 65_536;
 
-/// What is to be run.
+/// Parameters of the run.
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub program: PathBuf,
     pub calls: usize,
-    /// The mean of a start.
+    /// Mean duration of an instance's start.
     pub boot: Duration,
 }
 
-/// One cold call, from when the client sent it.
+/// One cold call; times are relative to the client's request.
 #[derive(Debug, Clone, Copy)]
 struct Call {
-    /// The platform was asked for a start.
-    asked: Duration,
-    /// The instance took connections.
+    /// The platform received the request for a start.
+    requested: Duration,
+    /// The instance accepted connections.
     ready: Duration,
     answered: Duration,
 }
 
-/// A part of a call, with the names of its median, of what 9 in 10 stay within, and of the most.
+/// A phase of a call, with the names of its median, 90th percentile and maximum.
 struct Step {
     names: [&'static str; 3],
-    took: fn(&Call) -> Duration,
+    duration: fn(&Call) -> Duration,
 }
 
-struct Stage {
+struct Deployed {
     functions: Vec<Function>,
     clients: Arc<Clients>,
     platform: Platform,
@@ -76,9 +76,9 @@
     }
 }
 
-impl Stage {
-    async fn open(plan: &Plan) -> Result<Stage, String> {
-        let net = Net::free(std::process::id()).map_err(|why| format!("no free addresses: {why}"))?;
+impl Deployed {
+    async fn open(plan: &Plan) -> Result<Deployed, String> {
+        let net = Net::free(std::process::id()).map_err(|cause| format!("no free addresses: {cause}"))?;
         let function = |number| Function { boot: plan.boot, ..configuration::function(number) };
         let functions: Vec<Function> = (0..=plan.calls).map(function).collect();
         let host = |number: usize| Host {
@@ -89,8 +89,8 @@
         };
         let ledger = Ledger::default();
         let hosts = (0..ZONES.len()).map(host).collect();
-        let offered = Options::new(net.provider(), functions.clone(), hosts);
-        let platform = Platform::start(offered, ledger.clone()).await.map_err(|why| why.to_string())?;
+        let options = Options::new(net.provider(), functions.clone(), hosts);
+        let platform = Platform::start(options, ledger.clone()).await.map_err(|cause| cause.to_string())?;
         let controllers: Vec<Ipv4Addr> = (0..CONTROLLERS).map(|number| net.core(number)).collect();
         let ports = Ports::of(&net);
         let deployment = Deployment {
@@ -100,20 +100,20 @@
             ports,
             platform: net.provider(),
         };
-        let mut processes = Processes::new(deployment).map_err(|why| why.to_string())?;
+        let mut processes = Processes::new(deployment).map_err(|cause| cause.to_string())?;
         for (number, ip) in controllers.iter().enumerate() {
             let name = format!("controller-{number}");
             processes
                 .start(Role::Controller, &name, *ip, Size::zone(number))
-                .map_err(|why| why.to_string())?;
+                .map_err(|cause| cause.to_string())?;
         }
-        let mut doors = Vec::new();
+        let mut entry_points = Vec::new();
         for (number, (zone, _)) in ZONES.iter().enumerate() {
             let (ip, name) = (net.edge(number), format!("edge-{number}"));
             for role in [Role::Agent, Role::Proxy] {
-                processes.start(role, &name, ip, zone).map_err(|why| why.to_string())?;
+                processes.start(role, &name, ip, zone).map_err(|cause| cause.to_string())?;
             }
-            doors.push(Door {
+            entry_points.push(Door {
                 zone: zone.to_string(),
                 data_plane: (ip, ports.data_plane).into(),
                 readiness: (ip, ports.readiness).into(),
@@ -124,47 +124,50 @@
             first: 0,
         };
         let text = configuration::text_of(1, &functions);
-        operator.replace(&text, COMING_UP).await.map_err(|why| format!("the configuration: {why}"))?;
+        operator
+            .replace(&text, STARTUP_LIMIT)
+            .await
+            .map_err(|cause| format!("the configuration: {cause}"))?;
         let zones: Vec<String> = ZONES.iter().map(|(zone, _)| zone.to_string()).collect();
-        let clients = Clients::new(Entry::new(doors), ledger, &zones, zones.len(), 1);
-        Ok(Stage { functions, clients, platform, _processes: processes })
+        let clients = Clients::new(Entry::new(entry_points), ledger, &zones, zones.len(), 1);
+        Ok(Deployed { functions, clients, platform, _processes: processes })
     }
 
-    /// Until the system serves at all.
-    async fn up(&self) -> Result<(), String> {
+    /// Waits until the system serves requests.
+    async fn wait_until_serving(&self) -> Result<(), String> {
         let (class, began) = (class(0, &self.functions[0]), Instant::now());
         for number in 0.. {
             let (outcome, ..) = self.clients.request(&class, number, 0, false).await;
             if matches!(outcome, Outcome::InAim | Outcome::Late) {
                 return Ok(());
             }
-            if began.elapsed() > COMING_UP {
+            if began.elapsed() > STARTUP_LIMIT {
                 break;
             }
-            sleep(BETWEEN).await;
+            sleep(PAUSE).await;
         }
         Err("no request was served in time".into())
     }
 
-    /// One cold call of a function; None where it was not served at the first try, or was not cold.
+    /// One cold call of a function; `None` if it was not served at the first attempt, or was not cold.
     async fn call(&self, number: usize) -> Option<Call> {
         let function = self.functions.get(number)?;
         let class = class(number, function);
         let began = Instant::now();
         let request = self.clients.request(&class, 1000 * number as u64, number, false);
-        let (mut asked, mut ready) = (None, None);
+        let (mut requested, mut ready) = (None, None);
         tokio::pin!(request);
         loop {
             tokio::select! {
                 biased;
                 (outcome, answered, tries) = &mut request => {
                     let served = matches!(outcome, Outcome::InAim | Outcome::Late) && tries == 1;
-                    return served.then_some(Call { asked: asked?, ready: ready?, answered });
+                    return served.then_some(Call { requested: requested?, ready: ready?, answered });
                 }
-                () = sleep(LOOK) => {
+                () = sleep(POLL_INTERVAL) => {
                     let instances = self.platform.instances();
                     for instance in instances.iter().filter(|instance| instance.service == function.name) {
-                        asked.get_or_insert_with(|| began.elapsed());
+                        requested.get_or_insert_with(|| began.elapsed());
                         if instance.ready {
                             ready.get_or_insert_with(|| began.elapsed());
                         }
@@ -175,14 +178,14 @@
     }
 }
 
-/// Runs the calls; one line for what went wrong.
+/// Runs the calls; an error is a message of one line.
 pub async fn run(plan: Plan) -> Result<Vec<Figure>, String> {
-    let stage = Stage::open(&plan).await?;
-    stage.up().await?;
+    let deployed = Deployed::open(&plan).await?;
+    deployed.wait_until_serving().await?;
     let mut calls = Vec::new();
     for number in 1..=plan.calls {
-        calls.extend(stage.call(number).await);
-        sleep(BETWEEN).await;
+        calls.extend(deployed.call(number).await);
+        sleep(PAUSE).await;
     }
     let mut figures = vec![
         Figure::new("boot, mean", plan.boot.as_secs_f64(), "s"),
@@ -192,23 +195,23 @@
     let steps = [
         Step {
             names: ["asked for a start, median", "asked for a start, 9 in 10", "asked for a start, most"],
-            took: |call| call.asked,
+            duration: |call| call.requested,
         },
         Step {
             names: ["start, median", "start, 9 in 10", "start, most"],
-            took: |call| call.ready.saturating_sub(call.asked),
+            duration: |call| call.ready.saturating_sub(call.requested),
         },
         Step {
             names: ["ready to answer, median", "ready to answer, 9 in 10", "ready to answer, most"],
-            took: |call| call.answered.saturating_sub(call.ready),
+            duration: |call| call.answered.saturating_sub(call.ready),
         },
         Step {
             names: ["whole call, median", "whole call, 9 in 10", "whole call, most"],
-            took: |call| call.answered,
+            duration: |call| call.answered,
         },
     ];
     for step in steps {
-        let mut times: Vec<Duration> = calls.iter().map(step.took).collect();
+        let mut times: Vec<Duration> = calls.iter().map(step.duration).collect();
         times.sort();
         for (name, share) in step.names.into_iter().zip([0.5, 0.9, 1.0]) {
             let at = (times.len().saturating_sub(1) as f64 * share).round() as usize;
--- a/crates/scale-run/src/configuration.rs
+++ b/crates/scale-run/src/configuration.rs
@@ -1,4 +1,5 @@
-//! The operator's configuration: its size, what a change of it is, and what reading, comparing and applying it cost.
+//! The operator's configuration: its size, the size of a change, and the cost of reading, comparing and
+//! applying it.
 
 use crate::report::Figure;
 use crate::usage::{own_memory, timed};
@@ -10,7 +11,7 @@
 use tindock_standins::operator::{configuration, Route};
 use tindock_standins::platform::Function;
 
-/// What every function of these runs is like: rare, small, and quick to start.
+/// A function of these runs: rarely called, small, and quick to start.
 pub fn function(number: usize) -> Function {
     Function {
         name: Size::function(number),
@@ -28,7 +29,7 @@
     format!("host-{}.example", number % 97)
 }
 
-/// A configuration of so many functions with a route each; the time-out of the first route is the revision's.
+/// A configuration of this many functions with a route each; the first route's time-out differs by revision.
 pub fn text(revision: u64, functions: usize) -> String {
     text_of(revision, &(0..functions).map(function).collect::<Vec<Function>>())
 }
@@ -50,20 +51,20 @@
     configuration(revision, &routes, functions)
 }
 
-/// Measures a configuration of this size, and a change of one of its routes. None where it cannot be read.
+/// Measures a configuration of this size, and a change of one of its routes. `None` if it cannot be read.
 pub fn run(size: Size) -> Option<Vec<Figure>> {
     let (first, second) = (text(1, size.functions), text(2, size.functions));
     let memory = own_memory();
-    let (old, reading) = timed(|| Catalogue::read(first.as_bytes()).ok());
+    let (old, read_time) = timed(|| Catalogue::read(first.as_bytes()).ok());
     let old = old?;
-    let (finder, finding) = timed(|| Finder::new(&old));
-    let held = own_memory() - memory;
+    let (finder, table_time) = timed(|| Finder::new(&old));
+    let memory_used = own_memory() - memory;
     let new = Catalogue::read(second.as_bytes()).ok()?;
-    let (change, comparing) = timed(|| new.diff_from(&old));
-    let (applied, applying) = timed(|| old.apply(&change));
+    let (change, compare_time) = timed(|| new.diff_from(&old));
+    let (applied, apply_time) = timed(|| old.apply(&change));
     let whole = frame(&Note::Word(new.clone())).len();
-    let (changed, framing) = timed(|| frame(&Note::Change(change.clone())).len());
-    // Routes come back in another order, which means nothing.
+    let (changed, frame_time) = timed(|| frame(&Note::Change(change.clone())).len());
+    // `apply` may reorder routes; their order has no meaning.
     applied.filter(|applied| applied.revision == new.revision && applied.routes.len() == new.routes.len())?;
     drop(finder);
     let ms = |span: Duration| span.as_secs_f64() * 1e3;
@@ -72,11 +73,11 @@
         Figure::new("operator's text", first.len() as f64, "B"),
         Figure::new("whole configuration between processes", whole as f64, "B"),
         Figure::new("change of one route between processes", changed as f64, "B"),
-        Figure::new("controller reads the text", ms(reading), "ms"),
-        Figure::new("controller compares two revisions", ms(comparing), "ms"),
-        Figure::new("controller packs a change", ms(framing), "ms"),
-        Figure::new("agent or proxy applies a change", ms(applying), "ms"),
-        Figure::new("proxy builds its routing table", ms(finding), "ms"),
-        Figure::new("configuration with routing table in memory", held, "MiB"),
+        Figure::new("controller reads the text", ms(read_time), "ms"),
+        Figure::new("controller compares two revisions", ms(compare_time), "ms"),
+        Figure::new("controller packs a change", ms(frame_time), "ms"),
+        Figure::new("agent or proxy applies a change", ms(apply_time), "ms"),
+        Figure::new("proxy builds its routing table", ms(table_time), "ms"),
+        Figure::new("configuration with routing table in memory", memory_used, "MiB"),
     ])
 }
--- a/crates/scale-run/src/distribution.rs
+++ b/crates/scale-run/src/distribution.rs
@@ -1,5 +1,5 @@
-//! How the list of instances reaches agents: what the list is in memory and on the wire, what a change of it is, and what
-//! a relay spends on the agents that ask it.
+//! The distribution of the instance list to agents: size of the list in memory and on the wire, size of a
+//! change, and the cost of a relay for the agents that poll it.
 
 use crate::report::Figure;
 use crate::usage::{own_memory, timed};
@@ -10,11 +10,11 @@
 use tindock_house::notes::Note;
 use tindock_house::post::frame;
 
-/// Changes that are told one after the other.
-const PIECES: u64 = 40;
+/// Number of successive changes that are relayed.
+const CHANGES: u64 = 40;
 const TERM: u64 = 1;
 
-/// The instance of this number, of one of the functions in turn.
+/// The instance of this number; functions are assigned round-robin.
 pub fn instance(number: usize, size: Size) -> Listed {
     let host = number % 500;
     let octets = [10, 200 + (host / 250) as u8, (host % 250) as u8, 1];
@@ -31,8 +31,8 @@
     }
 }
 
-/// Everything, under the first version.
-fn whole(size: Size) -> InstanceUpdate {
+/// The complete list, under the first version.
+fn complete_list(size: Size) -> InstanceUpdate {
     InstanceUpdate {
         number: TERM,
         from: 0,
@@ -46,7 +46,7 @@
     }
 }
 
-/// One instance that has started, leading on from a version.
+/// The update for one started instance, following a version.
 fn started(version: u64, size: Size) -> InstanceUpdate {
     let entry = Listed { ready: false, age: 0, ..instance(size.instances + version as usize, size) };
     let numbers = vec![(entry.service.clone(), 2)];
@@ -61,35 +61,35 @@
     }
 }
 
-/// Measures a relay that all schedulers ask, and one agent's copy.
+/// Measures a relay that all schedulers poll, and one agent's copy.
 pub fn run(size: Size) -> Vec<Figure> {
-    let news = whole(size);
+    let update = complete_list(size);
     let memory = own_memory();
     let mut replica = Replica::default();
-    let (_, taking) = timed(|| replica.apply(Duration::ZERO, &news));
-    let held = own_memory() - memory;
-    let (bytes, framing) = timed(|| frame(&Note::Stacks(news.clone())).len());
+    let (_, apply_time) = timed(|| replica.apply(Duration::ZERO, &update));
+    let memory_used = own_memory() - memory;
+    let (bytes, frame_time) = timed(|| frame(&Note::Stacks(update.clone())).len());
     let piece_bytes = frame(&Note::Stacks(started(1, size))).len();
 
     let agents: Vec<IpAddr> =
         (0..size.schedulers).map(|n| Ipv4Addr::from(0x0a00_0000 + n as u32).into()).collect();
     let mut relay = Relay::default();
-    relay.apply(Duration::ZERO, news);
-    let mark = Mark { number: TERM, version: 1 };
+    relay.apply(Duration::ZERO, update);
+    let cursor = Mark { number: TERM, version: 1 };
     for agent in &agents {
-        relay.handle_pull(Duration::ZERO, *agent, mark);
+        relay.handle_pull(Duration::ZERO, *agent, cursor);
     }
     let mut copies = 0;
-    let (_, spreading) = timed(|| {
-        for version in 1..=PIECES {
+    let (_, relay_time) = timed(|| {
+        for version in 1..=CHANGES {
             relay.apply(Duration::from_millis(version), started(version, size));
             while let Some(copy) = relay.pull() {
                 copies += copy.to.len();
             }
         }
     });
-    let (_, catching_up) = timed(|| {
-        relay.handle_pull(Duration::from_millis(PIECES + 1), agents[0], Mark::default());
+    let (_, full_list_time) = timed(|| {
+        relay.handle_pull(Duration::from_millis(CHANGES + 1), agents[0], Mark::default());
         while relay.pull().is_some() {}
     });
     drop(replica);
@@ -98,10 +98,10 @@
         Figure::new("instances", size.instances as f64, ""),
         Figure::new("whole list between processes", bytes as f64, "B"),
         Figure::new("one start between processes", piece_bytes as f64, "B"),
-        Figure::new("an agent's copy in memory", held, "MiB"),
-        Figure::new("agent takes the whole list", ms(taking), "ms"),
-        Figure::new("relay packs the whole list", ms(framing), "ms"),
-        Figure::new("relay hands on a change, an agent", ms(spreading) * 1e3 / copies.max(1) as f64, "us"),
-        Figure::new("relay makes the whole list for an agent", ms(catching_up), "ms"),
+        Figure::new("an agent's copy in memory", memory_used, "MiB"),
+        Figure::new("agent takes the whole list", ms(apply_time), "ms"),
+        Figure::new("relay packs the whole list", ms(frame_time), "ms"),
+        Figure::new("relay hands on a change, an agent", ms(relay_time) * 1e3 / copies.max(1) as f64, "us"),
+        Figure::new("relay makes the whole list for an agent", ms(full_list_time), "ms"),
     ]
 }
--- a/crates/scale-run/src/hollow.rs
+++ b/crates/scale-run/src/hollow.rs
@@ -1,5 +1,6 @@
-//! Hollow schedulers: the system's own agent, many times in one process, each on a loopback address of its own, and
-//! beside each a hollow proxy, which holds the loopback link, notes what it is told and when, and tells demand.
+//! Hollow schedulers: many of the system's agents in one process, each on a loopback address of its own, and
+//! for each a hollow proxy, which keeps the loopback connection, records what it receives and when, and
+//! reports demand.
 
 use crate::processes::{Deployment, Role};
 use crate::usage::thread_time;
@@ -22,66 +23,67 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// A proxy whose agent is not there tries again after this.
-const AGAIN: Duration = Duration::from_millis(100);
-/// The agents' thread tells its processor time this often.
-const LOOK: Duration = Duration::from_millis(100);
+/// Delay before a proxy reconnects to its agent.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// Interval at which the agents' thread publishes its processor time.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What all hollow proxies together have been told.
+/// What all hollow proxies together have received.
 #[derive(Debug, Default)]
-pub struct Board {
-    /// By revision: when each proxy had it, or a later one, in the order of time.
+pub struct Received {
+    /// By revision: when each proxy received it or a later one, in order of time.
     reached: BTreeMap<u64, Vec<Instant>>,
-    /// Frames and bytes over the loopback links, by kind.
-    told: BTreeMap<&'static str, (u64, u64)>,
+    /// Frames and bytes received over the loopback connections, by kind.
+    frames: BTreeMap<&'static str, (u64, u64)>,
 }
 
-impl Board {
-    fn heard(&mut self, kind: &'static str, bytes: u64) {
-        let (frames, sum) = self.told.entry(kind).or_default();
+impl Received {
+    fn record_frame(&mut self, kind: &'static str, bytes: u64) {
+        let (frames, sum) = self.frames.entry(kind).or_default();
         *frames += 1;
         *sum += bytes;
     }
 
-    fn has(&mut self, from: u64, revision: u64) {
+    fn record_revision(&mut self, from: u64, revision: u64) {
         let now = Instant::now();
         for (_, times) in self.reached.range_mut(from + 1..=revision) {
             times.push(now);
         }
     }
 
-    /// From now on it is noted who has this revision.
+    /// Starts recording when proxies receive this revision.
     pub fn expect(&mut self, revision: u64) {
         self.reached.entry(revision).or_default();
     }
 
-    /// How many have a revision, and when the last of them had it.
+    /// How many proxies have a revision, and when the last of them received it.
     pub fn reached(&self, revision: u64) -> (usize, Option<Instant>) {
         let times = self.reached.get(&revision);
         (times.map_or(0, Vec::len), times.and_then(|times| times.last().copied()))
     }
 
-    /// Frames and bytes told so far, by kind.
-    pub fn told(&self) -> BTreeMap<&'static str, (u64, u64)> {
-        self.told.clone()
+    /// Frames and bytes received so far, by kind.
+    pub fn frames(&self) -> BTreeMap<&'static str, (u64, u64)> {
+        self.frames.clone()
     }
 }
 
-pub type Shared = Arc<Mutex<Board>>;
+pub type SharedReceived = Arc<Mutex<Received>>;
 
-pub fn locked(board: &Shared) -> MutexGuard<'_, Board> {
-    board.lock().unwrap_or_else(PoisonError::into_inner)
+pub fn lock(received: &SharedReceived) -> MutexGuard<'_, Received> {
+    received.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A group of agents on a thread of their own.
+/// A group of agents that share a thread.
 pub struct Agents {
     time: Arc<AtomicU64>,
 }
 
 impl Agents {
-    /// Starts the agents of these settings; they run until the process ends.
+    /// Starts agents with these settings; they run until the process ends.
     pub fn start(all: Vec<Settings>) -> Result<Agents, String> {
-        let runtime = Builder::new_current_thread().enable_all().build().map_err(|why| why.to_string())?;
+        let runtime =
+            Builder::new_current_thread().enable_all().build().map_err(|cause| cause.to_string())?;
         let time = Arc::new(AtomicU64::new(0));
         let shown = time.clone();
         std::thread::spawn(move || {
@@ -90,7 +92,7 @@
                     tokio::task::spawn_local(agent(settings));
                 }
                 loop {
-                    sleep(LOOK).await;
+                    sleep(PUBLISH_INTERVAL).await;
                     shown.store(thread_time().as_micros() as u64, Ordering::Relaxed);
                 }
             });
@@ -98,7 +100,7 @@
         Ok(Agents { time })
     }
 
-    /// Processor time of all of them together.
+    /// Total processor time of the group.
     pub fn time(&self) -> Duration {
         Duration::from_micros(self.time.load(Ordering::Relaxed))
     }
@@ -106,8 +108,8 @@
 
 async fn agent(settings: Settings) {
     let name = settings.node_name.clone();
-    if let Err(why) = page::run(settings).await {
-        eprintln!("hollow agent {name}: {why}");
+    if let Err(cause) = page::run(settings).await {
+        eprintln!("hollow agent {name}: {cause}");
     }
 }
 
@@ -117,51 +119,51 @@
     Settings::read(&deployment.settings(Role::Agent, &format!("hollow-{number}"), ip, zone))
 }
 
-/// What a hollow proxy tells of demand, in words a second.
+/// The rates of a hollow proxy's demand reports, per second.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Demands {
-    /// Words that ask for nothing.
-    pub words: f64,
-    /// Words of a call that waits for a start, each about another function.
+pub struct DemandRates {
+    /// Reports that request no start.
+    pub reports: f64,
+    /// Reports of a call that waits for a start, each about another function.
     pub starts: f64,
 }
 
 /// One hollow proxy.
 pub struct Proxy {
     pub number: usize,
-    /// Where its agent listens for it.
+    /// The address on which its agent listens.
     pub agent: SocketAddr,
     pub size: Size,
-    pub demands: Demands,
-    pub board: Shared,
+    pub demands: DemandRates,
+    pub received: SharedReceived,
 }
 
 impl Proxy {
-    /// Keeps the link to its agent for good.
+    /// Keeps the connection to its agent, reconnecting for ever.
     pub async fn run(self) {
         let mut revision = 0;
         loop {
             if let Ok(stream) = TcpStream::connect(self.agent).await {
                 let (from, mut to) = stream.into_split();
-                let life = self.number as u32 + 1;
-                if to.write_all(&frame(&Tells::Life(life))).await.is_ok() {
+                let incarnation = self.number as u32 + 1;
+                if to.write_all(&frame(&Tells::Life(incarnation))).await.is_ok() {
                     let to = tokio::sync::Mutex::new(to);
                     tokio::select! {
                         () = self.listen(from, &mut revision) => {}
-                        () = self.tell(&to, self.demands.words, false) => {}
-                        () = self.tell(&to, self.demands.starts, true) => {}
+                        () = self.send_reports(&to, self.demands.reports, false) => {}
+                        () = self.send_reports(&to, self.demands.starts, true) => {}
                     }
                 }
             }
-            sleep(AGAIN).await;
+            sleep(RECONNECT_DELAY).await;
         }
     }
 
     async fn listen(&self, from: OwnedReadHalf, revision: &mut u64) {
-        let mut from = Counting { inner: from, bytes: 0 };
-        while let Some(told) = read_frame::<Told>(&mut from).await {
+        let mut from = CountingReader { inner: from, bytes: 0 };
+        while let Some(message) = read_frame::<Told>(&mut from).await {
             let bytes = std::mem::take(&mut from.bytes);
-            let (kind, now) = match told {
+            let (kind, now) = match message {
                 Told::Word(catalogue) => ("whole configuration", Some(catalogue.revision)),
                 Told::Change(change) => ("change of configuration", Some(change.revision)),
                 Told::Desks(_) => ("members", None),
@@ -170,26 +172,26 @@
                 Told::Fresh(_) => ("freshness", None),
                 Told::InTouch(_) => ("contact", None),
             };
-            let mut board = locked(&self.board);
-            board.heard(kind, bytes);
+            let mut received = lock(&self.received);
+            received.record_frame(kind, bytes);
             if let Some(now) = now.filter(|now| *now > *revision) {
-                board.has(*revision, now);
+                received.record_revision(*revision, now);
                 *revision = now;
             }
         }
     }
 
-    /// So many words of demand a second, about one function after the other.
-    async fn tell(&self, to: &tokio::sync::Mutex<OwnedWriteHalf>, rate: f64, waits: bool) {
+    /// Sends demand reports at this rate (per second), about one function after the other.
+    async fn send_reports(&self, to: &tokio::sync::Mutex<OwnedWriteHalf>, rate: f64, wants_start: bool) {
         if rate <= 0.0 {
             return std::future::pending().await;
         }
         let pause = Duration::from_secs_f64(1.0 / rate);
-        // Not all at the same moment.
+        // Spreads the proxies' reports over the interval.
         sleep(pause.mul_f64(self.number as f64 / self.size.schedulers as f64 % 1.0)).await;
         let mut function = self.number;
         loop {
-            let demand = self.demand(function % self.size.functions, waits);
+            let demand = self.demand(function % self.size.functions, wants_start);
             if to.lock().await.write_all(&frame(&Tells::Demand(vec![demand]))).await.is_err() {
                 return;
             }
@@ -198,28 +200,28 @@
         }
     }
 
-    fn demand(&self, function: usize, waits: bool) -> Demand {
+    fn demand(&self, function: usize, wants_start: bool) -> Demand {
         Demand {
             service: Size::function(function),
             zone: Size::zone(self.number).to_string(),
-            rate: if waits { 1.0 } else { 0.01 },
+            rate: if wants_start { 1.0 } else { 0.01 },
             busy: 0.0,
-            peak: u16::from(waits),
-            waiting: u16::from(waits),
+            peak: u16::from(wants_start),
+            waiting: u16::from(wants_start),
             run: 40.0,
-            idle: if waits { 0 } else { 60_000 },
+            idle: if wants_start { 0 } else { 60_000 },
             origins: vec![(0, 255)],
         }
     }
 }
 
-/// Counts the bytes that are read.
-struct Counting {
+/// Counts the bytes read.
+struct CountingReader {
     inner: OwnedReadHalf,
     bytes: u64,
 }
 
-impl AsyncRead for Counting {
+impl AsyncRead for CountingReader {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/scale-run/src/lib.rs
+++ b/crates/scale-run/src/lib.rs
@@ -1,13 +1,14 @@
-//! What each role of the whole system costs as the number of schedulers grows: messages, bytes, processor time, memory.
+//! Measures what each role of the system costs as the number of schedulers grows: messages, bytes, processor
+//! time, memory.
 //!
-//! Two kinds of runs. The *decider* runs ([`peer_sampling`], [`autoscaler`], [`slots`], [`configuration`],
-//! [`distribution`]) drive the system's own deciders on virtual time in this process, at any size. The *live* run
-//! ([`live`]) starts real controllers as processes, beside them real agents that share this process, each with a
-//! loopback address of its own and a hollow proxy, and measures them over real sockets. [`cold`] takes cold starts of real
-//! processes apart.
+//! There are two kinds of runs. The *component* runs ([`peer_sampling`], [`autoscaler`], [`slots`],
+//! [`configuration`], [`distribution`]) drive the system's decision logic on virtual time in this process, at
+//! any size. The *live* run ([`live`]) starts real controllers as processes, and real agents that share this
+//! process, each with a loopback address of its own and a hollow proxy (one that only speaks the protocol),
+//! and measures them over real sockets. [`cold`] breaks down the latency of cold starts of real processes.
 //!
-//! All figures are for the size given: `schedulers` proxies with their agents, and in proportion [`Size::functions`] and
-//! [`Size::instances`], as the target size of `docs/CAPACITY.md` has them.
+//! All figures are for the given size: `schedulers` proxies with their agents, and in proportion
+//! [`Size::functions`] and [`Size::instances`], as in the target size of `docs/CAPACITY.md`.
 
 pub mod autoscaler;
 pub mod cold;
@@ -25,7 +26,7 @@
 /// Schedulers, functions and instances at the target size.
 pub const TARGET: Size = Size { schedulers: 630, functions: 17_000, instances: 44_000 };
 
-/// How large a deployment is.
+/// The size of a deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Size {
     pub schedulers: usize,
@@ -34,7 +35,8 @@
 }
 
 impl Size {
-    /// A deployment of so many schedulers, with functions and instances in the proportions of the target size.
+    /// A deployment of this many schedulers, with functions and instances in the proportions of the target
+    /// size.
     pub fn of(schedulers: usize) -> Size {
         let share = |whole: usize| (whole * schedulers).div_ceil(TARGET.schedulers).max(1);
         Size { schedulers, functions: share(TARGET.functions), instances: share(TARGET.instances) }
--- a/crates/scale-run/src/main.rs
+++ b/crates/scale-run/src/main.rs
@@ -1,4 +1,4 @@
-//! `tindock-scale-run`: the command line. Every figure goes to standard output, one a line.
+//! `tindock-scale-run`: the command line. Figures are printed to standard output, one per line.
 
 use clap::{value_parser, Arg, ArgMatches, Command};
 use std::future::Future;
@@ -11,8 +11,8 @@
 use tindock_scale_run::{autoscaler, configuration, distribution, peer_sampling, slots, Size};
 use tokio::signal::unix::{signal, SignalKind};
 
-const MOST_SCHEDULERS: u64 = 2000;
-/// Peer sampling is measured for so long, in virtual time.
+const MAX_SCHEDULERS: u64 = 2000;
+/// Length of the peer sampling measurement, in virtual time.
 const PEER_SAMPLING: Duration = Duration::from_secs(20);
 
 fn command() -> Command {
@@ -20,9 +20,9 @@
         .value_name("N")
         .num_args(1..)
         .default_values(["8", "30", "100", "300", "630"])
-        .value_parser(value_parser!(u64).range(1..=MOST_SCHEDULERS))
+        .value_parser(value_parser!(u64).range(1..=MAX_SCHEDULERS))
         .help("Sizes to run, in schedulers");
-    let decider =
+    let component =
         |name: &'static str, about: &'static str| Command::new(name).about(about).arg(sizes.clone());
     let number = |name: &'static str, usual: &'static str, help: &'static str| {
         Arg::new(name).long(name).default_value(usual).value_parser(value_parser!(u64)).help(help)
@@ -30,15 +30,17 @@
     Command::new("tindock-scale-run")
         .about("Measures what each role costs as the number of schedulers grows")
         .subcommand_required(true)
-        .subcommand(decider("peer-sampling", "Peer sampling among all agents, on virtual time").arg(number(
-            "seed",
-            "1",
-            "Of the draws",
-        )))
-        .subcommand(decider("configuration", "Sizes and costs of a configuration and of a change"))
-        .subcommand(decider("distribution", "The list of instances: relay and copies"))
-        .subcommand(decider("autoscaler", "The autoscaler of the lease's holder"))
-        .subcommand(decider("slots", "A proxy's books of slots"))
+        .subcommand(
+            component("peer-sampling", "Peer sampling among all agents, on virtual time").arg(number(
+                "seed",
+                "1",
+                "Seed of the random number generator",
+            )),
+        )
+        .subcommand(component("configuration", "Sizes and costs of a configuration and of a change"))
+        .subcommand(component("distribution", "The list of instances: relay and copies"))
+        .subcommand(component("autoscaler", "The autoscaler of the lease holder"))
+        .subcommand(component("slots", "A proxy's slot ledgers"))
         .subcommand(
             Command::new("live")
                 .about("Real controllers and hollow schedulers over loopback sockets, for one size")
@@ -46,27 +48,23 @@
                     Arg::new("schedulers")
                         .value_name("N")
                         .required(true)
-                        .value_parser(value_parser!(u64).range(1..=MOST_SCHEDULERS))
-                        .help("Hollow schedulers"),
+                        .value_parser(value_parser!(u64).range(1..=MAX_SCHEDULERS))
+                        .help("Number of hollow schedulers"),
                 )
                 .arg(program())
-                .arg(number("controllers", "4", "Controllers, each a process"))
+                .arg(number("controllers", "4", "Number of controller processes"))
                 .arg(number("functions", "0", "Functions of the configuration; 0: in proportion"))
-                .arg(number("seconds", "10", "Measured for so long"))
-                .arg(number("words", "0", "Words of demand that each scheduler tells a second"))
-                .arg(number(
-                    "starts",
-                    "0",
-                    "Starts of instances a second that all schedulers together ask for",
-                ))
-                .arg(number("changes", "8", "Changes of the configuration"))
-                .arg(number("memory", "12000", "Given up beyond so many MiB")),
+                .arg(number("seconds", "10", "Length of the measurement, in seconds"))
+                .arg(number("words", "0", "Demand reports per second of each scheduler"))
+                .arg(number("starts", "0", "Instance starts per second that all schedulers together request"))
+                .arg(number("changes", "8", "Number of configuration changes"))
+                .arg(number("memory", "12000", "Memory limit in MiB at which the run is aborted")),
         )
         .subcommand(
             Command::new("cold")
-                .about("Cold starts with real processes alone, taken apart")
+                .about("Latency of cold starts with real processes, by phase")
                 .arg(program())
-                .arg(number("calls", "40", "Functions that are called once"))
+                .arg(number("calls", "40", "Number of functions, each called once"))
                 .arg(number("boot", "900", "Mean duration of a start, ms")),
         )
 }
@@ -76,7 +74,7 @@
         .long("program")
         .default_value("target/system/tindock")
         .value_parser(value_parser!(PathBuf))
-        .help("The system's program")
+        .help("Path of the tindock executable")
 }
 
 fn sizes(given: &ArgMatches) -> Vec<usize> {
@@ -87,7 +85,7 @@
     given.get_one::<u64>(name).copied().unwrap_or_default()
 }
 
-fn decide(name: &str, given: &ArgMatches) -> Result<(), String> {
+fn run_components(name: &str, given: &ArgMatches) -> Result<(), String> {
     for schedulers in sizes(given) {
         let size = Size::of(schedulers);
         let figures = match name {
@@ -104,7 +102,7 @@
     Ok(())
 }
 
-fn play(given: &ArgMatches) -> Result<(), String> {
+fn run_live(given: &ArgMatches) -> Result<(), String> {
     let schedulers = number(given, "schedulers") as usize;
     let mut size = Size::of(schedulers);
     match number(given, "functions") as usize {
@@ -116,17 +114,17 @@
         size,
         controllers: number(given, "controllers").clamp(1, 9) as usize,
         length: Duration::from_secs(number(given, "seconds").clamp(1, 600)),
-        words: number(given, "words") as f64,
+        reports: number(given, "words") as f64,
         starts: number(given, "starts") as f64,
         changes: number(given, "changes").min(1000),
-        most_memory: number(given, "memory") as f64,
+        max_memory_mib: number(given, "memory") as f64,
     };
     let figures = on_runtime(live::run(plan))?;
     print!("{}", lines("live", schedulers, &figures));
     Ok(())
 }
 
-fn call_cold(given: &ArgMatches) -> Result<(), String> {
+fn run_cold(given: &ArgMatches) -> Result<(), String> {
     let plan = cold::Plan {
         program: given.get_one::<PathBuf>("program").cloned().unwrap_or_default(),
         calls: number(given, "calls").clamp(1, 1000) as usize,
@@ -140,14 +138,14 @@
 fn on_runtime(run: impl Future<Output = Result<Vec<Figure>, String>>) -> Result<Vec<Figure>, String> {
     tindock_house::ring::install("scale-run", spdlog::Level::Error);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|why| why.to_string())?.block_on(ended_by_signal(run))
+    runtime.map_err(|cause| cause.to_string())?.block_on(ended_by_signal(run))
 }
 
-/// The run, unless it is told to end before.
+/// Runs to completion, or until SIGINT or SIGTERM.
 async fn ended_by_signal(
     run: impl Future<Output = Result<Vec<Figure>, String>>,
 ) -> Result<Vec<Figure>, String> {
-    let on = |kind| signal(kind).map_err(|why| why.to_string());
+    let on = |kind| signal(kind).map_err(|cause| cause.to_string());
     let (mut interrupt, mut terminate) = (on(SignalKind::interrupt())?, on(SignalKind::terminate())?);
     tokio::select! {
         figures = run => figures,
@@ -159,15 +157,15 @@
 fn main() -> ExitCode {
     let matches = command().get_matches();
     let done = match matches.subcommand() {
-        Some(("live", given)) => play(given),
-        Some(("cold", given)) => call_cold(given),
-        Some((name, given)) => decide(name, given),
+        Some(("live", given)) => run_live(given),
+        Some(("cold", given)) => run_cold(given),
+        Some((name, given)) => run_components(name, given),
         None => Ok(()),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("tindock-scale-run: {why}");
+        Err(cause) => {
+            eprintln!("tindock-scale-run: {cause}");
             ExitCode::FAILURE
         }
     }
--- a/crates/scale-run/src/peer_sampling.rs
+++ b/crates/scale-run/src/peer_sampling.rs
@@ -1,4 +1,4 @@
-//! Peer sampling among all agents on virtual time: what it costs an agent, and how well all know all.
+//! Peer sampling among all agents on virtual time: its cost for an agent, and the completeness of the views.
 
 use crate::report::Figure;
 use crate::usage::timed;
@@ -10,15 +10,15 @@
 /// What UDP and IP add to a datagram.
 const DATAGRAM_HEADERS: usize = 28;
 const STEP: Duration = Duration::from_millis(50);
-/// Whether all know all is looked at this often (ms).
-const LOOK: u128 = 200;
-/// A controller names this many other agents to one that asks, this often.
-const NAMED: usize = 6;
-const NAMED_EVERY: Duration = Duration::from_secs(4);
-/// All agents are given this long to find each other before figures are taken.
+/// Interval of the check whether all views are complete.
+const CHECK_INTERVAL_MS: u128 = 200;
+/// A controller names this many agents to every requesting agent, at this interval.
+const CONTACTS_PER_REPLY: usize = 6;
+const CONTACTS_INTERVAL: Duration = Duration::from_secs(4);
+/// Time for the agents to discover each other before the measurement.
 const WARM_UP: Duration = Duration::from_secs(20);
-/// Answers to answers go on until nobody lacks anything; more than these would be a fault.
-const MOST_ANSWERS: usize = 8;
+/// An exchange continues until neither side lacks an entry; more replies than this would be a defect.
+const MAX_REPLIES: usize = 8;
 
 /// The address of the agent of this number.
 fn address(number: usize) -> IpAddr {
@@ -34,7 +34,7 @@
 
 #[derive(Debug, Default, Clone, Copy)]
 struct Sent {
-    letters: usize,
+    messages: usize,
     bytes: usize,
 }
 
@@ -59,57 +59,57 @@
         Network { agents: (0..schedulers).map(agent).collect(), sent: Sent::default() }
     }
 
-    /// A controller names some agents, always the same ones, to all that ask it.
-    fn name(&mut self, now: Duration) {
+    /// The controller names some agents, always the same ones, to all agents.
+    fn add_contacts_to_all(&mut self, now: Duration) {
         for views in self.agents.iter_mut().flatten() {
-            views.add_contacts(now, (0..NAMED).map(address));
+            views.add_contacts(now, (0..CONTACTS_PER_REPLY).map(address));
         }
     }
 
     fn step(&mut self, now: Duration) {
         for n in 0..self.agents.len() {
-            let letters = self.agents[n].as_mut().map(|views| views.tick(now)).unwrap_or_default();
-            for (to, letter) in letters {
-                self.carry(now, n, to, letter);
+            let messages = self.agents[n].as_mut().map(|views| views.tick(now)).unwrap_or_default();
+            for (to, message) in messages {
+                self.deliver(now, n, to, message);
             }
         }
     }
 
-    /// A letter and the answers that follow from it.
-    fn carry(&mut self, now: Duration, from: usize, to: IpAddr, letter: Message) {
+    /// Delivers a message and the replies that follow from it.
+    fn deliver(&mut self, now: Duration, from: usize, to: IpAddr, message: Message) {
         let Some(to) = number(to) else { return };
-        let mut waiting = VecDeque::from([(from, to, letter)]);
-        let mut answers = 0;
-        while let Some((from, to, letter)) = waiting.pop_front() {
-            self.sent.letters += 1;
-            self.sent.bytes += letter.encode().len() + DATAGRAM_HEADERS;
-            let answer = self
+        let mut waiting = VecDeque::from([(from, to, message)]);
+        let mut replies = 0;
+        while let Some((from, to, message)) = waiting.pop_front() {
+            self.sent.messages += 1;
+            self.sent.bytes += message.encode().len() + DATAGRAM_HEADERS;
+            let reply = self
                 .agents
                 .get_mut(to)
                 .and_then(Option::as_mut)
-                .and_then(|views| views.receive(now, &letter));
-            answers += 1;
-            if let Some(answer) = answer.filter(|_| answers < MOST_ANSWERS) {
-                waiting.push_back((to, from, answer));
+                .and_then(|views| views.receive(now, &message));
+            replies += 1;
+            if let Some(reply) = reply.filter(|_| replies < MAX_REPLIES) {
+                waiting.push_back((to, from, reply));
             }
         }
     }
 
-    fn known(&self, now: Duration) -> Vec<Vec<IpAddr>> {
-        let there = |views: &PeerSampler| views.alive(now).iter().map(|heard| heard.ip).collect();
-        self.agents.iter().flatten().map(there).collect()
+    fn views(&self, now: Duration) -> Vec<Vec<IpAddr>> {
+        let alive_members = |views: &PeerSampler| views.alive(now).iter().map(|peer| peer.ip).collect();
+        self.agents.iter().flatten().map(alive_members).collect()
     }
 }
 
-/// Plays so many agents at rest for `length` after a warm-up, then ends one of them.
+/// Simulates this many idle agents for `length` after a warm-up, then ends one of them.
 pub fn run(schedulers: usize, length: Duration, seed: u64) -> Vec<Figure> {
     let mut network = Network::new(schedulers, seed);
     let mut now = Duration::ZERO;
-    let mut named = Duration::ZERO;
+    let mut next_contacts = Duration::ZERO;
     let mut advance = |network: &mut Network, now: &mut Duration| {
-        if *now >= named {
-            named = *now + NAMED_EVERY;
-            network.name(*now);
+        if *now >= next_contacts {
+            next_contacts = *now + CONTACTS_INTERVAL;
+            network.add_contacts_to_all(*now);
         }
         network.step(*now);
         *now += STEP;
@@ -117,50 +117,50 @@
     let mut complete = None;
     while now < WARM_UP {
         advance(&mut network, &mut now);
-        let all = || network.known(now).iter().all(|known| known.len() == schedulers);
-        if complete.is_none() && now.as_millis().is_multiple_of(LOOK) && all() {
+        let all = || network.views(now).iter().all(|view| view.len() == schedulers);
+        if complete.is_none() && now.as_millis().is_multiple_of(CHECK_INTERVAL_MS) && all() {
             complete = Some(now);
         }
     }
 
     network.sent = Sent::default();
     let (mut missing, mut worst, mut samples, mut changes) = (0usize, 0usize, 0usize, 0usize);
-    let mut before = network.known(now);
-    let mut spent = Duration::ZERO;
+    let mut before = network.views(now);
+    let mut cpu_time = Duration::ZERO;
     let end = now + length;
     while now < end {
-        spent += timed(|| advance(&mut network, &mut now)).1;
-        let after = network.known(now);
+        cpu_time += timed(|| advance(&mut network, &mut now)).1;
+        let after = network.views(now);
         changes += before.iter().zip(&after).filter(|(old, new)| old != new).count();
-        for known in &after {
-            missing += schedulers - known.len();
-            worst = worst.max(schedulers - known.len());
+        for view in &after {
+            missing += schedulers - view.len();
+            worst = worst.max(schedulers - view.len());
             samples += 1;
         }
         before = after;
     }
     let sent = network.sent;
 
-    // The last one ends without a word; noticed once nobody names it any more.
-    let gone = address(schedulers - 1);
+    // The last agent ends without notice; its end is detected once no view contains it any more.
+    let ended_member = address(schedulers - 1);
     network.agents[schedulers - 1] = None;
     let ended = now;
-    let mut noticed = None;
-    while noticed.is_none() && now < ended + 4 * WARM_UP {
+    let mut detected = None;
+    while detected.is_none() && now < ended + 4 * WARM_UP {
         advance(&mut network, &mut now);
-        noticed = network.known(now).iter().all(|known| !known.contains(&gone)).then_some(now - ended);
+        detected = network.views(now).iter().all(|view| !view.contains(&ended_member)).then_some(now - ended);
     }
 
     let agent_seconds = schedulers as f64 * length.as_secs_f64();
     let seconds = |span: Option<Duration>| span.map_or(f64::NAN, |span| span.as_secs_f64());
     vec![
         Figure::new("all know all after start", seconds(complete), "s (NaN: not in 20 s)"),
-        Figure::new("letters sent by an agent", sent.letters as f64 / agent_seconds, "/s"),
+        Figure::new("letters sent by an agent", sent.messages as f64 / agent_seconds, "/s"),
         Figure::new("bytes sent by an agent, with headers", sent.bytes as f64 / agent_seconds, "B/s"),
-        Figure::new("processor of an agent", spent.as_secs_f64() / agent_seconds * 1e6, "us/s"),
+        Figure::new("processor of an agent", cpu_time.as_secs_f64() / agent_seconds * 1e6, "us/s"),
         Figure::new("living members missing in a view, mean", missing as f64 / samples as f64, ""),
         Figure::new("living members missing in a view, worst", worst as f64, ""),
         Figure::new("changes of an agent's member list", changes as f64 / agent_seconds, "/s"),
-        Figure::new("an ended member gone from all views", seconds(noticed), "s (NaN: not in 80 s)"),
+        Figure::new("an ended member gone from all views", seconds(detected), "s (NaN: not in 80 s)"),
     ]
 }
--- a/crates/scale-run/src/processes.rs
+++ b/crates/scale-run/src/processes.rs
@@ -1,4 +1,4 @@
-//! The system's own programs as child processes, as many controllers as wanted, each with a settings file of its own.
+//! The system's programs as child processes, each with a settings file of its own.
 
 use std::fmt;
 use std::fs;
@@ -9,7 +9,7 @@
 use std::process::{Child, ChildStdin, Command, Stdio};
 use tindock_standins::places::Net;
 
-/// Ports of a played deployment, the same on all machines.
+/// Ports of a simulated deployment, the same on all machines.
 #[derive(Debug, Clone, Copy)]
 pub struct Ports {
     pub control_plane: u16,
@@ -19,7 +19,7 @@
 }
 
 impl Ports {
-    /// Those of a net of played addresses.
+    /// The ports of a net of simulated addresses.
     pub fn of(net: &Net) -> Ports {
         let ports = net.ports;
         Ports {
@@ -31,12 +31,12 @@
     }
 }
 
-/// What all settings files of a run have in common.
+/// Settings common to all processes of a run.
 #[derive(Debug, Clone)]
 pub struct Deployment {
-    /// `tindock` itself.
+    /// Path of the `tindock` executable.
     pub program: PathBuf,
-    /// Settings, logs and disks; removed at the end.
+    /// Holds settings, logs and disks; removed at the end.
     pub folder: PathBuf,
     pub controllers: Vec<Ipv4Addr>,
     pub ports: Ports,
@@ -51,7 +51,7 @@
 }
 
 impl Role {
-    /// The name of its program.
+    /// The subcommand that runs this role.
     pub fn program(self) -> &'static str {
         match self {
             Role::Controller => "archive",
@@ -62,21 +62,23 @@
 }
 
 #[derive(Debug)]
-pub enum Fault {
+pub enum StartError {
     File(PathBuf, std::io::Error),
     Start(PathBuf, std::io::Error),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::File(path, why) | Fault::Start(path, why) => write!(f, "{}: {why}", path.display()),
+            StartError::File(path, cause) | StartError::Start(path, cause) => {
+                write!(f, "{}: {cause}", path.display())
+            }
         }
     }
 }
 
 impl Deployment {
-    /// The settings file of a machine's role, as DEPLOY has it.
+    /// The settings file of a role on a machine, in the format of the deployment guide.
     pub fn settings(&self, role: Role, name: &str, ip: Ipv4Addr, zone: &str) -> String {
         let quoted = |text: &str| format!("\"{text}\"");
         let seeds =
@@ -117,13 +119,13 @@
     }
 }
 
-/// A running program.
+/// A running process.
 struct Process {
     role: Role,
     child: Child,
 }
 
-/// The programs while they run; all end when this is dropped, or by a guard when this process dies itself.
+/// The running processes; all are killed when this is dropped, or by a guard process if this process dies.
 pub struct Processes {
     deployment: Deployment,
     running: Vec<Process>,
@@ -131,24 +133,24 @@
 }
 
 impl Processes {
-    pub fn new(deployment: Deployment) -> Result<Processes, Fault> {
+    pub fn new(deployment: Deployment) -> Result<Processes, StartError> {
         let folder = &deployment.folder;
-        fs::create_dir_all(folder).map_err(|why| Fault::File(folder.clone(), why))?;
+        fs::create_dir_all(folder).map_err(|cause| StartError::File(folder.clone(), cause))?;
         let guard = guard(&deployment.program, folder);
         Ok(Processes { deployment, running: Vec::new(), guard })
     }
 
-    pub fn start(&mut self, role: Role, name: &str, ip: Ipv4Addr, zone: &str) -> Result<(), Fault> {
+    pub fn start(&mut self, role: Role, name: &str, ip: Ipv4Addr, zone: &str) -> Result<(), StartError> {
         let file = |ending: &str| self.deployment.folder.join(format!("{name}.{}.{ending}", role.program()));
         let (settings, log) = (file("toml"), file("log"));
-        let unwritten = |path: &Path| {
+        let file_error = |path: &Path| {
             let path = path.to_path_buf();
-            move |why| Fault::File(path, why)
+            move |cause| StartError::File(path, cause)
         };
         let text = self.deployment.settings(role, name, ip, zone);
-        fs::write(&settings, text).map_err(unwritten(&settings))?;
-        let out = fs::File::create(&log).map_err(unwritten(&log))?;
-        let err = out.try_clone().map_err(unwritten(&log))?;
+        fs::write(&settings, text).map_err(file_error(&settings))?;
+        let out = fs::File::create(&log).map_err(file_error(&log))?;
+        let err = out.try_clone().map_err(file_error(&log))?;
         let child = Command::new(&self.deployment.program)
             .arg(role.program())
             .env("TINDOCK_BOOT", &settings)
@@ -157,7 +159,7 @@
             .stderr(err)
             .process_group(0)
             .spawn()
-            .map_err(|why| Fault::Start(self.deployment.program.clone(), why))?;
+            .map_err(|cause| StartError::Start(self.deployment.program.clone(), cause))?;
         if let Some((_, to)) = &mut self.guard {
             let _ = writeln!(to, "+{}", child.id()).and_then(|()| to.flush());
         }
@@ -165,12 +167,12 @@
         Ok(())
     }
 
-    /// Process ids of a role, in the order of their starts.
+    /// Process ids of a role, in the order in which they were started.
     pub fn ids(&self, role: Role) -> Vec<u32> {
         self.running.iter().filter(|process| process.role == role).map(|process| process.child.id()).collect()
     }
 
-    /// Bytes of files under the folder of a controller's disk.
+    /// Total size of the files on a controller's disk, in bytes.
     pub fn disk(&self, name: &str) -> u64 {
         let folder = self.deployment.folder.join(format!("{name}.disk"));
         let sizes = fs::read_dir(folder).into_iter().flatten().flatten();
@@ -193,7 +195,7 @@
     }
 }
 
-/// A process that ends the others if this one dies, as `tindock demo` has it.
+/// Starts a guard process that kills the others if this one dies, the same as in `tindock demo`.
 fn guard(program: &Path, folder: &Path) -> Option<(Child, ChildStdin)> {
     let mut child = Command::new(program)
         .args(["demo", "--guard"])
--- a/crates/scale-run/src/report.rs
+++ b/crates/scale-run/src/report.rs
@@ -1,4 +1,4 @@
-//! Rows of figures as a plain table.
+//! Formats figures as a plain table.
 
 /// One measured figure of one size.
 #[derive(Debug, Clone, PartialEq)]
@@ -14,12 +14,12 @@
     }
 }
 
-/// The value of a named figure; None where there is none of that name.
+/// The value of a figure by its name, if there is one.
 pub fn value(figures: &[Figure], name: &str) -> Option<f64> {
     figures.iter().find(|figure| figure.name == name).map(|figure| figure.value)
 }
 
-/// Figures of one run, a line each, with the size before them.
+/// The figures of one run, one per line, each preceded by the run's name and size.
 pub fn lines(run: &str, schedulers: usize, figures: &[Figure]) -> String {
     let line = |figure: &Figure| {
         format!("{run:<14} {schedulers:>5}  {:<42} {:>14.4} {}\n", figure.name, figure.value, figure.unit)
--- a/crates/scale-run/src/slots.rs
+++ b/crates/scale-run/src/slots.rs
@@ -1,5 +1,5 @@
-//! A proxy's part in giving out slots: what its books cost in memory and processor, and what one call costs in messages
-//! between the proxy that has the call and the one that owns the instance.
+//! A proxy's part in slot allocation: cost of its ledgers in memory and processor time, and messages of one
+//! call between the proxy that has the call and the one that owns the instance.
 
 use crate::distribution::instance;
 use crate::report::Figure;
@@ -15,10 +15,10 @@
 const DATAGRAM_HEADERS: usize = 28;
 const PORT: u16 = 7301;
 const CALLS: u32 = 2000;
-/// A proxy tells the autoscaler what changed this often.
-const TELL: Duration = Duration::from_millis(250);
-/// A function that has been called once is told of for so long.
-const QUIET: Duration = Duration::from_secs(60);
+/// Interval of a proxy's load reports to the autoscaler.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// Time for which load reports of a function are counted after its only call.
+const OBSERVED_AFTER_CALL: Duration = Duration::from_secs(60);
 const RUN: Duration = Duration::from_millis(80);
 
 fn member(number: usize) -> Member {
@@ -53,27 +53,28 @@
     }
 }
 
-/// The books of the proxy of this number, with everything known.
+/// The allocator of the proxy of this number, with all members, functions and instances.
 fn proxy(number: usize, size: Size) -> Allocator {
     let me = member(number);
-    let mut lending = Allocator::new(me.at, me.zone, me.incarnation, number as u64, Duration::ZERO);
-    lending.set_functions(Duration::ZERO, (0..size.functions).map(function).collect());
-    lending.set_members(Duration::ZERO, members(size));
+    let mut allocator = Allocator::new(me.at, me.zone, me.incarnation, number as u64, Duration::ZERO);
+    allocator.set_functions(Duration::ZERO, (0..size.functions).map(function).collect());
+    allocator.set_members(Duration::ZERO, members(size));
     let entries = (0..size.instances).map(|n| entry(n, size)).collect();
-    lending.update_instances(Duration::ZERO, entries, &[]);
-    lending
+    allocator.update_instances(Duration::ZERO, entries, &[]);
+    allocator
 }
 
-/// Messages of some calls between two proxies that share all instances.
+/// Messages of the calls between two proxies that share all instances.
 #[derive(Debug, Default)]
 struct Traffic {
     datagrams: usize,
     bytes: usize,
     served: u32,
-    words: usize,
+    reports: usize,
 }
 
-/// Two proxies of one zone with one function of one instance: the calls come to the one that does not own it.
+/// Two proxies of one zone with one function of one instance: all calls arrive at the one that does not own
+/// it.
 fn calls() -> (Traffic, Duration) {
     let size = Size { schedulers: 2, functions: 1, instances: 1 };
     let zoned = |n: usize| Member { zone: Size::zone(0).to_string(), region: "east".into(), ..member(n) };
@@ -81,20 +82,20 @@
     let mut proxies: Vec<Allocator> = all
         .iter()
         .map(|me| {
-            let mut lending = Allocator::new(me.at, me.zone.clone(), me.incarnation, 1, Duration::ZERO);
-            lending.set_functions(Duration::ZERO, vec![function(0)]);
-            lending.set_members(Duration::ZERO, all.clone());
-            lending.update_instances(Duration::ZERO, vec![entry(0, size)], &[]);
-            lending
+            let mut allocator = Allocator::new(me.at, me.zone.clone(), me.incarnation, 1, Duration::ZERO);
+            allocator.set_functions(Duration::ZERO, vec![function(0)]);
+            allocator.set_members(Duration::ZERO, all.clone());
+            allocator.update_instances(Duration::ZERO, vec![entry(0, size)], &[]);
+            allocator
         })
         .collect();
     let owner = usize::from(proxies[1].pools().next().is_some());
     let requester = 1 - owner;
     let mut traffic = Traffic::default();
     let mut now = Duration::from_secs(10);
-    // Who owns what is agreed before the first call.
+    // Ownership is settled before the first call.
     exchange(&mut proxies, &all, now, &mut Traffic::default());
-    let (_, spent) = timed(|| {
+    let (_, cpu_time) = timed(|| {
         for _ in 0..CALLS {
             let end = now + Duration::from_secs(4);
             proxies[requester].request_slot(
@@ -112,17 +113,17 @@
                 traffic.served += 1;
             }
             exchange(&mut proxies, &all, now, &mut traffic);
-            for lending in &mut proxies {
-                lending.tick(now);
-                traffic.words += lending.load_reports(now, TELL).len();
+            for allocator in &mut proxies {
+                allocator.tick(now);
+                traffic.reports += allocator.load_reports(now, REPORT_INTERVAL).len();
             }
             exchange(&mut proxies, &all, now, &mut traffic);
         }
     });
-    (traffic, spent)
+    (traffic, cpu_time)
 }
 
-/// Carries datagrams until there are none; the calls that got a slot, by proxy.
+/// Delivers datagrams until there are none; returns the calls that were granted a slot, by proxy.
 fn exchange(
     proxies: &mut [Allocator],
     all: &[Member],
@@ -132,9 +133,9 @@
     let mut granted = Vec::new();
     let mut waiting: VecDeque<(usize, SocketAddr, Vec<u8>)> = VecDeque::new();
     loop {
-        for (number, lending) in proxies.iter_mut().enumerate() {
-            while let Some(order) = lending.pull() {
-                match order {
+        for (number, allocator) in proxies.iter_mut().enumerate() {
+            while let Some(action) = allocator.pull() {
+                match action {
                     Action::Send { to, bytes } => waiting.push_back((number, to, bytes)),
                     Action::Dispatch { call, .. } => granted.push((number, call)),
                     _ => {}
@@ -150,71 +151,71 @@
     }
 }
 
-/// How often the autoscaler is told of a function that has been called once.
-fn words_of_a_lone_call() -> usize {
+/// Number of load reports about a function that has been called once.
+fn reports_after_a_single_call() -> usize {
     let size = Size { schedulers: 1, functions: 1, instances: 1 };
-    let mut lending = proxy(0, size);
+    let mut allocator = proxy(0, size);
     let mut now = Duration::from_secs(10);
-    lending.request_slot(now, kind(&Size::function(0)), 2, now + RUN, now + Duration::from_secs(4), "");
-    let mut words = 0;
-    let end = now + QUIET;
+    allocator.request_slot(now, kind(&Size::function(0)), 2, now + RUN, now + Duration::from_secs(4), "");
+    let mut reports = 0;
+    let end = now + OBSERVED_AFTER_CALL;
     while now < end {
-        while let Some(order) = lending.pull() {
-            if let Action::Dispatch { call, .. } = order {
-                lending.settle(now, call, Ended::Done);
+        while let Some(action) = allocator.pull() {
+            if let Action::Dispatch { call, .. } = action {
+                allocator.settle(now, call, Ended::Done);
             }
         }
-        lending.tick(now);
-        words += lending.load_reports(now, TELL).len();
-        now += TELL;
+        allocator.tick(now);
+        reports += allocator.load_reports(now, REPORT_INTERVAL).len();
+        now += REPORT_INTERVAL;
     }
-    words
+    reports
 }
 
-/// Measures one proxy that knows everything, and calls between two.
+/// Measures one proxy with complete knowledge, and calls between two proxies.
 pub fn run(size: Size) -> Vec<Figure> {
     let memory = own_memory();
-    let (mut lending, learning) = timed(|| proxy(0, size));
-    let held = own_memory() - memory;
-    let owned: usize = lending.pools().map(|shelf| shelf.ledgers.len()).sum();
-    while lending.pull().is_some() {}
+    let (mut allocator, setup_time) = timed(|| proxy(0, size));
+    let memory_used = own_memory() - memory;
+    let owned: usize = allocator.pools().map(|pool| pool.ledgers.len()).sum();
+    while allocator.pull().is_some() {}
 
-    let mut without = members(size);
-    without.pop();
+    let mut remaining = members(size);
+    remaining.pop();
     let mut now = Duration::from_secs(10);
-    let (_, leaving) = timed(|| lending.set_members(now, without));
-    while lending.pull().is_some() {}
-    let (_, returning) = timed(|| lending.set_members(now, members(size)));
-    while lending.pull().is_some() {}
+    let (_, member_removal_time) = timed(|| allocator.set_members(now, remaining));
+    while allocator.pull().is_some() {}
+    let (_, member_addition_time) = timed(|| allocator.set_members(now, members(size)));
+    while allocator.pull().is_some() {}
 
-    let (ticks, mut resting) = (100, Duration::ZERO);
+    let (ticks, mut tick_time) = (100, Duration::ZERO);
     for _ in 0..ticks {
         now += Duration::from_millis(100);
-        resting += timed(|| {
-            let busy = lending.busy();
-            lending.tick(now);
+        tick_time += timed(|| {
+            let busy = allocator.busy();
+            allocator.tick(now);
             busy
         })
         .1;
-        while lending.pull().is_some() {}
+        while allocator.pull().is_some() {}
     }
-    let (_, telling) = timed(|| lending.load_reports(now, TELL));
-    let (traffic, calling) = calls();
+    let (_, report_time) = timed(|| allocator.load_reports(now, REPORT_INTERVAL));
+    let (traffic, call_time) = calls();
     let ms = |span: Duration| span.as_secs_f64() * 1e3;
     let served = f64::from(traffic.served.max(1));
     vec![
         Figure::new("functions", size.functions as f64, ""),
         Figure::new("instances", size.instances as f64, ""),
         Figure::new("instances owned", owned as f64, ""),
-        Figure::new("memory", held, "MiB"),
-        Figure::new("learns everything", ms(learning), "ms"),
-        Figure::new("a member goes", ms(leaving), "ms"),
-        Figure::new("a member comes", ms(returning), "ms"),
-        Figure::new("a look at the clock, at rest", ms(resting) / f64::from(ticks), "ms"),
-        Figure::new("gathers demand, at rest", ms(telling), "ms"),
+        Figure::new("memory", memory_used, "MiB"),
+        Figure::new("learns everything", ms(setup_time), "ms"),
+        Figure::new("a member goes", ms(member_removal_time), "ms"),
+        Figure::new("a member comes", ms(member_addition_time), "ms"),
+        Figure::new("a look at the clock, at rest", ms(tick_time) / f64::from(ticks), "ms"),
+        Figure::new("gathers demand, at rest", ms(report_time), "ms"),
         Figure::new("datagrams of a call that needs another's slot", traffic.datagrams as f64 / served, ""),
         Figure::new("their bytes, with headers", traffic.bytes as f64 / served, "B"),
-        Figure::new("processor of both proxies' books, a call", ms(calling) * 1e3 / served, "us"),
-        Figure::new("words of demand after a lone call", words_of_a_lone_call() as f64, ""),
+        Figure::new("processor of both proxies' books, a call", ms(call_time) * 1e3 / served, "us"),
+        Figure::new("words of demand after a lone call", reports_after_a_single_call() as f64, ""),
     ]
 }
--- a/crates/scale-run/src/usage.rs
+++ b/crates/scale-run/src/usage.rs
@@ -18,7 +18,7 @@
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// Runs the work and tells its processor time beside its result.
+/// Runs the work and returns its result and its processor time.
 pub fn timed<T>(work: impl FnOnce() -> T) -> (T, Duration) {
     let began = thread_time();
     let result = work();
@@ -30,14 +30,14 @@
     memory("self").unwrap_or(0.0)
 }
 
-/// Resident memory in MiB of a process by its id; None where it has ended.
+/// Resident memory in MiB of a process by its id; `None` if it has ended.
 pub fn memory(process: &str) -> Option<f64> {
     let text = std::fs::read_to_string(format!("/proc/{process}/statm")).ok()?;
     let pages: u64 = text.split_whitespace().nth(1)?.parse().ok()?;
     Some((pages * PAGE_BYTES) as f64 / MEBIBYTE)
 }
 
-/// Processor time of a process by its id, all its threads together; None where it has ended.
+/// Processor time of a process by its id, all its threads together; `None` if it has ended.
 pub fn process_time(process: u32) -> Option<Duration> {
     let threads = std::fs::read_dir(format!("/proc/{process}/task")).ok()?;
     let time = |thread: std::fs::DirEntry| {
