--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,6 +1,7 @@
-//! A toy to try the scheduler with: three workers that turn a task's body into capitals, and the discovery
-//! agent that names them. It holds the addresses of `examples/config.json`; its arguments are schedulers to tell of
-//! tasks, instead of that one: a scheduler that does not know a task passes over the news.
+//! An example to try the scheduler with: three workers that convert a task's body to upper case, and the
+//! discovery agent that lists them. It uses the addresses of `examples/config.json`. Its arguments are
+//! addresses of schedulers that get the task updates instead of the default one; a scheduler ignores updates
+//! of tasks it does not know.
 
 use std::io::{BufRead, BufReader, Read, Result, Write};
 use std::net::{TcpListener, TcpStream};
@@ -8,15 +9,15 @@
 use std::time::Duration;
 
 const SCHEDULER: &str = "127.0.0.1:7000";
-/// A scheduler that is not there, or stands still, holds up no other.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Limits how long an unresponsive scheduler delays updates to the others.
+const READ_TIMEOUT: Duration = Duration::from_millis(500);
 const DISCOVERY: &str = "127.0.0.1:7500";
 const WORKERS: [&str; 3] = ["127.0.0.1:7101", "127.0.0.1:7102", "127.0.0.1:7103"];
-/// How long a task runs.
-const RUN: Duration = Duration::from_millis(300);
+/// Duration of a task.
+const TASK_DURATION: Duration = Duration::from_millis(300);
 
-/// The next message on a connection: its first line, its id and its body; none at the end.
-fn read(from: &mut BufReader<TcpStream>) -> Result<Option<(String, String, String)>> {
+/// Reads the next message of a connection: its first line, id and body; none at the end of the stream.
+fn read_message(from: &mut BufReader<TcpStream>) -> Result<Option<(String, String, String)>> {
     let (mut first, mut id, mut length) = (String::new(), String::new(), 0);
     if from.read_line(&mut first)? == 0 {
         return Ok(None);
@@ -38,44 +39,44 @@
     Ok(Some((first, id, String::from_utf8_lossy(&body).into())))
 }
 
-fn answer(to: &mut TcpStream, status: &str, body: &str) -> Result<()> {
-    // In one piece: small ones would wait for each other.
+fn respond(to: &mut TcpStream, status: &str, body: &str) -> Result<()> {
+    // A single write: several small ones would be delayed by Nagle's algorithm.
     to.write_all(format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes())
 }
 
-/// Tells the schedulers what became of a task.
-fn tell(news: &str) -> Result<()> {
-    let named: Vec<String> = std::env::args().skip(1).collect();
-    let schedulers = if named.is_empty() { vec![SCHEDULER.into()] } else { named };
-    let length = news.len();
-    let whole = format!("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{news}");
-    let one = |at: &String| -> Result<()> {
+/// Reports a change of a task's state to the schedulers.
+fn report(update: &str) -> Result<()> {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let schedulers = if arguments.is_empty() { vec![SCHEDULER.into()] } else { arguments };
+    let length = update.len();
+    let request = format!("POST /_jobs/news HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{update}");
+    let send_to = |at: &String| -> Result<()> {
         let mut to = TcpStream::connect(at)?;
-        to.set_read_timeout(Some(PATIENCE))?;
-        to.write_all(whole.as_bytes())?;
+        to.set_read_timeout(Some(READ_TIMEOUT))?;
+        to.write_all(request.as_bytes())?;
         BufReader::new(to).read_line(&mut String::new()).map(drop)
     };
-    // Whoever has the task hears of it, whatever became of the others.
-    let told: Vec<Result<()>> = schedulers.iter().map(one).collect();
-    if told.iter().any(Result::is_ok) {
+    // All schedulers are tried even if some fail, so the one that has the task gets the update.
+    let results: Vec<Result<()>> = schedulers.iter().map(send_to).collect();
+    if results.iter().any(Result::is_ok) {
         return Ok(());
     }
-    told.into_iter().collect()
+    results.into_iter().collect()
 }
 
 fn run(name: &str, id: &str, body: &str) -> Result<()> {
-    tell(&format!(r#"{{"id":"{id}","from":"{name}","state":"started"}}"#))?;
-    sleep(RUN);
+    report(&format!(r#"{{"id":"{id}","from":"{name}","state":"started"}}"#))?;
+    sleep(TASK_DURATION);
     let result: String = body.chars().filter(|c| !c.is_control() && !"\"\\".contains(*c)).collect();
     let result = result.to_uppercase();
-    tell(&format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"{result} (by {name})"}}"#))
+    report(&format!(r#"{{"id":"{id}","from":"{name}","state":"done","result":"{result} (by {name})"}}"#))
 }
 
-fn work(name: String, stream: TcpStream) -> Result<()> {
+fn serve_worker(name: String, stream: TcpStream) -> Result<()> {
     let (mut to, mut from) = (stream.try_clone()?, BufReader::new(stream));
-    while let Some((first, id, body)) = read(&mut from)? {
+    while let Some((first, id, body)) = read_message(&mut from)? {
         println!("{name}: {}", first.trim());
-        answer(&mut to, if first.starts_with("POST") { "202 Accepted" } else { "200 OK" }, "")?;
+        respond(&mut to, if first.starts_with("POST") { "202 Accepted" } else { "200 OK" }, "")?;
         if first.starts_with("POST") {
             let name = name.clone();
             spawn(move || run(&name, &id, &body));
@@ -84,12 +85,12 @@
     Ok(())
 }
 
-/// The whole list to whoever has none; after that nothing ever changes.
-fn discover(stream: TcpStream) -> Result<()> {
+/// Serves the complete list to a first request; later ones get an empty answer, as the list never changes.
+fn serve_discovery(stream: TcpStream) -> Result<()> {
     let (mut to, mut from) = (stream.try_clone()?, BufReader::new(stream));
-    while let Some((first, ..)) = read(&mut from)? {
-        let news = !first.contains("after=1");
-        if !news {
+    while let Some((first, ..)) = read_message(&mut from)? {
+        let is_snapshot = !first.contains("after=1");
+        if !is_snapshot {
             sleep(Duration::from_secs(2));
         }
         let entry = |(number, address): (usize, &&str)| {
@@ -98,9 +99,13 @@
  "status":"active","weight":2.0,"since_ms":0}}"#
             )
         };
-        let entries: Vec<String> = WORKERS.iter().filter(|_| news).enumerate().map(entry).collect();
+        let entries: Vec<String> = WORKERS.iter().filter(|_| is_snapshot).enumerate().map(entry).collect();
         let entries = entries.join(",");
-        answer(&mut to, "200 OK", &format!(r#"{{"index":1,"snapshot":{news},"endpoints":[{entries}]}}"#))?;
+        respond(
+            &mut to,
+            "200 OK",
+            &format!(r#"{{"index":1,"snapshot":{is_snapshot},"endpoints":[{entries}]}}"#),
+        )?;
     }
     Ok(())
 }
@@ -110,13 +115,13 @@
         let listener = TcpListener::bind(address)?;
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                spawn(move || work(format!("toy-{number}"), stream));
+                spawn(move || serve_worker(format!("toy-{number}"), stream));
             }
         });
     }
     println!("discovery at {DISCOVERY}, workers at {WORKERS:?}");
     for stream in TcpListener::bind(DISCOVERY)?.incoming().flatten() {
-        spawn(move || discover(stream));
+        spawn(move || serve_discovery(stream));
     }
     Ok(())
 }
