--- a/crates/control-process-tests/src/operator.rs
+++ b/crates/control-process-tests/src/operator.rs
@@ -1,4 +1,4 @@
-//! Single calls of an operator, with the answers as types, and connections that a test breaks as it likes.
+//! Single calls of an operator with typed answers, and connections that a test can break.
 
 use nanoserde::DeJson;
 use std::io;
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 /// Longer than a controller may take for any answer.
-pub const PATIENCE: Duration = Duration::from_secs(8);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 
 const REPLACE: &str = "/v1/Configuration.Replace";
 const SHOW: &str = "/v1/Configuration.Show";
@@ -19,28 +19,28 @@
 
 /// The answer to `Configuration.Replace`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Replaced {
+pub enum ReplaceAnswer {
     /// This text is in force under its revision.
     Confirmed,
-    /// Taken note of; this higher revision is in force, or another text that is named.
+    /// Accepted, but the named higher revision or another text is in force.
     Superseded { revision: Option<u64> },
     /// Another text is in force under the revision.
     Conflict { revision: Option<u64> },
-    /// It may or may not come into force; to be sent again.
+    /// The outcome is unknown; the call has to be retried.
     Unclear { retry_after: Option<Duration> },
-    /// Not a configuration.
+    /// The text is not a valid configuration.
     Invalid(String),
     /// Any other status.
     Unexpected(u16, String),
-    /// No whole answer in time.
+    /// No complete answer in time.
     Unanswered,
 }
 
 /// The answer to `Configuration.Show`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Shown {
+pub enum ShowAnswer {
     Text(String),
-    /// No majority in touch, or nothing taken yet; to be asked again.
+    /// No contact to a majority, or no text accepted yet; the call has to be retried.
     Unclear {
         retry_after: Option<Duration>,
     },
@@ -48,52 +48,55 @@
     Unanswered,
 }
 
-impl Replaced {
-    /// Told that the order is over: confirmed, overtaken, or in conflict.
-    pub fn is_clear(&self) -> bool {
-        !matches!(self, Replaced::Unclear { .. } | Replaced::Unanswered)
+impl ReplaceAnswer {
+    /// Whether the update needs no retry: it was confirmed, superseded, in conflict, or rejected.
+    pub fn is_definitive(&self) -> bool {
+        !matches!(self, ReplaceAnswer::Unclear { .. } | ReplaceAnswer::Unanswered)
     }
 
-    /// Not told that the order was wrong or lost: what an order sent again may be answered.
+    /// Whether this is an allowed answer to a repeated update: neither a conflict nor a rejection.
     pub fn is_acknowledged_or_unclear(&self) -> bool {
-        matches!(self, Replaced::Confirmed | Replaced::Superseded { .. } | Replaced::Unclear { .. })
+        matches!(
+            self,
+            ReplaceAnswer::Confirmed | ReplaceAnswer::Superseded { .. } | ReplaceAnswer::Unclear { .. }
+        )
     }
 }
 
-impl From<Option<Response>> for Replaced {
-    fn from(answer: Option<Response>) -> Replaced {
-        let Some(answer) = answer else { return Replaced::Unanswered };
+impl From<Option<Response>> for ReplaceAnswer {
+    fn from(answer: Option<Response>) -> ReplaceAnswer {
+        let Some(answer) = answer else { return ReplaceAnswer::Unanswered };
         let body = String::from_utf8_lossy(&answer.body).into_owned();
         let in_force: InForce = DeJson::deserialize_json(&body).unwrap_or_default();
         match answer.status {
-            200 if in_force.superseded => Replaced::Superseded { revision: in_force.revision() },
-            200 => Replaced::Confirmed,
-            409 => Replaced::Conflict { revision: in_force.revision() },
-            503 => Replaced::Unclear { retry_after: answer.headers.retry_after() },
-            400 => Replaced::Invalid(body),
-            status => Replaced::Unexpected(status, body),
+            200 if in_force.superseded => ReplaceAnswer::Superseded { revision: in_force.revision() },
+            200 => ReplaceAnswer::Confirmed,
+            409 => ReplaceAnswer::Conflict { revision: in_force.revision() },
+            503 => ReplaceAnswer::Unclear { retry_after: answer.headers.retry_after() },
+            400 => ReplaceAnswer::Invalid(body),
+            status => ReplaceAnswer::Unexpected(status, body),
         }
     }
 }
 
-impl From<Option<Response>> for Shown {
-    fn from(answer: Option<Response>) -> Shown {
-        let Some(answer) = answer else { return Shown::Unanswered };
+impl From<Option<Response>> for ShowAnswer {
+    fn from(answer: Option<Response>) -> ShowAnswer {
+        let Some(answer) = answer else { return ShowAnswer::Unanswered };
         let body = String::from_utf8_lossy(&answer.body).into_owned();
         match answer.status {
-            200 => Shown::Text(body),
-            503 => Shown::Unclear { retry_after: answer.headers.retry_after() },
-            status => Shown::Unexpected(status, body),
+            200 => ShowAnswer::Text(body),
+            503 => ShowAnswer::Unclear { retry_after: answer.headers.retry_after() },
+            status => ShowAnswer::Unexpected(status, body),
         }
     }
 }
 
-/// What an answer to `Replace` says of the text in force; other fields are ignored.
+/// The fields of an answer to `Replace` that describe the text in force; others are ignored.
 #[derive(Debug, Default, DeJson)]
 struct InForce {
     #[nserde(default)]
     superseded: bool,
-    /// 0 where it is not told.
+    /// 0 if absent.
     #[nserde(default)]
     revision: u64,
 }
@@ -105,31 +108,31 @@
 }
 
 /// Sends a text once, following redirects.
-pub async fn replace(at: SocketAddr, text: &str) -> Replaced {
-    replace_within(at, text, PATIENCE).await
+pub async fn replace(at: SocketAddr, text: &str) -> ReplaceAnswer {
+    replace_within(at, text, CALL_TIMEOUT).await
 }
 
-/// The same, given up after `patience` at each controller.
-pub async fn replace_within(at: SocketAddr, text: &str, patience: Duration) -> Replaced {
-    follow(at, patience, "POST", REPLACE, &[JSON], text).await.1.into()
+/// The same, with a time limit for each controller.
+pub async fn replace_within(at: SocketAddr, text: &str, call_timeout: Duration) -> ReplaceAnswer {
+    follow(at, call_timeout, "POST", REPLACE, &[JSON], text).await.1.into()
 }
 
-/// Asks for the newest text once, following redirects.
-pub async fn show(at: SocketAddr) -> Shown {
-    show_within(at, PATIENCE).await
+/// Queries the newest text once, following redirects.
+pub async fn show(at: SocketAddr) -> ShowAnswer {
+    show_within(at, CALL_TIMEOUT).await
 }
 
-/// The same, given up after `patience` at each controller.
-pub async fn show_within(at: SocketAddr, patience: Duration) -> Shown {
-    follow(at, patience, "GET", SHOW, &[], "").await.1.into()
+/// The same, with a time limit for each controller.
+pub async fn show_within(at: SocketAddr, call_timeout: Duration) -> ShowAnswer {
+    follow(at, call_timeout, "GET", SHOW, &[], "").await.1.into()
 }
 
-/// The bytes of a call that sends a text.
+/// The request bytes of a `Replace` call.
 pub fn replace_request(text: &str) -> Vec<u8> {
     request("POST", REPLACE, &[("Host", "controller"), JSON], text.as_bytes())
 }
 
-/// The bytes of a call that asks for the newest text.
+/// The request bytes of a `Show` call.
 pub fn show_request() -> Vec<u8> {
     request("GET", SHOW, &[("Host", "controller")], b"")
 }
@@ -142,34 +145,34 @@
 
 impl Connection {
     pub async fn open(at: SocketAddr) -> io::Result<Connection> {
-        let stream = timeout(PATIENCE, TcpStream::connect(at)).await??;
+        let stream = timeout(CALL_TIMEOUT, TcpStream::connect(at)).await??;
         stream.set_nodelay(true)?;
         Ok(Connection { stream, buffer: Vec::new() })
     }
 
     pub async fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
-        timeout(PATIENCE, self.stream.write_all(bytes)).await?
+        timeout(CALL_TIMEOUT, self.stream.write_all(bytes)).await?
     }
 
-    /// The next answer, to a call of this method; none if no whole one comes in time.
+    /// The next answer, to a call of this method; none if no complete one arrives in time.
     pub async fn answer(&mut self, method: &str) -> Option<Response> {
-        timeout(PATIENCE, read_response(&mut self.stream, &mut self.buffer, method)).await.ok()?.ok()
+        timeout(CALL_TIMEOUT, read_response(&mut self.stream, &mut self.buffer, method)).await.ok()?.ok()
     }
 
-    /// Whether the other side has ended the connection without a word.
-    pub async fn ends_silently(&mut self) -> bool {
+    /// Whether the controller has closed the connection without an answer.
+    pub async fn closes_without_answer(&mut self) -> bool {
         matches!(
-            timeout(PATIENCE, read_response(&mut self.stream, &mut self.buffer, "POST")).await,
+            timeout(CALL_TIMEOUT, read_response(&mut self.stream, &mut self.buffer, "POST")).await,
             Ok(Err(_))
         )
     }
 
-    /// Ends the sending side; the controller reads an end of the stream.
+    /// Shuts down the sending side; the controller reads an end of the stream.
     pub async fn end(&mut self) -> io::Result<()> {
         self.stream.shutdown().await
     }
 
-    /// Ends the connection with a reset, whatever is under way.
+    /// Resets the connection, whatever is in flight.
     pub fn reset(self) -> io::Result<()> {
         socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO))
     }
