--- a/crates/scale-run/src/autoscaler.rs
+++ b/crates/scale-run/src/autoscaler.rs
@@ -11,7 +11,7 @@
 /// Virtual time of the measurement.
 const LENGTH: Duration = Duration::from_secs(5);
 const STEP: Duration = Duration::from_millis(50);
-/// Interval at which the controller reads the list of instances and of worker machines.
+/// Interval at which a controller reads the list of instances; it reads the worker machines half as often.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 /// Each step reports the demand of one in this many functions.
 const REPORT_STRIDE: usize = 20;
