--- a/crates/scheduler/tests/control_contact.rs
+++ b/crates/scheduler/tests/control_contact.rs
@@ -301,7 +301,8 @@
     let cluster = Cluster::start(PROGRAM, Size { controllers: 3, edges: 1 }).await?;
     let mut loads = JoinSet::new();
     loads.spawn(load(cluster.clients(6, 7)));
-    let machine = wait_until("a holder acts", STEP_TIMEOUT, || async { cluster.platform.lease_holder() }).await?;
+    let machine =
+        wait_until("a holder acts", STEP_TIMEOUT, || async { cluster.platform.lease_holder() }).await?;
     let holder = cluster.controller_on(&machine).expect("a controller");
     let others: Vec<usize> = (0..3).filter(|other| *other != holder).collect();
     // It is frozen with starts in hand.
