--- a/crates/scheduler/tests/installations.rs
+++ b/crates/scheduler/tests/installations.rs
@@ -185,7 +185,7 @@
     write_inventory(&folder, "more.csv", &format!("name,address\nw9,{}\n", w0.address));
     schedulers.iter_mut().for_each(|s| drop(s.wait_for_line("yard.csv:2:1: worker \"w0\" is at")));
     write_inventory(&folder, "more.csv", "name,addr");
-    schedulers.iter_mut().for_each(|s| drop(s.wait_for_line("more.csv:1:10: the file ends")));
+    schedulers.iter_mut().for_each(|s| drop(s.wait_for_line("more.csv:1:10: the last line has no line end")));
     // w2 is removed.
     let removed_at = Instant::now();
     fs::remove_file(folder.join("inventory/more.csv")).expect("the file");
--- a/crates/scheduler/tests/leaving.rs
+++ b/crates/scheduler/tests/leaving.rs
@@ -223,7 +223,7 @@
     line.read();
     line.accept_task();
     scheduler.signal("-TERM");
-    scheduler.wait_for_line("told to stop: what is in hand has 3.3 s");
+    scheduler.wait_for_line("shutting down: tasks in progress have 3.3 s");
 
     let mut late = Peer::connect(scheduler.address);
     late.post("/release", "late", "x");
