--- a/crates/scheduler/tests/sockets.rs
+++ b/crates/scheduler/tests/sockets.rs
@@ -255,7 +255,7 @@
     line.read();
     line.accept_task();
     scheduler.signal("-TERM");
-    scheduler.wait_for_line("told to stop: what is in hand has 3.3 s");
+    scheduler.wait_for_line("shutting down: tasks in progress have 3.3 s");
     assert!(idle.try_read().is_none(), "an idle connection is closed");
     let mut late = Peer::connect(scheduler.address);
     late.post("/release", "g2", "x");
